--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -8,7 +8,7 @@
 use crate::spread::draw_below;
 use crate::store::{LeaseId, Store};
 use crate::{clock, keys};
-use ospreywing_scheduler::{Configuration, Feature, Forecast, JobId, JobRecord, Refusal};
+use ospreywing_scheduler::{Configuration, Feature, Forecast, JobId, JobRecord, Rejection};
 use ospreywing_types::{Duration, Instant};
 use slog::info;
 use std::cell::{Cell, RefCell};
@@ -60,19 +60,19 @@
     }
 
     /// Returns why a job is refused by what this leader told, if it is.
-    pub fn refusal(
+    pub fn rejection(
         &self,
         now: Instant,
         leader: LeaseId,
         record: &JobRecord,
         configuration: &Configuration,
-    ) -> Option<Refusal> {
+    ) -> Option<Rejection> {
         let kept = self.kept.borrow();
         let kept = kept.as_ref().filter(|kept| kept.leader == leader)?;
         let since = now.since(kept.asked_at);
         kept.forecast
             .as_ref()?
-            .refusal(record, configuration, since)
+            .rejection(record, configuration, since)
     }
 }
 
@@ -86,24 +86,24 @@
     record: &JobRecord,
     configuration: &Configuration,
 ) -> Option<Retry> {
-    let refusal = refusal(node, record, configuration)?;
+    let rejection = rejection(node, record, configuration)?;
     if !matches!(node.store.get(&keys::job(job)).await, Ok(None)) {
         return None;
     }
-    let after = refusal.come_back(draw_below(&job.to_string(), u64::MAX));
+    let after = rejection.retry_after(draw_below(&job.to_string(), u64::MAX));
     info!(node.log, "job refused"; "job" => %job, "queue" => &record.queue,
-        "done_after_ms" => refusal.done_after.as_ms(),
-        "worthless_after_ms" => refusal.worthless_after.as_ms(),
-        "forecast_age_ms" => refusal.age.as_ms(), "come_back_ms" => after.as_ms());
+        "done_after_ms" => rejection.done_after.as_ms(),
+        "worthless_after_ms" => rejection.worthless_after.as_ms(),
+        "forecast_age_ms" => rejection.age.as_ms(), "come_back_ms" => after.as_ms());
     node.metrics.note_refused_by_forecast();
     Some(Retry { after })
 }
 
-fn refusal<P: Platform>(
+fn rejection<P: Platform>(
     node: &Rc<Node<P>>,
     record: &JobRecord,
     configuration: &Configuration,
-) -> Option<Refusal> {
+) -> Option<Rejection> {
     let now = clock::now();
     let is_off = !node.settings.features.has(Feature::Admission);
     if is_off || node.forecasts.is_in_doubt(now) || !node.has_contact() {
@@ -111,8 +111,8 @@
     }
     if let Some(leading) = node.leading() {
         let forecast = leading.forecast(now)?;
-        return forecast.refusal(record, configuration, Duration::ZERO);
+        return forecast.rejection(record, configuration, Duration::ZERO);
     }
     let leader = node.cell.borrow().leader.as_ref()?.lease;
-    node.forecasts.refusal(now, leader, record, configuration)
+    node.forecasts.rejection(now, leader, record, configuration)
 }
--- a/crates/control/tests/control/admission.rs
+++ b/crates/control/tests/control/admission.rs
@@ -3,7 +3,7 @@
 use ospreywing_control::admission::ForecastView;
 use ospreywing_control::metrics::Metrics;
 use ospreywing_control::peer::PeerReply;
-use ospreywing_scheduler::overload::Amounts;
+use ospreywing_scheduler::deadline_selection::ResourceVector;
 use ospreywing_scheduler::{
     Configuration, Forecast, JobRecord, JobSpec, Queue, QueueForecast, StepSpec,
 };
@@ -53,7 +53,7 @@
         queues: vec![QueueForecast {
             queue: QUEUE.to_owned(),
             objective_ms: 2_000,
-            work: Amounts::of(&Resources::new(1000, 1000, 0)).times(500.0),
+            work: ResourceVector::of(&Resources::new(1000, 1000, 0)).times(500.0),
             done_ms: 60_000,
         }],
     }
@@ -62,8 +62,8 @@
 /// Returns whether the job is refused so long after the leader was asked.
 fn is_refused(view: &ForecastView, lease: u64, after_ms: u64) -> bool {
     let now = ASKED_AT + Duration::from_ms(after_ms);
-    let refusal = view.refusal(now, lease, &record(), &configuration());
-    refusal.is_some()
+    let rejection = view.rejection(now, lease, &record(), &configuration());
+    rejection.is_some()
 }
 
 #[test]
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -1,9 +1,9 @@
 //! Whether a job is refused at once, since it would be worth nothing when it is done.
 
 use crate::config::Configuration;
+use crate::deadline_selection::ResourceVector;
 use crate::job::JobRecord;
 use crate::order::{objective_of, LATE_FACTOR};
-use crate::overload::Amounts;
 use crate::placing::counted_demand;
 use ospreywing_types::Duration;
 use serde::{Deserialize, Serialize};
@@ -26,7 +26,7 @@
     /// It holds for jobs whose objective is as long or longer, in milliseconds.
     pub objective_ms: u64,
     /// It holds for jobs that need as much or more, times milliseconds.
-    pub work: Amounts,
+    pub work: ResourceVector,
     /// When such a job would be done at the best, in milliseconds from when it was made.
     pub done_ms: u64,
 }
@@ -42,7 +42,7 @@
 
 /// Why a job is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// When it would be done at the best, from now.
     pub done_after: Duration,
     /// When it would be worth nothing, from now.
@@ -51,10 +51,10 @@
     pub age: Duration,
 }
 
-impl Refusal {
+impl Rejection {
     /// Returns when the caller may come back: once there is room for such a job, and spread by
     /// `draw`, a number that differs from caller to caller.
-    pub fn come_back(&self, draw: u64) -> Duration {
+    pub fn retry_after(&self, draw: u64) -> Duration {
         let wait = self.done_after.max(SOONEST_RETURN).min(LATEST_RETURN);
         let part_ms = wait.as_ms() * SPREAD_PERCENT / 100;
         let spread_ms = part_ms.max(LEAST_SPREAD.as_ms());
@@ -65,12 +65,12 @@
 impl Forecast {
     /// Returns why a job is refused that is handed in `since` after the forecast came, if it
     /// is: only where it surely would not be done before it is worth nothing.
-    pub fn refusal(
+    pub fn rejection(
         &self,
         record: &JobRecord,
         configuration: &Configuration,
         since: Duration,
-    ) -> Option<Refusal> {
+    ) -> Option<Rejection> {
         let age = Duration::from_ms(self.age_ms) + since;
         let is_endless = record.spec.steps.iter().any(|step| step.is_perpetual);
         if age > FORECAST_AGE_LIMIT || is_endless || record.spec.schedule.is_some() {
@@ -83,21 +83,21 @@
         let is_like_it =
             objective.as_ms() >= forecast.objective_ms && work_of(record).covers(forecast.work);
         let done_ms = forecast.done_ms.saturating_sub(age.as_ms());
-        let refusal = Refusal {
+        let rejection = Rejection {
             done_after: Duration::from_ms(done_ms),
             worthless_after: objective.times(LATE_FACTOR),
             age,
         };
-        (is_like_it && refusal.done_after > refusal.worthless_after).then_some(refusal)
+        (is_like_it && rejection.done_after > rejection.worthless_after).then_some(rejection)
     }
 }
 
 /// Returns what all tasks of a job need, times milliseconds.
-fn work_of(record: &JobRecord) -> Amounts {
-    let mut work = Amounts::default();
+fn work_of(record: &JobRecord) -> ResourceVector {
+    let mut work = ResourceVector::default();
     for step in &record.spec.steps {
         let tasks_ms = f64::from(step.tasks_count) * step.estimate_ms as f64;
-        work.add(Amounts::of(&counted_demand(step)).times(tasks_ms));
+        work.add(ResourceVector::of(&counted_demand(step)).times(tasks_ms));
     }
     work
 }
--- a/crates/scheduler/src/awaiting.rs
+++ b/crates/scheduler/src/awaiting.rs
@@ -210,7 +210,7 @@
         let mut runs: Vec<(Duration, Resources)> = worker
             .runs
             .iter()
-            .filter_map(|(task, run)| Some((self.time_left(*task, run)?, run.demand)))
+            .filter_map(|(task, run)| Some((self.remaining_time(*task, run)?, run.demand)))
             .collect();
         runs.sort_by_key(|(left, _)| *left);
         let mut used = worker.used + taken;
--- a/crates/scheduler/src/backfill.rs
+++ b/crates/scheduler/src/backfill.rs
@@ -301,7 +301,7 @@
             let Some(ends) = customer.and_then(|customer| ends.get_mut(&customer)) else {
                 continue;
             };
-            if let Some(left) = self.time_left(*task, run) {
+            if let Some(left) = self.remaining_time(*task, run) {
                 ends.push(ExpectedEnd {
                     at: now + left_by_age(now, run, left),
                     freed: run.charge.amount,
@@ -404,7 +404,7 @@
         };
         let spec = job.record.spec.steps.get(step.step as usize);
         spec.is_some_and(|spec: &StepSpec| {
-            let length_ms = self.task_length(&job.record.queue, spec).as_ms();
+            let length_ms = self.expected_task_duration(&job.record.queue, spec).as_ms();
             let safe = Duration::from_ms(length_ms * SAFE_LENGTH_PERCENT / 100);
             let is_known = length_ms > 0 && !spec.is_perpetual;
             is_known && now + safe + HANDLING_TIME <= until
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -1,12 +1,12 @@
 //! Candidates: the workers that could take tasks of a step, with their room.
 
 use crate::cycle::SchedulingCycle;
+use crate::interference::RunRole;
 use crate::job::{StepKey, StepSpec};
 use crate::learning::SpeedClass;
 use crate::packing::{fit_in, Packing, PackingCost};
 use crate::placing::PendingStep;
 use crate::scheduler::Scheduler;
-use crate::sharing::RunRole;
 use crate::speed_wish::SpeedWish;
 use crate::worker::{Worker, WorkerKey};
 use ospreywing_types::{Instant, Resources};
@@ -96,7 +96,7 @@
     ) -> Vec<Candidate> {
         let needed = pending.waiting.len() as u64;
         let speed_of = |c: &Candidate| self.workers[c.worker].speed;
-        for class in [SpeedClass::Slow, SpeedClass::Usual, SpeedClass::Fast] {
+        for class in [SpeedClass::Slow, SpeedClass::Typical, SpeedClass::Fast] {
             let is_other = |c: &Candidate| speed_of(c).class != class || speed_of(c).is_ejected;
             let alike = candidates.iter().filter(|c| !is_other(c));
             let alike: Vec<Candidate> = alike.cloned().collect();
--- a/crates/scheduler/src/commits.rs
+++ b/crates/scheduler/src/commits.rs
@@ -75,8 +75,8 @@
             return;
         };
         job.version += 1;
-        job.forget_derived();
-        self.stale_asks.insert(id);
+        job.clear_derived();
+        self.stale_ready_demand.insert(id);
         if let Some(effect) = effect {
             job.effects.push((job.version, effect));
         }
@@ -112,7 +112,7 @@
         while let Some(id) = self.commits.dirty.pop_front() {
             let job = self.jobs.get(&id);
             let entries_count = job.map_or(0, entries_count);
-            if job.is_some_and(|job| job.is_on_its_way) {
+            if job.is_some_and(|job| job.is_in_flight) {
                 passed.push(id);
             } else if entries_count <= left_count {
                 left_count -= entries_count;
@@ -137,7 +137,7 @@
                 continue;
             };
             job.is_dirty = false;
-            job.is_on_its_way = true;
+            job.is_in_flight = true;
             let kind = next_change(job, has_runs);
             open.push(OpenChange {
                 job: id,
@@ -164,9 +164,9 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.is_on_its_way = false;
+            job.is_in_flight = false;
             if change.is_outcome {
-                job.keep_outcome_only();
+                job.retain_outcome_only();
                 self.unsettled.remove(&id);
             }
             let due = job.effects.iter().take_while(|(v, _)| *v <= change.version);
@@ -185,7 +185,7 @@
             Effect::AckEnd { worker, number } => self.ack_end(worker, number),
             Effect::Show(phase) => {
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.shown = phase;
+                    job.committed_phase = phase;
                 }
                 let line = Decision::new(DecisionKind::JobEnded, "shown").with_job(id);
                 out.push(Action::Log(line));
@@ -201,7 +201,7 @@
     pub(crate) fn settle_ended_jobs(&mut self) {
         let is_idle = |id: &&JobId| {
             let job = self.jobs.get(id);
-            job.is_some_and(|job| !job.is_dirty && !job.is_on_its_way)
+            job.is_some_and(|job| !job.is_dirty && !job.is_in_flight)
         };
         let ended: Vec<JobId> = self.unsettled.iter().filter(is_idle).copied().collect();
         for id in ended {
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -206,7 +206,7 @@
             suspicion: lost.suspicion,
             is_confirmed,
         });
-        job.trial_until = now + policy.trial_wait;
+        job.probation_until = now + policy.trial_wait;
         let is_condemned = job.state.is_condemned(lost.task, &policy);
         let worker = &self.workers[key];
         let line = Decision::new(DecisionKind::WorkerCrashed, reason_of(&lost, is_confirmed))
@@ -256,7 +256,7 @@
         let job = self.jobs.get(&id);
         let is_kept = job.is_some_and(|job| {
             let mut tasks = job.state.crashes.iter().map(|crash| crash.task);
-            now < job.trial_until && tasks.any(|task| job.state.is_suspect(task, policy))
+            now < job.probation_until && tasks.any(|task| job.state.is_suspect(task, policy))
         });
         is_kept && policy.trial_rule == TrialRule::Alone
     }
--- a/crates/scheduler/src/customers.rs
+++ b/crates/scheduler/src/customers.rs
@@ -6,10 +6,10 @@
 //! more than they hold, so both accounts are as sure as each other.
 
 use crate::job::{JobRecord, StepKey, StepSpec};
-use crate::job_rate::JobRate;
 use crate::limits::least_count;
 use crate::scheduler::Scheduler;
 use crate::share_accounts::ServiceKey;
+use crate::token_bucket::TokenBucket;
 use cranelift_entity::{entity_impl, PrimaryMap};
 use ospreywing_types::{Instant, Resources};
 use std::collections::HashMap;
@@ -53,7 +53,7 @@
 
 /// What a customer has running and what it may have, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CustomerUse {
+pub struct CustomerUsage {
     /// Its name.
     pub name: Arc<str>,
     /// What it has running.
@@ -86,7 +86,7 @@
     /// The limit; a part that is 0 has none.
     limit: Resources,
     pub(crate) used: Resources,
-    rate: JobRate,
+    rate: TokenBucket,
     /// Its weight in shares of room, where it has one.
     weight: Option<f64>,
 }
@@ -97,14 +97,14 @@
             name,
             limit: Resources::ZERO,
             used: Resources::ZERO,
-            rate: JobRate::default(),
+            rate: TokenBucket::default(),
             weight: None,
         }
     }
 
     /// Returns the customer's use for the log.
-    pub(crate) fn to_use(&self) -> CustomerUse {
-        CustomerUse {
+    pub(crate) fn to_usage(&self) -> CustomerUsage {
+        CustomerUsage {
             name: self.name.clone(),
             used: self.used,
             limit: self.limit,
@@ -201,14 +201,14 @@
     }
 
     /// Takes a run off.
-    pub(crate) fn give_back(&mut self, charge: Charge) {
+    pub(crate) fn refund(&mut self, charge: Charge) {
         if let Some(key) = charge.customer {
             self.accounts[key].used -= charge.amount;
         }
     }
 
     /// Notes that a customer handed a job in; returns whether it is more than its share.
-    pub(crate) fn note_job(&mut self, key: CustomerKey, accepted_at: Instant) -> bool {
+    pub(crate) fn record_job(&mut self, key: CustomerKey, accepted_at: Instant) -> bool {
         !self.accounts[key].rate.take(accepted_at)
     }
 }
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -2,10 +2,10 @@
 //! served earlier in it have asked for or keep.
 
 use crate::customers::CustomerKey;
-use crate::dominant::Room;
+use crate::deadline_selection::ResourceVector;
 use crate::features::Feature;
-use crate::overload::Amounts;
 use crate::packing::{Packing, Scarcity};
+use crate::resource_totals::ResourceTotals;
 use crate::scheduler::Scheduler;
 use crate::shapes::Shape;
 use crate::whole_rooms::WholeRooms;
@@ -34,9 +34,9 @@
     largest: Resources,
     /// Whether they hold accelerators, or not all of them the same.
     is_uneven: bool,
-    capacity: Room,
-    free: Room,
-    used: Room,
+    capacity: ResourceTotals,
+    free: ResourceTotals,
+    used: ResourceTotals,
     /// How tasks are packed, where that is more than by processors.
     packing: Option<Packing>,
 }
@@ -77,8 +77,8 @@
 pub(crate) struct ServiceRoom<'a> {
     pub(crate) service: &'a Arc<str>,
     /// What its workers hold.
-    pub(crate) capacity: Amounts,
-    used: Amounts,
+    pub(crate) capacity: ResourceVector,
+    used: ResourceVector,
 }
 
 impl ServiceRoom<'_> {
@@ -227,14 +227,15 @@
     }
 
     /// Returns what a service's workers hold together.
-    pub(crate) fn capacity_of(&self, service: &Arc<str>) -> Room {
+    pub(crate) fn capacity_of(&self, service: &Arc<str>) -> ResourceTotals {
         self.pool(service)
-            .map_or(Room::default(), |pool| pool.capacity)
+            .map_or(ResourceTotals::default(), |pool| pool.capacity)
     }
 
     /// Returns what of it was free when the cycle began.
-    pub(crate) fn free_of(&self, service: &Arc<str>) -> Room {
-        self.pool(service).map_or(Room::default(), |pool| pool.free)
+    pub(crate) fn free_of(&self, service: &Arc<str>) -> ResourceTotals {
+        self.pool(service)
+            .map_or(ResourceTotals::default(), |pool| pool.free)
     }
 
     /// Takes processors off what is free and not yet asked for.
@@ -249,8 +250,8 @@
     pub(crate) fn rooms(&self) -> impl Iterator<Item = ServiceRoom<'_>> {
         self.pools.iter().map(|pool| ServiceRoom {
             service: &pool.service,
-            capacity: Amounts::of_room(&pool.capacity),
-            used: Amounts::of_room(&pool.used),
+            capacity: ResourceVector::from_totals(&pool.capacity),
+            used: ResourceVector::from_totals(&pool.used),
         })
     }
 
@@ -266,9 +267,9 @@
                 room_milli: 0,
                 largest: Resources::ZERO,
                 is_uneven: false,
-                capacity: Room::default(),
-                free: Room::default(),
-                used: Room::default(),
+                capacity: ResourceTotals::default(),
+                free: ResourceTotals::default(),
+                used: ResourceTotals::default(),
                 packing: None,
             });
             self.pools.len() - 1
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -6,7 +6,7 @@
 //! left out (Moore and Hodgson's rule for the fewest late jobs). The same is done once more
 //! with what is left out, by the times until which late jobs are worth something.
 
-use crate::dominant::Room;
+use crate::resource_totals::ResourceTotals;
 use ospreywing_types::{Duration, Resources};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -30,9 +30,9 @@
 
 /// Amounts of resources, each times milliseconds, or as rates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Amounts([f64; KINDS_COUNT]);
+pub struct ResourceVector([f64; KINDS_COUNT]);
 
-impl Amounts {
+impl ResourceVector {
     /// Creates amounts from resources.
     pub fn of(resources: &Resources) -> Self {
         Self([
@@ -43,7 +43,7 @@
     }
 
     /// Creates amounts from the room of many workers.
-    pub(crate) fn of_room(room: &Room) -> Self {
+    pub(crate) fn from_totals(room: &ResourceTotals) -> Self {
         Self(room.parts().map(|part| part as f64))
     }
 
@@ -122,11 +122,11 @@
 
 /// A run that takes room for a while.
 #[derive(Clone, Copy, Debug)]
-pub struct LastingRun {
+pub struct OccupyingRun {
     /// How important it is; 0 is most.
     pub priority: u32,
     /// What it takes.
-    pub rate: Amounts,
+    pub rate: ResourceVector,
     /// For how long it surely does.
     pub left: Duration,
 }
@@ -135,14 +135,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Occupancy {
     /// What takes room, by the power of two of for how long.
-    rates: [Amounts; LENGTHS_COUNT],
+    rates: [ResourceVector; LENGTHS_COUNT],
     /// The same, times the lengths.
-    work: [Amounts; LENGTHS_COUNT],
+    work: [ResourceVector; LENGTHS_COUNT],
 }
 
 impl Occupancy {
     /// Adds what takes room for so long; `None` for what does not end by itself.
-    pub fn add(&mut self, rate: Amounts, left: Option<Duration>) {
+    pub fn add(&mut self, rate: ResourceVector, left: Option<Duration>) {
         let left = left.unwrap_or(Duration::from_ms(u64::MAX));
         let index = length_index(left);
         self.rates[index].add(rate);
@@ -169,14 +169,14 @@
 struct OccupancySums {
     occupancy: Occupancy,
     /// What is over before each length, times the time that it takes.
-    ended_work: [Amounts; LENGTHS_COUNT],
+    ended_work: [ResourceVector; LENGTHS_COUNT],
     /// What takes longer than each length.
-    longer_rates: [Amounts; LENGTHS_COUNT],
+    longer_rates: [ResourceVector; LENGTHS_COUNT],
 }
 
 impl OccupancySums {
     /// Returns what is taken within a time from now, in amounts times milliseconds.
-    fn within(&self, time: Duration) -> Amounts {
+    fn within(&self, time: Duration) -> ResourceVector {
         let index = length_index(time);
         let time_ms = time.as_ms() as f64;
         let about_as_long = self.occupancy.rates[index].times(time_ms);
@@ -195,28 +195,28 @@
 
 /// A job that waits for room of a service.
 #[derive(Clone, Copy, Debug)]
-pub struct Contender<K> {
+pub struct WaitingJob<K> {
     /// Whose it is for the caller.
     pub key: K,
     /// How unimportant it is; what is largest is left out first.
     pub priority: u32,
     /// What all of it that waits needs, times milliseconds.
-    pub work: Amounts,
+    pub work: ResourceVector,
     /// How long its longest chain still takes.
-    pub chain: Duration,
+    pub critical_path: Duration,
     /// The time until its objective is over; `None` where it is over.
-    pub time_left: Option<Duration>,
+    pub time_to_objective: Option<Duration>,
     /// The time until it is worth nothing; `None` where that is over.
-    pub worth_left: Option<Duration>,
+    pub time_to_worthless: Option<Duration>,
 }
 
 /// What is to become of a job while its service is overloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selection {
     /// It is to be in time.
-    InTime,
+    OnTime,
     /// The same, also where all work that is late comes before it.
-    CanWait,
+    OnTimeAfterLate,
     /// It is to be late.
     Late,
     /// It is to be later than it is worth anything.
@@ -225,7 +225,7 @@
 
 /// A contender, what is to become of it, and how much it needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Selected<K> {
+pub struct SelectedJob<K> {
     /// Whose it is for the caller.
     pub key: K,
     /// What is to become of it.
@@ -237,47 +237,47 @@
 
 /// The room of one service, and what wants it.
 #[derive(Clone, Debug)]
-pub struct Demand<K> {
-    capacity: Amounts,
+pub struct ServiceLoad<K> {
+    capacity: ResourceVector,
     occupancy: OccupancySums,
-    contenders: Vec<Contender<K>>,
+    waiting_jobs: Vec<WaitingJob<K>>,
 }
 
 /// A contender that is in time so far, by what is left out first.
 type Candidate = (u32, u64, Reverse<Duration>, usize);
 
-impl<K: Copy> Demand<K> {
+impl<K: Copy> ServiceLoad<K> {
     /// Creates the demand on a service that holds so much.
-    pub fn new(capacity: Amounts, occupancy: Occupancy) -> Self {
+    pub fn new(capacity: ResourceVector, occupancy: Occupancy) -> Self {
         Self {
             capacity,
             occupancy: occupancy.into_sums(),
-            contenders: Vec::new(),
+            waiting_jobs: Vec::new(),
         }
     }
 
     /// Adds a job that waits.
-    pub fn push(&mut self, contender: Contender<K>) {
-        self.contenders.push(contender);
+    pub fn push(&mut self, waiting_job: WaitingJob<K>) {
+        self.waiting_jobs.push(waiting_job);
     }
 
     /// Returns the jobs that wait, in the order in which they were selected.
-    pub fn contenders(&self) -> &[Contender<K>] {
-        &self.contenders
+    pub fn waiting_jobs(&self) -> &[WaitingJob<K>] {
+        &self.waiting_jobs
     }
 
     /// Returns when so much could be done at the best beside runs that end one after the
     /// other, with all of the room; at most `latest`.
-    pub fn done_after<'a>(
+    pub fn earliest_completion<'a>(
         &self,
-        runs: impl Iterator<Item = &'a LastingRun>,
-        needed: Amounts,
+        runs: impl Iterator<Item = &'a OccupyingRun>,
+        needed: ResourceVector,
         latest: Duration,
     ) -> Duration {
-        let runs: Vec<&LastingRun> = runs.collect();
+        let runs: Vec<&OccupyingRun> = runs.collect();
         let mut free = self.capacity;
         runs.iter().for_each(|run| free.subtract(run.rate));
-        let mut room = Amounts::default();
+        let mut room = ResourceVector::default();
         let mut from_ms = 0;
         for run in runs {
             let until_ms = run.left.as_ms();
@@ -298,13 +298,13 @@
     /// the objectives. What is late already is due within a second.
     pub fn load_percent(&mut self) -> u64 {
         self.sort();
-        let mut needed = Amounts::default();
-        let late = self.contenders.iter().filter(|it| !it.can_be_in_time());
-        late.for_each(|contender| needed.add(contender.work));
+        let mut needed = ResourceVector::default();
+        let late = self.waiting_jobs.iter().filter(|it| !it.can_be_in_time());
+        late.for_each(|waiting_job| needed.add(waiting_job.work));
         let (mut worst, _) = needed.dominant(self.usable(LATE_DUE));
-        for contender in self.contenders.iter().filter(|it| it.can_be_in_time()) {
-            needed.add(contender.work);
-            let usable = self.usable(contender.time_left.unwrap_or_default());
+        for waiting_job in self.waiting_jobs.iter().filter(|it| it.can_be_in_time()) {
+            needed.add(waiting_job.work);
+            let usable = self.usable(waiting_job.time_to_objective.unwrap_or_default());
             let (load, _) = needed.dominant(usable);
             worst = worst.max(load);
         }
@@ -312,28 +312,28 @@
     }
 
     /// Chooses which jobs are to be in time, and which to be late.
-    pub fn select(&mut self) -> Vec<Selected<K>> {
+    pub fn select(&mut self) -> Vec<SelectedJob<K>> {
         self.sort();
-        let in_time = self.keep_most(&vec![false; self.contenders.len()], |it| {
-            it.time_for_chain()
+        let in_time = self.keep_most(&vec![false; self.waiting_jobs.len()], |it| {
+            it.time_for_critical_path()
         });
-        let of_worth = self.keep_most(&in_time, |it| it.worth_for_chain());
+        let of_worth = self.keep_most(&in_time, |it| it.worth_for_critical_path());
         let mut needed = self.work_of_others(&in_time);
-        let mut selected = Vec::with_capacity(self.contenders.len());
-        for (index, contender) in self.contenders.iter().enumerate() {
+        let mut selected = Vec::with_capacity(self.waiting_jobs.len());
+        for (index, waiting_job) in self.waiting_jobs.iter().enumerate() {
             if in_time[index] {
-                needed.add(contender.work);
+                needed.add(waiting_job.work);
             }
             let selection = match (in_time[index], of_worth[index]) {
-                (true, _) if self.fits(needed, contender) => Selection::CanWait,
-                (true, _) => Selection::InTime,
+                (true, _) if self.fits(needed, waiting_job) => Selection::OnTimeAfterLate,
+                (true, _) => Selection::OnTime,
                 (false, true) => Selection::Late,
                 (false, false) => Selection::Last,
             };
-            selected.push(Selected {
-                key: contender.key,
+            selected.push(SelectedJob {
+                key: waiting_job.key,
                 selection,
-                size_us: self.size_us(contender),
+                size_us: self.size_us(waiting_job),
             });
         }
         selected
@@ -344,18 +344,18 @@
     fn keep_most(
         &self,
         chosen: &[bool],
-        time_of: impl Fn(&Contender<K>) -> Option<Duration>,
+        time_of: impl Fn(&WaitingJob<K>) -> Option<Duration>,
     ) -> Vec<bool> {
         let mut is_kept = chosen.to_vec();
-        let mut needed = Amounts::default();
+        let mut needed = ResourceVector::default();
         let mut candidates: [BinaryHeap<Candidate>; KINDS_COUNT] = Default::default();
         for (time, index) in self.by_time(chosen, time_of) {
-            let contender = &self.contenders[index];
-            needed.add(contender.work);
+            let waiting_job = &self.waiting_jobs[index];
+            needed.add(waiting_job.work);
             if !chosen[index] {
                 is_kept[index] = true;
-                let (_, kind) = contender.work.dominant(self.capacity);
-                candidates[kind].push(self.candidate(index, contender));
+                let (_, kind) = waiting_job.work.dominant(self.capacity);
+                candidates[kind].push(self.candidate(index, waiting_job));
             }
             let usable = self.usable(time);
             loop {
@@ -367,7 +367,7 @@
                     break;
                 };
                 is_kept[left_out] = false;
-                needed.subtract(self.contenders[left_out].work);
+                needed.subtract(self.waiting_jobs[left_out].work);
             }
         }
         is_kept
@@ -378,15 +378,15 @@
     fn by_time(
         &self,
         chosen: &[bool],
-        time_of: impl Fn(&Contender<K>) -> Option<Duration>,
+        time_of: impl Fn(&WaitingJob<K>) -> Option<Duration>,
     ) -> Vec<(Duration, usize)> {
-        let contenders = self.contenders.iter().enumerate();
-        let mut times: Vec<(Duration, usize)> = contenders
-            .filter_map(|(index, contender)| {
+        let waiting_jobs = self.waiting_jobs.iter().enumerate();
+        let mut times: Vec<(Duration, usize)> = waiting_jobs
+            .filter_map(|(index, waiting_job)| {
                 let time = if chosen[index] {
-                    contender.time_left
+                    waiting_job.time_to_objective
                 } else {
-                    time_of(contender)
+                    time_of(waiting_job)
                 };
                 Some((time?, index))
             })
@@ -395,60 +395,67 @@
         times
     }
 
-    fn candidate(&self, index: usize, contender: &Contender<K>) -> Candidate {
-        let time_left = contender.time_left.unwrap_or_default();
-        let size_us = self.size_us(contender);
-        (contender.priority, size_us, Reverse(time_left), index)
+    fn candidate(&self, index: usize, waiting_job: &WaitingJob<K>) -> Candidate {
+        let time_to_objective = waiting_job.time_to_objective.unwrap_or_default();
+        let size_us = self.size_us(waiting_job);
+        (
+            waiting_job.priority,
+            size_us,
+            Reverse(time_to_objective),
+            index,
+        )
     }
 
-    fn work_of_others(&self, is_kept: &[bool]) -> Amounts {
-        let mut work = Amounts::default();
+    fn work_of_others(&self, is_kept: &[bool]) -> ResourceVector {
+        let mut work = ResourceVector::default();
         let others = self
-            .contenders
+            .waiting_jobs
             .iter()
             .zip(is_kept)
             .filter(|(_, kept)| !**kept);
-        others.for_each(|(contender, _)| work.add(contender.work));
+        others.for_each(|(waiting_job, _)| work.add(waiting_job.work));
         work
     }
 
-    fn fits(&self, needed: Amounts, contender: &Contender<K>) -> bool {
-        let usable = self.usable(contender.time_left.unwrap_or_default());
+    fn fits(&self, needed: ResourceVector, waiting_job: &WaitingJob<K>) -> bool {
+        let usable = self.usable(waiting_job.time_to_objective.unwrap_or_default());
         needed.dominant(usable).0 <= 1.0
     }
 
     /// Returns what of the room is left for what waits until then.
-    fn usable(&self, time: Duration) -> Amounts {
+    fn usable(&self, time: Duration) -> ResourceVector {
         let mut usable = self.capacity.times(time.as_ms() as f64);
         usable.subtract(self.occupancy.within(time));
         let usable = usable.times(USABLE_PERCENT / 100.0);
-        Amounts(usable.0.map(|part| part.max(f64::MIN_POSITIVE)))
+        ResourceVector(usable.0.map(|part| part.max(f64::MIN_POSITIVE)))
     }
 
-    fn size_us(&self, contender: &Contender<K>) -> u64 {
-        let (share_ms, _) = contender.work.dominant(self.capacity);
+    fn size_us(&self, waiting_job: &WaitingJob<K>) -> u64 {
+        let (share_ms, _) = waiting_job.work.dominant(self.capacity);
         (share_ms * 1000.0) as u64
     }
 
     fn sort(&mut self) {
-        let by_time = |contender: &Contender<K>| contender.time_left;
-        self.contenders.sort_by_key(by_time);
+        let by_time = |waiting_job: &WaitingJob<K>| waiting_job.time_to_objective;
+        self.waiting_jobs.sort_by_key(by_time);
     }
 }
 
-impl<K> Contender<K> {
+impl<K> WaitingJob<K> {
     /// Returns whether its chain ends within its objective where it begins now.
     fn can_be_in_time(&self) -> bool {
-        self.time_for_chain().is_some()
+        self.time_for_critical_path().is_some()
     }
 
     /// Returns its time until the objective, where that is enough for its chain.
-    fn time_for_chain(&self) -> Option<Duration> {
-        self.time_left.filter(|left| self.chain <= *left)
+    fn time_for_critical_path(&self) -> Option<Duration> {
+        self.time_to_objective
+            .filter(|left| self.critical_path <= *left)
     }
 
     /// Returns its time until it is worth nothing, where that is enough for its chain.
-    fn worth_for_chain(&self) -> Option<Duration> {
-        self.worth_left.filter(|left| self.chain <= *left)
+    fn worth_for_critical_path(&self) -> Option<Duration> {
+        self.time_to_worthless
+            .filter(|left| self.critical_path <= *left)
     }
 }
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -1,6 +1,6 @@
 //! What is logged: one entry per decision.
 
-use crate::customers::CustomerUse;
+use crate::customers::CustomerUsage;
 use crate::job::{JobId, StepKey, TaskKey};
 use ospreywing_types::Duration;
 use std::sync::Arc;
@@ -131,7 +131,7 @@
     /// The service, where a whole one is concerned.
     pub service: Option<Arc<str>>,
     /// The customer, and what it has running and may have, where that decides.
-    pub customer: Option<CustomerUse>,
+    pub customer: Option<CustomerUsage>,
     /// The reservation of the customer's limit, where there is one.
     pub reserved: Option<ReservedLimit>,
     /// Why, or how it came out.
@@ -200,7 +200,7 @@
     }
 
     /// Names the customer and its use.
-    pub fn with_customer(mut self, customer: CustomerUse) -> Self {
+    pub fn with_customer(mut self, customer: CustomerUsage) -> Self {
         self.customer = Some(customer);
         self
     }
--- a/crates/scheduler/src/departures.rs
+++ b/crates/scheduler/src/departures.rs
@@ -38,8 +38,8 @@
     /// Returns when the worker goes at the earliest, where it tells and its clock is known.
     fn told_departure(&self) -> Option<Instant> {
         let clock = self.clock?;
-        let left_ms = self.facts.leaves_clock_ms?.checked_sub(clock.clock_ms);
-        Some(clock.read_at + Duration::from_ms(left_ms.unwrap_or(0)))
+        let remaining_ms = self.facts.leaves_clock_ms?.checked_sub(clock.clock_ms);
+        Some(clock.read_at + Duration::from_ms(remaining_ms.unwrap_or(0)))
     }
 }
 
@@ -77,7 +77,7 @@
             return false;
         };
         let ends_in_time =
-            !spec.is_perpetual && self.expected_end(task, spec, run) + END_MARGIN <= leaves_at;
+            !spec.is_perpetual && self.earliest_end(task, spec, run) + END_MARGIN <= leaves_at;
         let is_last_moment = now + STOP_MARGIN + self.config.stop_grace >= leaves_at;
         let loses_all = !spec.saves_progress && !spec.is_perpetual;
         !ends_in_time && (loses_all || is_last_moment)
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -54,7 +54,7 @@
 
 /// What a step's tasks should take on a worker of usual speed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LengthForecast {
+pub struct DurationForecast {
     /// The time that is surely needed: one step in ten takes less.
     pub sure: Duration,
     /// The median.
@@ -67,9 +67,9 @@
     pub age: Duration,
 }
 
-impl LengthForecast {
+impl DurationForecast {
     /// Returns the standard deviation of the logarithm of what steps really take.
-    pub fn spread(&self) -> f64 {
+    pub fn log_std_dev(&self) -> f64 {
         let ratio = self.late.as_ms().max(1) as f64 / self.sure.as_ms().max(1) as f64;
         ratio.ln() / DEVIATIONS_BETWEEN_BOUNDS
     }
@@ -86,14 +86,14 @@
 
 /// Steps whose lengths are alike enough to be told together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LengthKind {
+pub struct StepClass {
     /// Whether they are gangs: the slowest member tells how long one takes.
     pub is_gang: bool,
     /// The client's estimate; zero without.
     pub estimate: Duration,
 }
 
-impl LengthKind {
+impl StepClass {
     /// Returns the power of two that the estimate lies above.
     const fn size(self) -> u32 {
         match self.estimate.as_ms().checked_ilog2() {
@@ -109,7 +109,7 @@
     sure: f64,
     likely: f64,
     late: f64,
-    spread: f64,
+    log_std_dev: f64,
 }
 
 impl Quantiles {
@@ -119,7 +119,7 @@
             sure: whole(self.sure),
             likely: whole(self.likely),
             late: whole(self.late),
-            spread_milli: (self.spread * 1000.0).round() as u32,
+            spread_milli: (self.log_std_dev * 1000.0).round() as u32,
         }
     }
 
@@ -129,7 +129,7 @@
             sure: ln(learned.sure),
             likely: ln(learned.likely),
             late: ln(learned.late),
-            spread: (f64::from(learned.spread_milli) / 1000.0).max(SPREAD_LEAST),
+            log_std_dev: (f64::from(learned.spread_milli) / 1000.0).max(SPREAD_LEAST),
         }
     }
 }
@@ -167,7 +167,7 @@
             sure: ln_at(SURE_QUANTILE),
             likely: ln_at(LIKELY_QUANTILE),
             late: ln_at(LATE_QUANTILE),
-            spread: ((high - low) / 2.0).max(SPREAD_LEAST),
+            log_std_dev: ((high - low) / 2.0).max(SPREAD_LEAST),
         }
     }
 }
@@ -278,7 +278,7 @@
         now: Instant,
         estimate: Duration,
         least_count: u64,
-    ) -> Option<LengthForecast> {
+    ) -> Option<DurationForecast> {
         let count = self.count();
         let age = now.since(self.last_at);
         if count < least_count || age > AGE_LIMIT {
@@ -287,11 +287,11 @@
         let (ratio, length) = (&self.ratio_quantiles, &self.length_quantiles);
         let has_ratios = estimate > Duration::ZERO && self.has_ratios(least_count);
         let ratio_weight = if has_ratios {
-            ratio.spread.powi(-2)
+            ratio.log_std_dev.powi(-2)
         } else {
             0.0
         };
-        let length_weight = length.spread.powi(-2);
+        let length_weight = length.log_std_dev.powi(-2);
         // Ratios are in thousandths.
         let estimate_ln = (estimate.as_ms().max(1) as f64 / 1000.0).ln();
         let blend = |ratio_ln: f64, length_ln: f64| {
@@ -299,7 +299,7 @@
             let blended = (by_ratio + length_weight * length_ln) / (ratio_weight + length_weight);
             Duration::from_ms(blended.exp().round() as u64)
         };
-        Some(LengthForecast {
+        Some(DurationForecast {
             sure: blend(ratio.sure, length.sure),
             likely: blend(ratio.likely, length.likely),
             late: blend(ratio.late, length.late),
@@ -365,7 +365,7 @@
     }
 
     /// Returns a forecast whether or not those before were any good.
-    fn raw_forecast(&self, now: Instant, kind: LengthKind) -> Option<LengthForecast> {
+    fn raw_forecast(&self, now: Instant, kind: StepClass) -> Option<DurationForecast> {
         let of_size = self.sizes.get(&(kind.is_gang, kind.size()));
         let of_size = of_size.and_then(|it| it.forecast(now, kind.estimate, CLASS_LEAST_COUNT));
         of_size.or_else(|| {
@@ -374,7 +374,7 @@
         })
     }
 
-    fn record(&mut self, now: Instant, kind: LengthKind, actual: Duration) {
+    fn record(&mut self, now: Instant, kind: StepClass, actual: Duration) {
         self.last_at = now;
         let forecast = self.raw_forecast(now, kind);
         if let Some(forecast) = forecast.filter(|_| kind.estimate > Duration::ZERO) {
@@ -398,7 +398,7 @@
 impl Durations {
     /// Takes in what a step's tasks took on a worker of usual speed. A step counts once,
     /// however many tasks it has: they share its estimate.
-    pub fn record(&mut self, now: Instant, queue: &str, kind: LengthKind, actual: Duration) {
+    pub fn record(&mut self, now: Instant, queue: &str, kind: StepClass, actual: Duration) {
         if !self.queues.contains_key(queue) {
             self.queues
                 .insert(Arc::from(queue), QueueLengths::default());
@@ -416,7 +416,7 @@
 
     /// Returns what a step's tasks should take; `None` where too little is known, or where
     /// what was told before was farther off than the estimates.
-    pub fn forecast(&self, now: Instant, queue: &str, kind: LengthKind) -> Option<LengthForecast> {
+    pub fn forecast(&self, now: Instant, queue: &str, kind: StepClass) -> Option<DurationForecast> {
         let lengths = self.queues.get(queue)?;
         if lengths.errors.is_worse() {
             return None;
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -30,7 +30,7 @@
             return;
         }
         worker.seen_end = end.number;
-        self.note_begun(end.task.step.job);
+        self.mark_begun(end.task.step.job);
         let worker = &mut self.workers[key];
         let line = Decision::new(DecisionKind::Ended, end.kind.as_str())
             .with_run(end.task, end.run)
@@ -49,7 +49,7 @@
         self.is_place_due = true;
         let changed = self.record_end(&end, is_current);
         if let Some(finished) = finished {
-            self.learn(now, finished);
+            self.record_finished_run(now, finished);
         }
         if changed {
             self.touch(end.task.step.job, None);
@@ -72,7 +72,7 @@
             return;
         }
         let job = self.jobs.get_mut(&id);
-        if let Some(job) = job.filter(|job| job.is_dirty || job.is_on_its_way) {
+        if let Some(job) = job.filter(|job| job.is_dirty || job.is_in_flight) {
             let effect = Effect::AckEnd {
                 worker: key,
                 number,
@@ -145,11 +145,11 @@
         if end.kind == EndKind::Done {
             self.stop_later_runs(now, end, out);
             if self.is_step_done(step) {
-                self.learn_step(now, step);
-                self.note_left(step.job);
+                self.record_finished_step(now, step);
+                self.update_remaining(step.job);
                 self.forget_advice(step);
             }
-            self.check_complete(now, step.job, out);
+            self.complete_if_done(now, step.job, out);
             return;
         }
         if end.kind == EndKind::Failed && self.has_failed_too_often(end.task) {
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -3,7 +3,7 @@
 //! The nearest evidence counts: a run's own pace, then the tasks of its step that are done,
 //! then what steps of its queue took, then the client's estimate.
 
-use crate::durations::{LengthForecast, LengthKind};
+use crate::durations::{DurationForecast, StepClass};
 use crate::job::{JobId, StepKey, StepSpec, TaskKey};
 use crate::jobs::Job;
 use crate::learning::scaled;
@@ -27,15 +27,15 @@
 
 /// What a step's tasks take on a worker of usual speed, as far as that was learned.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LearnedLength {
+pub(crate) struct LearnedDuration {
     pub(crate) sure: Duration,
     pub(crate) likely: Duration,
     /// The time in which nine of ten are done.
     pub(crate) late: Duration,
 }
 
-impl From<LengthForecast> for LearnedLength {
-    fn from(forecast: LengthForecast) -> Self {
+impl From<DurationForecast> for LearnedDuration {
+    fn from(forecast: DurationForecast) -> Self {
         Self {
             sure: forecast.sure,
             likely: forecast.likely,
@@ -44,7 +44,7 @@
     }
 }
 
-impl LengthKind {
+impl StepClass {
     /// Returns the kind of a step.
     pub(crate) const fn of(spec: &StepSpec) -> Self {
         Self {
@@ -56,39 +56,39 @@
 
 impl Scheduler {
     /// Returns how long a task of a queue's step should take on a worker of usual speed.
-    pub(crate) fn task_length(&self, queue: &str, spec: &StepSpec) -> Duration {
+    pub(crate) fn expected_task_duration(&self, queue: &str, spec: &StepSpec) -> Duration {
         let estimate = Duration::from_ms(spec.estimate_ms);
-        let learned = self.queue_length(queue, spec);
+        let learned = self.learned_queue_duration(queue, spec);
         learned.map_or(estimate, |length| length.likely)
     }
 
-    fn queue_length(&self, queue: &str, spec: &StepSpec) -> Option<LearnedLength> {
+    fn learned_queue_duration(&self, queue: &str, spec: &StepSpec) -> Option<LearnedDuration> {
         if !self.is_learning() || spec.is_perpetual {
             return None;
         }
         let learning = &self.learning;
-        let kind = LengthKind::of(spec);
+        let kind = StepClass::of(spec);
         let forecast = learning.durations.forecast(learning.now, queue, kind)?;
         Some(forecast.into())
     }
 
     /// Returns what was learned of the tasks of a step.
-    pub(crate) fn step_length(
+    pub(crate) fn learned_task_duration(
         &self,
         queue: &str,
         step: StepKey,
         spec: &StepSpec,
-    ) -> Option<LearnedLength> {
-        let pace = self.learning.paces.get(&step);
+    ) -> Option<LearnedDuration> {
+        let pace = self.learning.step_durations.get(&step);
         if let Some(likely) = pace.and_then(|pace| pace.likely()) {
             let part = |percent| Duration::from_ms(likely.as_ms() * percent / 100);
-            return Some(LearnedLength {
+            return Some(LearnedDuration {
                 sure: part(STEP_SURE_PERCENT),
                 likely,
                 late: part(STEP_LATE_PERCENT),
             });
         }
-        self.queue_length(queue, spec)
+        self.learned_queue_duration(queue, spec)
     }
 
     /// Returns a worker's speed, as a factor on the usual one.
@@ -97,7 +97,7 @@
     }
 
     /// Returns how long a run should still take; `None` where it does not end by itself.
-    pub(crate) fn time_left(&self, task: TaskKey, run: &Run) -> Option<Duration> {
+    pub(crate) fn remaining_time(&self, task: TaskKey, run: &Run) -> Option<Duration> {
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.record.spec.steps.get(task.step.step as usize)?;
         if matches!(run.phase, RunPhase::Stopping { .. }) {
@@ -106,10 +106,13 @@
         if spec.is_perpetual {
             return None;
         }
-        if let Some(left) = run.left_by_steady_pace().filter(|_| self.is_learning()) {
+        if let Some(left) = run
+            .remaining_by_steady_progress()
+            .filter(|_| self.is_learning())
+        {
             return Some(left);
         }
-        let learned = self.step_length(&job.record.queue, task.step, spec);
+        let learned = self.learned_task_duration(&job.record.queue, task.step, spec);
         let estimate = Duration::from_ms(spec.estimate_ms);
         let length = learned.map_or(estimate, |length| length.likely);
         Some(run.left_of(self.on_worker_of(task, length)))
@@ -117,16 +120,17 @@
 
     /// Returns when a run ends at the earliest: by its pace where that is known, otherwise by
     /// the least that is known of its step.
-    pub(crate) fn expected_end(&self, task: TaskKey, spec: &StepSpec, run: &Run) -> Instant {
-        let left = run.left_by_pace().unwrap_or_else(|| {
+    pub(crate) fn earliest_end(&self, task: TaskKey, spec: &StepSpec, run: &Run) -> Instant {
+        let left = run.remaining_by_progress().unwrap_or_else(|| {
             let job = self.jobs.get(&task.step.job);
-            let learned = job.and_then(|job| self.step_length(&job.record.queue, task.step, spec));
+            let learned =
+                job.and_then(|job| self.learned_task_duration(&job.record.queue, task.step, spec));
             match learned {
                 Some(length) => run.left_of(self.on_worker_of(task, length.sure)),
                 None => {
                     let left_percent = u64::from(run.left_percent());
-                    let sure_ms = spec.estimate_ms * left_percent * DEPARTURE_SURE_PERCENT;
-                    Duration::from_ms(sure_ms / (100 * 100))
+                    let min_remaining_ms = spec.estimate_ms * left_percent * DEPARTURE_SURE_PERCENT;
+                    Duration::from_ms(min_remaining_ms / (100 * 100))
                 }
             }
         });
@@ -144,21 +148,21 @@
     }
 
     /// Works out anew what is left of a job.
-    pub(crate) fn note_left(&mut self, id: JobId) {
+    pub(crate) fn update_remaining(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         let rounds = job.state.rounds.iter();
         let left = rounds.map(|round| self.left_of_round(id, job, round));
-        let (mut left_ms, mut sure_ms) = (0, 0);
+        let (mut remaining_ms, mut min_remaining_ms) = (0, 0);
         for round in left {
-            left_ms = left_ms.max(round.left_ms);
-            sure_ms = sure_ms.max(round.sure_ms);
+            remaining_ms = remaining_ms.max(round.remaining_ms);
+            min_remaining_ms = min_remaining_ms.max(round.min_remaining_ms);
         }
         let objective = self.learned_objective(id, job);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.left_ms = left_ms;
-            job.sure_ms = sure_ms;
+            job.remaining_ms = remaining_ms;
+            job.min_remaining_ms = min_remaining_ms;
             job.objective = objective;
         }
     }
@@ -175,7 +179,12 @@
                 step: number as u32,
             };
             let done = job.done_lengths.get(&step).copied();
-            let likely = || Some(self.step_length(&record.queue, step, spec)?.likely);
+            let likely = || {
+                Some(
+                    self.learned_task_duration(&record.queue, step, spec)?
+                        .likely,
+                )
+            };
             let known = done.filter(|_| self.is_learning()).or_else(likely);
             known.map_or(spec.estimate_ms, Duration::as_ms)
         };
@@ -190,10 +199,10 @@
                 step: number as u32,
             };
             let spec = &job.record.spec.steps[number];
-            self.step_length(&job.record.queue, step, spec)
+            self.learned_task_duration(&job.record.queue, step, spec)
         };
         let steps = &job.record.spec.steps;
-        let learned: Vec<Option<LearnedLength>> = (0..steps.len()).map(learned).collect();
+        let learned: Vec<Option<LearnedDuration>> = (0..steps.len()).map(learned).collect();
         let likely_ms = |number: usize| {
             let likely = learned[number].map(|length| length.likely.as_ms());
             likely.unwrap_or(steps[number].estimate_ms)
@@ -204,16 +213,16 @@
             sure.unwrap_or(steps[number].estimate_ms * SURE_PERCENT)
         };
         RoundLeft {
-            left_ms: chain(&job.record, Some(round), likely_ms),
-            sure_ms: chain(&job.record, Some(round), sure) / 100,
+            remaining_ms: chain(&job.record, Some(round), likely_ms),
+            min_remaining_ms: chain(&job.record, Some(round), sure) / 100,
         }
     }
 }
 
 /// What is left of a round's longest chain.
 struct RoundLeft {
-    left_ms: u64,
-    sure_ms: u64,
+    remaining_ms: u64,
+    min_remaining_ms: u64,
 }
 
 impl Run {
@@ -227,7 +236,7 @@
     }
 
     /// Returns how long the run still takes by its own pace, where it has come far enough.
-    pub(crate) fn left_by_pace(&self) -> Option<Duration> {
+    pub(crate) fn remaining_by_progress(&self) -> Option<Duration> {
         let from = self.pace_from?;
         let came_percent = self.progress_percent.saturating_sub(from.percent);
         if came_percent < PACE_PERCENT {
@@ -241,9 +250,9 @@
     }
 
     /// Returns the same where that pace has lasted.
-    pub(crate) fn left_by_steady_pace(&self) -> Option<Duration> {
+    pub(crate) fn remaining_by_steady_progress(&self) -> Option<Duration> {
         let spent = self.listed_at.since(self.pace_from?.at);
         let is_steady = spent >= STEADY_TIME;
-        self.left_by_pace().filter(|_| is_steady)
+        self.remaining_by_progress().filter(|_| is_steady)
     }
 }
--- a/crates/scheduler/src/forecast.rs
+++ b/crates/scheduler/src/forecast.rs
@@ -5,8 +5,10 @@
 //! due sooner and to be in time. Of all estimates the part is counted that is surely needed.
 
 use crate::admission::{Forecast, QueueForecast};
+use crate::deadline_selection::{
+    OccupyingRun, ResourceVector, SelectedJob, Selection, ServiceLoad, WaitingJob,
+};
 use crate::job::{JobId, TaskKey};
-use crate::overload::{Amounts, Contender, Demand, LastingRun, Selected, Selection};
 use crate::scheduler::Scheduler;
 use crate::worker::{Run, RunPhase};
 use ospreywing_types::{Duration, Instant};
@@ -45,7 +47,7 @@
     }
 
     /// Notes that nothing is sure for a while.
-    pub(crate) fn note_unsure(&mut self, now: Instant) {
+    pub(crate) fn suspend(&mut self, now: Instant) {
         self.unsure_until = now + UNSURE_TIME;
         self.queues.clear();
     }
@@ -77,7 +79,7 @@
 struct LeastJob {
     priority: u32,
     objective: Duration,
-    work: Amounts,
+    work: ResourceVector,
 }
 
 impl Scheduler {
@@ -91,25 +93,25 @@
     }
 
     /// Returns when each queue with waiting jobs of an overloaded service could do another.
-    pub(crate) fn forecasts_of(
+    pub(crate) fn queue_forecasts(
         &self,
         now: Instant,
         service: &Arc<str>,
-        demand: &Demand<JobId>,
-        selected: &[Selected<JobId>],
+        load: &ServiceLoad<JobId>,
+        selected: &[SelectedJob<JobId>],
     ) -> Vec<QueueForecast> {
         let runs = self.sure_runs(now, service);
-        let least = self.least_jobs(demand);
+        let least = self.least_jobs(load);
         let forecasts = least.into_iter().take(QUEUES_LIMIT_COUNT);
         let forecasts = forecasts.map(|(queue, least)| {
             // The runs of less important work may be stopped for it.
             let lasting = runs.iter().filter(|run| run.priority <= least.priority);
-            let contenders = demand.contenders().iter().zip(selected);
-            let ahead = contenders
-                .filter(|(contender, selected)| {
-                    selected.selection == Selection::InTime && is_before(contender, &least)
+            let waiting_jobs = load.waiting_jobs().iter().zip(selected);
+            let ahead = waiting_jobs
+                .filter(|(waiting_job, selected)| {
+                    selected.selection == Selection::OnTime && is_before(waiting_job, &least)
                 })
-                .map(|(contender, _)| contender.work);
+                .map(|(waiting_job, _)| waiting_job.work);
             let mut needed = least.work;
             ahead.for_each(|work| needed.add(work));
             let needed = needed.times(SURE_PERCENT as f64 / 100.0);
@@ -117,23 +119,23 @@
                 queue: queue.to_owned(),
                 objective_ms: least.objective.as_ms(),
                 work: least.work,
-                done_ms: demand.done_after(lasting, needed, LATEST).as_ms(),
+                done_ms: load.earliest_completion(lasting, needed, LATEST).as_ms(),
             }
         });
         forecasts.collect()
     }
 
     /// Returns the least job of each queue that has jobs waiting.
-    fn least_jobs(&self, demand: &Demand<JobId>) -> BTreeMap<&str, LeastJob> {
+    fn least_jobs(&self, load: &ServiceLoad<JobId>) -> BTreeMap<&str, LeastJob> {
         let mut least: BTreeMap<&str, LeastJob> = BTreeMap::new();
-        for contender in demand.contenders() {
-            let Some(job) = self.jobs.get(&contender.key) else {
+        for waiting_job in load.waiting_jobs() {
+            let Some(job) = self.jobs.get(&waiting_job.key) else {
                 continue;
             };
             let own = LeastJob {
                 priority: job.rank.0,
                 objective: job.objective,
-                work: contender.work,
+                work: waiting_job.work,
             };
             let entry = least.entry(&job.record.queue).or_insert(own);
             entry.objective = entry.objective.min(own.objective);
@@ -142,18 +144,18 @@
         least
     }
 
-    fn sure_runs(&self, now: Instant, service: &Arc<str>) -> Vec<LastingRun> {
+    fn sure_runs(&self, now: Instant, service: &Arc<str>) -> Vec<OccupyingRun> {
         let workers = self.workers.values();
         let workers = workers.filter(|it| it.facts.service == *service && it.is_placeable(now));
         let runs = workers.flat_map(|worker| &worker.runs);
         let lasting = runs.filter_map(|(task, run)| self.sure_run(now, *task, run));
-        let mut lasting: Vec<LastingRun> = lasting.collect();
+        let mut lasting: Vec<OccupyingRun> = lasting.collect();
         lasting.sort_unstable_by_key(|run| run.left);
         lasting
     }
 
     /// Returns for how long a run surely takes room yet, if at all.
-    fn sure_run(&self, now: Instant, task: TaskKey, run: &Run) -> Option<LastingRun> {
+    fn sure_run(&self, now: Instant, task: TaskKey, run: &Run) -> Option<OccupyingRun> {
         if !matches!(run.phase, RunPhase::Running { .. }) {
             return None;
         }
@@ -162,15 +164,15 @@
         let left = if spec.is_perpetual {
             LATEST
         } else {
-            let length_ms = self.task_length(&job.record.queue, spec).as_ms();
-            let by_progress_ms = self.time_left(task, run)?.as_ms() * SURE_PERCENT / 100;
+            let length_ms = self.expected_task_duration(&job.record.queue, spec).as_ms();
+            let by_progress_ms = self.remaining_time(task, run)?.as_ms() * SURE_PERCENT / 100;
             let sure_ms = length_ms * SURE_PERCENT / 100;
             let by_age_ms = sure_ms.saturating_sub(now.since(run.placed_at).as_ms());
             Duration::from_ms(by_progress_ms.min(by_age_ms))
         };
-        Some(LastingRun {
+        Some(OccupyingRun {
             priority: job.rank.0,
-            rate: Amounts::of(&run.demand),
+            rate: ResourceVector::of(&run.demand),
             left,
         })
     }
@@ -178,9 +180,9 @@
 
 /// Returns whether a waiting job surely comes before one that is handed in now: of jobs that
 /// are as important the later may be chosen to be in time.
-fn is_before(contender: &Contender<JobId>, least: &LeastJob) -> bool {
-    let is_sooner = contender
-        .time_left
+fn is_before(waiting_job: &WaitingJob<JobId>, least: &LeastJob) -> bool {
+    let is_sooner = waiting_job
+        .time_to_objective
         .is_some_and(|left| left < least.objective);
-    contender.priority < least.priority && is_sooner
+    waiting_job.priority < least.priority && is_sooner
 }
--- a/crates/scheduler/src/fragmentation.rs
+++ b/crates/scheduler/src/fragmentation.rs
@@ -1,7 +1,7 @@
 //! How broken up the free room of each service is, for operators.
 
-use crate::dominant::Room;
 use crate::packing::{fit_in, Packing, Scarcity};
+use crate::resource_totals::ResourceTotals;
 use crate::scheduler::Scheduler;
 use ospreywing_types::{Instant, Resources};
 use std::collections::BTreeMap;
@@ -24,8 +24,8 @@
 /// What the workers of a service that may take a run hold, and what of it is free.
 #[derive(Debug, Default)]
 struct FreeRoom {
-    capacity: Room,
-    free: Room,
+    capacity: ResourceTotals,
+    free: ResourceTotals,
     rooms: Vec<Resources>,
 }
 
--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -105,7 +105,7 @@
         self.learning.speeds = Speeds::from_learned(now, &learned.speeds);
         let jobs: Vec<_> = self.active.values().copied().collect();
         for job in jobs {
-            self.note_left(job);
+            self.update_remaining(job);
         }
     }
 }
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -3,11 +3,11 @@
 use crate::commits::Effect;
 use crate::customers::CustomerKey;
 use crate::decision::{Decision, DecisionKind};
-use crate::dominant::Room;
 use crate::event::Action;
 use crate::job::{JobId, JobRecord, StepKey, TaskKey};
-use crate::overloads::JobNeed;
+use crate::overloads::JobDemand;
 use crate::placing::counted_demand;
+use crate::resource_totals::ResourceTotals;
 use crate::scheduler::Scheduler;
 use crate::share_accounts::ServiceKey;
 use crate::state::{JobState, Phase, RoundState, TaskState, TaskStatus};
@@ -31,12 +31,12 @@
     /// Whether the job waits to be committed.
     pub(crate) is_dirty: bool,
     /// Whether an open transaction carries the job.
-    pub(crate) is_on_its_way: bool,
+    pub(crate) is_in_flight: bool,
     /// What waits for a version to be in the store.
     pub(crate) effects: Vec<(u64, Effect)>,
     pub(crate) has_begun: bool,
     /// The phase that is in the store.
-    pub(crate) shown: Phase,
+    pub(crate) committed_phase: Phase,
     pub(crate) ended_at: Option<Instant>,
     pub(crate) rank: (u32, u64),
     /// Whose job it is.
@@ -46,28 +46,28 @@
     /// Whether its customer had handed in more than its rate when it came.
     pub(crate) is_beyond_rate: bool,
     /// Whether it was told that work of it is held back by its customer's limit.
-    pub(crate) is_held: bool,
+    pub(crate) is_held_by_limit: bool,
     /// What the tasks of steps took that are done, where that was learned.
     pub(crate) done_lengths: BTreeMap<StepKey, Duration>,
     /// The time within which the job should be done, by what its steps take.
     pub(crate) objective: Duration,
     /// How long what is left of its longest chain should take, in milliseconds.
-    pub(crate) left_ms: u64,
+    pub(crate) remaining_ms: u64,
     /// What of that is surely needed, in milliseconds.
-    pub(crate) sure_ms: u64,
+    pub(crate) min_remaining_ms: u64,
     /// When the job was accepted, on this node's clock.
     pub(crate) accepted_at: Instant,
     /// Until when its tasks that may have crashed a worker wait for one of their own.
-    pub(crate) trial_until: Instant,
+    pub(crate) probation_until: Instant,
     /// The runs of gangs that were stopped for a checkpoint, which is newer than what their
     /// members tell that ended otherwise.
     pub(crate) gang_stops: BTreeMap<StepKey, u32>,
     /// The steps that may be started, where they have been worked out.
     pub(crate) ready: Option<Vec<StepKey>>,
     /// What the waiting tasks of these took together when its service counted them last.
-    pub(crate) asked: Room,
+    pub(crate) ready_demand: ResourceTotals,
     /// What it needs, where that has been worked out.
-    pub(crate) need: Option<JobNeed>,
+    pub(crate) need: Option<JobDemand>,
 }
 
 impl Job {
@@ -82,25 +82,25 @@
             record: Arc::new(record),
             version: 0,
             is_dirty: false,
-            is_on_its_way: false,
+            is_in_flight: false,
             effects: Vec::new(),
             has_begun: state.has_certainly_begun(),
-            shown: state.phase,
+            committed_phase: state.phase,
             ended_at: None,
             rank,
             customer: None,
             service: None,
             is_beyond_rate: false,
-            is_held: false,
+            is_held_by_limit: false,
             accepted_at,
             done_lengths: BTreeMap::new(),
             objective: Duration::ZERO,
-            left_ms: 0,
-            sure_ms: 0,
-            trial_until: Instant::default(),
+            remaining_ms: 0,
+            min_remaining_ms: 0,
+            probation_until: Instant::default(),
             gang_stops: BTreeMap::new(),
             ready: None,
-            asked: Room::default(),
+            ready_demand: ResourceTotals::default(),
             need: None,
             state,
         }
@@ -108,7 +108,7 @@
 
     /// Drops what is of no use once the job has its outcome and no run of it
     /// can be alive.
-    pub(crate) fn keep_outcome_only(&mut self) {
+    pub(crate) fn retain_outcome_only(&mut self) {
         self.record = Arc::new(JobRecord {
             queue: self.record.queue.clone(),
             customer: self.record.customer.clone(),
@@ -118,18 +118,18 @@
         self.state.rounds = Vec::new();
         self.state.crashes = Vec::new();
         self.done_lengths.clear();
-        self.forget_derived();
+        self.clear_derived();
     }
 
     /// Forgets what was worked out from a state that has changed.
-    pub(crate) fn forget_derived(&mut self) {
+    pub(crate) fn clear_derived(&mut self) {
         self.ready = None;
         self.need = None;
     }
 
     /// Returns whether the job has an objective that can be missed: no perpetual work, and no
     /// rounds at set times.
-    pub(crate) fn may_be_late(&self) -> bool {
+    pub(crate) fn has_objective(&self) -> bool {
         let spec = &self.record.spec;
         spec.schedule.is_none() && !spec.steps.iter().any(|step| step.is_perpetual)
     }
@@ -155,14 +155,14 @@
     }
 
     /// Returns what the waiting tasks take whose turn has come.
-    pub(crate) fn ready_room(&mut self, id: JobId) -> Room {
+    pub(crate) fn current_ready_demand(&mut self, id: JobId) -> ResourceTotals {
         let ready = self.ready_steps(id);
-        self.room_of(&ready)
+        self.waiting_demand(&ready)
     }
 
     /// Returns what the waiting tasks of steps take together.
-    pub(crate) fn room_of(&self, steps: &[StepKey]) -> Room {
-        let mut room = Room::default();
+    pub(crate) fn waiting_demand(&self, steps: &[StepKey]) -> ResourceTotals {
+        let mut room = ResourceTotals::default();
         for key in steps {
             let spec = self.record.spec.steps.get(key.step as usize);
             let round = self.state.round(key.round);
@@ -186,7 +186,7 @@
 
     /// Returns whether no run of a step's tasks can be alive and none is done, or the tasks
     /// start one by one.
-    pub(crate) fn is_waiting_whole(&self, step: StepKey) -> bool {
+    pub(crate) fn is_whole_step_waiting(&self, step: StepKey) -> bool {
         let spec = self.record.spec.steps.get(step.step as usize);
         if spec.is_none_or(|spec| !spec.is_gang) {
             return true;
@@ -217,7 +217,7 @@
 }
 
 impl Scheduler {
-    pub(crate) fn take_job(
+    pub(crate) fn accept_job(
         &mut self,
         now: Instant,
         id: JobId,
@@ -253,9 +253,9 @@
         if let Some(name) = &job.record.customer {
             let customer = self.accounts.key_of(name);
             job.customer = Some(customer);
-            job.is_beyond_rate = self.accounts.note_job(customer, job.accepted_at);
+            job.is_beyond_rate = self.accounts.record_job(customer, job.accepted_at);
         }
-        job.trial_until = now + self.config.crash_policy.trial_wait;
+        job.probation_until = now + self.config.crash_policy.trial_wait;
         if job.state.phase == Phase::Active {
             self.active.insert(rank, id);
             if job.record.spec.schedule.is_some() {
@@ -267,9 +267,9 @@
         }
         let is_active = job.state.phase == Phase::Active;
         self.jobs.insert(id, job);
-        self.note_left(id);
+        self.update_remaining(id);
         if is_active {
-            self.open_share(id);
+            self.open_in_share_account(id);
         }
         self.is_place_due = true;
         let wall_ms = self.wall_ms;
@@ -304,8 +304,8 @@
             let round = RoundState::new(job.state.next_round, &job.record);
             job.state.rounds.push(round);
             job.state.next_round += 1;
-            job.forget_derived();
-            self.stale_asks.insert(id);
+            job.clear_derived();
+            self.stale_ready_demand.insert(id);
             self.is_place_due = true;
         }
         job.state.next_round < schedule.rounds_count
@@ -332,10 +332,10 @@
         }
         job.state.phase = phase;
         job.ended_at = Some(now);
-        job.forget_derived();
+        job.clear_derived();
         let rank = job.rank;
         self.active.remove(&rank);
-        self.close_share(id);
+        self.close_in_share_account(id);
         let line = Decision::new(DecisionKind::JobEnded, reason).with_job(id);
         out.push(Action::Log(line));
         self.unsettled.insert(id);
@@ -402,7 +402,7 @@
     }
 
     /// Ends the job where every round is done.
-    pub(crate) fn check_complete(&mut self, now: Instant, id: JobId, out: &mut Vec<Action>) {
+    pub(crate) fn complete_if_done(&mut self, now: Instant, id: JobId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -422,7 +422,7 @@
     }
 
     /// Notes that a task of the job has begun.
-    pub(crate) fn note_begun(&mut self, id: JobId) {
+    pub(crate) fn mark_begun(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.has_begun = true;
         }
@@ -436,7 +436,7 @@
     }
 
     /// Removes jobs whose outcome has been kept long enough.
-    pub(crate) fn forget_old_jobs(&mut self, now: Instant) {
+    pub(crate) fn remove_expired_jobs(&mut self, now: Instant) {
         let retention = self.config.retention;
         let is_old = |job: &Job| {
             let ended = job.ended_at.is_some_and(|at| now.since(at) > retention);
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -5,15 +5,15 @@
 //! room, and ended well. A new leader learns anew; nothing of this is stored.
 
 use crate::decision::{Decision, DecisionKind};
-use crate::durations::{Durations, LengthKind};
+use crate::durations::{Durations, StepClass};
 use crate::event::{Action, EndKind, EndedRun};
 use crate::features::Feature;
+use crate::interference::RunRole;
 use crate::job::{StepKey, StepSpec, TaskKey};
 use crate::scheduler::Scheduler;
-use crate::sharing::RunRole;
-use crate::speeds::{Speeds, USUAL_SPEED};
+use crate::speeds::{Speeds, TYPICAL_SPEED};
 use crate::state::{Phase, TaskStatus};
-use crate::step_pace::{DoneTask, SpeedSample, StepPace};
+use crate::step_durations::{DoneTask, SpeedSample, StepDurations};
 use crate::worker::{Run, RunPhase, Worker, WorkerKey};
 use ospreywing_types::{Duration, Instant};
 use std::collections::{BTreeMap, HashMap};
@@ -50,7 +50,7 @@
 pub(crate) enum SpeedClass {
     Slow,
     #[default]
-    Usual,
+    Typical,
     Fast,
 }
 
@@ -67,15 +67,15 @@
 impl WorkerSpeed {
     /// Returns whether it is known to differ from the usual one.
     pub(crate) fn is_known(&self) -> bool {
-        self.factor != USUAL_SPEED
+        self.factor != TYPICAL_SPEED
     }
 }
 
 impl Default for WorkerSpeed {
     fn default() -> Self {
         Self {
-            factor: USUAL_SPEED,
-            class: SpeedClass::Usual,
+            factor: TYPICAL_SPEED,
+            class: SpeedClass::Typical,
             is_ejected: false,
         }
     }
@@ -105,13 +105,13 @@
     }
 
     fn speed_of(&self, known: Option<f64>) -> WorkerSpeed {
-        let factor = known.map_or(USUAL_SPEED, |speed| speed / self.median);
+        let factor = known.map_or(TYPICAL_SPEED, |speed| speed / self.median);
         let class = if factor < SLOW_BELOW {
             SpeedClass::Slow
         } else if factor > FAST_ABOVE {
             SpeedClass::Fast
         } else {
-            SpeedClass::Usual
+            SpeedClass::Typical
         };
         WorkerSpeed {
             factor,
@@ -127,7 +127,7 @@
     pub(crate) durations: Durations,
     pub(crate) speeds: Speeds,
     /// The steps of which a task is done and others are not.
-    pub(crate) paces: HashMap<StepKey, StepPace>,
+    pub(crate) step_durations: HashMap<StepKey, StepDurations>,
     /// The services whose workers' speeds differ.
     pub(crate) services: HashMap<Arc<str>, ServiceSpeeds>,
     /// When this was looked at last.
@@ -198,7 +198,7 @@
         }
         // A gang is as slow as its slowest member, which is not told.
         let factor = if spec.is_gang {
-            USUAL_SPEED
+            TYPICAL_SPEED
         } else {
             worker.speed.factor
         };
@@ -216,24 +216,28 @@
     }
 
     /// Learns from a run that has ended.
-    pub(crate) fn learn(&mut self, now: Instant, finished: FinishedRun) {
+    pub(crate) fn record_finished_run(&mut self, now: Instant, finished: FinishedRun) {
         self.learning.now = now;
-        let new = || StepPace::new(finished.tasks_count);
-        let pace = self.learning.paces.entry(finished.step).or_insert_with(new);
+        let new = || StepDurations::new(finished.tasks_count);
+        let pace = self
+            .learning
+            .step_durations
+            .entry(finished.step)
+            .or_insert_with(new);
         let samples = pace.record(finished.done);
         let has_news = pace.has_news();
-        self.learn_speeds(now, samples);
+        self.record_speed_samples(now, samples);
         if has_news {
-            self.note_left(finished.step.job);
+            self.update_remaining(finished.step.job);
         }
     }
 
     /// Learns from a step that is done.
-    pub(crate) fn learn_step(&mut self, now: Instant, step: StepKey) {
-        let Some(mut pace) = self.learning.paces.remove(&step) else {
+    pub(crate) fn record_finished_step(&mut self, now: Instant, step: StepKey) {
+        let Some(mut pace) = self.learning.step_durations.remove(&step) else {
             return;
         };
-        self.learn_speeds(now, pace.finish());
+        self.record_speed_samples(now, pace.finish());
         let Some(job) = self.jobs.get(&step.job) else {
             return;
         };
@@ -244,14 +248,20 @@
         let Learning {
             durations, speeds, ..
         } = &mut self.learning;
-        let (queue, kind) = (&job.record.queue, LengthKind::of(spec));
+        let (queue, kind) = (&job.record.queue, StepClass::of(spec));
         // Too few tasks to tell of one another are told by those of other jobs.
         let forecast = durations.forecast(now, queue, kind);
         if let Some(forecast) = forecast.filter(|_| !spec.is_gang) {
             for task in pace.untold() {
                 let speed = ratio(forecast.likely, task.length);
                 let service = &task.service;
-                speeds.record_alone(now, service, &task.machine, speed, forecast.spread());
+                speeds.record_against_forecast(
+                    now,
+                    service,
+                    &task.machine,
+                    speed,
+                    forecast.log_std_dev(),
+                );
             }
         }
         durations.record(now, queue, kind, actual);
@@ -260,7 +270,7 @@
         }
     }
 
-    fn learn_speeds(&mut self, now: Instant, samples: Vec<SpeedSample>) {
+    fn record_speed_samples(&mut self, now: Instant, samples: Vec<SpeedSample>) {
         for sample in samples {
             let speeds = &mut self.learning.speeds;
             speeds.record(now, &sample.machine, sample.speed);
@@ -363,9 +373,14 @@
         if spec.is_gang || !worker.tells_speed(run, spec) {
             return None;
         }
-        let pace = self.learning.paces.get(&task.step);
-        let by_step = pace.and_then(StepPace::likely);
-        let by_queue = || Some(self.step_length(&job.record.queue, task.step, spec)?.late);
+        let pace = self.learning.step_durations.get(&task.step);
+        let by_step = pace.and_then(StepDurations::likely);
+        let by_queue = || {
+            Some(
+                self.learned_task_duration(&job.record.queue, task.step, spec)?
+                    .late,
+            )
+        };
         let expected = scaled(by_step.or_else(by_queue)?, 1.0 / worker.speed.factor);
         let factor = OVERDUE_FACTOR << run.overdue_count;
         (spent >= expected.times(factor)).then(|| ratio(expected, spent) * worker.speed.factor)
@@ -377,7 +392,9 @@
             let job = jobs.get(&step.job);
             job.is_some_and(|job| job.state.phase == Phase::Active)
         };
-        self.learning.paces.retain(|step, _| is_active(step));
+        self.learning
+            .step_durations
+            .retain(|step, _| is_active(step));
         self.learning.speeds.forget_old();
     }
 }
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -2,11 +2,11 @@
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, EndedRun, HoldReply, RunningRun};
+use crate::interference::RunRole;
 use crate::job::TaskKey;
 use crate::life::LifeStart;
 use crate::lives::ListedRuns;
 use crate::scheduler::Scheduler;
-use crate::sharing::RunRole;
 use crate::state::{Phase, TaskStatus};
 use crate::worker::{lease_bound, ClockReading, Run, RunPhase, Worker, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
@@ -254,7 +254,7 @@
             self.workers[key].has_unknown_run = true;
             return;
         }
-        self.note_begun(task.step.job);
+        self.mark_begun(task.step.job);
         let worker = &mut self.workers[key];
         let to = worker.endpoint(key);
         if let Some(run) = worker.runs.get_mut(&task) {
@@ -263,7 +263,7 @@
                 if matches!(run.phase, RunPhase::Inherited) {
                     run.phase = RunPhase::Running { since: now };
                 }
-                run.note_begun(now);
+                run.mark_begun(now);
                 let begun_at = run.begun_at.unwrap_or(now);
                 self.clear_suspect(now, task, begun_at);
                 self.take_checkpoint(task, listed.checkpoint);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -27,9 +27,9 @@
 mod crashes;
 mod customers;
 mod cycle;
+pub mod deadline_selection;
 mod decision;
 mod departures;
-mod dominant;
 mod durations;
 mod ends;
 mod estimates;
@@ -41,8 +41,8 @@
 mod gang_search;
 mod gangs;
 mod handover;
+mod interference;
 mod job;
-mod job_rate;
 mod jobs;
 mod learning;
 mod leases;
@@ -53,38 +53,38 @@
 mod open_starts;
 mod order;
 mod orders;
-pub mod overload;
 mod overloads;
 mod packing;
 mod placed_lives;
 mod placing;
 mod preemption;
 mod recovery;
+mod resource_totals;
 mod retries;
 mod runs;
 mod scheduler;
 mod shapes;
 mod share_accounts;
 mod shares;
-mod sharing;
 mod speed_wish;
 mod speeds;
 mod state;
-mod step_pace;
+mod step_durations;
+mod token_bucket;
 mod verifier;
 mod waiting;
 mod whole_rooms;
 mod worker;
 mod worker_list;
 
-pub use admission::{Forecast, QueueForecast, Refusal, FORECAST_AGE_LIMIT};
+pub use admission::{Forecast, QueueForecast, Rejection, FORECAST_AGE_LIMIT};
 pub use config::{
     AdvicePolicy, Configuration, CrashPolicy, Queue, SchedulerConfig, ServicePolicy, TrialRule,
     LANES_COUNT,
 };
-pub use customers::{Customer, CustomerUse};
+pub use customers::{Customer, CustomerUsage};
 pub use decision::{Decision, DecisionKind, ReservedLimit};
-pub use durations::{Durations, ForecastError, LengthForecast, LengthKind};
+pub use durations::{DurationForecast, Durations, ForecastError, StepClass};
 pub use event::{
     Action, AdviceReply, Change, ChangeKind, EndKind, EndedRun, Endpoint, Event, HoldReply,
     RefusedStart, RunningRun, StartOrder, StartReply, StopReply, Ticket, WorkerChange,
@@ -99,7 +99,7 @@
 pub use recovery::Recovered;
 pub use scheduler::{JobView, Scheduler, SchedulerStatus};
 pub use shares::ShareView;
-pub use speeds::{Ejection, Speeds, USUAL_SPEED};
+pub use speeds::{Ejection, Speeds, TYPICAL_SPEED};
 pub use state::{
     JobOutcome, JobState, Phase, RoundState, StateError, StepState, StoredJob, TaskState,
     TaskStatus,
--- a/crates/scheduler/src/limits.rs
+++ b/crates/scheduler/src/limits.rs
@@ -70,7 +70,7 @@
             self.note_limit_holds(now, step, charge, cycle);
             return None;
         }
-        if !job.is_waiting_whole(step) {
+        if !job.is_whole_step_waiting(step) {
             // Members of its last run are still there, and count.
             return Some(WaitReason::LastRun);
         }
@@ -101,7 +101,7 @@
         let Some(job) = self.jobs.get_mut(&step.job) else {
             return;
         };
-        if core::mem::replace(&mut job.is_held, true) {
+        if core::mem::replace(&mut job.is_held_by_limit, true) {
             return;
         }
         let reservation = self.limit_reservations.get(customer);
@@ -112,7 +112,7 @@
         let line = Decision::new(DecisionKind::JobHeld, reason.as_str())
             .with_job(step.job)
             .with_figure(u64::from(least_count))
-            .with_customer(self.accounts.get(customer).to_use())
+            .with_customer(self.accounts.get(customer).to_usage())
             .with_reserved(reserved);
         out.push(Action::Log(line));
     }
--- a/crates/scheduler/src/order.rs
+++ b/crates/scheduler/src/order.rs
@@ -1,10 +1,10 @@
 //! The order in which waiting jobs are served.
 
 use crate::config::Queue;
+use crate::deadline_selection::Selection;
 use crate::features::Feature;
 use crate::job::{JobId, JobRecord};
 use crate::jobs::Job;
-use crate::overload::Selection;
 use crate::overloads::OverloadRank;
 use crate::scheduler::Scheduler;
 use crate::shares::ShareRank;
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Prospect {
     /// It can be done within its objective.
-    InTime,
+    OnTime,
     /// It can be done late.
     Late,
     /// It will be too late to be worth much; it is done all the same.
@@ -68,7 +68,7 @@
     /// Its service is overloaded, and it is to be late.
     Late,
     /// Its service is overloaded, and it is in time also where it comes after late work.
-    CanWait,
+    OnTimeAfterLate,
     /// Its service is overloaded, and it is to be later than it is worth anything.
     Last,
     /// It is worth little whenever it is done.
@@ -81,9 +81,9 @@
         let urgency = match overloaded.selection {
             _ if overloaded.is_aged => Urgency::Aged,
             _ if self.urgency == Urgency::Overdue => return,
-            Selection::InTime => return,
-            Selection::CanWait if self.urgency == Urgency::Pressing => return,
-            Selection::CanWait => Urgency::CanWait,
+            Selection::OnTime => return,
+            Selection::OnTimeAfterLate if self.urgency == Urgency::Pressing => return,
+            Selection::OnTimeAfterLate => Urgency::OnTimeAfterLate,
             Selection::Late => Urgency::Late,
             Selection::Last => Urgency::Last,
         };
@@ -114,7 +114,7 @@
 
     /// Has work beyond its customer's share of room that is short come later.
     fn rank_by_shares(&self, order: &mut [ServiceRank]) {
-        if !self.is_room_short() {
+        if !self.is_capacity_short() {
             return;
         }
         let ids: Vec<JobId> = order.iter().map(|rank| rank.job).collect();
@@ -162,25 +162,25 @@
 
     /// Returns how soon a job must be served, and by when.
     fn urgency(&self, now: Instant, job: &Job) -> (Urgency, Instant) {
-        let left = Duration::from_ms(job.left_ms);
+        let left = Duration::from_ms(job.remaining_ms);
         let due = (job.accepted_at + job.objective) - left;
         match self.prospect(now, job) {
-            Prospect::InTime if due < now + PATIENT_SLACK => (Urgency::Pressing, due),
-            Prospect::InTime => (Urgency::Patient, due),
+            Prospect::OnTime if due < now + PATIENT_SLACK => (Urgency::Pressing, due),
+            Prospect::OnTime => (Urgency::Patient, due),
             Prospect::Late => (Urgency::Patient, late_due(job)),
             Prospect::Overdue => (Urgency::Overdue, due),
         }
     }
 
     pub(crate) fn prospect(&self, now: Instant, job: &Job) -> Prospect {
-        if !job.may_be_late() {
-            return Prospect::InTime;
+        if !job.has_objective() {
+            return Prospect::OnTime;
         }
-        let sure = Duration::from_ms(job.sure_ms);
+        let sure = Duration::from_ms(job.min_remaining_ms);
         let objective = job.objective;
         let ends_at = now + sure;
         if ends_at <= job.accepted_at + objective {
-            Prospect::InTime
+            Prospect::OnTime
         } else if ends_at <= job.accepted_at + objective.times(LATE_FACTOR) {
             Prospect::Late
         } else {
@@ -225,7 +225,7 @@
 /// Returns when a job must start at the latest to be worth something.
 fn late_due(job: &Job) -> Instant {
     let worth_until = job.accepted_at + job.objective.times(LATE_FACTOR);
-    worth_until - Duration::from_ms(job.left_ms)
+    worth_until - Duration::from_ms(job.remaining_ms)
 }
 
 /// Returns how large a job's largest gang is, in powers of two of a thousandth of a core; 0
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -179,13 +179,13 @@
         };
         match reply {
             StartReply::Started => {
-                run.note_begun(now);
+                run.mark_begun(now);
                 worker.answered_at = now;
                 if run.phase == RunPhase::Starting {
                     run.phase = RunPhase::Running { since: now };
                 }
                 out.push(line(DecisionKind::Started, "answered"));
-                self.note_begun(task.step.job);
+                self.mark_begun(task.step.job);
             }
             StartReply::Unanswered => {
                 if self.repeat_start(now, key, task, out) {
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -1,15 +1,16 @@
 //! Which services are short of room, and what that makes of their jobs.
 
 use crate::cycle::SchedulingCycle;
+use crate::deadline_selection::{
+    Occupancy, ResourceVector, Selection, ServiceLoad, WaitingJob, ENTER_LOAD_PERCENT,
+    LEAVE_LOAD_PERCENT,
+};
 use crate::decision::{Decision, DecisionKind};
 use crate::event::Action;
 use crate::features::Feature;
 use crate::job::{JobId, StepSpec};
 use crate::jobs::Job;
 use crate::order::LATE_FACTOR;
-use crate::overload::{
-    Amounts, Contender, Demand, Occupancy, Selection, ENTER_LOAD_PERCENT, LEAVE_LOAD_PERCENT,
-};
 use crate::placing::counted_demand;
 use crate::scheduler::Scheduler;
 use crate::state::{StepState, TaskStatus};
@@ -48,11 +49,11 @@
 
 /// What a job needs besides what it has.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct JobNeed {
+pub(crate) struct JobDemand {
     /// What its waiting tasks need, times milliseconds.
-    waiting: Amounts,
+    waiting: ResourceVector,
     /// What its runs take.
-    running: Amounts,
+    running: ResourceVector,
     /// For how long they do; `None` where they don't end by themselves.
     running_left: Option<Duration>,
 }
@@ -102,9 +103,9 @@
 /// What is known of one service in a cycle.
 struct ServiceJobs {
     service: Arc<str>,
-    capacity: Amounts,
+    capacity: ResourceVector,
     occupancy: Occupancy,
-    contenders: Vec<Contender<JobId>>,
+    waiting_jobs: Vec<WaitingJob<JobId>>,
     /// The job that was accepted first of those that have waited too long.
     aged: Option<(Instant, JobId)>,
 }
@@ -140,15 +141,15 @@
         let is_forecast_due = has_admission && is_sure && self.forecasts.are_due(now);
         let mut forecasts = Vec::new();
         for jobs in self.jobs_of_full_services(now, cycle, out) {
-            let mut demand = Demand::new(jobs.capacity, jobs.occupancy);
-            jobs.contenders.into_iter().for_each(|it| demand.push(it));
-            let load_percent = demand.load_percent();
+            let mut load = ServiceLoad::new(jobs.capacity, jobs.occupancy);
+            jobs.waiting_jobs.into_iter().for_each(|it| load.push(it));
+            let load_percent = load.load_percent();
             if !self.note_load(now, &jobs.service, load_percent, out) {
                 continue;
             }
-            let selected = demand.select();
+            let selected = load.select();
             if is_forecast_due {
-                forecasts.extend(self.forecasts_of(now, &jobs.service, &demand, &selected));
+                forecasts.extend(self.queue_forecasts(now, &jobs.service, &load, &selected));
             }
             let aged = jobs.aged.map(|(_, id)| id);
             ranks.extend(selected.into_iter().map(|selected| {
@@ -233,7 +234,7 @@
                 service: room.service.clone(),
                 capacity: room.capacity,
                 occupancy: Occupancy::default(),
-                contenders: Vec::new(),
+                waiting_jobs: Vec::new(),
                 aged: None,
             })
             .collect();
@@ -260,9 +261,9 @@
         let need = job.need.unwrap_or_else(|| self.need_of(job));
         jobs.occupancy.add(need.running, need.running_left);
         // What is held by its customer's limit could not use room.
-        let is_contender = job.may_be_late() && !job.is_held && need.has_waiting();
+        let is_contender = job.has_objective() && !job.is_held_by_limit && need.has_waiting();
         if is_contender {
-            jobs.contenders.push(contender(now, id, job, need));
+            jobs.waiting_jobs.push(waiting_job(now, id, job, need));
             jobs.note_aged(now, id, job);
         }
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -270,14 +271,14 @@
         }
     }
 
-    fn need_of(&self, job: &Job) -> JobNeed {
-        let mut need = JobNeed {
+    fn need_of(&self, job: &Job) -> JobDemand {
+        let mut need = JobDemand {
             running_left: Some(Duration::ZERO),
-            ..JobNeed::default()
+            ..JobDemand::default()
         };
         for round in &job.state.rounds {
             for (spec, step) in job.record.spec.steps.iter().zip(&round.steps) {
-                let length = self.task_length(&job.record.queue, spec);
+                let length = self.expected_task_duration(&job.record.queue, spec);
                 need.add_step(spec, step, length);
             }
         }
@@ -285,13 +286,13 @@
     }
 }
 
-impl JobNeed {
+impl JobDemand {
     fn has_waiting(&self) -> bool {
-        self.waiting != Amounts::default()
+        self.waiting != ResourceVector::default()
     }
 
     fn add_step(&mut self, spec: &StepSpec, step: &StepState, length: Duration) {
-        let demand = Amounts::of(&counted_demand(spec));
+        let demand = ResourceVector::of(&counted_demand(spec));
         let count = |status: fn(&TaskStatus) -> bool| {
             let tasks = step.tasks.iter().filter(|task| status(&task.status));
             tasks.count() as f64
@@ -330,14 +331,14 @@
     line.with_service(service)
 }
 
-fn contender(now: Instant, id: JobId, job: &Job, need: JobNeed) -> Contender<JobId> {
+fn waiting_job(now: Instant, id: JobId, job: &Job, need: JobDemand) -> WaitingJob<JobId> {
     let left_until = |end: Instant| (now <= end).then(|| end.since(now));
-    Contender {
+    WaitingJob {
         key: id,
         priority: job.rank.0 + u32::from(job.is_beyond_rate) * BEYOND_SHARE_PRIORITY,
         work: need.waiting,
-        chain: Duration::from_ms(job.left_ms * LIKELY_PERCENT / 100) + WAYS,
-        time_left: left_until(job.accepted_at + job.objective),
-        worth_left: left_until(job.accepted_at + job.objective.times(LATE_FACTOR)),
+        critical_path: Duration::from_ms(job.remaining_ms * LIKELY_PERCENT / 100) + WAYS,
+        time_to_objective: left_until(job.accepted_at + job.objective),
+        time_to_worthless: left_until(job.accepted_at + job.objective.times(LATE_FACTOR)),
     }
 }
--- a/crates/scheduler/src/packing.rs
+++ b/crates/scheduler/src/packing.rs
@@ -5,7 +5,7 @@
 //! room for the fewest larger tasks is lost; of equal ones, that with the least left of what
 //! is scarce. Plain values in, plain values out.
 
-use crate::dominant::Room;
+use crate::resource_totals::ResourceTotals;
 use crate::shapes::Shape;
 use ospreywing_types::Resources;
 
@@ -25,7 +25,7 @@
 impl Scarcity {
     /// Returns the worth of what is free, from what a service holds, what of it is free and
     /// what has come lately: a unit is worth its share of the whole times the pressure.
-    pub(crate) fn new(capacity: &Room, free: &Room, shapes: &[Shape]) -> Self {
+    pub(crate) fn new(capacity: &ResourceTotals, free: &ResourceTotals, shapes: &[Shape]) -> Self {
         let lately = |part: fn(&Resources) -> u32| -> f64 {
             let parts = shapes.iter();
             parts.map(|it| it.count * f64::from(part(&it.demand))).sum()
--- a/crates/scheduler/src/placing.rs
+++ b/crates/scheduler/src/placing.rs
@@ -7,9 +7,9 @@
 use crate::cycle::{CycleSummary, SchedulingCycle};
 use crate::decision::{Decision, DecisionKind};
 use crate::event::Action;
+use crate::interference::RunRole;
 use crate::job::{JobId, JobRecord, StepKey, StepSpec, TaskKey};
 use crate::scheduler::Scheduler;
-use crate::sharing::RunRole;
 use crate::state::{StepState, TaskStatus};
 use crate::waiting::WaitReason;
 use crate::worker::{Run, WorkerKey};
@@ -313,7 +313,7 @@
         let Some(job) = self.jobs.get(&pending.key.job) else {
             return false;
         };
-        let needed_until = now + Duration::from_ms(job.left_ms) + YIELD_SLACK;
+        let needed_until = now + Duration::from_ms(job.remaining_ms) + YIELD_SLACK;
         needed_until < job.accepted_at + job.objective
     }
 
@@ -440,7 +440,7 @@
         self.add_run(key, task, run);
         self.placements.insert(task, key);
         if let Some(job) = self.jobs.get_mut(&task.step.job) {
-            job.is_held = false;
+            job.is_held_by_limit = false;
         }
         let free = self.workers[key].free().cores_milli;
         let reason = if is_on_trial {
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -117,7 +117,7 @@
         good: &[WorkerKey],
     ) -> Option<PreemptionPlan> {
         let job = self.jobs.get(&pending.key.job)?;
-        if self.prospect(now, job) != Prospect::InTime {
+        if self.prospect(now, job) != Prospect::OnTime {
             return None;
         }
         let mut sites = self.sites(now, pending, cycle, good);
@@ -141,7 +141,7 @@
         let Some(job) = self.jobs.get(&pending.key.job) else {
             return;
         };
-        if self.prospect(now, job) != Prospect::InTime {
+        if self.prospect(now, job) != Prospect::OnTime {
             return;
         }
         let good = self.advice[&pending.key].good();
@@ -226,7 +226,7 @@
             && !spec.is_gang
             && !spec.is_perpetual;
         let is_less_urgent = job.rank.0 > for_job.rank.0;
-        let needed_until = now + Duration::from_ms(job.left_ms) + VICTIM_SLACK;
+        let needed_until = now + Duration::from_ms(job.remaining_ms) + VICTIM_SLACK;
         let is_nearly_done = self.is_nearly_done(run);
         let can_wait = is_less_urgent && needed_until < job.accepted_at + job.objective;
         is_cheap
@@ -236,7 +236,7 @@
 
     /// Returns whether a job's customer is over its share at the expense of another's job.
     fn gives_way(&self, now: Instant, job: &Job, for_job: &Job) -> bool {
-        let giver = self.giver_for(now, for_job);
+        let giver = self.customer_to_preempt(now, for_job);
         job.service == for_job.service && giver == Some(job.customer)
     }
 
@@ -254,10 +254,10 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(giver) = self.giver_for(now, job) else {
+        let Some(giver) = self.customer_to_preempt(now, job) else {
             return;
         };
-        if self.prospect(now, job) != Prospect::InTime || !self.begin_search_for_share(now, id) {
+        if self.prospect(now, job) != Prospect::OnTime || !self.try_begin_share_search(now, id) {
             return;
         }
         let workers: Vec<WorkerKey> = cycle.workers().collect();
--- a/crates/scheduler/src/dominant.rs
+++ b/crates/scheduler/src/resource_totals.rs
@@ -9,13 +9,13 @@
 /// The room of many workers, or the demand of many runs, which a worker's amounts would not
 /// hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Room {
+pub(crate) struct ResourceTotals {
     pub(crate) cores_milli: u64,
     pub(crate) memory_mib: u64,
     pub(crate) accelerators_count: u64,
 }
 
-impl Room {
+impl ResourceTotals {
     /// Returns the processors, the memory and the accelerators.
     pub(crate) const fn parts(&self) -> [u64; 3] {
         [self.cores_milli, self.memory_mib, self.accelerators_count]
@@ -30,7 +30,7 @@
     }
 
     /// Adds other room.
-    pub(crate) fn add_room(&mut self, other: &Self) {
+    pub(crate) fn add_totals(&mut self, other: &Self) {
         self.cores_milli += other.cores_milli;
         self.memory_mib += other.memory_mib;
         self.accelerators_count += other.accelerators_count;
@@ -44,7 +44,7 @@
     }
 
     /// Takes other room off that was added before.
-    pub(crate) fn remove_room(&mut self, other: &Self) {
+    pub(crate) fn subtract_totals(&mut self, other: &Self) {
         self.cores_milli -= other.cores_milli;
         self.memory_mib -= other.memory_mib;
         self.accelerators_count -= other.accelerators_count;
@@ -84,7 +84,7 @@
     /// Returns the part of `capacity` that this takes, of the resource of which it takes the
     /// largest, in millionths. A resource that nobody has counts nothing: what needs it runs
     /// nowhere.
-    pub(crate) fn dominant_ppm(&self, capacity: &Self) -> u64 {
+    pub(crate) fn dominant_share_ppm(&self, capacity: &Self) -> u64 {
         let part = |need: u64, whole: u64| (need * WHOLE_PPM).checked_div(whole).unwrap_or(0);
         part(self.cores_milli, capacity.cores_milli)
             .max(part(self.memory_mib, capacity.memory_mib))
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -22,8 +22,8 @@
     /// Removes a run that can't be alive any more.
     pub(crate) fn remove_run(&mut self, worker: WorkerKey, task: TaskKey) {
         if let Some(run) = self.workers[worker].remove_run(task) {
-            self.accounts.give_back(run.charge);
-            self.shares.give_back(&run);
+            self.accounts.refund(run.charge);
+            self.shares.refund(&run);
             if run.has_open_start() {
                 let open_starts = &mut self.workers[worker].open_starts;
                 open_starts.remember(run.sent_at, task, run.run);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -107,7 +107,7 @@
     pub(crate) limit_reservations: LimitReservations,
     pub(crate) shares: Shares,
     /// Jobs whose services have to count anew what they ask for.
-    pub(crate) stale_asks: HashSet<JobId>,
+    pub(crate) stale_ready_demand: HashSet<JobId>,
     pub(crate) cordons: Cordons,
     /// Whether nothing new may be started anywhere.
     pub(crate) are_starts_held: bool,
@@ -177,7 +177,7 @@
             accounts,
             limit_reservations: LimitReservations::default(),
             shares: Shares::default(),
-            stale_asks: HashSet::new(),
+            stale_ready_demand: HashSet::new(),
             cordons: Cordons::default(),
             are_starts_held: false,
             workers: PrimaryMap::new(),
@@ -218,7 +218,7 @@
     /// Takes in an event and appends what is to be done.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::JobAccepted { job, record } => self.take_job(now, job, *record, out),
+            Event::JobAccepted { job, record } => self.accept_job(now, job, *record, out),
             Event::CancelAccepted { job } => self.cancel_job(now, job, out),
             Event::Configured(configuration) => self.configure(configuration, out),
             Event::CordonsListed(data_centres) => self.set_cordons(data_centres, out),
@@ -249,7 +249,7 @@
             Event::Committed { lane } => self.on_committed(now, lane as usize, out),
             Event::StoreTrouble(has_trouble) => {
                 self.has_store_trouble = has_trouble;
-                self.forecasts.note_unsure(now);
+                self.forecasts.suspend(now);
             }
             Event::WallClock(wall_ms) => self.begin_due_rounds(wall_ms),
             Event::Tick => self.on_tick(now, out),
@@ -296,9 +296,9 @@
     pub fn job(&self, job: JobId) -> Option<JobView> {
         let job = self.jobs.get(&job)?;
         Some(JobView {
-            phase: job.shown,
+            phase: job.committed_phase,
             has_begun: job.has_begun,
-            is_settled: job.state.phase == job.shown || !job.is_on_its_way,
+            is_settled: job.state.phase == job.committed_phase || !job.is_in_flight,
         })
     }
 
@@ -382,7 +382,7 @@
             self.waits.forget_old(now);
             self.shapes.forget_old(now);
             self.names.forget_unused();
-            self.forget_old_jobs(now);
+            self.remove_expired_jobs(now);
         }
         self.is_place_due = true;
     }
@@ -395,7 +395,7 @@
         out.push(Action::Log(line.with_figure(configuration.version)));
         self.accounts.configure(configuration.customers.values());
         self.configuration = configuration;
-        self.move_shares();
+        self.update_share_services();
         self.note_services();
         self.is_place_due = true;
     }
--- a/crates/scheduler/src/share_accounts.rs
+++ b/crates/scheduler/src/share_accounts.rs
@@ -4,7 +4,7 @@
 //! these.
 
 use crate::customers::CustomerKey;
-use crate::dominant::{Room, WHOLE_PPM};
+use crate::resource_totals::{ResourceTotals, WHOLE_PPM};
 use crate::worker::Run;
 use cranelift_entity::{entity_impl, PrimaryMap};
 use ospreywing_types::{Duration, Instant, Resources};
@@ -33,7 +33,7 @@
 entity_impl!(ServiceKey, "service");
 
 /// Whose work it is: a customer's, or open queues', which have one account.
-pub(crate) type Holder = Option<CustomerKey>;
+pub(crate) type AccountOwner = Option<CustomerKey>;
 
 /// A time that only goes on, in microseconds of a customer's exact share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -70,9 +70,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct ShareAccount {
     pub(crate) open_jobs_count: usize,
-    running: Room,
+    running: ResourceTotals,
     /// What is ready to start.
-    pub(crate) asked: Room,
+    pub(crate) ready_demand: ResourceTotals,
     tag: VirtualTime,
     /// What it had running when work was last placed, in millionths of its share.
     pub(crate) share_ppm: u64,
@@ -101,8 +101,8 @@
     }
 
     /// Returns what an amount is of its share, in millionths.
-    pub(crate) fn share_of(&self, amount: &Room, capacity: &Room) -> u64 {
-        (amount.dominant_ppm(capacity) as f64 * self.scale) as u64
+    pub(crate) fn share_of(&self, amount: &ResourceTotals, capacity: &ResourceTotals) -> u64 {
+        (amount.dominant_share_ppm(capacity) as f64 * self.scale) as u64
     }
 }
 
@@ -112,14 +112,14 @@
     pub(crate) name: Arc<str>,
     pub(crate) clock: VirtualTime,
     advanced_at: Instant,
-    pub(crate) capacity: Room,
+    pub(crate) capacity: ResourceTotals,
     /// Whether what was ready did not fit the free room when work was last placed.
     pub(crate) is_short: bool,
-    pub(crate) accounts: BTreeMap<Holder, ShareAccount>,
+    pub(crate) accounts: BTreeMap<AccountOwner, ShareAccount>,
     /// The customer that is furthest over its share, where one is well over it.
-    pub(crate) most_over: Option<Holder>,
+    pub(crate) most_over_share: Option<AccountOwner>,
     /// When room was last sought among its runs.
-    pub(crate) sought_at: Option<Instant>,
+    pub(crate) last_search_at: Option<Instant>,
 }
 
 impl ServiceShares {
@@ -128,38 +128,42 @@
             name,
             clock: VirtualTime::default(),
             advanced_at: Instant::default(),
-            capacity: Room::default(),
+            capacity: ResourceTotals::default(),
             is_short: false,
             accounts: BTreeMap::new(),
-            most_over: None,
-            sought_at: None,
+            most_over_share: None,
+            last_search_at: None,
         }
     }
 
     /// Returns whether what is ready does not fit a room, of each customer as much as may
     /// still start of it.
-    pub(crate) fn asks_beyond(&self, free: &Room, left_of: impl Fn(Holder) -> Resources) -> bool {
-        let mut asked = Room::default();
-        for (holder, account) in &self.accounts {
-            asked.add_room(&account.asked.capped(&left_of(*holder)));
+    pub(crate) fn ready_demand_exceeds(
+        &self,
+        free: &ResourceTotals,
+        left_of: impl Fn(AccountOwner) -> Resources,
+    ) -> bool {
+        let mut ready_demand = ResourceTotals::default();
+        for (owner, account) in &self.accounts {
+            ready_demand.add_totals(&account.ready_demand.capped(&left_of(*owner)));
         }
-        !asked.fits_in(free)
+        !ready_demand.fits_in(free)
     }
 
     /// Returns a customer's account, which begins at the clock.
-    fn account(&mut self, holder: Holder) -> &mut ShareAccount {
+    fn account(&mut self, owner: AccountOwner) -> &mut ShareAccount {
         let tag = self.clock;
-        let account = self.accounts.entry(holder);
+        let account = self.accounts.entry(owner);
         account.or_insert_with(|| ShareAccount {
             tag,
             ..ShareAccount::default()
         })
     }
 
-    fn drop_if_unused(&mut self, holder: Holder) {
-        let account = self.accounts.get(&holder);
+    fn drop_if_unused(&mut self, owner: AccountOwner) {
+        let account = self.accounts.get(&owner);
         if account.is_some_and(ShareAccount::is_unused) {
-            self.accounts.remove(&holder);
+            self.accounts.remove(&owner);
         }
     }
 
@@ -178,26 +182,26 @@
     }
 
     /// Works out what each customer has running of its share.
-    pub(crate) fn weigh(&mut self, weight_of: impl Fn(Holder) -> f64) {
-        let weights = self.accounts.keys().map(|holder| weight_of(*holder));
+    pub(crate) fn weigh(&mut self, weight_of: impl Fn(AccountOwner) -> f64) {
+        let weights = self.accounts.keys().map(|owner| weight_of(*owner));
         let sum: f64 = weights.sum();
-        for (holder, account) in &mut self.accounts {
-            account.scale = sum / weight_of(*holder);
+        for (owner, account) in &mut self.accounts {
+            account.scale = sum / weight_of(*owner);
             account.share_ppm = account.share_of(&account.running, &self.capacity);
         }
-        self.most_over = self.find_most_over();
+        self.most_over_share = self.find_most_over();
     }
 
-    fn find_most_over(&self) -> Option<Holder> {
+    fn find_most_over(&self) -> Option<AccountOwner> {
         if !self.is_short {
             return None;
         }
-        let over = self.accounts.iter().filter(|(holder, account)| {
+        let over = self.accounts.iter().filter(|(owner, account)| {
             let is_well_over = account.share_ppm > WELL_OVER_PPM;
-            holder.is_some() && is_well_over && account.lag(self.clock) >= LAG_SLACK
+            owner.is_some() && is_well_over && account.lag(self.clock) >= LAG_SLACK
         });
         let most = over.max_by_key(|(_, account)| account.share_ppm);
-        most.map(|(holder, _)| *holder)
+        most.map(|(owner, _)| *owner)
     }
 }
 
@@ -226,27 +230,27 @@
         key
     }
 
-    pub(crate) fn open_job(&mut self, service: ServiceKey, holder: Holder) {
-        self.services[service].account(holder).open_jobs_count += 1;
+    pub(crate) fn open_job(&mut self, service: ServiceKey, owner: AccountOwner) {
+        self.services[service].account(owner).open_jobs_count += 1;
     }
 
-    pub(crate) fn close_job(&mut self, service: ServiceKey, holder: Holder) {
+    pub(crate) fn close_job(&mut self, service: ServiceKey, owner: AccountOwner) {
         let service = &mut self.services[service];
-        service.account(holder).open_jobs_count -= 1;
-        service.drop_if_unused(holder);
+        service.account(owner).open_jobs_count -= 1;
+        service.drop_if_unused(owner);
     }
 
     /// Counts anew what a job asks for in a service.
-    pub(crate) fn replace_asked(
+    pub(crate) fn replace_ready_demand(
         &mut self,
         service: ServiceKey,
-        holder: Holder,
-        before: &Room,
-        after: &Room,
+        owner: AccountOwner,
+        before: &ResourceTotals,
+        after: &ResourceTotals,
     ) {
-        let account = self.services[service].account(holder);
-        account.asked.remove_room(before);
-        account.asked.add_room(after);
+        let account = self.services[service].account(owner);
+        account.ready_demand.subtract_totals(before);
+        account.ready_demand.add_totals(after);
     }
 
     /// Notes that nothing asks for room.
@@ -254,7 +258,7 @@
         for service in self.services.values_mut().filter(|it| it.is_short) {
             service.advance(now);
             service.is_short = false;
-            service.most_over = None;
+            service.most_over_share = None;
         }
     }
 
@@ -267,12 +271,12 @@
     }
 
     /// Takes a run off.
-    pub(crate) fn give_back(&mut self, run: &Run) {
+    pub(crate) fn refund(&mut self, run: &Run) {
         if let Some(service) = run.charge.service {
-            let holder = run.charge.customer;
+            let owner = run.charge.customer;
             let service = &mut self.services[service];
-            service.account(holder).running.remove(&run.demand);
-            service.drop_if_unused(holder);
+            service.account(owner).running.remove(&run.demand);
+            service.drop_if_unused(owner);
         }
     }
 
@@ -293,19 +297,19 @@
     /// tags are behind the clock, or further ahead than any may be.
     pub(crate) fn miscounted(
         &self,
-        counted: &BTreeMap<(ServiceKey, Holder), CountedShare>,
+        counted: &BTreeMap<(ServiceKey, AccountOwner), CountedShare>,
     ) -> Option<Arc<str>> {
         let known_count: usize = self.services.values().map(|it| it.accounts.len()).sum();
         let is_wrong = |key: ServiceKey, service: &ServiceShares| {
             let mut accounts = service.accounts.iter();
-            accounts.any(|(holder, account)| {
+            accounts.any(|(owner, account)| {
                 let held = CountedShare {
                     open_jobs_count: account.open_jobs_count,
                     running: account.running,
-                    asked: account.asked,
+                    ready_demand: account.ready_demand,
                 };
                 let last = service.clock.after(LAG_LIMIT);
-                counted.get(&(key, *holder)) != Some(&held) || account.tag > last
+                counted.get(&(key, *owner)) != Some(&held) || account.tag > last
             })
         };
         let mut services = self.services.iter();
@@ -319,6 +323,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CountedShare {
     pub(crate) open_jobs_count: usize,
-    pub(crate) running: Room,
-    pub(crate) asked: Room,
+    pub(crate) running: ResourceTotals,
+    pub(crate) ready_demand: ResourceTotals,
 }
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -15,13 +15,13 @@
 
 use crate::cycle::SchedulingCycle;
 use crate::decision::{Decision, DecisionKind};
-use crate::dominant::{Room, WHOLE_PPM};
 use crate::event::Action;
 use crate::features::Feature;
 use crate::job::JobId;
 use crate::jobs::Job;
+use crate::resource_totals::{ResourceTotals, WHOLE_PPM};
 use crate::scheduler::Scheduler;
-use crate::share_accounts::{Holder, ServiceKey, VirtualTime, LAG_SLACK};
+use crate::share_accounts::{AccountOwner, ServiceKey, VirtualTime, LAG_SLACK};
 use crate::state::Phase;
 use ospreywing_types::{Duration, Instant, Resources};
 use std::collections::HashMap;
@@ -101,7 +101,7 @@
 
     /// Opens a job in the account of its customer in the service that runs it now, and closes
     /// it in the one that did before.
-    pub(crate) fn open_share(&mut self, id: JobId) {
+    pub(crate) fn open_in_share_account(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -110,34 +110,42 @@
         let service = self.shares.key_of(service);
         self.shares.open_job(service, job.customer);
         if let Some(before) = job.service.replace(service) {
-            let asked = core::mem::take(&mut job.asked);
-            let holder = job.customer;
-            self.shares
-                .replace_asked(before, holder, &asked, &Room::default());
+            let ready_demand = core::mem::take(&mut job.ready_demand);
+            let owner = job.customer;
+            self.shares.replace_ready_demand(
+                before,
+                owner,
+                &ready_demand,
+                &ResourceTotals::default(),
+            );
             self.shares.close_job(before, job.customer);
         }
-        self.stale_asks.insert(id);
+        self.stale_ready_demand.insert(id);
     }
 
     /// Closes a job's share; what of it still runs stays charged.
-    pub(crate) fn close_share(&mut self, id: JobId) {
+    pub(crate) fn close_in_share_account(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         if let Some(service) = job.service {
-            let asked = core::mem::take(&mut job.asked);
-            let holder = job.customer;
-            self.shares
-                .replace_asked(service, holder, &asked, &Room::default());
+            let ready_demand = core::mem::take(&mut job.ready_demand);
+            let owner = job.customer;
+            self.shares.replace_ready_demand(
+                service,
+                owner,
+                &ready_demand,
+                &ResourceTotals::default(),
+            );
             self.shares.close_job(service, job.customer);
         }
     }
 
     /// Has open jobs follow their queues to other services.
-    pub(crate) fn move_shares(&mut self) {
+    pub(crate) fn update_share_services(&mut self) {
         let ids: Vec<JobId> = self.active.values().copied().collect();
         for id in ids {
-            self.open_share(id);
+            self.open_in_share_account(id);
         }
     }
 
@@ -150,38 +158,39 @@
     ) {
         if !self.has_fair_shares() {
             // All are counted once shares come into force.
-            self.stale_asks.clear();
+            self.stale_ready_demand.clear();
             return;
         }
-        self.count_asked();
+        self.refresh_ready_demand();
         let mean_weight = self.accounts.mean_weight().unwrap_or(DEFAULT_WEIGHT);
         let accounts = &self.accounts;
-        let weight_of = |holder: Holder| {
-            let weight = holder.and_then(|key| accounts.get(key).weight());
+        let weight_of = |owner: AccountOwner| {
+            let weight = owner.and_then(|key| accounts.get(key).weight());
             weight.unwrap_or(mean_weight)
         };
-        let left_of = |holder: Holder| holder.map_or(NO_LIMIT, |key| accounts.get(key).left());
+        let left_of = |owner: AccountOwner| owner.map_or(NO_LIMIT, |key| accounts.get(key).left());
         for service in self.shares.services.values_mut() {
             service.advance(now);
             service.capacity = cycle.capacity_of(&service.name);
             let free = cycle.free_of(&service.name);
-            service.is_short = service.asks_beyond(&free, left_of);
+            service.is_short = service.ready_demand_exceeds(&free, left_of);
             service.weigh(weight_of);
         }
         self.tell_shares(now, out);
     }
 
     /// Counts anew what jobs ask for that have changed.
-    fn count_asked(&mut self) {
-        for id in self.stale_asks.drain() {
+    fn refresh_ready_demand(&mut self) {
+        for id in self.stale_ready_demand.drain() {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
             if let Some(service) = job.service.filter(|_| job.state.phase == Phase::Active) {
-                let asked = job.ready_room(id);
-                let before = core::mem::replace(&mut job.asked, asked);
-                let holder = job.customer;
-                self.shares.replace_asked(service, holder, &before, &asked);
+                let ready_demand = job.current_ready_demand(id);
+                let before = core::mem::replace(&mut job.ready_demand, ready_demand);
+                let owner = job.customer;
+                self.shares
+                    .replace_ready_demand(service, owner, &before, &ready_demand);
             }
         }
     }
@@ -190,8 +199,8 @@
     fn tell_shares(&mut self, now: Instant, out: &mut Vec<Action>) {
         let accounts = &self.accounts;
         for service in self.shares.services.values_mut() {
-            for (holder, account) in &mut service.accounts {
-                let Some(holder) = holder else {
+            for (owner, account) in &mut service.accounts {
+                let Some(owner) = owner else {
                     continue;
                 };
                 let lag = account.lag(service.clock);
@@ -215,14 +224,14 @@
                 let figure = account.share_ppm / 1000;
                 let line = Decision::new(DecisionKind::Share, reason).with_figure(figure);
                 out.push(Action::Log(
-                    line.with_customer(accounts.get(*holder).to_use()),
+                    line.with_customer(accounts.get(*owner).to_usage()),
                 ));
             }
         }
     }
 
     /// Returns whether a service is short of room that is shared.
-    pub(crate) fn is_room_short(&self) -> bool {
+    pub(crate) fn is_capacity_short(&self) -> bool {
         let mut services = self.shares.services.values();
         self.has_fair_shares() && services.any(|service| service.is_short)
     }
@@ -230,14 +239,18 @@
     /// Returns the ranks of jobs by their customers' shares, in the order of the jobs, which is
     /// that in which each customer's own work is served.
     pub(crate) fn share_ranks(&self, order: &[JobId]) -> Vec<ShareRank> {
-        let mut ahead: HashMap<(ServiceKey, Holder), u64> = HashMap::new();
+        let mut ahead: HashMap<(ServiceKey, AccountOwner), u64> = HashMap::new();
         let jobs = order.iter().map(|id| self.jobs.get(id));
         let ranks = jobs.map(|job| job.map(|job| self.share_rank(job, &mut ahead)));
         ranks.map(Option::unwrap_or_default).collect()
     }
 
     /// Returns a job's rank, and adds what it asks for to what is ahead of later jobs.
-    fn share_rank(&self, job: &Job, ahead: &mut HashMap<(ServiceKey, Holder), u64>) -> ShareRank {
+    fn share_rank(
+        &self,
+        job: &Job,
+        ahead: &mut HashMap<(ServiceKey, AccountOwner), u64>,
+    ) -> ShareRank {
         let rank = ShareRank::of_job(job);
         let Some(key) = job.service.filter(|_| is_held_to_share(job)) else {
             return rank;
@@ -250,33 +263,33 @@
         let before = ahead.entry((key, job.customer));
         let before_ppm = before.or_insert(account.share_ppm);
         let rank = rank.with_ahead(*before_ppm, account.allowed_ppm(service.clock));
-        let asked_ppm = account.share_of(&job.asked, &service.capacity);
+        let asked_ppm = account.share_of(&job.ready_demand, &service.capacity);
         *before_ppm = before_ppm.saturating_add(asked_ppm);
         rank
     }
 
     /// Returns whose runs give way to a job: the customer that is most over its share, where
     /// the job would miss its objective and its own customer is well under its share.
-    pub(crate) fn giver_for(&self, now: Instant, job: &Job) -> Option<Holder> {
+    pub(crate) fn customer_to_preempt(&self, now: Instant, job: &Job) -> Option<AccountOwner> {
         let service = &self.shares.services[job.service?];
-        let giver = service.most_over.filter(|_| self.has_fair_shares())?;
+        let preempted_customer = service.most_over_share.filter(|_| self.has_fair_shares())?;
         let account = service.accounts.get(&job.customer)?;
-        let latest_start = (job.accepted_at + job.objective) - Duration::from_ms(job.left_ms);
+        let latest_start = (job.accepted_at + job.objective) - Duration::from_ms(job.remaining_ms);
         let would_miss = latest_start < now + MISS_SLACK;
-        (would_miss && account.share_ppm < WELL_UNDER_PPM).then_some(giver)
+        (would_miss && account.share_ppm < WELL_UNDER_PPM).then_some(preempted_customer)
     }
 
     /// Returns whether room may be sought now among runs in the service of a job, and notes
     /// that it is: that goes over the service's workers.
-    pub(crate) fn begin_search_for_share(&mut self, now: Instant, id: JobId) -> bool {
+    pub(crate) fn try_begin_share_search(&mut self, now: Instant, id: JobId) -> bool {
         let key = self.jobs.get(&id).and_then(|job| job.service);
         let Some(key) = key else {
             return false;
         };
-        let sought_at = &mut self.shares.services[key].sought_at;
-        let is_due = sought_at.is_none_or(|at| now.since(at) >= SEARCH_PERIOD);
+        let last_search_at = &mut self.shares.services[key].last_search_at;
+        let is_due = last_search_at.is_none_or(|at| now.since(at) >= SEARCH_PERIOD);
         if is_due {
-            *sought_at = Some(now);
+            *last_search_at = Some(now);
         }
         is_due
     }
@@ -284,12 +297,12 @@
     /// Returns how a customer stands in a service; `None` where it has nothing there.
     pub fn share_of(&self, service: &str, customer: Option<&str>) -> Option<ShareView> {
         let key = self.shares.by_name.get(service)?;
-        let holder = match customer {
+        let owner = match customer {
             Some(name) => Some(self.accounts.key_by_name(name)?),
             None => None,
         };
         let service = &self.shares.services[*key];
-        let account = service.accounts.get(&holder)?;
+        let account = service.accounts.get(&owner)?;
         Some(ShareView {
             lag: account.lag(service.clock),
             share_per_mille: account.share_ppm / 1000,
--- a/crates/scheduler/src/speed_wish.rs
+++ b/crates/scheduler/src/speed_wish.rs
@@ -31,7 +31,7 @@
         match (self, speed.class) {
             (Self::Any, _) => 0,
             (Self::Fast, SpeedClass::Fast) | (Self::Slow, SpeedClass::Slow) => 0,
-            (_, SpeedClass::Usual) => 1,
+            (_, SpeedClass::Typical) => 1,
             (Self::Fast, SpeedClass::Slow) | (Self::Slow, SpeedClass::Fast) => 2,
         }
     }
@@ -45,10 +45,10 @@
         let Some((speeds, job)) = speeds.zip(job) else {
             return SpeedWish::Any;
         };
-        if pending.spec().is_perpetual || self.prospect(now, job) != Prospect::InTime {
+        if pending.spec().is_perpetual || self.prospect(now, job) != Prospect::OnTime {
             return SpeedWish::Any;
         }
-        let left = Duration::from_ms(job.left_ms);
+        let left = Duration::from_ms(job.remaining_ms);
         let ends_by = job.accepted_at + job.objective;
         if now + left + PATIENT_SLACK > ends_by {
             return SpeedWish::Fast;
@@ -62,7 +62,9 @@
 
     /// Returns whether a run ends soon by its own pace.
     pub(crate) fn is_nearly_done(&self, run: &Run) -> bool {
-        let left = run.left_by_steady_pace().filter(|_| self.is_learning());
+        let left = run
+            .remaining_by_steady_progress()
+            .filter(|_| self.is_learning());
         left.is_some_and(|left| left <= NEARLY_DONE)
     }
 }
--- a/crates/scheduler/src/speeds.rs
+++ b/crates/scheduler/src/speeds.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// The speed of a machine of which nothing else is known; one of 0.5 takes twice as long.
-pub const USUAL_SPEED: f64 = 1.0;
+pub const TYPICAL_SPEED: f64 = 1.0;
 /// The runs after which a machine's nature counts, by their weights.
 const NATURE_LEAST_WEIGHT: f64 = 4.0;
 /// The least that a further run weighs in a machine's nature.
@@ -153,16 +153,16 @@
     }
 
     /// Takes in how fast a machine did a run beside what its queue's steps take, which are
-    /// spread by `spread` as a logarithm, and beside what such runs of its service were like
+    /// spread by `log_std_dev` as a logarithm, and beside what such runs of its service were like
     /// just before. That tells its nature, the less the wider the spread, and nothing of what
     /// it does of late.
-    pub fn record_alone(
+    pub fn record_against_forecast(
         &mut self,
         now: Instant,
         service: &Arc<str>,
         machine: &Arc<str>,
         speed: f64,
-        spread: f64,
+        log_std_dev: f64,
     ) {
         if !speed.is_finite() || speed <= 0.0 {
             return;
@@ -177,7 +177,7 @@
         let Some(usual_ln) = usual_ln else {
             return;
         };
-        let weight = (STEP_SPREAD / spread.max(STEP_SPREAD)).powi(2);
+        let weight = (STEP_SPREAD / log_std_dev.max(STEP_SPREAD)).powi(2);
         let entry = self.machines.entry(machine.clone()).or_default();
         entry.record_nature(now, speed.ln() - usual_ln, weight);
     }
--- a/crates/scheduler/src/step_pace.rs
+++ b/crates/scheduler/src/step_durations.rs
@@ -29,7 +29,7 @@
 
 /// What the tasks of a step take.
 #[derive(Clone, Debug)]
-pub(crate) struct StepPace {
+pub(crate) struct StepDurations {
     tasks_count: usize,
     done_count: usize,
     kept: Vec<DoneTask>,
@@ -38,7 +38,7 @@
     median_ms: u64,
 }
 
-impl StepPace {
+impl StepDurations {
     pub(crate) const fn new(tasks_count: usize) -> Self {
         Self {
             tasks_count,
--- a/crates/scheduler/src/job_rate.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -9,13 +9,13 @@
 
 /// A token bucket of jobs.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct JobRate {
+pub(crate) struct TokenBucket {
     jobs_per_s: f64,
     left: f64,
     filled_at: Instant,
 }
 
-impl Default for JobRate {
+impl Default for TokenBucket {
     /// Creates a bucket without a limit.
     fn default() -> Self {
         Self {
@@ -26,7 +26,7 @@
     }
 }
 
-impl JobRate {
+impl TokenBucket {
     /// Sets the rate; 0, or what is no rate, stands for no limit.
     pub(crate) fn set_jobs_per_s(&mut self, jobs_per_s: f64) {
         let is_limit = jobs_per_s.is_finite() && jobs_per_s > 0.0;
--- a/crates/scheduler/src/verifier.rs
+++ b/crates/scheduler/src/verifier.rs
@@ -3,8 +3,8 @@
 use crate::customers::CustomerKey;
 use crate::job::{JobId, StepKey, TaskKey};
 use crate::scheduler::Scheduler;
-use crate::share_accounts::{CountedShare, Holder, ServiceKey};
-use crate::speeds::USUAL_SPEED;
+use crate::share_accounts::{AccountOwner, CountedShare, ServiceKey};
+use crate::speeds::TYPICAL_SPEED;
 use crate::state::{Phase, TaskStatus};
 use crate::worker::RunPhase;
 use ospreywing_types::Resources;
@@ -89,13 +89,13 @@
     fn verify_learned(&self) -> Result<(), Violation> {
         for worker in self.workers.values() {
             let factor = worker.speed.factor;
-            let is_told = self.is_learning() || factor == USUAL_SPEED;
+            let is_told = self.is_learning() || factor == TYPICAL_SPEED;
             if !factor.is_finite() || factor <= 0.0 || !is_told {
                 return Err(Violation::Speed(worker.facts.id.to_string()));
             }
         }
         let mut jobs = self.jobs.iter();
-        let wrong = jobs.find(|(_, job)| job.sure_ms > job.left_ms);
+        let wrong = jobs.find(|(_, job)| job.min_remaining_ms > job.remaining_ms);
         wrong.map_or(Ok(()), |(id, _)| Err(Violation::Left(*id)))
     }
 
@@ -144,12 +144,12 @@
     }
 
     fn verify_shares(&self) -> Result<(), Violation> {
-        let mut counted: BTreeMap<(ServiceKey, Holder), CountedShare> = BTreeMap::new();
+        let mut counted: BTreeMap<(ServiceKey, AccountOwner), CountedShare> = BTreeMap::new();
         for job in self.active.values().filter_map(|id| self.jobs.get(id)) {
             if let Some(service) = job.service {
                 let share = counted.entry((service, job.customer)).or_default();
                 share.open_jobs_count += 1;
-                share.asked.add_room(&job.asked);
+                share.ready_demand.add_totals(&job.ready_demand);
             }
         }
         for run in self
@@ -173,10 +173,13 @@
             return Ok(());
         }
         let is_wrong = |id: &&JobId| {
-            let job = self.jobs.get(id).filter(|_| !self.stale_asks.contains(id));
+            let job = self
+                .jobs
+                .get(id)
+                .filter(|_| !self.stale_ready_demand.contains(id));
             job.is_some_and(|job| {
                 let ready = job.ready.as_deref();
-                ready.is_none_or(|ready| job.room_of(ready) != job.asked)
+                ready.is_none_or(|ready| job.waiting_demand(ready) != job.ready_demand)
             })
         };
         let wrong = self.active.values().find(is_wrong);
@@ -197,9 +200,9 @@
 
     fn verify_commits(&self) -> Result<(), Violation> {
         let open: Vec<JobId> = self.commits.open_jobs().collect();
-        let noted_count = self.jobs.values().filter(|job| job.is_on_its_way).count();
+        let noted_count = self.jobs.values().filter(|job| job.is_in_flight).count();
         let known = open.iter().filter_map(|id| self.jobs.get(id));
-        let is_noted = known.clone().all(|job| job.is_on_its_way);
+        let is_noted = known.clone().all(|job| job.is_in_flight);
         if is_noted && known.count() == noted_count {
             Ok(())
         } else {
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -3,11 +3,11 @@
 use crate::customers::Charge;
 use crate::event::Endpoint;
 use crate::evidence::Suspicion;
+use crate::interference::RunRole;
 use crate::job::{StepKey, TaskKey};
 use crate::learning::WorkerSpeed;
 use crate::life::LifeStart;
 use crate::open_starts::OpenStarts;
-use crate::sharing::RunRole;
 use cranelift_entity::entity_impl;
 use ospreywing_types::{Duration, Instant, Resources};
 use serde::{Deserialize, Serialize};
@@ -174,7 +174,7 @@
     }
 
     /// Notes that the worker has it.
-    pub(crate) fn note_begun(&mut self, now: Instant) {
+    pub(crate) fn mark_begun(&mut self, now: Instant) {
         self.was_absent = false;
         if self.begun_at.is_none() && self.checkpoint.is_none() {
             let percent = 0;
--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -2,7 +2,9 @@
 
 use crate::support::world::{Faults, World};
 use crate::support::{configuration, job, step, QUEUE};
-use ospreywing_scheduler::overload::{Amounts, Demand, LastingRun, Occupancy};
+use ospreywing_scheduler::deadline_selection::{
+    Occupancy, OccupyingRun, ResourceVector, ServiceLoad,
+};
 use ospreywing_scheduler::{
     Feature, Features, Forecast, JobId, JobRecord, QueueForecast, Schedule, StepSpec,
     FORECAST_AGE_LIMIT,
@@ -98,11 +100,11 @@
             for ((at_ms, number), first_ms) in core::mem::replace(&mut callers, later) {
                 let (id, record) = short_job(number, world.now_ms);
                 let draw = number * 7919;
-                match refusal(&world, &record) {
-                    Some(refusal) => {
+                match rejection(&world, &record) {
+                    Some(rejection) => {
                         let since_ms = at_ms - begun_ms;
                         outcome.refused_ms.entry(id).or_insert(since_ms);
-                        let back_ms = world.now_ms + refusal.come_back(draw).as_ms();
+                        let back_ms = world.now_ms + rejection.retry_after(draw).as_ms();
                         outcome.returns_ms.push(back_ms);
                         callers.insert((back_ms, number), first_ms);
                     }
@@ -123,9 +125,9 @@
     }
 }
 
-fn refusal(world: &World, record: &JobRecord) -> Option<ospreywing_scheduler::Refusal> {
+fn rejection(world: &World, record: &JobRecord) -> Option<ospreywing_scheduler::Rejection> {
     let forecast = world.forecast()?;
-    forecast.refusal(record, &configuration(None), Duration::ZERO)
+    forecast.rejection(record, &configuration(None), Duration::ZERO)
 }
 
 fn without_admission() -> Features {
@@ -208,7 +210,7 @@
         queues: vec![QueueForecast {
             queue: QUEUE.to_owned(),
             objective_ms: SHORT_OBJECTIVE_MS,
-            work: Amounts::of(&step.demand).times(step.estimate_ms as f64),
+            work: ResourceVector::of(&step.demand).times(step.estimate_ms as f64),
             done_ms,
         }],
     }
@@ -217,8 +219,8 @@
 /// Returns whether a job is refused by a forecast that came so long ago.
 fn is_refused(forecast: &Forecast, record: &JobRecord, since_ms: u64) -> bool {
     let since = Duration::from_ms(since_ms);
-    let refusal = forecast.refusal(record, &configuration(None), since);
-    refusal.is_some()
+    let rejection = forecast.rejection(record, &configuration(None), since);
+    rejection.is_some()
 }
 
 #[test]
@@ -266,7 +268,8 @@
     for seed in 0..200 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let capacity = Resources::new(16_000, 32_000, 4);
-        let demand: Demand<JobId> = Demand::new(Amounts::of(&capacity), Occupancy::default());
+        let demand: ServiceLoad<JobId> =
+            ServiceLoad::new(ResourceVector::of(&capacity), Occupancy::default());
         let mut runs: Vec<(Resources, u64)> = (0..rng.random_range(0..16))
             .map(|_| {
                 let rate = Resources::new(rng.random_range(1..1000), 2000, 0);
@@ -274,11 +277,11 @@
             })
             .collect();
         runs.sort_by_key(|(_, left_ms)| *left_ms);
-        let lasting: Vec<LastingRun> = runs
+        let lasting: Vec<OccupyingRun> = runs
             .iter()
-            .map(|(rate, left_ms)| LastingRun {
+            .map(|(rate, left_ms)| OccupyingRun {
                 priority: 1,
-                rate: Amounts::of(rate),
+                rate: ResourceVector::of(rate),
                 left: Duration::from_ms(*left_ms),
             })
             .collect();
@@ -298,9 +301,9 @@
             given[1] += u64::from(free.memory_mib);
             now_ms += 1;
         }
-        let amount = Amounts::of(&needed).times(needed_ms as f64);
+        let amount = ResourceVector::of(&needed).times(needed_ms as f64);
         let latest = Duration::from_s(600);
-        let done = demand.done_after(lasting.iter(), amount, latest);
+        let done = demand.earliest_completion(lasting.iter(), amount, latest);
         assert!(
             done.as_ms() <= now_ms && now_ms <= done.as_ms() + 1,
             "seed {seed}"
--- a/crates/scheduler/tests/scheduler/customers.rs
+++ b/crates/scheduler/tests/scheduler/customers.rs
@@ -3,7 +3,7 @@
 use crate::support::bench::{end, workers, Bench};
 use crate::support::{configuration_with, customer, job_of, step, PATIENT_QUEUE};
 use ospreywing_scheduler::{
-    Action, Customer, CustomerUse, DecisionKind, EndKind, Event, JobOutcome, JobRecord, JobState,
+    Action, Customer, CustomerUsage, DecisionKind, EndKind, Event, JobOutcome, JobRecord, JobState,
     Phase, Recovered, RoundState, StepSpec, StoredJob, TaskStatus,
 };
 use ospreywing_types::Resources;
@@ -72,9 +72,9 @@
         Action::Log(line) if line.kind == DecisionKind::JobHeld => line.customer.clone(),
         _ => None,
     });
-    let held: Vec<CustomerUse> = held.collect();
+    let held: Vec<CustomerUsage> = held.collect();
     let two = step(1).demand.times(2);
-    let expected = CustomerUse {
+    let expected = CustomerUsage {
         name: Arc::from("one"),
         used: two,
         limit: two,
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -3,9 +3,9 @@
 use crate::support::bench::{end, workers, Bench};
 use crate::support::{job, patient_job, placed_state, step};
 use ospreywing_scheduler::{
-    Durations, Ejection, EndKind, Event, Feature, Features, JobId, JobRecord, Learned,
-    LearnedQuantiles, LearnedSize, LearnedSpeed, LengthForecast, LengthKind, Recovered, Speeds,
-    StartReply, StepSpec, TaskStatus, WorkerChange,
+    DurationForecast, Durations, Ejection, EndKind, Event, Feature, Features, JobId, JobRecord,
+    Learned, LearnedQuantiles, LearnedSize, LearnedSpeed, Recovered, Speeds, StartReply, StepClass,
+    StepSpec, TaskStatus, WorkerChange,
 };
 use ospreywing_types::{Duration, Instant};
 use rand::{Rng, SeedableRng};
@@ -30,7 +30,7 @@
 /// A step's estimate and length.
 #[derive(Clone, Copy)]
 struct Drawn {
-    kind: LengthKind,
+    kind: StepClass,
     actual: Duration,
 }
 
@@ -38,7 +38,7 @@
     let actual_ms = typical_ms * (LENGTH_SPREAD * normal(rng)).exp();
     let off = estimate_factor.powf(rng.random_range(-1.0..=1.0));
     Drawn {
-        kind: LengthKind {
+        kind: StepClass {
             is_gang: false,
             estimate: Duration::from_ms((actual_ms * off) as u64),
         },
@@ -51,7 +51,7 @@
 }
 
 /// Returns the durations after so many steps, and what was told of the last half.
-fn learn(count: u64, estimate_factor: f64) -> (Durations, Vec<(Drawn, Option<LengthForecast>)>) {
+fn learn(count: u64, estimate_factor: f64) -> (Durations, Vec<(Drawn, Option<DurationForecast>)>) {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let mut durations = Durations::default();
     let mut told = Vec::new();
@@ -74,13 +74,13 @@
 #[test]
 fn durations_forecast_nearer_than_estimate() {
     let (durations, told) = learn(800, ESTIMATE_FACTOR);
-    let with_forecast: Vec<(Drawn, LengthForecast)> = told
+    let with_forecast: Vec<(Drawn, DurationForecast)> = told
         .into_iter()
         .filter_map(|(drawn, told)| Some((drawn, told?)))
         .collect();
     assert!(with_forecast.len() >= 380, "forecasts after 400 steps");
     let count = with_forecast.len() as f64;
-    let mean = |told: fn(&(Drawn, LengthForecast)) -> Duration| {
+    let mean = |told: fn(&(Drawn, DurationForecast)) -> Duration| {
         let errors = with_forecast.iter().map(|it| error(told(it), it.0.actual));
         errors.sum::<f64>() / count
     };
@@ -90,7 +90,7 @@
         by_forecast <= 0.8 * by_estimate,
         "{by_forecast} {by_estimate}"
     );
-    let part = |is_so: fn(&(Drawn, LengthForecast)) -> bool| {
+    let part = |is_so: fn(&(Drawn, DurationForecast)) -> bool| {
         with_forecast.iter().filter(|it| is_so(it)).count() as f64 / count
     };
     let (below, above) = (
@@ -152,7 +152,7 @@
 fn durations_forecast_follows_change() {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let mut durations = Durations::default();
-    let same_estimate = LengthKind {
+    let same_estimate = StepClass {
         is_gang: false,
         estimate: Duration::from_ms(1_500),
     };
--- a/crates/scheduler/tests/scheduler/overload.rs
+++ b/crates/scheduler/tests/scheduler/overload.rs
@@ -2,8 +2,9 @@
 
 use crate::support::bench::{end, workers, Bench};
 use crate::support::{job, step};
-use ospreywing_scheduler::overload::{
-    Amounts, Contender, Demand, Occupancy, Selection, ENTER_LOAD_PERCENT, LEAVE_LOAD_PERCENT,
+use ospreywing_scheduler::deadline_selection::{
+    Occupancy, ResourceVector, Selection, ServiceLoad, WaitingJob, ENTER_LOAD_PERCENT,
+    LEAVE_LOAD_PERCENT,
 };
 use ospreywing_scheduler::{EndKind, EndedRun, Event, Feature, Features};
 use ospreywing_types::{Duration, Instant, Resources};
@@ -13,27 +14,27 @@
 const CAPACITY: Resources = Resources::new(10_000, 10_000, 10);
 
 /// Returns a job that needs all of the room for so long.
-fn contender(key: u64, whole_ms: u64, time_left_ms: u64) -> Contender<u64> {
-    Contender {
+fn waiting_job(key: u64, whole_ms: u64, time_left_ms: u64) -> WaitingJob<u64> {
+    WaitingJob {
         key,
         priority: 1,
-        work: Amounts::of(&CAPACITY).times(whole_ms as f64),
-        chain: Duration::from_ms(100),
-        time_left: Some(Duration::from_ms(time_left_ms)),
-        worth_left: Some(Duration::from_ms(3 * time_left_ms)),
+        work: ResourceVector::of(&CAPACITY).times(whole_ms as f64),
+        critical_path: Duration::from_ms(100),
+        time_to_objective: Some(Duration::from_ms(time_left_ms)),
+        time_to_worthless: Some(Duration::from_ms(3 * time_left_ms)),
     }
 }
 
-fn demand(occupancy: Occupancy, contenders: &[Contender<u64>]) -> Demand<u64> {
-    let mut demand = Demand::new(Amounts::of(&CAPACITY), occupancy);
-    contenders.iter().for_each(|it| demand.push(*it));
+fn demand(occupancy: Occupancy, waiting_jobs: &[WaitingJob<u64>]) -> ServiceLoad<u64> {
+    let mut demand = ServiceLoad::new(ResourceVector::of(&CAPACITY), occupancy);
+    waiting_jobs.iter().for_each(|it| demand.push(*it));
     demand
 }
 
 /// Returns the keys of the jobs that are to be in time.
-fn in_time(demand: &mut Demand<u64>) -> Vec<u64> {
+fn in_time(demand: &mut ServiceLoad<u64>) -> Vec<u64> {
     let selected = demand.select().into_iter();
-    let is_in_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
+    let is_in_time = |it: &Selection| matches!(it, Selection::OnTime | Selection::OnTimeAfterLate);
     let in_time = selected.filter(|it| is_in_time(&it.selection));
     let mut keys: Vec<u64> = in_time.map(|it| it.key).collect();
     keys.sort_unstable();
@@ -42,7 +43,7 @@
 
 #[test]
 fn select_keeps_all_that_fit() {
-    let jobs = [contender(1, 400, 1000), contender(2, 400, 1000)];
+    let jobs = [waiting_job(1, 400, 1000), waiting_job(2, 400, 1000)];
     let mut demand = demand(Occupancy::default(), &jobs);
     assert!(demand.load_percent() < ENTER_LOAD_PERCENT);
     assert_eq!(in_time(&mut demand), [1, 2]);
@@ -51,9 +52,9 @@
 #[test]
 fn select_leaves_out_largest() {
     let jobs = [
-        contender(1, 800, 1000),
-        contender(2, 300, 1100),
-        contender(3, 300, 1200),
+        waiting_job(1, 800, 1000),
+        waiting_job(2, 300, 1100),
+        waiting_job(3, 300, 1200),
     ];
     let mut demand = demand(Occupancy::default(), &jobs);
     assert!(demand.load_percent() > ENTER_LOAD_PERCENT);
@@ -63,7 +64,7 @@
 /// Of jobs that are as large, the one is left out that is most likely to be late.
 #[test]
 fn select_leaves_out_soonest_of_equals() {
-    let jobs = [1000, 1100, 1200].map(|left_ms| contender(left_ms, 500, left_ms));
+    let jobs = [1000, 1100, 1200].map(|left_ms| waiting_job(left_ms, 500, left_ms));
     assert_eq!(
         in_time(&mut demand(Occupancy::default(), &jobs)),
         [1100, 1200]
@@ -72,18 +73,18 @@
 
 #[test]
 fn select_leaves_out_less_important_first() {
-    let mut important = contender(1, 800, 1000);
+    let mut important = waiting_job(1, 800, 1000);
     important.priority = 0;
-    let jobs = [important, contender(2, 300, 1000)];
+    let jobs = [important, waiting_job(2, 300, 1000)];
     assert_eq!(in_time(&mut demand(Occupancy::default(), &jobs)), [1]);
 }
 
 /// Jobs that need different resources don't keep each other out.
 #[test]
 fn select_tells_resources_apart() {
-    let with = |key, resources: Resources| Contender {
-        work: Amounts::of(&resources).times(800.0),
-        ..contender(key, 0, 1000)
+    let with = |key, resources: Resources| WaitingJob {
+        work: ResourceVector::of(&resources).times(800.0),
+        ..waiting_job(key, 0, 1000)
     };
     let jobs = [
         with(1, Resources::new(10_000, 0, 0)),
@@ -96,21 +97,21 @@
 #[test]
 fn select_counts_what_runs() {
     let mut occupancy = Occupancy::default();
-    occupancy.add(Amounts::of(&CAPACITY).times(0.5), None);
+    occupancy.add(ResourceVector::of(&CAPACITY).times(0.5), None);
     occupancy.add(
-        Amounts::of(&CAPACITY).times(0.4),
+        ResourceVector::of(&CAPACITY).times(0.4),
         Some(Duration::from_ms(100)),
     );
-    let jobs = [contender(1, 400, 1000), contender(2, 200, 1000)];
+    let jobs = [waiting_job(1, 400, 1000), waiting_job(2, 200, 1000)];
     assert_eq!(in_time(&mut demand(occupancy, &jobs)), [2]);
 }
 
 #[test]
 fn select_late_within_worth() {
-    let late = |key, whole_ms| Contender {
-        time_left: None,
-        worth_left: Some(Duration::from_ms(1000)),
-        ..contender(key, whole_ms, 1000)
+    let late = |key, whole_ms| WaitingJob {
+        time_to_objective: None,
+        time_to_worthless: Some(Duration::from_ms(1000)),
+        ..waiting_job(key, whole_ms, 1000)
     };
     let mut demand = demand(Occupancy::default(), &[late(1, 800), late(2, 300)]);
     let selections: Vec<(u64, Selection)> = demand
@@ -124,8 +125,8 @@
 
 #[test]
 fn select_without_capacity() {
-    let mut demand = Demand::new(Amounts::default(), Occupancy::default());
-    demand.push(contender(1, 100, 1000));
+    let mut demand = ServiceLoad::new(ResourceVector::default(), Occupancy::default());
+    demand.push(waiting_job(1, 100, 1000));
     assert!(demand.load_percent() > LEAVE_LOAD_PERCENT);
     assert_eq!(demand.select().len(), 1);
 }
@@ -138,7 +139,7 @@
     /// The one that needs least.
     Smallest,
     /// As the module chooses, the one of these first that is due first.
-    Selected,
+    SelectedJob,
 }
 
 /// A job of a load: when it comes, how long it takes all of the room, and when it is due.
@@ -194,20 +195,21 @@
     match way {
         Way::SoonestDue => indices.min_by_key(|index| waiting[*index].due_ms),
         Way::Smallest => indices.min_by_key(|index| waiting[*index].whole_ms),
-        Way::Selected => {
-            let mut demand = Demand::new(Amounts::of(&CAPACITY), Occupancy::default());
+        Way::SelectedJob => {
+            let mut demand = ServiceLoad::new(ResourceVector::of(&CAPACITY), Occupancy::default());
             for (index, job) in waiting.iter().enumerate() {
                 let left_ms = job.due_ms.checked_sub(now_ms);
-                demand.push(Contender {
+                demand.push(WaitingJob {
                     key: index,
                     priority: 1,
-                    work: Amounts::of(&CAPACITY).times(job.whole_ms as f64),
-                    chain: Duration::from_ms(job.whole_ms),
-                    time_left: left_ms.map(Duration::from_ms),
-                    worth_left: None,
+                    work: ResourceVector::of(&CAPACITY).times(job.whole_ms as f64),
+                    critical_path: Duration::from_ms(job.whole_ms),
+                    time_to_objective: left_ms.map(Duration::from_ms),
+                    time_to_worthless: None,
                 });
             }
-            let is_in_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
+            let is_in_time =
+                |it: &Selection| matches!(it, Selection::OnTime | Selection::OnTimeAfterLate);
             let selected = demand.select();
             let first = selected
                 .iter()
@@ -222,7 +224,7 @@
 #[test]
 fn select_beats_other_ways() {
     let served = |way| (0..20).map(|seed| serve(&load(seed), way)).sum::<usize>();
-    let [due, smallest, selected] = [Way::SoonestDue, Way::Smallest, Way::Selected].map(served);
+    let [due, smallest, selected] = [Way::SoonestDue, Way::Smallest, Way::SelectedJob].map(served);
     let all: usize = (0..20).map(|seed| load(seed).len()).sum();
     println!("of {all}: {due} soonest due, {smallest} smallest, {selected} selected");
     assert!(selected > due);
