--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a job is refused at once, since it would be worth nothing when it is done.
+//! Whether a job is refused at once, elapsed it would be worth nothing when it is done.
 
 use crate::config::Configuration;
 use crate::deadline_selection::ResourceVector;
@@ -11,12 +11,12 @@
 /// A forecast that is older tells nothing.
 pub const FORECAST_AGE_LIMIT: Duration = Duration::from_ms(1000);
 /// The soonest that a caller is asked to come back, and the latest.
-const SOONEST_RETURN: Duration = Duration::from_ms(500);
-const LATEST_RETURN: Duration = Duration::from_s(30);
+const MIN_RETRY_AFTER: Duration = Duration::from_ms(500);
+const MAX_RETRY_AFTER: Duration = Duration::from_s(30);
 /// Callers come back within a time as long as this part of what they are asked to wait, in
 /// percent, and this time at least.
-const SPREAD_PERCENT: u64 = 50;
-const LEAST_SPREAD: Duration = Duration::from_ms(1000);
+const JITTER_PERCENT: u64 = 50;
+const MIN_JITTER: Duration = Duration::from_ms(1000);
 
 /// When a job of a queue would be done at the best that is handed in now.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,45 +55,45 @@
     /// Returns when the caller may come back: once there is room for such a job, and spread by
     /// `draw`, a number that differs from caller to caller.
     pub fn retry_after(&self, draw: u64) -> Duration {
-        let wait = self.done_after.max(SOONEST_RETURN).min(LATEST_RETURN);
-        let part_ms = wait.as_ms() * SPREAD_PERCENT / 100;
-        let spread_ms = part_ms.max(LEAST_SPREAD.as_ms());
-        wait + Duration::from_ms(draw % spread_ms)
+        let wait = self.done_after.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER);
+        let part_ms = wait.as_ms() * JITTER_PERCENT / 100;
+        let jitter_ms = part_ms.max(MIN_JITTER.as_ms());
+        wait + Duration::from_ms(draw % jitter_ms)
     }
 }
 
 impl Forecast {
-    /// Returns why a job is refused that is handed in `since` after the forecast came, if it
+    /// Returns why a job is refused that is handed in `elapsed` after the forecast came, if it
     /// is: only where it surely would not be done before it is worth nothing.
     pub fn rejection(
         &self,
         record: &JobRecord,
         configuration: &Configuration,
-        since: Duration,
+        elapsed: Duration,
     ) -> Option<Rejection> {
-        let age = Duration::from_ms(self.age_ms) + since;
-        let is_endless = record.spec.steps.iter().any(|step| step.is_perpetual);
-        if age > FORECAST_AGE_LIMIT || is_endless || record.spec.schedule.is_some() {
+        let age = Duration::from_ms(self.age_ms) + elapsed;
+        let has_perpetual_step = record.spec.steps.iter().any(|step| step.is_perpetual);
+        if age > FORECAST_AGE_LIMIT || has_perpetual_step || record.spec.schedule.is_some() {
             return None;
         }
         let queue = configuration.queue(&record.queue)?;
         let mut forecasts = self.queues.iter();
         let forecast = forecasts.find(|it| it.queue == record.queue)?;
         let objective = objective_of(record, Some(queue));
-        let is_like_it =
-            objective.as_ms() >= forecast.objective_ms && work_of(record).covers(forecast.work);
+        let is_covered =
+            objective.as_ms() >= forecast.objective_ms && total_work(record).covers(forecast.work);
         let done_ms = forecast.done_ms.saturating_sub(age.as_ms());
         let rejection = Rejection {
             done_after: Duration::from_ms(done_ms),
             worthless_after: objective.times(LATE_FACTOR),
             age,
         };
-        (is_like_it && rejection.done_after > rejection.worthless_after).then_some(rejection)
+        (is_covered && rejection.done_after > rejection.worthless_after).then_some(rejection)
     }
 }
 
 /// Returns what all tasks of a job need, times milliseconds.
-fn work_of(record: &JobRecord) -> ResourceVector {
+fn total_work(record: &JobRecord) -> ResourceVector {
     let mut work = ResourceVector::default();
     for step in &record.spec.steps {
         let tasks_ms = f64::from(step.tasks_count) * step.estimate_ms as f64;
--- a/crates/scheduler/src/backfill.rs
+++ b/crates/scheduler/src/backfill.rs
@@ -196,8 +196,8 @@
     fn most_reserved(&self, now: Instant, customer: CustomerKey, account: &Account) -> Resources {
         match self.by_customer.get(&customer) {
             Some(state) if now < state.rests_until => Resources::ZERO,
-            Some(state) => account.left_beside(state.endless),
-            None => account.left_beside(Resources::ZERO),
+            Some(state) => account.remaining_beside(state.endless),
+            None => account.remaining_beside(Resources::ZERO),
         }
     }
 
@@ -301,9 +301,9 @@
             let Some(ends) = customer.and_then(|customer| ends.get_mut(&customer)) else {
                 continue;
             };
-            if let Some(left) = self.remaining_time(*task, run) {
+            if let Some(remaining) = self.remaining_time(*task, run) {
                 ends.push(ExpectedEnd {
-                    at: now + left_by_age(now, run, left),
+                    at: now + left_by_age(now, run, remaining),
                     freed: run.charge.amount,
                 });
             }
@@ -423,7 +423,7 @@
         let Some(customer) = charge.customer else {
             return;
         };
-        let left = self.accounts.get(customer).left();
+        let remaining = self.accounts.get(customer).remaining();
         let reservation = self.limit_reservations.get_mut(customer);
         let Some(reservation) = reservation.filter(|it| it.step == step) else {
             return;
@@ -431,7 +431,7 @@
         cycle.keep_limit(customer);
         reservation.forecast = Some(Forecast {
             due: now,
-            surplus: left - reservation.amount,
+            surplus: remaining - reservation.amount,
         });
         if !reservation.has_arrived {
             reservation.has_arrived = true;
@@ -485,13 +485,13 @@
 
 /// Returns how long a run should still take where its worker does not tell how far on it
 /// is.
-fn left_by_age(now: Instant, run: &Run, left: Duration) -> Duration {
+fn left_by_age(now: Instant, run: &Run, remaining: Duration) -> Duration {
     match run.begun_at {
         Some(begun_at) if run.progress_percent == 0 => {
             let age_ms = now.since(begun_at).as_ms();
-            Duration::from_ms(left.as_ms().saturating_sub(age_ms))
+            Duration::from_ms(remaining.as_ms().saturating_sub(age_ms))
         }
-        _ => left,
+        _ => remaining,
     }
 }
 
@@ -504,17 +504,19 @@
     ends: &[ExpectedEnd],
 ) -> Option<Forecast> {
     let mut used = account.used;
-    let mut due = amount.fits_in(&account.left_beside(used)).then_some(now);
+    let mut due = amount
+        .fits_in(&account.remaining_beside(used))
+        .then_some(now);
     for end in ends {
         // Runs that end together count together.
         if due.is_some_and(|due| end.at > due) {
             break;
         }
         used -= end.freed;
-        if due.is_none() && amount.fits_in(&account.left_beside(used)) {
+        if due.is_none() && amount.fits_in(&account.remaining_beside(used)) {
             due = Some(end.at);
         }
     }
-    let surplus = account.left_beside(used) - amount;
+    let surplus = account.remaining_beside(used) - amount;
     due.map(|due| Forecast { due, surplus })
 }
--- a/crates/scheduler/src/customers.rs
+++ b/crates/scheduler/src/customers.rs
@@ -30,19 +30,19 @@
     /// Returns the first step that can never run within the limit: a task that is larger
     /// than it, or a gang whose members are.
     pub fn impossible_step(&self, record: &JobRecord) -> Option<usize> {
-        let limit = part_limits(self.limit);
-        let is_impossible = |step: &StepSpec| !least_room(step).fits_in(&limit);
+        let limit = effective_limit(self.limit);
+        let is_impossible = |step: &StepSpec| !min_demand(step).fits_in(&limit);
         record.spec.steps.iter().position(is_impossible)
     }
 }
 
 /// Returns what a step must have running at once to get anywhere.
-fn least_room(step: &StepSpec) -> Resources {
+fn min_demand(step: &StepSpec) -> Resources {
     step.demand.times(least_count(step))
 }
 
 /// Returns a limit with the parts raised that have none.
-fn part_limits(limit: Resources) -> Resources {
+fn effective_limit(limit: Resources) -> Resources {
     let part = |limit: u32| if limit == 0 { u32::MAX } else { limit };
     Resources::new(
         part(limit.cores_milli),
@@ -118,24 +118,24 @@
 
     /// Returns what may still be started. A limit that was lowered below what runs leaves
     /// nothing.
-    pub(crate) fn left(&self) -> Resources {
-        self.left_beside(self.used)
+    pub(crate) fn remaining(&self) -> Resources {
+        self.remaining_beside(self.used)
     }
 
     /// Returns what may still be started beside so much.
-    pub(crate) fn left_beside(&self, used: Resources) -> Resources {
-        part_limits(self.limit) - used
+    pub(crate) fn remaining_beside(&self, used: Resources) -> Resources {
+        effective_limit(self.limit) - used
     }
 
     /// Returns whether what is in use is within the limit; it is not where the limit was
     /// lowered.
     pub(crate) fn is_within_limit(&self) -> bool {
-        self.used.fits_in(&part_limits(self.limit))
+        self.used.fits_in(&effective_limit(self.limit))
     }
 
     /// Returns whether less than half of each part of the limit is in use.
     pub(crate) fn is_under_half(&self) -> bool {
-        self.used.times(2).fits_in(&part_limits(self.limit))
+        self.used.times(2).fits_in(&effective_limit(self.limit))
     }
 }
 
@@ -149,7 +149,7 @@
 
 impl Accounts {
     /// Returns a customer's key, with an account of its own from then on.
-    pub(crate) fn key_of(&mut self, name: &str) -> CustomerKey {
+    pub(crate) fn key_or_insert(&mut self, name: &str) -> CustomerKey {
         if let Some(&key) = self.by_name.get(name) {
             return key;
         }
@@ -162,10 +162,10 @@
     /// Takes in what the operators have set.
     pub(crate) fn configure<'a>(&mut self, customers: impl Iterator<Item = &'a Customer>) {
         for customer in customers {
-            let key = self.key_of(&customer.name);
+            let key = self.key_or_insert(&customer.name);
             let account = &mut self.accounts[key];
             account.limit = customer.limit;
-            account.rate.set_jobs_per_s(customer.jobs_per_s);
+            account.rate.set_rate(customer.jobs_per_s);
             let is_weight = customer.jobs_per_s.is_finite() && customer.jobs_per_s > 0.0;
             account.weight = is_weight.then_some(customer.jobs_per_s);
         }
@@ -209,7 +209,7 @@
 
     /// Notes that a customer handed a job in; returns whether it is more than its share.
     pub(crate) fn record_job(&mut self, key: CustomerKey, accepted_at: Instant) -> bool {
-        !self.accounts[key].rate.take(accepted_at)
+        !self.accounts[key].rate.try_take(accepted_at)
     }
 }
 
--- a/crates/scheduler/src/deadline_selection.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -13,7 +13,7 @@
 use std::collections::BinaryHeap;
 
 /// The kinds of resources: processors, memory, accelerators.
-const KINDS_COUNT: usize = 3;
+const RESOURCE_KINDS_COUNT: usize = 3;
 /// The part of a service's room that work can use, in percent: room lies in pieces that
 /// not every task fits.
 const USABLE_PERCENT: f64 = 90.0;
@@ -22,15 +22,15 @@
 /// It is so until its load is below this, so that the order does not change to and fro.
 pub const LEAVE_LOAD_PERCENT: u64 = 70;
 /// Loads are told up to this.
-const MOST_LOAD_PERCENT: f64 = 1000.0;
+const MAX_LOAD_PERCENT: f64 = 1000.0;
 /// What is late already should be done within this time, for a service not to be overloaded.
-const LATE_DUE: Duration = Duration::from_ms(1000);
+const LATE_WORK_WINDOW: Duration = Duration::from_ms(1000);
 /// The lengths of runs are kept by powers of two of milliseconds, up to some days.
-const LENGTHS_COUNT: usize = 30;
+const DURATION_BUCKETS_COUNT: usize = 30;
 
-/// Amounts of resources, each times milliseconds, or as rates.
+/// Amounts of resources, each times milliseconds, or as usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ResourceVector([f64; KINDS_COUNT]);
+pub struct ResourceVector([f64; RESOURCE_KINDS_COUNT]);
 
 impl ResourceVector {
     /// Creates amounts from resources.
@@ -89,10 +89,10 @@
     }
 
     /// Returns the time until each part is there, where some is and more comes at a rate.
-    fn time_for(self, there: Self, rate: Self) -> f64 {
-        let parts = self.0.into_iter().zip(there.0).zip(rate.0);
-        let times = parts.map(|((part, there), rate)| match part - there {
-            missing if missing > 0.0 => missing / rate,
+    fn time_to_reach(self, there: Self, usage: Self) -> f64 {
+        let parts = self.0.into_iter().zip(there.0).zip(usage.0);
+        let times = parts.map(|((part, there), usage)| match part - there {
+            missing if missing > 0.0 => missing / usage,
             _ => 0.0,
         });
         times.fold(0.0, f64::max)
@@ -126,38 +126,38 @@
     /// How important it is; 0 is most.
     pub priority: u32,
     /// What it takes.
-    pub rate: ResourceVector,
+    pub usage: ResourceVector,
     /// For how long it surely does.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// What of a service's room is taken by what runs there, for how long.
 #[derive(Clone, Debug, Default)]
 pub struct Occupancy {
     /// What takes room, by the power of two of for how long.
-    rates: [ResourceVector; LENGTHS_COUNT],
+    usage: [ResourceVector; DURATION_BUCKETS_COUNT],
     /// The same, times the lengths.
-    work: [ResourceVector; LENGTHS_COUNT],
+    work: [ResourceVector; DURATION_BUCKETS_COUNT],
 }
 
 impl Occupancy {
     /// Adds what takes room for so long; `None` for what does not end by itself.
-    pub fn add(&mut self, rate: ResourceVector, left: Option<Duration>) {
-        let left = left.unwrap_or(Duration::from_ms(u64::MAX));
-        let index = length_index(left);
-        self.rates[index].add(rate);
-        self.work[index].add(rate.times(left.as_ms() as f64));
+    pub fn add(&mut self, usage: ResourceVector, remaining: Option<Duration>) {
+        let remaining = remaining.unwrap_or(Duration::from_ms(u64::MAX));
+        let index = duration_bucket(remaining);
+        self.usage[index].add(usage);
+        self.work[index].add(usage.times(remaining.as_ms() as f64));
     }
 
     fn into_sums(self) -> OccupancySums {
         let mut sums = OccupancySums::default();
-        for index in 1..LENGTHS_COUNT {
-            sums.ended_work[index] = sums.ended_work[index - 1];
-            sums.ended_work[index].add(self.work[index - 1]);
+        for index in 1..DURATION_BUCKETS_COUNT {
+            sums.finished_work[index] = sums.finished_work[index - 1];
+            sums.finished_work[index].add(self.work[index - 1]);
         }
-        for index in (1..LENGTHS_COUNT).rev() {
-            sums.longer_rates[index - 1] = sums.longer_rates[index];
-            sums.longer_rates[index - 1].add(self.rates[index]);
+        for index in (1..DURATION_BUCKETS_COUNT).rev() {
+            sums.longer_usage[index - 1] = sums.longer_usage[index];
+            sums.longer_usage[index - 1].add(self.usage[index]);
         }
         sums.occupancy = self;
         sums
@@ -169,28 +169,28 @@
 struct OccupancySums {
     occupancy: Occupancy,
     /// What is over before each length, times the time that it takes.
-    ended_work: [ResourceVector; LENGTHS_COUNT],
+    finished_work: [ResourceVector; DURATION_BUCKETS_COUNT],
     /// What takes longer than each length.
-    longer_rates: [ResourceVector; LENGTHS_COUNT],
+    longer_usage: [ResourceVector; DURATION_BUCKETS_COUNT],
 }
 
 impl OccupancySums {
     /// Returns what is taken within a time from now, in amounts times milliseconds.
     fn within(&self, time: Duration) -> ResourceVector {
-        let index = length_index(time);
+        let index = duration_bucket(time);
         let time_ms = time.as_ms() as f64;
-        let about_as_long = self.occupancy.rates[index].times(time_ms);
-        let mut taken = about_as_long.min(self.occupancy.work[index]);
-        taken.add(self.ended_work[index]);
-        taken.add(self.longer_rates[index].times(time_ms));
+        let same_bucket = self.occupancy.usage[index].times(time_ms);
+        let mut taken = same_bucket.min(self.occupancy.work[index]);
+        taken.add(self.finished_work[index]);
+        taken.add(self.longer_usage[index].times(time_ms));
         taken
     }
 }
 
-fn length_index(length: Duration) -> usize {
+fn duration_bucket(length: Duration) -> usize {
     let power = length.as_ms().checked_ilog2();
     let index = power.map_or(0, |power| power as usize + 1);
-    index.min(LENGTHS_COUNT - 1)
+    index.min(DURATION_BUCKETS_COUNT - 1)
 }
 
 /// A job that waits for room of a service.
@@ -244,7 +244,7 @@
 }
 
 /// A contender that is in time so far, by what is left out first.
-type Candidate = (u32, u64, Reverse<Duration>, usize);
+type DropCandidate = (u32, u64, Reverse<Duration>, usize);
 
 impl<K: Copy> ServiceLoad<K> {
     /// Creates the demand on a service that holds so much.
@@ -276,20 +276,20 @@
     ) -> Duration {
         let runs: Vec<&OccupyingRun> = runs.collect();
         let mut free = self.capacity;
-        runs.iter().for_each(|run| free.subtract(run.rate));
+        runs.iter().for_each(|run| free.subtract(run.usage));
         let mut room = ResourceVector::default();
         let mut from_ms = 0;
         for run in runs {
-            let until_ms = run.left.as_ms();
+            let until_ms = run.remaining.as_ms();
             let more = free.at_least_zero().times((until_ms - from_ms) as f64);
             if needed.is_within(room.plus(more)) {
                 break;
             }
             room = room.plus(more);
-            free.add(run.rate);
+            free.add(run.usage);
             from_ms = until_ms;
         }
-        let rest_ms = needed.time_for(room, free.at_least_zero());
+        let rest_ms = needed.time_to_reach(room, free.at_least_zero());
         let done_ms = from_ms as f64 + rest_ms;
         Duration::from_ms(done_ms.min(latest.as_ms() as f64) as u64)
     }
@@ -299,32 +299,32 @@
     pub fn load_percent(&mut self) -> u64 {
         self.sort();
         let mut needed = ResourceVector::default();
-        let late = self.waiting_jobs.iter().filter(|it| !it.can_be_in_time());
+        let late = self.waiting_jobs.iter().filter(|it| !it.can_be_on_time());
         late.for_each(|waiting_job| needed.add(waiting_job.work));
-        let (mut worst, _) = needed.dominant(self.usable(LATE_DUE));
-        for waiting_job in self.waiting_jobs.iter().filter(|it| it.can_be_in_time()) {
+        let (mut worst, _) = needed.dominant(self.usable(LATE_WORK_WINDOW));
+        for waiting_job in self.waiting_jobs.iter().filter(|it| it.can_be_on_time()) {
             needed.add(waiting_job.work);
             let usable = self.usable(waiting_job.time_to_objective.unwrap_or_default());
             let (load, _) = needed.dominant(usable);
             worst = worst.max(load);
         }
-        (worst * 100.0).min(MOST_LOAD_PERCENT) as u64
+        (worst * 100.0).min(MAX_LOAD_PERCENT) as u64
     }
 
     /// Chooses which jobs are to be in time, and which to be late.
     pub fn select(&mut self) -> Vec<SelectedJob<K>> {
         self.sort();
-        let in_time = self.keep_most(&vec![false; self.waiting_jobs.len()], |it| {
+        let on_time = self.select_feasible(&vec![false; self.waiting_jobs.len()], |it| {
             it.time_for_critical_path()
         });
-        let of_worth = self.keep_most(&in_time, |it| it.worth_for_critical_path());
-        let mut needed = self.work_of_others(&in_time);
+        let before_worthless = self.select_feasible(&on_time, |it| it.worth_for_critical_path());
+        let mut needed = self.work_excluding(&on_time);
         let mut selected = Vec::with_capacity(self.waiting_jobs.len());
         for (index, waiting_job) in self.waiting_jobs.iter().enumerate() {
-            if in_time[index] {
+            if on_time[index] {
                 needed.add(waiting_job.work);
             }
-            let selection = match (in_time[index], of_worth[index]) {
+            let selection = match (on_time[index], before_worthless[index]) {
                 (true, _) if self.fits(needed, waiting_job) => Selection::OnTimeAfterLate,
                 (true, _) => Selection::OnTime,
                 (false, true) => Selection::Late,
@@ -340,22 +340,23 @@
     }
 
     /// Returns for each contender whether it is among those that can be done together within
-    /// their times beside those that are chosen already.
-    fn keep_most(
+    /// their times beside those that are preselected already.
+    fn select_feasible(
         &self,
-        chosen: &[bool],
+        preselected: &[bool],
         time_of: impl Fn(&WaitingJob<K>) -> Option<Duration>,
     ) -> Vec<bool> {
-        let mut is_kept = chosen.to_vec();
+        let mut is_selected = preselected.to_vec();
         let mut needed = ResourceVector::default();
-        let mut candidates: [BinaryHeap<Candidate>; KINDS_COUNT] = Default::default();
-        for (time, index) in self.by_time(chosen, time_of) {
+        let mut drop_candidates: [BinaryHeap<DropCandidate>; RESOURCE_KINDS_COUNT] =
+            Default::default();
+        for (time, index) in self.by_deadline(preselected, time_of) {
             let waiting_job = &self.waiting_jobs[index];
             needed.add(waiting_job.work);
-            if !chosen[index] {
-                is_kept[index] = true;
+            if !preselected[index] {
+                is_selected[index] = true;
                 let (_, kind) = waiting_job.work.dominant(self.capacity);
-                candidates[kind].push(self.candidate(index, waiting_job));
+                drop_candidates[kind].push(self.drop_candidate(index, waiting_job));
             }
             let usable = self.usable(time);
             loop {
@@ -363,27 +364,27 @@
                 if load <= 1.0 {
                     break;
                 }
-                let Some((.., left_out)) = candidates[scarce].pop() else {
+                let Some((.., dropped)) = drop_candidates[scarce].pop() else {
                     break;
                 };
-                is_kept[left_out] = false;
-                needed.subtract(self.waiting_jobs[left_out].work);
+                is_selected[dropped] = false;
+                needed.subtract(self.waiting_jobs[dropped].work);
             }
         }
-        is_kept
+        is_selected
     }
 
-    /// Returns the contenders that can be done within their times, those that are chosen
+    /// Returns the contenders that can be done within their times, those that are preselected
     /// already by their objectives, the soonest first.
-    fn by_time(
+    fn by_deadline(
         &self,
-        chosen: &[bool],
+        preselected: &[bool],
         time_of: impl Fn(&WaitingJob<K>) -> Option<Duration>,
     ) -> Vec<(Duration, usize)> {
         let waiting_jobs = self.waiting_jobs.iter().enumerate();
         let mut times: Vec<(Duration, usize)> = waiting_jobs
             .filter_map(|(index, waiting_job)| {
-                let time = if chosen[index] {
+                let time = if preselected[index] {
                     waiting_job.time_to_objective
                 } else {
                     time_of(waiting_job)
@@ -395,7 +396,7 @@
         times
     }
 
-    fn candidate(&self, index: usize, waiting_job: &WaitingJob<K>) -> Candidate {
+    fn drop_candidate(&self, index: usize, waiting_job: &WaitingJob<K>) -> DropCandidate {
         let time_to_objective = waiting_job.time_to_objective.unwrap_or_default();
         let size_us = self.size_us(waiting_job);
         (
@@ -406,12 +407,12 @@
         )
     }
 
-    fn work_of_others(&self, is_kept: &[bool]) -> ResourceVector {
+    fn work_excluding(&self, is_selected: &[bool]) -> ResourceVector {
         let mut work = ResourceVector::default();
         let others = self
             .waiting_jobs
             .iter()
-            .zip(is_kept)
+            .zip(is_selected)
             .filter(|(_, kept)| !**kept);
         others.for_each(|(waiting_job, _)| work.add(waiting_job.work));
         work
@@ -436,26 +437,26 @@
     }
 
     fn sort(&mut self) {
-        let by_time = |waiting_job: &WaitingJob<K>| waiting_job.time_to_objective;
-        self.waiting_jobs.sort_by_key(by_time);
+        let by_deadline = |waiting_job: &WaitingJob<K>| waiting_job.time_to_objective;
+        self.waiting_jobs.sort_by_key(by_deadline);
     }
 }
 
 impl<K> WaitingJob<K> {
     /// Returns whether its chain ends within its objective where it begins now.
-    fn can_be_in_time(&self) -> bool {
+    fn can_be_on_time(&self) -> bool {
         self.time_for_critical_path().is_some()
     }
 
     /// Returns its time until the objective, where that is enough for its chain.
     fn time_for_critical_path(&self) -> Option<Duration> {
         self.time_to_objective
-            .filter(|left| self.critical_path <= *left)
+            .filter(|remaining| self.critical_path <= *remaining)
     }
 
     /// Returns its time until it is worth nothing, where that is enough for its chain.
     fn worth_for_critical_path(&self) -> Option<Duration> {
         self.time_to_worthless
-            .filter(|left| self.critical_path <= *left)
+            .filter(|remaining| self.critical_path <= *remaining)
     }
 }
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 
 /// The least steps of a size that tell what the next one takes.
-const CLASS_LEAST_COUNT: u64 = 8;
-/// The same of a whole queue, where those of the size are too few.
-const QUEUE_LEAST_COUNT: u64 = 16;
+const CLASS_MIN_STEPS_COUNT: u64 = 8;
+/// The same of a all_steps queue, where those of the size are too few.
+const QUEUE_MIN_STEPS_COUNT: u64 = 16;
 /// From so many steps of a window on, the quantiles are worked out for each eighth alone: one
 /// more hardly moves them.
-const STEADY_COUNT: u64 = 64;
-const STEADY_PERIOD_COUNT: u64 = 8;
+const FREQUENT_UPDATE_LIMIT_COUNT: u64 = 64;
+const UPDATE_PERIOD_COUNT: u64 = 8;
 /// How long a sketch takes in steps before the next one begins; a forecast reads the last
 /// two. Long enough for some dozens of steps of a queue that gets one every few seconds.
 const WINDOW: Duration = Duration::from_s(120);
@@ -29,28 +29,28 @@
 /// The sizes of all queues together: each takes some 5 KB.
 const CLASSES_LIMIT_COUNT: usize = 1024;
 /// The sizes that are handed on to the next leader: some 20 KB.
-const HANDED_ON_LIMIT_COUNT: usize = 256;
-/// The longest that a task is told apart by its length.
-const LENGTH_LIMIT_MS: u64 = 1 << 27;
-/// The largest ratio of length to estimate that is told apart, in thousandths.
-const RATIO_LIMIT_MILLI: u64 = 64_000;
-/// One significant digit: values are told apart by 6%, estimates are off by far more.
-const DIGITS_COUNT: u8 = 1;
+const HANDOVER_LIMIT_COUNT: usize = 256;
+/// The longest that a task is forecast apart by its length.
+const MAX_DURATION_MS: u64 = 1 << 27;
+/// The largest ratio of length to estimate that is forecast apart, in thousandths.
+const MAX_RATIO_MILLI: u64 = 64_000;
+/// One significant digit: values are forecast apart by 6%, estimates are off by far more.
+const SIGNIFICANT_DIGITS_COUNT: u8 = 1;
 /// The parts of all steps that are shorter than `sure`, `likely` and `late`.
 const SURE_QUANTILE: f64 = 0.1;
 const LIKELY_QUANTILE: f64 = 0.5;
 const LATE_QUANTILE: f64 = 0.9;
 /// How many standard deviations `sure` and `late` are apart, for a logarithm that is spread
 /// like the normal distribution.
-const DEVIATIONS_BETWEEN_BOUNDS: f64 = 2.56;
+const STD_DEVS_BETWEEN_BOUNDS: f64 = 2.56;
 /// The quantiles that lie a standard deviation to either side of the median.
-const SPREAD_QUANTILES: [f64; 2] = [0.16, 0.84];
-/// The least spread that is told apart, as a logarithm: that of the sketches themselves.
-const SPREAD_LEAST: f64 = 0.05;
+const STD_DEV_QUANTILES: [f64; 2] = [0.16, 0.84];
+/// The least spread that is forecast apart, as a logarithm: that of the sketches themselves.
+const MIN_LOG_STD_DEV: f64 = 0.05;
 /// What a new error weighs in the mean error of a queue.
 const ERROR_GAIN: f64 = 0.05;
 /// The steps after which the mean errors of a queue are compared.
-const ERROR_LEAST_COUNT: u64 = 8;
+const MIN_ERRORS_COUNT: u64 = 8;
 
 /// What a step's tasks should take on a worker of usual speed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     /// Returns the standard deviation of the logarithm of what steps really take.
     pub fn log_std_dev(&self) -> f64 {
         let ratio = self.late.as_ms().max(1) as f64 / self.sure.as_ms().max(1) as f64;
-        ratio.ln() / DEVIATIONS_BETWEEN_BOUNDS
+        ratio.ln() / STD_DEVS_BETWEEN_BOUNDS
     }
 }
 
@@ -84,7 +84,7 @@
     pub estimate_percent: u64,
 }
 
-/// Steps whose lengths are alike enough to be told together.
+/// Steps whose lengths are alike enough to be forecast together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepClass {
     /// Whether they are gangs: the slowest member tells how long one takes.
@@ -114,36 +114,36 @@
 
 impl Quantiles {
     fn learned(&self) -> LearnedQuantiles {
-        let whole = |ln: f64| ln.exp().round().max(1.0) as u64;
+        let all_steps = |ln: f64| ln.exp().round().max(1.0) as u64;
         LearnedQuantiles {
-            sure: whole(self.sure),
-            likely: whole(self.likely),
-            late: whole(self.late),
+            sure: all_steps(self.sure),
+            likely: all_steps(self.likely),
+            late: all_steps(self.late),
             spread_milli: (self.log_std_dev * 1000.0).round() as u32,
         }
     }
 
     fn from_learned(learned: &LearnedQuantiles) -> Self {
-        let ln = |value: u64| (value.min(LENGTH_LIMIT_MS) as f64).ln();
+        let ln = |value: u64| (value.min(MAX_DURATION_MS) as f64).ln();
         Self {
             sure: ln(learned.sure),
             likely: ln(learned.likely),
             late: ln(learned.late),
-            log_std_dev: (f64::from(learned.spread_milli) / 1000.0).max(SPREAD_LEAST),
+            log_std_dev: (f64::from(learned.spread_milli) / 1000.0).max(MIN_LOG_STD_DEV),
         }
     }
 }
 
 /// The sketch that takes in what comes, and the one before it.
 #[derive(Clone, Debug)]
-struct Rotating {
+struct RotatingHistogram {
     current: Histogram<u32>,
     previous: Histogram<u32>,
 }
 
-impl Rotating {
+impl RotatingHistogram {
     fn new(limit: u64) -> Option<Self> {
-        let current = Histogram::new_with_bounds(1, limit, DIGITS_COUNT).ok()?;
+        let current = Histogram::new_with_bounds(1, limit, SIGNIFICANT_DIGITS_COUNT).ok()?;
         let previous = current.clone();
         Some(Self { current, previous })
     }
@@ -162,41 +162,41 @@
         // Both have the same bounds.
         let _ = both.add(&self.previous);
         let ln_at = |quantile: f64| (both.value_at_quantile(quantile).max(1) as f64).ln();
-        let [low, high] = SPREAD_QUANTILES.map(ln_at);
+        let [low, high] = STD_DEV_QUANTILES.map(ln_at);
         Quantiles {
             sure: ln_at(SURE_QUANTILE),
             likely: ln_at(LIKELY_QUANTILE),
             late: ln_at(LATE_QUANTILE),
-            log_std_dev: ((high - low) / 2.0).max(SPREAD_LEAST),
+            log_std_dev: ((high - low) / 2.0).max(MIN_LOG_STD_DEV),
         }
     }
 }
 
 /// What is known of the steps of a queue, or of those of one size.
 #[derive(Clone, Debug)]
-struct LengthClass {
-    ratios: Rotating,
-    lengths: Rotating,
+struct ClassSketches {
+    ratios: RotatingHistogram,
+    lengths: RotatingHistogram,
     began_at: Instant,
     last_at: Instant,
     ratio_quantiles: Quantiles,
-    length_quantiles: Quantiles,
+    duration_quantiles: Quantiles,
     /// The steps that an earlier leader's quantiles come from, while these count.
-    inherited_count: u64,
-    has_inherited_ratios: bool,
+    recovered_count: u64,
+    has_recovered_ratios: bool,
 }
 
-impl LengthClass {
+impl ClassSketches {
     fn new(now: Instant) -> Option<Self> {
         Some(Self {
-            ratios: Rotating::new(RATIO_LIMIT_MILLI)?,
-            lengths: Rotating::new(LENGTH_LIMIT_MS)?,
+            ratios: RotatingHistogram::new(MAX_RATIO_MILLI)?,
+            lengths: RotatingHistogram::new(MAX_DURATION_MS)?,
             began_at: now,
             last_at: now,
             ratio_quantiles: Quantiles::default(),
-            length_quantiles: Quantiles::default(),
-            inherited_count: 0,
-            has_inherited_ratios: false,
+            duration_quantiles: Quantiles::default(),
+            recovered_count: 0,
+            has_recovered_ratios: false,
         })
     }
 
@@ -212,14 +212,14 @@
         if let Some(ratio_milli) = (actual_ms * 1000).checked_div(estimate.as_ms()) {
             self.ratios.current.saturating_record(ratio_milli.max(1));
         }
-        if self.inherited_count > self.lengths.count() {
+        if self.recovered_count > self.lengths.count() {
             return;
         }
-        self.inherited_count = 0;
-        self.has_inherited_ratios = false;
+        self.recovered_count = 0;
+        self.has_recovered_ratios = false;
         let count = self.lengths.current.len();
-        if count < STEADY_COUNT || count.is_multiple_of(STEADY_PERIOD_COUNT) {
-            self.length_quantiles = self.lengths.quantiles();
+        if count < FREQUENT_UPDATE_LIMIT_COUNT || count.is_multiple_of(UPDATE_PERIOD_COUNT) {
+            self.duration_quantiles = self.lengths.quantiles();
             self.ratio_quantiles = self.ratios.quantiles();
         }
     }
@@ -233,14 +233,14 @@
     ) -> Option<LearnedSize> {
         let count = self.count();
         let age = now.since(self.last_at);
-        (count >= CLASS_LEAST_COUNT && age <= AGE_LIMIT).then(|| LearnedSize {
+        (count >= CLASS_MIN_STEPS_COUNT && age <= AGE_LIMIT).then(|| LearnedSize {
             queue: queue.clone(),
             is_gang,
             size,
             ratios: self
-                .has_ratios(CLASS_LEAST_COUNT)
+                .has_ratios(CLASS_MIN_STEPS_COUNT)
                 .then(|| self.ratio_quantiles.learned()),
-            lengths: self.length_quantiles.learned(),
+            lengths: self.duration_quantiles.learned(),
             count,
             age_ms: age.as_ms(),
         })
@@ -255,10 +255,10 @@
         }
         let mut class = Self::new(now)?;
         class.last_at = now - age;
-        class.inherited_count = learned.count.min(QUEUE_LEAST_COUNT);
-        class.length_quantiles = Quantiles::from_learned(&learned.lengths);
+        class.recovered_count = learned.count.min(QUEUE_MIN_STEPS_COUNT);
+        class.duration_quantiles = Quantiles::from_learned(&learned.lengths);
         if let Some(ratios) = &learned.ratios {
-            class.has_inherited_ratios = true;
+            class.has_recovered_ratios = true;
             class.ratio_quantiles = Quantiles::from_learned(ratios);
         }
         Some(class)
@@ -266,11 +266,11 @@
 
     /// Returns the steps that the quantiles come from.
     fn count(&self) -> u64 {
-        self.lengths.count().max(self.inherited_count)
+        self.lengths.count().max(self.recovered_count)
     }
 
     fn has_ratios(&self, least_count: u64) -> bool {
-        self.has_inherited_ratios || self.ratios.count() >= least_count
+        self.has_recovered_ratios || self.ratios.count() >= least_count
     }
 
     fn forecast(
@@ -284,19 +284,20 @@
         if count < least_count || age > AGE_LIMIT {
             return None;
         }
-        let (ratio, length) = (&self.ratio_quantiles, &self.length_quantiles);
+        let (ratio, length) = (&self.ratio_quantiles, &self.duration_quantiles);
         let has_ratios = estimate > Duration::ZERO && self.has_ratios(least_count);
         let ratio_weight = if has_ratios {
             ratio.log_std_dev.powi(-2)
         } else {
             0.0
         };
-        let length_weight = length.log_std_dev.powi(-2);
+        let duration_weight = length.log_std_dev.powi(-2);
         // Ratios are in thousandths.
         let estimate_ln = (estimate.as_ms().max(1) as f64 / 1000.0).ln();
-        let blend = |ratio_ln: f64, length_ln: f64| {
+        let blend = |ratio_ln: f64, duration_ln: f64| {
             let by_ratio = ratio_weight * (estimate_ln + ratio_ln);
-            let blended = (by_ratio + length_weight * length_ln) / (ratio_weight + length_weight);
+            let blended =
+                (by_ratio + duration_weight * duration_ln) / (ratio_weight + duration_weight);
             Duration::from_ms(blended.exp().round() as u64)
         };
         Some(DurationForecast {
@@ -321,68 +322,69 @@
     fn note(&mut self, forecast: Duration, estimate: Duration, actual: Duration) {
         let gain = ERROR_GAIN.max(1.0 / (self.count + 1) as f64);
         self.count += 1;
-        self.forecast += gain * (error_of(forecast, actual) - self.forecast);
-        self.estimate += gain * (error_of(estimate, actual) - self.estimate);
+        self.forecast += gain * (log_error(forecast, actual) - self.forecast);
+        self.estimate += gain * (log_error(estimate, actual) - self.estimate);
     }
 
     /// Returns whether forecasts have been farther off than estimates.
     fn is_worse(&self) -> bool {
-        self.count >= ERROR_LEAST_COUNT && self.forecast > self.estimate
+        self.count >= MIN_ERRORS_COUNT && self.forecast > self.estimate
     }
 }
 
-fn error_of(told: Duration, actual: Duration) -> f64 {
-    let ratio = told.as_ms().max(1) as f64 / actual.as_ms().max(1) as f64;
+fn log_error(forecast: Duration, actual: Duration) -> f64 {
+    let ratio = forecast.as_ms().max(1) as f64 / actual.as_ms().max(1) as f64;
     ratio.ln().abs()
 }
 
 /// Returns the class under a key; a new one where there is none.
-fn class_of<K: Ord>(
-    classes: &mut BTreeMap<K, LengthClass>,
+fn class_entry<K: Ord>(
+    classes: &mut BTreeMap<K, ClassSketches>,
     key: K,
     now: Instant,
-) -> Option<&mut LengthClass> {
+) -> Option<&mut ClassSketches> {
     match classes.entry(key) {
         Entry::Occupied(entry) => Some(entry.into_mut()),
-        Entry::Vacant(entry) => Some(entry.insert(LengthClass::new(now)?)),
+        Entry::Vacant(entry) => Some(entry.insert(ClassSketches::new(now)?)),
     }
 }
 
 /// What is known of a queue's steps.
 #[derive(Clone, Debug, Default)]
-struct QueueLengths {
+struct QueueSketches {
     /// All steps, by whether they are gangs.
-    whole: BTreeMap<bool, LengthClass>,
+    all_steps: BTreeMap<bool, ClassSketches>,
     /// The same by size.
-    sizes: BTreeMap<(bool, u32), LengthClass>,
+    sizes: BTreeMap<(bool, u32), ClassSketches>,
     errors: MeanErrors,
     last_at: Instant,
 }
 
-impl QueueLengths {
+impl QueueSketches {
     fn classes_count(&self) -> usize {
-        self.whole.len() + self.sizes.len()
+        self.all_steps.len() + self.sizes.len()
     }
 
     /// Returns a forecast whether or not those before were any good.
-    fn raw_forecast(&self, now: Instant, kind: StepClass) -> Option<DurationForecast> {
-        let of_size = self.sizes.get(&(kind.is_gang, kind.size()));
-        let of_size = of_size.and_then(|it| it.forecast(now, kind.estimate, CLASS_LEAST_COUNT));
-        of_size.or_else(|| {
-            let whole = self.whole.get(&kind.is_gang)?;
-            whole.forecast(now, kind.estimate, QUEUE_LEAST_COUNT)
+    fn unchecked_forecast(&self, now: Instant, kind: StepClass) -> Option<DurationForecast> {
+        let of_class_size = self.sizes.get(&(kind.is_gang, kind.size()));
+        let of_class_size =
+            of_class_size.and_then(|it| it.forecast(now, kind.estimate, CLASS_MIN_STEPS_COUNT));
+        of_class_size.or_else(|| {
+            let all_steps = self.all_steps.get(&kind.is_gang)?;
+            all_steps.forecast(now, kind.estimate, QUEUE_MIN_STEPS_COUNT)
         })
     }
 
     fn record(&mut self, now: Instant, kind: StepClass, actual: Duration) {
         self.last_at = now;
-        let forecast = self.raw_forecast(now, kind);
+        let forecast = self.unchecked_forecast(now, kind);
         if let Some(forecast) = forecast.filter(|_| kind.estimate > Duration::ZERO) {
             self.errors.note(forecast.likely, kind.estimate, actual);
         }
-        let whole = class_of(&mut self.whole, kind.is_gang, now);
-        let of_size = class_of(&mut self.sizes, (kind.is_gang, kind.size()), now);
-        for class in whole.into_iter().chain(of_size) {
+        let all_steps = class_entry(&mut self.all_steps, kind.is_gang, now);
+        let of_class_size = class_entry(&mut self.sizes, (kind.is_gang, kind.size()), now);
+        for class in all_steps.into_iter().chain(of_class_size) {
             class.record(now, kind.estimate, actual);
         }
     }
@@ -391,7 +393,7 @@
 /// What tasks take, by queue.
 #[derive(Clone, Debug, Default)]
 pub struct Durations {
-    queues: HashMap<Arc<str>, QueueLengths>,
+    queues: HashMap<Arc<str>, QueueSketches>,
     classes_count: usize,
 }
 
@@ -401,7 +403,7 @@
     pub fn record(&mut self, now: Instant, queue: &str, kind: StepClass, actual: Duration) {
         if !self.queues.contains_key(queue) {
             self.queues
-                .insert(Arc::from(queue), QueueLengths::default());
+                .insert(Arc::from(queue), QueueSketches::default());
         }
         let Some(lengths) = self.queues.get_mut(queue) else {
             return;
@@ -410,43 +412,46 @@
         lengths.record(now, kind, actual);
         self.classes_count += lengths.classes_count() - before_count;
         while self.classes_count > CLASSES_LIMIT_COUNT && self.queues.len() > 1 {
-            self.forget_oldest();
+            self.evict_oldest_queue();
         }
     }
 
     /// Returns what a step's tasks should take; `None` where too little is known, or where
-    /// what was told before was farther off than the estimates.
+    /// what was forecast before was farther off than the estimates.
     pub fn forecast(&self, now: Instant, queue: &str, kind: StepClass) -> Option<DurationForecast> {
         let lengths = self.queues.get(queue)?;
         if lengths.errors.is_worse() {
             return None;
         }
-        lengths.raw_forecast(now, kind)
+        lengths.unchecked_forecast(now, kind)
     }
 
     /// Returns what is known, in the form in which it is handed on; of the queues heard of
     /// last, as far as the limit goes.
     pub(crate) fn learned(&self, now: Instant) -> Vec<LearnedSize> {
-        let mut queues: Vec<(&Arc<str>, &QueueLengths)> = self.queues.iter().collect();
+        let mut queues: Vec<(&Arc<str>, &QueueSketches)> = self.queues.iter().collect();
         queues.sort_by_key(|(name, lengths)| (Reverse(lengths.last_at), *name));
         let mut sizes = Vec::new();
         for (queue, lengths) in queues {
-            let whole = lengths.whole.iter().map(|(gang, it)| ((*gang, None), it));
-            let of_size = lengths.sizes.iter();
-            let of_size = of_size.map(|((gang, size), it)| ((*gang, Some(*size)), it));
-            for ((is_gang, size), class) in whole.chain(of_size) {
+            let all_steps = lengths
+                .all_steps
+                .iter()
+                .map(|(gang, it)| ((*gang, None), it));
+            let of_class_size = lengths.sizes.iter();
+            let of_class_size = of_class_size.map(|((gang, size), it)| ((*gang, Some(*size)), it));
+            for ((is_gang, size), class) in all_steps.chain(of_class_size) {
                 sizes.extend(class.learned(now, queue, is_gang, size));
             }
         }
-        sizes.truncate(HANDED_ON_LIMIT_COUNT);
+        sizes.truncate(HANDOVER_LIMIT_COUNT);
         sizes
     }
 
     /// Creates them from what an earlier leader has learned. What can't be is left out.
     pub(crate) fn from_learned(now: Instant, sizes: &[LearnedSize]) -> Self {
         let mut durations = Self::default();
-        for learned in sizes.iter().take(HANDED_ON_LIMIT_COUNT) {
-            let Some(class) = LengthClass::from_learned(now, learned) else {
+        for learned in sizes.iter().take(HANDOVER_LIMIT_COUNT) {
+            let Some(class) = ClassSketches::from_learned(now, learned) else {
                 continue;
             };
             let lengths = durations.queues.entry(learned.queue.clone()).or_default();
@@ -454,7 +459,7 @@
             let before_count = lengths.classes_count();
             match learned.size {
                 Some(size) => lengths.sizes.insert((learned.is_gang, size), class),
-                None => lengths.whole.insert(learned.is_gang, class),
+                None => lengths.all_steps.insert(learned.is_gang, class),
             };
             durations.classes_count += lengths.classes_count() - before_count;
         }
@@ -468,22 +473,22 @@
 
     /// Returns the bytes that the sketches take.
     pub fn sketches_bytes(&self) -> usize {
-        let cells_count = |sketch: &Rotating| {
+        let cells_count = |sketch: &RotatingHistogram| {
             sketch.current.distinct_values() + sketch.previous.distinct_values()
         };
         let queues = self.queues.values();
-        let classes = queues.flat_map(|it| it.whole.values().chain(it.sizes.values()));
+        let classes = queues.flat_map(|it| it.all_steps.values().chain(it.sizes.values()));
         let cells = classes.map(|it| cells_count(&it.ratios) + cells_count(&it.lengths));
         cells.sum::<usize>() * size_of::<u32>()
     }
 
     /// Returns the mean errors over the queues that have forecasts.
     pub fn error(&self) -> ForecastError {
-        let told = self.queues.values().map(|it| it.errors);
-        let told: Vec<MeanErrors> = told.filter(|errors| errors.count > 0).collect();
+        let errors = self.queues.values().map(|it| it.errors);
+        let errors: Vec<MeanErrors> = errors.filter(|errors| errors.count > 0).collect();
         let percent = |error: fn(&MeanErrors) -> f64| {
-            let sum: f64 = told.iter().map(error).sum();
-            let mean = sum / told.len().max(1) as f64;
+            let sum: f64 = errors.iter().map(error).sum();
+            let mean = sum / errors.len().max(1) as f64;
             (mean.exp_m1() * 100.0).round() as u64
         };
         ForecastError {
@@ -492,7 +497,7 @@
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest_queue(&mut self) {
         let oldest = self
             .queues
             .iter()
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -17,13 +17,13 @@
 const STEP_SURE_PERCENT: u64 = 75;
 const STEP_LATE_PERCENT: u64 = 130;
 /// A run must have come so far since it began for its pace to tell when it ends.
-const PACE_PERCENT: u32 = 5;
+const MIN_PROGRESS_PERCENT: u32 = 5;
 /// For how long before others' work is planned by it: progress is told in steps, and a run
 /// may have been listed just after one.
-const STEADY_TIME: Duration = Duration::from_ms(500);
+const MIN_PROGRESS_TIME: Duration = Duration::from_ms(500);
 /// The part of an estimate that a run surely needs, in percent, where nothing else is known:
 /// a run that would have ended before its worker leaves is stopped for nothing.
-const DEPARTURE_SURE_PERCENT: u64 = 70;
+const DEPARTURE_MIN_PERCENT: u64 = 70;
 
 /// What a step's tasks take on a worker of usual speed, as far as that was learned.
 #[derive(Clone, Copy, Debug)]
@@ -59,7 +59,7 @@
     pub(crate) fn expected_task_duration(&self, queue: &str, spec: &StepSpec) -> Duration {
         let estimate = Duration::from_ms(spec.estimate_ms);
         let learned = self.learned_queue_duration(queue, spec);
-        learned.map_or(estimate, |length| length.likely)
+        learned.map_or(estimate, |duration| duration.likely)
     }
 
     fn learned_queue_duration(&self, queue: &str, spec: &StepSpec) -> Option<LearnedDuration> {
@@ -106,56 +106,57 @@
         if spec.is_perpetual {
             return None;
         }
-        if let Some(left) = run
+        if let Some(remaining) = run
             .remaining_by_steady_progress()
             .filter(|_| self.is_learning())
         {
-            return Some(left);
+            return Some(remaining);
         }
         let learned = self.learned_task_duration(&job.record.queue, task.step, spec);
         let estimate = Duration::from_ms(spec.estimate_ms);
-        let length = learned.map_or(estimate, |length| length.likely);
-        Some(run.left_of(self.on_worker_of(task, length)))
+        let duration = learned.map_or(estimate, |duration| duration.likely);
+        Some(run.remaining_of(self.scaled_to_worker(task, duration)))
     }
 
     /// Returns when a run ends at the earliest: by its pace where that is known, otherwise by
     /// the least that is known of its step.
     pub(crate) fn earliest_end(&self, task: TaskKey, spec: &StepSpec, run: &Run) -> Instant {
-        let left = run.remaining_by_progress().unwrap_or_else(|| {
+        let remaining = run.remaining_by_progress().unwrap_or_else(|| {
             let job = self.jobs.get(&task.step.job);
             let learned =
                 job.and_then(|job| self.learned_task_duration(&job.record.queue, task.step, spec));
             match learned {
-                Some(length) => run.left_of(self.on_worker_of(task, length.sure)),
+                Some(duration) => run.remaining_of(self.scaled_to_worker(task, duration.sure)),
                 None => {
-                    let left_percent = u64::from(run.left_percent());
-                    let min_remaining_ms = spec.estimate_ms * left_percent * DEPARTURE_SURE_PERCENT;
+                    let remaining_percent = u64::from(run.remaining_percent());
+                    let min_remaining_ms =
+                        spec.estimate_ms * remaining_percent * DEPARTURE_MIN_PERCENT;
                     Duration::from_ms(min_remaining_ms / (100 * 100))
                 }
             }
         });
-        run.listed_at + left
+        run.listed_at + remaining
     }
 
     /// Returns how long a task takes on the worker that it was given to.
-    fn on_worker_of(&self, task: TaskKey, length: Duration) -> Duration {
+    fn scaled_to_worker(&self, task: TaskKey, duration: Duration) -> Duration {
         match self.placements.get(&task) {
             Some(worker) if self.workers[*worker].speed.is_known() => {
-                scaled(length, 1.0 / self.speed_of(*worker))
+                scaled(duration, 1.0 / self.speed_of(*worker))
             }
-            _ => length,
+            _ => duration,
         }
     }
 
-    /// Works out anew what is left of a job.
+    /// Works out anew what is remaining of a job.
     pub(crate) fn update_remaining(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         let rounds = job.state.rounds.iter();
-        let left = rounds.map(|round| self.left_of_round(id, job, round));
+        let remaining = rounds.map(|round| self.remaining_of_round(id, job, round));
         let (mut remaining_ms, mut min_remaining_ms) = (0, 0);
-        for round in left {
+        for round in remaining {
             remaining_ms = remaining_ms.max(round.remaining_ms);
             min_remaining_ms = min_remaining_ms.max(round.min_remaining_ms);
         }
@@ -191,7 +192,7 @@
         self.objective(record, length_ms)
     }
 
-    fn left_of_round(&self, id: JobId, job: &Job, round: &RoundState) -> RoundLeft {
+    fn remaining_of_round(&self, id: JobId, job: &Job, round: &RoundState) -> RoundRemaining {
         let learned = |number: usize| {
             let step = StepKey {
                 job: id,
@@ -204,55 +205,55 @@
         let steps = &job.record.spec.steps;
         let learned: Vec<Option<LearnedDuration>> = (0..steps.len()).map(learned).collect();
         let likely_ms = |number: usize| {
-            let likely = learned[number].map(|length| length.likely.as_ms());
+            let likely = learned[number].map(|duration| duration.likely.as_ms());
             likely.unwrap_or(steps[number].estimate_ms)
         };
         // In hundredths, so that parts of estimates are not rounded one by one.
         let sure = |number: usize| {
-            let sure = learned[number].map(|length| length.sure.as_ms() * 100);
+            let sure = learned[number].map(|duration| duration.sure.as_ms() * 100);
             sure.unwrap_or(steps[number].estimate_ms * SURE_PERCENT)
         };
-        RoundLeft {
+        RoundRemaining {
             remaining_ms: chain(&job.record, Some(round), likely_ms),
             min_remaining_ms: chain(&job.record, Some(round), sure) / 100,
         }
     }
 }
 
-/// What is left of a round's longest chain.
-struct RoundLeft {
+/// What is remaining of a round's longest chain.
+struct RoundRemaining {
     remaining_ms: u64,
     min_remaining_ms: u64,
 }
 
 impl Run {
-    fn left_percent(&self) -> u32 {
+    fn remaining_percent(&self) -> u32 {
         100_u32.saturating_sub(self.progress_percent)
     }
 
-    /// Returns what is left of a length.
-    fn left_of(&self, length: Duration) -> Duration {
-        Duration::from_ms(length.as_ms() * u64::from(self.left_percent()) / 100)
+    /// Returns what is remaining of a duration.
+    fn remaining_of(&self, duration: Duration) -> Duration {
+        Duration::from_ms(duration.as_ms() * u64::from(self.remaining_percent()) / 100)
     }
 
     /// Returns how long the run still takes by its own pace, where it has come far enough.
     pub(crate) fn remaining_by_progress(&self) -> Option<Duration> {
         let from = self.pace_from?;
-        let came_percent = self.progress_percent.saturating_sub(from.percent);
-        if came_percent < PACE_PERCENT {
+        let done_percent = self.progress_percent.saturating_sub(from.percent);
+        if done_percent < MIN_PROGRESS_PERCENT {
             return None;
         }
         let spent_ms = self.listed_at.since(from.at).as_ms();
-        let percent_ms = spent_ms / u64::from(came_percent);
+        let percent_ms = spent_ms / u64::from(done_percent);
         Some(Duration::from_ms(
-            percent_ms * u64::from(self.left_percent()),
+            percent_ms * u64::from(self.remaining_percent()),
         ))
     }
 
     /// Returns the same where that pace has lasted.
     pub(crate) fn remaining_by_steady_progress(&self) -> Option<Duration> {
         let spent = self.listed_at.since(self.pace_from?.at);
-        let is_steady = spent >= STEADY_TIME;
+        let is_steady = spent >= MIN_PROGRESS_TIME;
         self.remaining_by_progress().filter(|_| is_steady)
     }
 }
--- a/crates/scheduler/src/forecast.rs
+++ b/crates/scheduler/src/forecast.rs
@@ -1,7 +1,7 @@
 //! When a job that is handed in now would be done at the best, by queue.
 //!
 //! A forecast is for those who refuse jobs, so it only counts what is sure: runs of work that
-//! is at least as important and can't be over yet, and waiting jobs that are more important,
+//! is at smallest as important and can't be over yet, and waiting jobs that are more important,
 //! due sooner and to be in time. Of all estimates the part is counted that is surely needed.
 
 use crate::admission::{Forecast, QueueForecast};
@@ -19,21 +19,21 @@
 const FORECAST_PERIOD: Duration = Duration::from_ms(250);
 /// A new leader tells no forecast for so long: it has not heard of all runs. Nor is one told
 /// for so long after the store was in trouble, when jobs may be in it that nobody knows of.
-const UNSURE_TIME: Duration = Duration::from_s(5);
+const SUSPENSION: Duration = Duration::from_s(5);
 /// The part of an estimate that is surely needed, in percent: estimates may be two and a half
 /// times too long.
-const SURE_PERCENT: u64 = 40;
+const MIN_DURATION_PERCENT: u64 = 40;
 /// The queues of a service that a forecast names, at most.
 const QUEUES_LIMIT_COUNT: usize = 16;
 /// The latest time that is told.
-const LATEST: Duration = Duration::from_s(600);
+const MAX_COMPLETION: Duration = Duration::from_s(600);
 
 /// The forecasts of the leader.
 #[derive(Debug, Default)]
 pub(crate) struct Forecasts {
-    made_at: Instant,
+    updated_at: Instant,
     /// Until when none is told.
-    unsure_until: Instant,
+    suspended_until: Instant,
     queues: Vec<QueueForecast>,
 }
 
@@ -41,14 +41,14 @@
     /// Creates those of a leader whose term begins.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            unsure_until: now + UNSURE_TIME,
+            suspended_until: now + SUSPENSION,
             ..Self::default()
         }
     }
 
     /// Notes that nothing is sure for a while.
     pub(crate) fn suspend(&mut self, now: Instant) {
-        self.unsure_until = now + UNSURE_TIME;
+        self.suspended_until = now + SUSPENSION;
         self.queues.clear();
     }
 
@@ -64,19 +64,19 @@
 
     /// Returns whether new ones are to be made.
     pub(crate) fn are_due(&self, now: Instant) -> bool {
-        now >= self.unsure_until && now >= self.made_at + FORECAST_PERIOD
+        now >= self.suspended_until && now >= self.updated_at + FORECAST_PERIOD
     }
 
     /// Takes in new ones.
     pub(crate) fn replace(&mut self, now: Instant, queues: Vec<QueueForecast>) {
-        self.made_at = now;
+        self.updated_at = now;
         self.queues = queues;
     }
 }
 
-/// The job of a queue that needs least, and when it would be worth nothing.
+/// The job of a queue that needs smallest, and when it would be worth nothing.
 #[derive(Clone, Copy, Debug)]
-struct LeastJob {
+struct SmallestJob {
     priority: u32,
     objective: Duration,
     work: ResourceVector,
@@ -87,7 +87,7 @@
     pub fn forecast(&self, now: Instant) -> Option<Forecast> {
         let forecasts = &self.forecasts;
         (!forecasts.queues.is_empty()).then(|| Forecast {
-            age_ms: now.since(forecasts.made_at).as_ms(),
+            age_ms: now.since(forecasts.updated_at).as_ms(),
             queues: forecasts.queues.clone(),
         })
     }
@@ -100,89 +100,92 @@
         load: &ServiceLoad<JobId>,
         selected: &[SelectedJob<JobId>],
     ) -> Vec<QueueForecast> {
-        let runs = self.sure_runs(now, service);
-        let least = self.least_jobs(load);
-        let forecasts = least.into_iter().take(QUEUES_LIMIT_COUNT);
-        let forecasts = forecasts.map(|(queue, least)| {
+        let runs = self.blocking_runs(now, service);
+        let smallest = self.smallest_jobs(load);
+        let forecasts = smallest.into_iter().take(QUEUES_LIMIT_COUNT);
+        let forecasts = forecasts.map(|(queue, smallest)| {
             // The runs of less important work may be stopped for it.
-            let lasting = runs.iter().filter(|run| run.priority <= least.priority);
+            let occupying = runs.iter().filter(|run| run.priority <= smallest.priority);
             let waiting_jobs = load.waiting_jobs().iter().zip(selected);
             let ahead = waiting_jobs
                 .filter(|(waiting_job, selected)| {
-                    selected.selection == Selection::OnTime && is_before(waiting_job, &least)
+                    selected.selection == Selection::OnTime && is_ahead_of(waiting_job, &smallest)
                 })
                 .map(|(waiting_job, _)| waiting_job.work);
-            let mut needed = least.work;
+            let mut needed = smallest.work;
             ahead.for_each(|work| needed.add(work));
-            let needed = needed.times(SURE_PERCENT as f64 / 100.0);
+            let needed = needed.times(MIN_DURATION_PERCENT as f64 / 100.0);
             QueueForecast {
                 queue: queue.to_owned(),
-                objective_ms: least.objective.as_ms(),
-                work: least.work,
-                done_ms: load.earliest_completion(lasting, needed, LATEST).as_ms(),
+                objective_ms: smallest.objective.as_ms(),
+                work: smallest.work,
+                done_ms: load
+                    .earliest_completion(occupying, needed, MAX_COMPLETION)
+                    .as_ms(),
             }
         });
         forecasts.collect()
     }
 
-    /// Returns the least job of each queue that has jobs waiting.
-    fn least_jobs(&self, load: &ServiceLoad<JobId>) -> BTreeMap<&str, LeastJob> {
-        let mut least: BTreeMap<&str, LeastJob> = BTreeMap::new();
+    /// Returns the smallest job of each queue that has jobs waiting.
+    fn smallest_jobs(&self, load: &ServiceLoad<JobId>) -> BTreeMap<&str, SmallestJob> {
+        let mut smallest: BTreeMap<&str, SmallestJob> = BTreeMap::new();
         for waiting_job in load.waiting_jobs() {
             let Some(job) = self.jobs.get(&waiting_job.key) else {
                 continue;
             };
-            let own = LeastJob {
+            let own = SmallestJob {
                 priority: job.rank.0,
                 objective: job.objective,
                 work: waiting_job.work,
             };
-            let entry = least.entry(&job.record.queue).or_insert(own);
+            let entry = smallest.entry(&job.record.queue).or_insert(own);
             entry.objective = entry.objective.min(own.objective);
             entry.work = entry.work.min(own.work);
         }
-        least
+        smallest
     }
 
-    fn sure_runs(&self, now: Instant, service: &Arc<str>) -> Vec<OccupyingRun> {
+    fn blocking_runs(&self, now: Instant, service: &Arc<str>) -> Vec<OccupyingRun> {
         let workers = self.workers.values();
         let workers = workers.filter(|it| it.facts.service == *service && it.is_placeable(now));
         let runs = workers.flat_map(|worker| &worker.runs);
-        let lasting = runs.filter_map(|(task, run)| self.sure_run(now, *task, run));
-        let mut lasting: Vec<OccupyingRun> = lasting.collect();
-        lasting.sort_unstable_by_key(|run| run.left);
-        lasting
+        let occupying = runs.filter_map(|(task, run)| self.blocking_run(now, *task, run));
+        let mut occupying: Vec<OccupyingRun> = occupying.collect();
+        occupying.sort_unstable_by_key(|run| run.remaining);
+        occupying
     }
 
     /// Returns for how long a run surely takes room yet, if at all.
-    fn sure_run(&self, now: Instant, task: TaskKey, run: &Run) -> Option<OccupyingRun> {
+    fn blocking_run(&self, now: Instant, task: TaskKey, run: &Run) -> Option<OccupyingRun> {
         if !matches!(run.phase, RunPhase::Running { .. }) {
             return None;
         }
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.record.spec.steps.get(task.step.step as usize)?;
-        let left = if spec.is_perpetual {
-            LATEST
+        let remaining = if spec.is_perpetual {
+            MAX_COMPLETION
         } else {
             let length_ms = self.expected_task_duration(&job.record.queue, spec).as_ms();
-            let by_progress_ms = self.remaining_time(task, run)?.as_ms() * SURE_PERCENT / 100;
-            let sure_ms = length_ms * SURE_PERCENT / 100;
-            let by_age_ms = sure_ms.saturating_sub(now.since(run.placed_at).as_ms());
+            let by_progress_ms =
+                self.remaining_time(task, run)?.as_ms() * MIN_DURATION_PERCENT / 100;
+            let min_ms = length_ms * MIN_DURATION_PERCENT / 100;
+            let by_age_ms = min_ms.saturating_sub(now.since(run.placed_at).as_ms());
             Duration::from_ms(by_progress_ms.min(by_age_ms))
         };
         Some(OccupyingRun {
             priority: job.rank.0,
-            rate: ResourceVector::of(&run.demand),
-            left,
+            usage: ResourceVector::of(&run.demand),
+            remaining,
         })
     }
 }
 
 /// Returns whether a waiting job surely comes before one that is handed in now: of jobs that
 /// are as important the later may be chosen to be in time.
-fn is_before(waiting_job: &WaitingJob<JobId>, least: &LeastJob) -> bool {
+fn is_ahead_of(waiting_job: &WaitingJob<JobId>, smallest: &SmallestJob) -> bool {
     let is_sooner = waiting_job
         .time_to_objective
-        .is_some_and(|left| left < least.objective);
-    waiting_job.priority < least.priority && is_sooner
+        .is_some_and(|remaining| remaining < smallest.objective);
+    waiting_job.priority < smallest.priority && is_sooner
 }
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -67,7 +67,7 @@
     /// What the waiting tasks of these took together when its service counted them last.
     pub(crate) ready_demand: ResourceTotals,
     /// What it needs, where that has been worked out.
-    pub(crate) need: Option<JobDemand>,
+    pub(crate) demand: Option<JobDemand>,
 }
 
 impl Job {
@@ -101,7 +101,7 @@
             gang_stops: BTreeMap::new(),
             ready: None,
             ready_demand: ResourceTotals::default(),
-            need: None,
+            demand: None,
             state,
         }
     }
@@ -124,7 +124,7 @@
     /// Forgets what was worked out from a state that has changed.
     pub(crate) fn clear_derived(&mut self) {
         self.ready = None;
-        self.need = None;
+        self.demand = None;
     }
 
     /// Returns whether the job has an objective that can be missed: no perpetual work, and no
@@ -147,7 +147,7 @@
         let mut ready = Vec::new();
         if self.state.phase == Phase::Active {
             for round in &self.state.rounds {
-                self.push_ready(id, round, &mut ready);
+                self.push_ready_steps(id, round, &mut ready);
             }
         }
         self.ready = Some(ready.clone());
@@ -197,7 +197,7 @@
         state.is_some_and(|state| state.tasks.iter().all(is_waiting))
     }
 
-    fn push_ready(&self, id: JobId, round: &RoundState, ready: &mut Vec<StepKey>) {
+    fn push_ready_steps(&self, id: JobId, round: &RoundState, ready: &mut Vec<StepKey>) {
         for (number, spec) in self.record.spec.steps.iter().enumerate() {
             let is_done = |step: &u32| round.steps.get(*step as usize).is_none_or(|s| s.is_done());
             let has_waiting = round.steps.get(number).is_some_and(|step| {
@@ -251,7 +251,7 @@
         let age = Duration::from_ms(self.wall_ms.saturating_sub(record.accepted_ms));
         let mut job = Job::new(record, state, rank, now - age);
         if let Some(name) = &job.record.customer {
-            let customer = self.accounts.key_of(name);
+            let customer = self.accounts.key_or_insert(name);
             job.customer = Some(customer);
             job.is_beyond_rate = self.accounts.record_job(customer, job.accepted_at);
         }
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -13,7 +13,7 @@
 use crate::scheduler::Scheduler;
 use crate::speeds::{Speeds, TYPICAL_SPEED};
 use crate::state::{Phase, TaskStatus};
-use crate::step_durations::{DoneTask, SpeedSample, StepDurations};
+use crate::step_durations::{FinishedTask, SpeedSample, StepDurations};
 use crate::worker::{Run, RunPhase, Worker, WorkerKey};
 use ospreywing_types::{Duration, Instant};
 use std::collections::{BTreeMap, HashMap};
@@ -21,7 +21,7 @@
 
 /// An end may have been unknown for this part of a run's time at most: a third, as far as
 /// tasks of one step differ anyway.
-const LAG_PARTS: u64 = 3;
+const MIN_DURATION_PER_END_LAG: u64 = 3;
 /// The time between two looks at all workers' speeds.
 const REFRESH_PERIOD: Duration = Duration::from_ms(1000);
 /// A run that takes twice what its step's tasks take, or what nearly all of its queue's do,
@@ -29,21 +29,21 @@
 /// tells again each time that this has doubled, so that two such runs are enough.
 const OVERDUE_FACTOR: u64 = 2;
 /// The most doublings.
-const OVERDUE_LIMIT_COUNT: u32 = 6;
+const OVERDUE_SAMPLES_LIMIT_COUNT: u32 = 6;
 /// How old the last word of such a run may be: a few renewals.
-const OVERDUE_AGE_LIMIT: Duration = Duration::from_ms(5000);
+const OVERDUE_REPORT_AGE_LIMIT: Duration = Duration::from_ms(5000);
 /// Speeds of a service's workers are told apart only where the fastest and the slowest, but
 /// for a twentieth at either end, differ by this factor: less is how tasks of a step differ.
-const DIFFERENCE_FACTOR: f64 = 1.25;
+const MIN_SPEED_RATIO: f64 = 1.25;
 /// The workers of which a speed must be known for that.
-const KNOWN_LEAST_COUNT: usize = 4;
+const MIN_KNOWN_SPEEDS_COUNT: usize = 4;
 /// A twentieth at either end is left out.
-const LEFT_OUT_PART: usize = 20;
+const TRIM_DIVISOR: usize = 20;
 /// A worker below this part of its service's median is slow: midway between the usual and
 /// one that takes 1.3 times as long.
-const SLOW_BELOW: f64 = 0.87;
+const SLOW_BELOW_FACTOR: f64 = 0.87;
 /// One above this is fast.
-const FAST_ABOVE: f64 = 1.25;
+const FAST_ABOVE_FACTOR: f64 = 1.25;
 
 /// How a worker's speed compares with its service's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -54,7 +54,7 @@
     Fast,
 }
 
-/// What is believed of a worker's speed.
+/// What is estimated of a worker's speed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkerSpeed {
     /// As a factor on the usual one of its service.
@@ -85,30 +85,30 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceSpeeds {
     /// The lower end of them, as a factor on the median.
-    pub(crate) slow: f64,
+    pub(crate) low_factor: f64,
     median: f64,
 }
 
 impl ServiceSpeeds {
     /// Returns the speeds where enough are known and they differ.
     fn of(mut speeds: Vec<f64>) -> Option<Self> {
-        if speeds.len() < KNOWN_LEAST_COUNT {
+        if speeds.len() < MIN_KNOWN_SPEEDS_COUNT {
             return None;
         }
         speeds.sort_by(f64::total_cmp);
-        let left_out = speeds.len() / LEFT_OUT_PART;
+        let trimmed = speeds.len() / TRIM_DIVISOR;
         let median = speeds[speeds.len() / 2];
-        let slow = speeds[left_out] / median;
-        let fast = speeds[speeds.len() - 1 - left_out] / median;
-        let does_differ = fast / slow >= DIFFERENCE_FACTOR;
-        does_differ.then_some(Self { slow, median })
+        let low_factor = speeds[trimmed] / median;
+        let fast = speeds[speeds.len() - 1 - trimmed] / median;
+        let does_differ = fast / low_factor >= MIN_SPEED_RATIO;
+        does_differ.then_some(Self { low_factor, median })
     }
 
-    fn speed_of(&self, known: Option<f64>) -> WorkerSpeed {
+    fn worker_speed(&self, known: Option<f64>) -> WorkerSpeed {
         let factor = known.map_or(TYPICAL_SPEED, |speed| speed / self.median);
-        let class = if factor < SLOW_BELOW {
+        let class = if factor < SLOW_BELOW_FACTOR {
             SpeedClass::Slow
-        } else if factor > FAST_ABOVE {
+        } else if factor > FAST_ABOVE_FACTOR {
             SpeedClass::Fast
         } else {
             SpeedClass::Typical
@@ -139,7 +139,7 @@
 pub(crate) struct FinishedRun {
     step: StepKey,
     tasks_count: usize,
-    done: DoneTask,
+    task: FinishedTask,
 }
 
 impl Worker {
@@ -149,19 +149,19 @@
     }
 
     /// Returns whether a run tells what its step's tasks take: it has told nothing else.
-    fn tells_length(&self, run: &Run, spec: &StepSpec) -> bool {
-        run.overdue_count == 0 && self.tells_speed(run, spec)
+    fn is_duration_sample(&self, run: &Run, spec: &StepSpec) -> bool {
+        run.overdue_count == 0 && self.is_speed_sample(run, spec)
     }
 
     /// Returns whether a run's time is known and was spent on the whole work alone.
-    fn tells_speed(&self, run: &Run, spec: &StepSpec) -> bool {
+    fn is_speed_sample(&self, run: &Run, spec: &StepSpec) -> bool {
         let is_whole = run.checkpoint.is_none() && !spec.is_perpetual;
-        let is_begin_known = run.sends_count == 1 && run.answers_count == 1;
-        let near = spec.data_rack.as_deref();
-        let is_near = near.is_none() || near == self.facts.rack.as_deref();
-        let is_alone = RunRole::of(spec) == RunRole::Plain;
+        let is_start_known = run.sends_count == 1 && run.answers_count == 1;
+        let data_rack = spec.data_rack.as_deref();
+        let is_local = data_rack.is_none() || data_rack == self.facts.rack.as_deref();
+        let is_plain = RunRole::of(spec) == RunRole::Plain;
         let is_running = matches!(run.phase, RunPhase::Running { .. });
-        is_whole && is_begin_known && is_near && is_alone && is_running
+        is_whole && is_start_known && is_local && is_plain && is_running
     }
 }
 
@@ -191,9 +191,9 @@
         let step = round.steps.get(end.task.step.step as usize)?;
         // Of a gang the first member that ends tells of all.
         let is_counted = step.tasks.get(end.task.index as usize)?.status == TaskStatus::Done;
-        let length = now.since(run.begun_at?);
-        let is_end_known = worker.end_lag.times(LAG_PARTS) <= length;
-        if is_counted || !is_end_known || !worker.tells_length(run, spec) {
+        let duration = now.since(run.begun_at?);
+        let is_end_known = worker.end_lag.times(MIN_DURATION_PER_END_LAG) <= duration;
+        if is_counted || !is_end_known || !worker.is_duration_sample(run, spec) {
             return None;
         }
         // A gang is as slow as its slowest member, which is not told.
@@ -202,16 +202,16 @@
         } else {
             worker.speed.factor
         };
-        let done = DoneTask {
+        let task = FinishedTask {
             machine: worker.machine().clone(),
             service: worker.facts.service.clone(),
-            length,
-            usual_length: scaled(length, factor),
+            duration,
+            typical_duration: scaled(duration, factor),
         };
         Some(FinishedRun {
             step: end.task.step,
             tasks_count: step.tasks.len(),
-            done,
+            task,
         })
     }
 
@@ -224,10 +224,10 @@
             .step_durations
             .entry(finished.step)
             .or_insert_with(new);
-        let samples = pace.record(finished.done);
-        let has_news = pace.has_news();
+        let samples = pace.record(finished.task);
+        let should_update_estimates = pace.should_update_estimates();
         self.record_speed_samples(now, samples);
-        if has_news {
+        if should_update_estimates {
             self.update_remaining(finished.step.job);
         }
     }
@@ -252,8 +252,8 @@
         // Too few tasks to tell of one another are told by those of other jobs.
         let forecast = durations.forecast(now, queue, kind);
         if let Some(forecast) = forecast.filter(|_| !spec.is_gang) {
-            for task in pace.untold() {
-                let speed = ratio(forecast.likely, task.length);
+            for task in pace.unsampled() {
+                let speed = ratio(forecast.likely, task.duration);
                 let service = &task.service;
                 speeds.record_against_forecast(
                     now,
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Works out anew what is believed of workers' speeds, now and then.
+    /// Works out anew what is estimated of workers' speeds, now and then.
     pub(crate) fn refresh_speeds(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.learning.now = now;
         if !self.is_learning() || now < self.learning.next_refresh_at {
@@ -295,7 +295,7 @@
             self.eject_slow(now, &workers, out);
             self.refresh_service(now, service, &workers);
         }
-        self.forget_learned();
+        self.prune_learned();
     }
 
     fn eject_slow(&mut self, now: Instant, workers: &[WorkerKey], out: &mut Vec<Action>) {
@@ -322,12 +322,12 @@
         let speeds: Vec<Option<f64>> = workers.iter().map(known).collect();
         let found = ServiceSpeeds::of(speeds.iter().copied().flatten().collect());
         for (key, speed) in workers.iter().zip(speeds) {
-            let believed = found.map_or_else(WorkerSpeed::default, |it| it.speed_of(speed));
+            let estimated = found.map_or_else(WorkerSpeed::default, |it| it.worker_speed(speed));
             let machine = self.workers[*key].machine();
             let is_ejected = self.learning.speeds.is_ejected(now, machine);
             self.workers[*key].speed = WorkerSpeed {
                 is_ejected,
-                ..believed
+                ..estimated
             };
         }
         match found {
@@ -363,14 +363,14 @@
         task: TaskKey,
         run: &Run,
     ) -> Option<f64> {
-        let is_fresh = now.since(run.listed_at) <= OVERDUE_AGE_LIMIT;
+        let is_fresh = now.since(run.listed_at) <= OVERDUE_REPORT_AGE_LIMIT;
         let spent = run.listed_at.since(run.begun_at?);
-        if !is_fresh || run.overdue_count >= OVERDUE_LIMIT_COUNT {
+        if !is_fresh || run.overdue_count >= OVERDUE_SAMPLES_LIMIT_COUNT {
             return None;
         }
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.record.spec.steps.get(task.step.step as usize)?;
-        if spec.is_gang || !worker.tells_speed(run, spec) {
+        if spec.is_gang || !worker.is_speed_sample(run, spec) {
             return None;
         }
         let pace = self.learning.step_durations.get(&task.step);
@@ -386,7 +386,7 @@
         (spent >= expected.times(factor)).then(|| ratio(expected, spent) * worker.speed.factor)
     }
 
-    fn forget_learned(&mut self) {
+    fn prune_learned(&mut self) {
         let jobs = &self.jobs;
         let is_active = |step: &StepKey| {
             let job = jobs.get(&step.job);
@@ -399,12 +399,12 @@
     }
 }
 
-/// Returns how many times a length is another.
-pub(crate) fn ratio(length: Duration, other: Duration) -> f64 {
-    length.as_ms() as f64 / other.as_ms().max(1) as f64
+/// Returns how many times a duration is another.
+pub(crate) fn ratio(duration: Duration, other: Duration) -> f64 {
+    duration.as_ms() as f64 / other.as_ms().max(1) as f64
 }
 
-/// Returns a length by a factor.
-pub(crate) fn scaled(length: Duration, factor: f64) -> Duration {
-    Duration::from_ms((length.as_ms() as f64 * factor).round() as u64)
+/// Returns a duration by a factor.
+pub(crate) fn scaled(duration: Duration, factor: f64) -> Duration {
+    Duration::from_ms((duration.as_ms() as f64 * factor).round() as u64)
 }
--- a/crates/scheduler/src/limits.rs
+++ b/crates/scheduler/src/limits.rs
@@ -43,8 +43,8 @@
                 allowed_count: u32::MAX,
             };
         };
-        let left = self.accounts.get(customer).left() - cycle.claimed_limit(customer);
-        let limit_count = fit_in(&left, &charge.amount);
+        let remaining = self.accounts.get(customer).remaining() - cycle.claimed_limit(customer);
+        let limit_count = fit_in(&remaining, &charge.amount);
         let beside_count = self.count_beside_reservation(now, step, charge, cycle);
         Allowance {
             limit_count,
@@ -153,7 +153,7 @@
         let spec = job.and_then(|job| job.record.spec.steps.get(step.step as usize));
         let needed = charge.amount.times(spec.map_or(0, least_count));
         let is_claimed = !self.config.features.has(Feature::Backfill);
-        is_claimed || !needed.fits_in(&self.accounts.get(customer).left())
+        is_claimed || !needed.fits_in(&self.accounts.get(customer).remaining())
     }
 
     /// Returns whether the limit of a step's customer is reserved for another step.
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -20,32 +20,32 @@
 
 /// A service with less of its room in use than this part is not overloaded, whatever waits:
 /// what has room there is to start.
-const LEAST_USED_SHARE: f64 = 0.5;
+const MIN_USED_SHARE: f64 = 0.5;
 /// The jobs for which the look for services that are short of room may take a millisecond of
 /// the time until the next, so that looks take a part of the leader's time that is bounded
 /// however many jobs wait. A job that comes in between has the place that it would have
 /// without.
 const RANKED_JOBS_PER_MS: u64 = 25;
 /// How long a service counts as overloaded at least.
-const LEAST_TIME: Duration = Duration::from_ms(1000);
+const MIN_OVERLOAD_TIME: Duration = Duration::from_ms(1000);
 /// A job whose objective has been over for so long has a turn before all others of its
 /// service, and again after as long; of several the one that was accepted first. Most callers
 /// have gone by then, but the job was accepted.
 const AGED_AFTER: Duration = Duration::from_s(30);
 /// How long a turn is: a gang that never fits must not keep room from others for ever.
 const AGED_TURN: Duration = Duration::from_s(5);
-/// The part of a run's length that is left of it, taken over all that run.
-const LEFT_PART: f64 = 0.5;
+/// The part of a run's length that is remaining of it, taken over all that run.
+const REMAINING_FRACTION: f64 = 0.5;
 
 /// How long a chain is likely to take, in percent of its estimate: each of its steps is over
 /// with the longest of its tasks.
-const LIKELY_PERCENT: u64 = 130;
+const CRITICAL_PATH_PERCENT: u64 = 130;
 /// How long a job's records and orders take besides its work.
-const WAYS: Duration = Duration::from_ms(100);
+const ORDER_OVERHEAD: Duration = Duration::from_ms(100);
 
-/// What is added to the priority of work beyond its customer's share, so that it is left out
+/// What is added to the priority of work beyond its customer's share, so that it is remaining out
 /// first: more than any queue's.
-const BEYOND_SHARE_PRIORITY: u32 = 1 << 16;
+const OVER_RATE_PRIORITY: u32 = 1 << 16;
 
 /// What a job needs besides what it has.
 #[derive(Clone, Copy, Debug, Default)]
@@ -55,7 +55,7 @@
     /// What its runs take.
     running: ResourceVector,
     /// For how long they do; `None` where they don't end by themselves.
-    running_left: Option<Duration>,
+    running_remaining: Option<Duration>,
 }
 
 /// A service that is short of room.
@@ -72,7 +72,7 @@
     /// The places of their jobs, as they were last worked out.
     ranks: OverloadRanks,
     /// When they are worked out again.
-    next_at: Instant,
+    next_ranking_at: Instant,
 }
 
 impl Overloads {
@@ -121,15 +121,15 @@
     ) {
         let features = self.config.features;
         let is_on = features.has(Feature::OverloadOrder) || features.has(Feature::Admission);
-        if !is_on || now < self.overloads.next_at {
+        if !is_on || now < self.overloads.next_ranking_at {
             return;
         }
-        let rest_ms = self.active.len() as u64 / RANKED_JOBS_PER_MS;
-        self.overloads.next_at = now + Duration::from_ms(rest_ms);
-        self.overloads.ranks = self.new_ranks(now, cycle, out);
+        let pause_ms = self.active.len() as u64 / RANKED_JOBS_PER_MS;
+        self.overloads.next_ranking_at = now + Duration::from_ms(pause_ms);
+        self.overloads.ranks = self.compute_ranks(now, cycle, out);
     }
 
-    fn new_ranks(
+    fn compute_ranks(
         &mut self,
         now: Instant,
         cycle: &SchedulingCycle,
@@ -140,11 +140,11 @@
         let is_sure = !self.has_store_trouble;
         let is_forecast_due = has_admission && is_sure && self.forecasts.are_due(now);
         let mut forecasts = Vec::new();
-        for jobs in self.jobs_of_full_services(now, cycle, out) {
+        for jobs in self.jobs_of_busy_services(now, cycle, out) {
             let mut load = ServiceLoad::new(jobs.capacity, jobs.occupancy);
             jobs.waiting_jobs.into_iter().for_each(|it| load.push(it));
             let load_percent = load.load_percent();
-            if !self.note_load(now, &jobs.service, load_percent, out) {
+            if !self.update_overload(now, &jobs.service, load_percent, out) {
                 continue;
             }
             let selected = load.select();
@@ -169,17 +169,17 @@
 
     /// Notes that no service is short of room: nothing waits.
     pub(crate) fn end_overloads(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.end_overloads_but(now, &[], out);
+        self.end_overloads_except(now, &[], out);
         self.overloads.ranks.clear();
         self.forecasts.clear();
     }
 
     /// Notes that none but these services are short of room, unless one was found to be a
     /// short while ago: it would be told to and fro otherwise.
-    fn end_overloads_but(&mut self, now: Instant, full: &[ServiceJobs], out: &mut Vec<Action>) {
+    fn end_overloads_except(&mut self, now: Instant, full: &[ServiceJobs], out: &mut Vec<Action>) {
         self.overloads.overloads.retain(|overload| {
             let is_full = full.iter().any(|it| it.service == overload.service);
-            let is_kept = is_full || now.since(overload.since) < LEAST_TIME;
+            let is_kept = is_full || now.since(overload.since) < MIN_OVERLOAD_TIME;
             if !is_kept {
                 out.push(Action::Log(ended_line(&overload.service)));
             }
@@ -188,7 +188,7 @@
     }
 
     /// Takes in a service's load; returns whether it is overloaded.
-    fn note_load(
+    fn update_overload(
         &mut self,
         now: Instant,
         service: &Arc<str>,
@@ -211,7 +211,7 @@
             }
             return is_overloaded;
         };
-        let is_young = now.since(overloads[index].since) < LEAST_TIME;
+        let is_young = now.since(overloads[index].since) < MIN_OVERLOAD_TIME;
         let is_overloaded = is_young || load_percent >= LEAVE_LOAD_PERCENT;
         if !is_overloaded {
             overloads.swap_remove(index);
@@ -221,7 +221,7 @@
     }
 
     /// Returns what waits and runs in each service whose room is mostly in use.
-    fn jobs_of_full_services(
+    fn jobs_of_busy_services(
         &mut self,
         now: Instant,
         cycle: &SchedulingCycle,
@@ -229,7 +229,7 @@
     ) -> Vec<ServiceJobs> {
         let mut services: Vec<ServiceJobs> = cycle
             .rooms()
-            .filter(|room| room.used_share() >= LEAST_USED_SHARE)
+            .filter(|room| room.used_share() >= MIN_USED_SHARE)
             .map(|room| ServiceJobs {
                 service: room.service.clone(),
                 capacity: room.capacity,
@@ -238,7 +238,7 @@
                 aged: None,
             })
             .collect();
-        self.end_overloads_but(now, &services, out);
+        self.end_overloads_except(now, &services, out);
         if services.is_empty() {
             return services;
         }
@@ -258,31 +258,31 @@
         let Some(jobs) = services.iter_mut().find(|it| *it.service == **service) else {
             return;
         };
-        let need = job.need.unwrap_or_else(|| self.need_of(job));
-        jobs.occupancy.add(need.running, need.running_left);
+        let demand = job.demand.unwrap_or_else(|| self.job_demand(job));
+        jobs.occupancy.add(demand.running, demand.running_remaining);
         // What is held by its customer's limit could not use room.
-        let is_contender = job.has_objective() && !job.is_held_by_limit && need.has_waiting();
-        if is_contender {
-            jobs.waiting_jobs.push(waiting_job(now, id, job, need));
-            jobs.note_aged(now, id, job);
+        let is_candidate = job.has_objective() && !job.is_held_by_limit && demand.has_waiting();
+        if is_candidate {
+            jobs.waiting_jobs.push(waiting_job(now, id, job, demand));
+            jobs.record_aged(now, id, job);
         }
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.need = Some(need);
+            job.demand = Some(demand);
         }
     }
 
-    fn need_of(&self, job: &Job) -> JobDemand {
-        let mut need = JobDemand {
-            running_left: Some(Duration::ZERO),
+    fn job_demand(&self, job: &Job) -> JobDemand {
+        let mut demand = JobDemand {
+            running_remaining: Some(Duration::ZERO),
             ..JobDemand::default()
         };
         for round in &job.state.rounds {
             for (spec, step) in job.record.spec.steps.iter().zip(&round.steps) {
                 let length = self.expected_task_duration(&job.record.queue, spec);
-                need.add_step(spec, step, length);
+                demand.add_step(spec, step, length);
             }
         }
-        need
+        demand
     }
 }
 
@@ -305,16 +305,16 @@
             return;
         }
         self.running.add(demand.times(running_count));
-        let left = Duration::from_ms((length_ms * LEFT_PART) as u64);
-        self.running_left = self
-            .running_left
+        let remaining = Duration::from_ms((length_ms * REMAINING_FRACTION) as u64);
+        self.running_remaining = self
+            .running_remaining
             .filter(|_| !spec.is_perpetual)
-            .map(|longest| longest.max(left));
+            .map(|longest| longest.max(remaining));
     }
 }
 
 impl ServiceJobs {
-    fn note_aged(&mut self, now: Instant, id: JobId, job: &Job) {
+    fn record_aged(&mut self, now: Instant, id: JobId, job: &Job) {
         let has_ready = job.ready.as_ref().is_some_and(|steps| !steps.is_empty());
         let late_ms = now.since(job.accepted_at + job.objective).as_ms();
         let has_turn =
@@ -331,14 +331,15 @@
     line.with_service(service)
 }
 
-fn waiting_job(now: Instant, id: JobId, job: &Job, need: JobDemand) -> WaitingJob<JobId> {
-    let left_until = |end: Instant| (now <= end).then(|| end.since(now));
+fn waiting_job(now: Instant, id: JobId, job: &Job, demand: JobDemand) -> WaitingJob<JobId> {
+    let remaining_until = |end: Instant| (now <= end).then(|| end.since(now));
     WaitingJob {
         key: id,
-        priority: job.rank.0 + u32::from(job.is_beyond_rate) * BEYOND_SHARE_PRIORITY,
-        work: need.waiting,
-        critical_path: Duration::from_ms(job.remaining_ms * LIKELY_PERCENT / 100) + WAYS,
-        time_to_objective: left_until(job.accepted_at + job.objective),
-        time_to_worthless: left_until(job.accepted_at + job.objective.times(LATE_FACTOR)),
+        priority: job.rank.0 + u32::from(job.is_beyond_rate) * OVER_RATE_PRIORITY,
+        work: demand.waiting,
+        critical_path: Duration::from_ms(job.remaining_ms * CRITICAL_PATH_PERCENT / 100)
+            + ORDER_OVERHEAD,
+        time_to_objective: remaining_until(job.accepted_at + job.objective),
+        time_to_worthless: remaining_until(job.accepted_at + job.objective.times(LATE_FACTOR)),
     }
 }
--- a/crates/scheduler/src/placing.rs
+++ b/crates/scheduler/src/placing.rs
@@ -60,7 +60,7 @@
     pub(crate) fn place(&mut self, now: Instant, out: &mut Vec<Action>) -> usize {
         self.waits.begin_cycle();
         if self.are_starts_held {
-            self.shares.rest(now);
+            self.shares.mark_none_short(now);
             self.last_cycle = CycleSummary::default();
             self.end_overloads(now, out);
             return 0;
@@ -68,7 +68,7 @@
         // Most cycles find nothing that waits, and going over all workers is what a cycle
         // costs.
         if !self.has_ready_step() {
-            self.shares.rest(now);
+            self.shares.mark_none_short(now);
             self.last_cycle = CycleSummary::default();
             self.end_overloads(now, out);
             return 0;
--- a/crates/scheduler/src/share_accounts.rs
+++ b/crates/scheduler/src/share_accounts.rs
@@ -79,8 +79,8 @@
     /// What one millionth of the service's room is of its share, in millionths.
     scale: f64,
     /// Whether it was told to be over its share, and when that was told or taken back.
-    pub(crate) is_told_over: bool,
-    pub(crate) told_at: Option<Instant>,
+    pub(crate) is_logged_over: bool,
+    pub(crate) logged_at: Option<Instant>,
 }
 
 impl ShareAccount {
@@ -141,11 +141,11 @@
     pub(crate) fn ready_demand_exceeds(
         &self,
         free: &ResourceTotals,
-        left_of: impl Fn(AccountOwner) -> Resources,
+        remaining_of: impl Fn(AccountOwner) -> Resources,
     ) -> bool {
         let mut ready_demand = ResourceTotals::default();
         for (owner, account) in &self.accounts {
-            ready_demand.add_totals(&account.ready_demand.capped(&left_of(*owner)));
+            ready_demand.add_totals(&account.ready_demand.capped(&remaining_of(*owner)));
         }
         !ready_demand.fits_in(free)
     }
@@ -182,17 +182,17 @@
     }
 
     /// Works out what each customer has running of its share.
-    pub(crate) fn weigh(&mut self, weight_of: impl Fn(AccountOwner) -> f64) {
+    pub(crate) fn update_shares(&mut self, weight_of: impl Fn(AccountOwner) -> f64) {
         let weights = self.accounts.keys().map(|owner| weight_of(*owner));
         let sum: f64 = weights.sum();
         for (owner, account) in &mut self.accounts {
             account.scale = sum / weight_of(*owner);
             account.share_ppm = account.share_of(&account.running, &self.capacity);
         }
-        self.most_over_share = self.find_most_over();
+        self.most_over_share = self.find_most_over_share();
     }
 
-    fn find_most_over(&self) -> Option<AccountOwner> {
+    fn find_most_over_share(&self) -> Option<AccountOwner> {
         if !self.is_short {
             return None;
         }
@@ -220,7 +220,7 @@
 }
 
 impl Shares {
-    pub(crate) fn key_of(&mut self, name: &str) -> ServiceKey {
+    pub(crate) fn key_or_insert(&mut self, name: &str) -> ServiceKey {
         if let Some(&key) = self.by_name.get(name) {
             return key;
         }
@@ -254,7 +254,7 @@
     }
 
     /// Notes that nothing asks for room.
-    pub(crate) fn rest(&mut self, now: Instant) {
+    pub(crate) fn mark_none_short(&mut self, now: Instant) {
         for service in self.services.values_mut().filter(|it| it.is_short) {
             service.advance(now);
             service.is_short = false;
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -31,9 +31,9 @@
 const EXCESS_STEP_PPM: u64 = WHOLE_PPM / 4;
 /// A customer's tag is told as back within its share once it is ahead by less than this, so
 /// that one at the threshold is not told of all the time.
-const LAG_TOLD_BACK: Duration = Duration::from_ms(500);
+const LAG_WITHIN_SHARE: Duration = Duration::from_ms(500);
 /// The least time between two log lines on one customer in one service.
-const TOLD_PERIOD: Duration = Duration::from_ms(10_000);
+const LOG_PERIOD: Duration = Duration::from_ms(10_000);
 /// A customer that has less than this part of its share running is well under it: others'
 /// work may be stopped for what it would miss.
 const WELL_UNDER_PPM: u64 = WHOLE_PPM / 2;
@@ -70,8 +70,8 @@
 
     /// Returns the same for a job before which its customer has so much running or asked for,
     /// in millionths of its share, where so much is allowed.
-    const fn with_ahead(mut self, ahead_ppm: u64, allowed_ppm: u64) -> Self {
-        let excess_ppm = ahead_ppm.saturating_sub(allowed_ppm);
+    const fn with_excess(mut self, used_ppm: u64, allowed_ppm: u64) -> Self {
+        let excess_ppm = used_ppm.saturating_sub(allowed_ppm);
         self.excess_steps_count = excess_ppm.div_ceil(EXCESS_STEP_PPM);
         self
     }
@@ -107,7 +107,7 @@
         };
         let queue = self.configuration.queue(&job.record.queue);
         let service = queue.map_or(&job.record.service, |queue| &queue.service);
-        let service = self.shares.key_of(service);
+        let service = self.shares.key_or_insert(service);
         self.shares.open_job(service, job.customer);
         if let Some(before) = job.service.replace(service) {
             let ready_demand = core::mem::take(&mut job.ready_demand);
@@ -168,15 +168,16 @@
             let weight = owner.and_then(|key| accounts.get(key).weight());
             weight.unwrap_or(mean_weight)
         };
-        let left_of = |owner: AccountOwner| owner.map_or(NO_LIMIT, |key| accounts.get(key).left());
+        let remaining_of =
+            |owner: AccountOwner| owner.map_or(NO_LIMIT, |key| accounts.get(key).remaining());
         for service in self.shares.services.values_mut() {
             service.advance(now);
             service.capacity = cycle.capacity_of(&service.name);
             let free = cycle.free_of(&service.name);
-            service.is_short = service.ready_demand_exceeds(&free, left_of);
-            service.weigh(weight_of);
+            service.is_short = service.ready_demand_exceeds(&free, remaining_of);
+            service.update_shares(weight_of);
         }
-        self.tell_shares(now, out);
+        self.log_share_changes(now, out);
     }
 
     /// Counts anew what jobs ask for that have changed.
@@ -196,7 +197,7 @@
     }
 
     /// Tells of customers that went over their share, or came back.
-    fn tell_shares(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn log_share_changes(&mut self, now: Instant, out: &mut Vec<Action>) {
         let accounts = &self.accounts;
         for service in self.shares.services.values_mut() {
             for (owner, account) in &mut service.accounts {
@@ -204,18 +205,18 @@
                     continue;
                 };
                 let lag = account.lag(service.clock);
-                let is_over = match account.is_told_over {
-                    true => lag >= LAG_TOLD_BACK,
+                let is_over = match account.is_logged_over {
+                    true => lag >= LAG_WITHIN_SHARE,
                     false => lag >= LAG_SLACK,
                 };
                 let is_due = account
-                    .told_at
-                    .is_none_or(|at| now.since(at) >= TOLD_PERIOD);
-                if is_over == account.is_told_over || !is_due {
+                    .logged_at
+                    .is_none_or(|at| now.since(at) >= LOG_PERIOD);
+                if is_over == account.is_logged_over || !is_due {
                     continue;
                 }
-                account.is_told_over = is_over;
-                account.told_at = Some(now);
+                account.is_logged_over = is_over;
+                account.logged_at = Some(now);
                 let reason = match is_over {
                     true => "over its share",
                     false => "within its share",
@@ -252,7 +253,7 @@
         ahead: &mut HashMap<(ServiceKey, AccountOwner), u64>,
     ) -> ShareRank {
         let rank = ShareRank::of_job(job);
-        let Some(key) = job.service.filter(|_| is_held_to_share(job)) else {
+        let Some(key) = job.service.filter(|_| is_subject_to_share(job)) else {
             return rank;
         };
         let service = &self.shares.services[key];
@@ -262,7 +263,7 @@
         };
         let before = ahead.entry((key, job.customer));
         let before_ppm = before.or_insert(account.share_ppm);
-        let rank = rank.with_ahead(*before_ppm, account.allowed_ppm(service.clock));
+        let rank = rank.with_excess(*before_ppm, account.allowed_ppm(service.clock));
         let asked_ppm = account.share_of(&job.ready_demand, &service.capacity);
         *before_ppm = before_ppm.saturating_add(asked_ppm);
         rank
@@ -316,7 +317,7 @@
 /// Returns whether a job comes later where its customer is over its share. Jobs of open
 /// queues are nobody's to be held to one, and perpetual work that has begun keeps its room: a
 /// task of it that ends must go on at once.
-fn is_held_to_share(job: &Job) -> bool {
+fn is_subject_to_share(job: &Job) -> bool {
     let is_perpetual = job.record.spec.steps.iter().any(|step| step.is_perpetual);
     job.customer.is_some() && !(is_perpetual && job.has_begun)
 }
--- a/crates/scheduler/src/speed_wish.rs
+++ b/crates/scheduler/src/speed_wish.rs
@@ -71,5 +71,5 @@
 
 /// Returns how long what is left takes on the slow workers.
 fn slow_left(left: Duration, speeds: &ServiceSpeeds) -> Duration {
-    scaled(left, 1.0 / speeds.slow)
+    scaled(left, 1.0 / speeds.low_factor)
 }
--- a/crates/scheduler/src/step_durations.rs
+++ b/crates/scheduler/src/step_durations.rs
@@ -1,23 +1,23 @@
-//! What the tasks of one step take: they are about alike, so those that are done tell of the
+//! What the tasks of one step take: they are about alike, so those that are done sample_speeds of the
 //! others, and each tells of the machine that did it.
 
 use ospreywing_types::Duration;
 use std::sync::Arc;
 
-/// The tasks that are kept of a step; of a larger one the last.
-const KEPT_COUNT: usize = 32;
-/// The tasks that must be done before they tell of the others.
-const LEAST_COUNT: usize = 3;
+/// The tasks that are recent of a step; of a larger one the last.
+const RECENT_TASKS_COUNT: usize = 32;
+/// The tasks that must be done before they sample_speeds of the others.
+const MIN_TASKS_COUNT: usize = 3;
 
 /// A task that is done.
 #[derive(Clone, Debug)]
-pub(crate) struct DoneTask {
+pub(crate) struct FinishedTask {
     pub(crate) machine: Arc<str>,
     /// The service that the machine belongs to.
     pub(crate) service: Arc<str>,
-    pub(crate) length: Duration,
+    pub(crate) duration: Duration,
     /// The same on a worker of usual speed.
-    pub(crate) usual_length: Duration,
+    pub(crate) typical_duration: Duration,
 }
 
 /// How fast a machine did a task, beside the others of its step.
@@ -32,9 +32,9 @@
 pub(crate) struct StepDurations {
     tasks_count: usize,
     done_count: usize,
-    kept: Vec<DoneTask>,
-    /// How many of those that are kept have told of their machines.
-    told_count: usize,
+    recent: Vec<FinishedTask>,
+    /// How many of those that are recent have told of their machines.
+    sampled_count: usize,
     median_ms: u64,
 }
 
@@ -43,23 +43,23 @@
         Self {
             tasks_count,
             done_count: 0,
-            kept: Vec::new(),
-            told_count: 0,
+            recent: Vec::new(),
+            sampled_count: 0,
             median_ms: 0,
         }
     }
 
     /// Takes in a task that is done; returns what is now known of machines.
-    pub(crate) fn record(&mut self, task: DoneTask) -> Vec<SpeedSample> {
-        if self.kept.len() == KEPT_COUNT {
-            self.kept.remove(0);
-            self.told_count = self.told_count.saturating_sub(1);
+    pub(crate) fn record(&mut self, task: FinishedTask) -> Vec<SpeedSample> {
+        if self.recent.len() == RECENT_TASKS_COUNT {
+            self.recent.remove(0);
+            self.sampled_count = self.sampled_count.saturating_sub(1);
         }
-        self.kept.push(task);
+        self.recent.push(task);
         self.done_count += 1;
-        self.median_ms = self.work_out_median_ms();
-        if self.is_median_known() {
-            self.tell()
+        self.median_ms = self.compute_median_ms();
+        if self.is_median_representative() {
+            self.sample_speeds()
         } else {
             Vec::new()
         }
@@ -67,39 +67,39 @@
 
     /// Returns what the step's tasks take on a worker of usual speed, where some are done.
     pub(crate) fn likely(&self) -> Option<Duration> {
-        let is_known = self.kept.len() >= LEAST_COUNT;
+        let is_known = self.recent.len() >= MIN_TASKS_COUNT;
         is_known.then_some(Duration::from_ms(self.median_ms))
     }
 
-    /// Returns whether the task that was taken in last was the first that made the length
+    /// Returns whether the task that was taken in last was the first that made the duration
     /// known, or made it known for good.
-    pub(crate) const fn has_news(&self) -> bool {
-        self.done_count == LEAST_COUNT || self.done_count == self.half_count()
+    pub(crate) const fn should_update_estimates(&self) -> bool {
+        self.done_count == MIN_TASKS_COUNT || self.done_count == self.half_count()
     }
 
     /// Takes in that no further task will be done; returns what is now known of machines.
     pub(crate) fn finish(&mut self) -> Vec<SpeedSample> {
-        // Some tasks may have been done in ways that tell nothing.
+        // Some tasks may have been done in ways that sample_speeds nothing.
         self.tasks_count = self.done_count;
-        if self.kept.is_empty() {
+        if self.recent.is_empty() {
             return Vec::new();
         }
-        self.median_ms = self.work_out_median_ms();
-        if self.is_median_known() {
-            self.tell()
+        self.median_ms = self.compute_median_ms();
+        if self.is_median_representative() {
+            self.sample_speeds()
         } else {
             Vec::new()
         }
     }
 
     /// Returns the tasks that have not told of their machines.
-    pub(crate) fn untold(&self) -> &[DoneTask] {
-        &self.kept[self.told_count..]
+    pub(crate) fn unsampled(&self) -> &[FinishedTask] {
+        &self.recent[self.sampled_count..]
     }
 
     /// Returns the median of those that are done, of however few.
     pub(crate) fn median(&self) -> Option<Duration> {
-        (!self.kept.is_empty()).then_some(Duration::from_ms(self.median_ms))
+        (!self.recent.is_empty()).then_some(Duration::from_ms(self.median_ms))
     }
 
     const fn half_count(&self) -> usize {
@@ -108,32 +108,33 @@
 
     /// Returns whether the median of those that are done is that of all. The first that are
     /// done are the fastest, and beside these alone every machine would seem slow.
-    const fn is_median_known(&self) -> bool {
+    const fn is_median_representative(&self) -> bool {
         let is_half_done = self.done_count >= self.half_count();
-        self.kept.len() >= LEAST_COUNT && (is_half_done || self.done_count >= KEPT_COUNT)
+        self.recent.len() >= MIN_TASKS_COUNT
+            && (is_half_done || self.done_count >= RECENT_TASKS_COUNT)
     }
 
-    fn work_out_median_ms(&self) -> u64 {
-        let lengths = self.kept.iter().map(|task| task.usual_length.as_ms());
-        let mut lengths: Vec<u64> = lengths.collect();
+    fn compute_median_ms(&self) -> u64 {
+        let durations = self.recent.iter().map(|task| task.typical_duration.as_ms());
+        let mut durations: Vec<u64> = durations.collect();
         // Tasks that are not done yet are longer, as far as they began together.
-        let is_whole = self.tasks_count <= KEPT_COUNT;
-        let of_count = if is_whole {
+        let are_all_recent = self.tasks_count <= RECENT_TASKS_COUNT;
+        let median_of_count = if are_all_recent {
             self.tasks_count
         } else {
-            lengths.len()
+            durations.len()
         };
-        let middle = (of_count / 2).min(lengths.len() - 1);
-        *lengths.select_nth_unstable(middle).1
+        let middle = (median_of_count / 2).min(durations.len() - 1);
+        *durations.select_nth_unstable(middle).1
     }
 
-    fn tell(&mut self) -> Vec<SpeedSample> {
-        let samples = self.untold().iter().map(|task| SpeedSample {
+    fn sample_speeds(&mut self) -> Vec<SpeedSample> {
+        let samples = self.unsampled().iter().map(|task| SpeedSample {
             machine: task.machine.clone(),
-            speed: self.median_ms as f64 / task.length.as_ms().max(1) as f64,
+            speed: self.median_ms as f64 / task.duration.as_ms().max(1) as f64,
         });
         let samples = samples.collect();
-        self.told_count = self.kept.len();
+        self.sampled_count = self.recent.len();
         samples
     }
 }
--- a/crates/scheduler/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     jobs_per_s: f64,
-    left: f64,
-    filled_at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Default for TokenBucket {
@@ -20,21 +20,21 @@
     fn default() -> Self {
         Self {
             jobs_per_s: f64::INFINITY,
-            left: f64::INFINITY,
-            filled_at: Instant::default(),
+            tokens: f64::INFINITY,
+            refilled_at: Instant::default(),
         }
     }
 }
 
 impl TokenBucket {
     /// Sets the rate; 0, or what is no rate, stands for no limit.
-    pub(crate) fn set_jobs_per_s(&mut self, jobs_per_s: f64) {
+    pub(crate) fn set_rate(&mut self, jobs_per_s: f64) {
         let is_limit = jobs_per_s.is_finite() && jobs_per_s > 0.0;
         let jobs_per_s = if is_limit { jobs_per_s } else { f64::INFINITY };
         // The bucket begins full, and stays as full as it was.
-        let full = bucket_of(jobs_per_s);
-        self.left = if self.left.is_finite() {
-            self.left.min(full)
+        let full = bucket_size(jobs_per_s);
+        self.tokens = if self.tokens.is_finite() {
+            self.tokens.min(full)
         } else {
             full
         };
@@ -42,23 +42,23 @@
     }
 
     /// Takes one job off; returns whether there was one.
-    pub(crate) fn take(&mut self, now: Instant) -> bool {
+    pub(crate) fn try_take(&mut self, now: Instant) -> bool {
         if !self.jobs_per_s.is_finite() {
             return true;
         }
-        let passed: Duration = now.since(self.filled_at);
+        let passed: Duration = now.since(self.refilled_at);
         let earned = self.jobs_per_s * passed.as_ms() as f64 / MS_PER_S;
-        self.left = (self.left + earned).min(bucket_of(self.jobs_per_s));
-        self.filled_at = self.filled_at.max(now);
-        let has_one = self.left >= 1.0;
+        self.tokens = (self.tokens + earned).min(bucket_size(self.jobs_per_s));
+        self.refilled_at = self.refilled_at.max(now);
+        let has_one = self.tokens >= 1.0;
         if has_one {
-            self.left -= 1.0;
+            self.tokens -= 1.0;
         }
         has_one
     }
 }
 
 /// Returns what a full bucket holds: one job at least, so that a slow rate lets some pass.
-fn bucket_of(jobs_per_s: f64) -> f64 {
+fn bucket_size(jobs_per_s: f64) -> f64 {
     (jobs_per_s * BURST_S).max(1.0)
 }
--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -272,17 +272,17 @@
             ServiceLoad::new(ResourceVector::of(&capacity), Occupancy::default());
         let mut runs: Vec<(Resources, u64)> = (0..rng.random_range(0..16))
             .map(|_| {
-                let rate = Resources::new(rng.random_range(1..1000), 2000, 0);
-                (rate, rng.random_range(0..3_000))
+                let usage = Resources::new(rng.random_range(1..1000), 2000, 0);
+                (usage, rng.random_range(0..3_000))
             })
             .collect();
         runs.sort_by_key(|(_, left_ms)| *left_ms);
         let lasting: Vec<OccupyingRun> = runs
             .iter()
-            .map(|(rate, left_ms)| OccupyingRun {
+            .map(|(usage, left_ms)| OccupyingRun {
                 priority: 1,
-                rate: ResourceVector::of(rate),
-                left: Duration::from_ms(*left_ms),
+                usage: ResourceVector::of(usage),
+                remaining: Duration::from_ms(*left_ms),
             })
             .collect();
         let needed = Resources::new(rng.random_range(1..4_000), rng.random_range(1..8_000), 0);
@@ -296,7 +296,7 @@
         while !is_given(given) {
             let mut free = capacity;
             let alive = runs.iter().filter(|(_, left_ms)| now_ms < *left_ms);
-            alive.for_each(|(rate, _)| free -= *rate);
+            alive.for_each(|(usage, _)| free -= *usage);
             given[0] += u64::from(free.cores_milli);
             given[1] += u64::from(free.memory_mib);
             now_ms += 1;
