--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -3,7 +3,7 @@
 //! The nearest evidence counts: a run's own pace, then the tasks of its step that are done,
 //! then what steps of its queue took, then the client's estimate.
 
-use crate::durations::{LengthForecast, LengthKind};
+use crate::durations::{DurationForecast, StepClass};
 use crate::job::{JobId, StepKey, StepSpec, TaskKey};
 use crate::jobs::Job;
 use crate::learning::scaled;
@@ -17,25 +17,25 @@
 const STEP_SURE_PERCENT: u64 = 75;
 const STEP_LATE_PERCENT: u64 = 130;
 /// A run must have come so far since it began for its pace to tell when it ends.
-const PACE_PERCENT: u32 = 5;
+const MIN_PROGRESS_PERCENT: u32 = 5;
 /// For how long before others' work is planned by it: progress is told in steps, and a run
 /// may have been listed just after one.
-const STEADY_TIME: Duration = Duration::from_ms(500);
+const MIN_PROGRESS_TIME: Duration = Duration::from_ms(500);
 /// The part of an estimate that a run surely needs, in percent, where nothing else is known:
 /// a run that would have ended before its worker leaves is stopped for nothing.
-const DEPARTURE_SURE_PERCENT: u64 = 70;
+const DEPARTURE_MIN_PERCENT: u64 = 70;
 
 /// What a step's tasks take on a worker of usual speed, as far as that was learned.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LearnedLength {
+pub(crate) struct LearnedDuration {
     pub(crate) sure: Duration,
     pub(crate) likely: Duration,
     /// The time in which nine of ten are done.
     pub(crate) late: Duration,
 }
 
-impl From<LengthForecast> for LearnedLength {
-    fn from(forecast: LengthForecast) -> Self {
+impl From<DurationForecast> for LearnedDuration {
+    fn from(forecast: DurationForecast) -> Self {
         Self {
             sure: forecast.sure,
             likely: forecast.likely,
@@ -44,7 +44,7 @@
     }
 }
 
-impl LengthKind {
+impl StepClass {
     /// Returns the kind of a step.
     pub(crate) const fn of(spec: &StepSpec) -> Self {
         Self {
@@ -56,39 +56,39 @@
 
 impl Scheduler {
     /// Returns how long a task of a queue's step should take on a worker of usual speed.
-    pub(crate) fn task_length(&self, queue: &str, spec: &StepSpec) -> Duration {
+    pub(crate) fn expected_task_duration(&self, queue: &str, spec: &StepSpec) -> Duration {
         let estimate = Duration::from_ms(spec.estimate_ms);
-        let learned = self.queue_length(queue, spec);
-        learned.map_or(estimate, |length| length.likely)
+        let learned = self.learned_queue_duration(queue, spec);
+        learned.map_or(estimate, |duration| duration.likely)
     }
 
-    fn queue_length(&self, queue: &str, spec: &StepSpec) -> Option<LearnedLength> {
+    fn learned_queue_duration(&self, queue: &str, spec: &StepSpec) -> Option<LearnedDuration> {
         if !self.is_learning() || spec.is_perpetual {
             return None;
         }
         let learning = &self.learning;
-        let kind = LengthKind::of(spec);
+        let kind = StepClass::of(spec);
         let forecast = learning.durations.forecast(learning.now, queue, kind)?;
         Some(forecast.into())
     }
 
     /// Returns what was learned of the tasks of a step.
-    pub(crate) fn step_length(
+    pub(crate) fn learned_task_duration(
         &self,
         queue: &str,
         step: StepKey,
         spec: &StepSpec,
-    ) -> Option<LearnedLength> {
-        let pace = self.learning.paces.get(&step);
+    ) -> Option<LearnedDuration> {
+        let pace = self.learning.step_durations.get(&step);
         if let Some(likely) = pace.and_then(|pace| pace.likely()) {
             let part = |percent| Duration::from_ms(likely.as_ms() * percent / 100);
-            return Some(LearnedLength {
+            return Some(LearnedDuration {
                 sure: part(STEP_SURE_PERCENT),
                 likely,
                 late: part(STEP_LATE_PERCENT),
             });
         }
-        self.queue_length(queue, spec)
+        self.learned_queue_duration(queue, spec)
     }
 
     /// Returns a worker's speed, as a factor on the usual one.
@@ -97,7 +97,7 @@
     }
 
     /// Returns how long a run should still take; `None` where it does not end by itself.
-    pub(crate) fn time_left(&self, task: TaskKey, run: &Run) -> Option<Duration> {
+    pub(crate) fn remaining_time(&self, task: TaskKey, run: &Run) -> Option<Duration> {
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.record.spec.steps.get(task.step.step as usize)?;
         if matches!(run.phase, RunPhase::Stopping { .. }) {
@@ -106,59 +106,64 @@
         if spec.is_perpetual {
             return None;
         }
-        if let Some(left) = run.left_by_steady_pace().filter(|_| self.is_learning()) {
-            return Some(left);
+        if let Some(remaining) = run
+            .remaining_by_steady_progress()
+            .filter(|_| self.is_learning())
+        {
+            return Some(remaining);
         }
-        let learned = self.step_length(&job.record.queue, task.step, spec);
+        let learned = self.learned_task_duration(&job.record.queue, task.step, spec);
         let estimate = Duration::from_ms(spec.estimate_ms);
-        let length = learned.map_or(estimate, |length| length.likely);
-        Some(run.left_of(self.on_worker_of(task, length)))
+        let duration = learned.map_or(estimate, |duration| duration.likely);
+        Some(run.remaining_of(self.scaled_to_worker(task, duration)))
     }
 
     /// Returns when a run ends at the earliest: by its pace where that is known, otherwise by
     /// the least that is known of its step.
-    pub(crate) fn expected_end(&self, task: TaskKey, spec: &StepSpec, run: &Run) -> Instant {
-        let left = run.left_by_pace().unwrap_or_else(|| {
+    pub(crate) fn earliest_end(&self, task: TaskKey, spec: &StepSpec, run: &Run) -> Instant {
+        let remaining = run.remaining_by_progress().unwrap_or_else(|| {
             let job = self.jobs.get(&task.step.job);
-            let learned = job.and_then(|job| self.step_length(&job.record.queue, task.step, spec));
+            let learned =
+                job.and_then(|job| self.learned_task_duration(&job.record.queue, task.step, spec));
             match learned {
-                Some(length) => run.left_of(self.on_worker_of(task, length.sure)),
+                Some(duration) => run.remaining_of(self.scaled_to_worker(task, duration.sure)),
                 None => {
-                    let left_percent = u64::from(run.left_percent());
-                    let sure_ms = spec.estimate_ms * left_percent * DEPARTURE_SURE_PERCENT;
-                    Duration::from_ms(sure_ms / (100 * 100))
+                    let remaining_percent = u64::from(run.remaining_percent());
+                    let min_remaining_ms =
+                        spec.estimate_ms * remaining_percent * DEPARTURE_MIN_PERCENT;
+                    Duration::from_ms(min_remaining_ms / (100 * 100))
                 }
             }
         });
-        run.listed_at + left
+        run.listed_at + remaining
     }
 
     /// Returns how long a task takes on the worker that it was given to.
-    fn on_worker_of(&self, task: TaskKey, length: Duration) -> Duration {
+    fn scaled_to_worker(&self, task: TaskKey, duration: Duration) -> Duration {
         match self.placements.get(&task) {
             Some(worker) if self.workers[*worker].speed.is_known() => {
-                scaled(length, 1.0 / self.speed_of(*worker))
+                scaled(duration, 1.0 / self.speed_of(*worker))
             }
-            _ => length,
+            _ => duration,
         }
     }
 
-    /// Works out anew what is left of a job.
-    pub(crate) fn note_left(&mut self, id: JobId) {
+    /// Works out anew what is remaining of a job.
+    pub(crate) fn update_remaining(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         let rounds = job.state.rounds.iter();
-        let left = rounds.map(|round| self.left_of_round(id, job, round));
-        let (mut left_ms, mut sure_ms) = (0, 0);
-        for round in left {
-            left_ms = left_ms.max(round.left_ms);
-            sure_ms = sure_ms.max(round.sure_ms);
+        let remaining = rounds.map(|round| self.remaining_of_round(id, job, round));
+        let (mut remaining_ms, mut min_remaining_ms) = (0, 0);
+        for round in remaining {
+            remaining_ms = remaining_ms.max(round.remaining_ms);
+            min_remaining_ms = min_remaining_ms.max(round.min_remaining_ms);
         }
         let objective = self.learned_objective(id, job);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.left_ms = left_ms;
-            job.sure_ms = sure_ms;
+            job.remaining_ms = remaining_ms;
+            job.min_remaining_ms = min_remaining_ms;
             job.objective = objective;
         }
     }
@@ -175,14 +180,19 @@
                 step: number as u32,
             };
             let done = job.done_lengths.get(&step).copied();
-            let likely = || Some(self.step_length(&record.queue, step, spec)?.likely);
+            let likely = || {
+                Some(
+                    self.learned_task_duration(&record.queue, step, spec)?
+                        .likely,
+                )
+            };
             let known = done.filter(|_| self.is_learning()).or_else(likely);
             known.map_or(spec.estimate_ms, Duration::as_ms)
         };
         self.objective(record, length_ms)
     }
 
-    fn left_of_round(&self, id: JobId, job: &Job, round: &RoundState) -> RoundLeft {
+    fn remaining_of_round(&self, id: JobId, job: &Job, round: &RoundState) -> RoundRemaining {
         let learned = |number: usize| {
             let step = StepKey {
                 job: id,
@@ -190,60 +200,60 @@
                 step: number as u32,
             };
             let spec = &job.record.spec.steps[number];
-            self.step_length(&job.record.queue, step, spec)
+            self.learned_task_duration(&job.record.queue, step, spec)
         };
         let steps = &job.record.spec.steps;
-        let learned: Vec<Option<LearnedLength>> = (0..steps.len()).map(learned).collect();
+        let learned: Vec<Option<LearnedDuration>> = (0..steps.len()).map(learned).collect();
         let likely_ms = |number: usize| {
-            let likely = learned[number].map(|length| length.likely.as_ms());
+            let likely = learned[number].map(|duration| duration.likely.as_ms());
             likely.unwrap_or(steps[number].estimate_ms)
         };
         // In hundredths, so that parts of estimates are not rounded one by one.
         let sure = |number: usize| {
-            let sure = learned[number].map(|length| length.sure.as_ms() * 100);
+            let sure = learned[number].map(|duration| duration.sure.as_ms() * 100);
             sure.unwrap_or(steps[number].estimate_ms * SURE_PERCENT)
         };
-        RoundLeft {
-            left_ms: chain(&job.record, Some(round), likely_ms),
-            sure_ms: chain(&job.record, Some(round), sure) / 100,
+        RoundRemaining {
+            remaining_ms: chain(&job.record, Some(round), likely_ms),
+            min_remaining_ms: chain(&job.record, Some(round), sure) / 100,
         }
     }
 }
 
-/// What is left of a round's longest chain.
-struct RoundLeft {
-    left_ms: u64,
-    sure_ms: u64,
+/// What is remaining of a round's longest chain.
+struct RoundRemaining {
+    remaining_ms: u64,
+    min_remaining_ms: u64,
 }
 
 impl Run {
-    fn left_percent(&self) -> u32 {
+    fn remaining_percent(&self) -> u32 {
         100_u32.saturating_sub(self.progress_percent)
     }
 
-    /// Returns what is left of a length.
-    fn left_of(&self, length: Duration) -> Duration {
-        Duration::from_ms(length.as_ms() * u64::from(self.left_percent()) / 100)
+    /// Returns what is remaining of a duration.
+    fn remaining_of(&self, duration: Duration) -> Duration {
+        Duration::from_ms(duration.as_ms() * u64::from(self.remaining_percent()) / 100)
     }
 
     /// Returns how long the run still takes by its own pace, where it has come far enough.
-    pub(crate) fn left_by_pace(&self) -> Option<Duration> {
+    pub(crate) fn remaining_by_progress(&self) -> Option<Duration> {
         let from = self.pace_from?;
-        let came_percent = self.progress_percent.saturating_sub(from.percent);
-        if came_percent < PACE_PERCENT {
+        let done_percent = self.progress_percent.saturating_sub(from.percent);
+        if done_percent < MIN_PROGRESS_PERCENT {
             return None;
         }
         let spent_ms = self.listed_at.since(from.at).as_ms();
-        let percent_ms = spent_ms / u64::from(came_percent);
+        let percent_ms = spent_ms / u64::from(done_percent);
         Some(Duration::from_ms(
-            percent_ms * u64::from(self.left_percent()),
+            percent_ms * u64::from(self.remaining_percent()),
         ))
     }
 
     /// Returns the same where that pace has lasted.
-    pub(crate) fn left_by_steady_pace(&self) -> Option<Duration> {
+    pub(crate) fn remaining_by_steady_progress(&self) -> Option<Duration> {
         let spent = self.listed_at.since(self.pace_from?.at);
-        let is_steady = spent >= STEADY_TIME;
-        self.left_by_pace().filter(|_| is_steady)
+        let is_steady = spent >= MIN_PROGRESS_TIME;
+        self.remaining_by_progress().filter(|_| is_steady)
     }
 }
