--- a/crates/control/src/cell_follow.rs
+++ b/crates/control/src/cell_follow.rs
@@ -162,7 +162,7 @@
     while !leading.is_over() {
         let changed = node.cell_changed.notified();
         let list =
-            cell_view::candidate_list(&node.cell.borrow(), node.settings.sharing_nodes_count);
+            cell_view::candidate_list(&node.cell.borrow(), node.settings.sharing_min_nodes_count);
         if list.candidates.is_empty() || node.cell.borrow().list == list {
             // The term may end without a change.
             let _ = tokio::time::timeout(WATCH_WAIT.into(), changed).await;
--- a/crates/control/src/configuration_sharing.rs
+++ b/crates/control/src/configuration_sharing.rs
@@ -21,7 +21,7 @@
 use thiserror::Error;
 
 /// From how many nodes on configurations are handed on, unless set.
-pub const SHARING_NODES_COUNT: usize = 100;
+pub const SHARING_MIN_NODES_COUNT: usize = 100;
 /// The questions within the time in which a change must be in force.
 const QUESTIONS_COUNT: u64 = 4;
 /// How long an answer may take beyond the time that it waits for a change.
--- a/crates/control/src/decision_loop.rs
+++ b/crates/control/src/decision_loop.rs
@@ -7,7 +7,7 @@
 use crate::leader::Leading;
 use crate::node::Node;
 use crate::orders;
-use crate::platform::{Look, Platform};
+use crate::platform::{Platform, WorkerPoll};
 use crate::relay::links;
 use crate::relay::message::Order;
 use crate::step_down;
@@ -188,7 +188,7 @@
             wait,
             patience,
         } => {
-            let look = Look {
+            let look = WorkerPoll {
                 until_ms,
                 last_seen,
                 wait,
--- a/crates/control/src/front.rs
+++ b/crates/control/src/front.rs
@@ -1,7 +1,7 @@
 //! Listening: clients, the balancer's question, other nodes.
 
 use crate::node::{Node, NodeError};
-use crate::platform::{FrontLimits, Platform, Reply, RequestHead, Retry};
+use crate::platform::{Platform, Reply, RequestHead, RequestLimits, Retry};
 use crate::{clock, metrics, peer, requests};
 use http::header::{HeaderValue, CONNECTION, CONTENT_TYPE};
 use http::{Request, Response, StatusCode};
@@ -29,11 +29,11 @@
 const SKIPPED_BODY_LIMIT_BYTES: usize = 16 * 1024;
 const SKIPPED_BODY_TIME: Duration = Duration::from_ms(50);
 /// Limits before the operators have set any.
-const FIRST_LIMITS: FrontLimits = FrontLimits {
-    head_bytes: 16 * 1024,
-    body_bytes: 256 * 1024,
-    head_time: Duration::from_ms(3000),
-    idle_time: Duration::from_ms(15_000),
+const FIRST_LIMITS: RequestLimits = RequestLimits {
+    head_limit_bytes: 16 * 1024,
+    body_limit_bytes: 256 * 1024,
+    read_timeout: Duration::from_ms(3000),
+    idle_timeout: Duration::from_ms(15_000),
 };
 /// When a client may come back that came before there was a configuration, or
 /// while it was not known whether there is a newer one.
@@ -166,8 +166,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(core::time::Duration::from(limits.idle_time))
-        .max_buf_size(limits.head_bytes.max(HEAD_FLOOR_BYTES))
+        .header_read_timeout(core::time::Duration::from(limits.idle_timeout))
+        .max_buf_size(limits.head_limit_bytes.max(HEAD_FLOOR_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -179,7 +179,7 @@
     let _ = connection.await;
 }
 
-fn limits<P: Platform>(node: &Rc<Node<P>>) -> FrontLimits {
+fn limits<P: Platform>(node: &Rc<Node<P>>) -> RequestLimits {
     let in_force = node.configuration.in_force();
     in_force.map_or(FIRST_LIMITS, |in_force| P::limits(&in_force.routes))
 }
@@ -211,7 +211,7 @@
 ) -> Response<Full<Bytes>> {
     let is_asked = node
         .platform
-        .is_ready_question(request.method(), request.uri().path());
+        .is_readiness_probe(request.method(), request.uri().path());
     let status = match (is_asked, node.is_ready()) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
@@ -277,18 +277,18 @@
         Ok(body) => body,
         Err(reply) => return reply,
     };
-    match node.platform.read_call(admission, &body) {
+    match node.platform.parse_call(admission, &body) {
         Ok(call) => requests::execute(node, call, &in_force.configuration).await,
         Err(reply) => reply,
     }
 }
 
-async fn read_body(body: IncomingBody, limits: FrontLimits) -> Result<Bytes, Reply> {
-    let body = Limited::new(body, limits.body_bytes).collect();
-    match tokio::time::timeout(limits.head_time.into(), body).await {
+async fn read_body(body: IncomingBody, limits: RequestLimits) -> Result<Bytes, Reply> {
+    let body = Limited::new(body, limits.body_limit_bytes).collect();
+    match tokio::time::timeout(limits.read_timeout.into(), body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
-            let limit_bytes = limits.body_bytes;
+            let limit_bytes = limits.body_limit_bytes;
             Err(Reply::TooLarge { limit_bytes })
         }
         Ok(Err(error)) => Err(Reply::Invalid {
--- a/crates/control/src/layered.rs
+++ b/crates/control/src/layered.rs
@@ -24,7 +24,7 @@
     /// A lease is taken.
     GrantLease,
     /// A lease is renewed.
-    KeepLease,
+    RenewLease,
     /// A lease is ended.
     EndLease,
 }
@@ -38,7 +38,7 @@
             Self::Watch => "watch",
             Self::Commit { .. } => "commit",
             Self::GrantLease => "grant_lease",
-            Self::KeepLease => "keep_lease",
+            Self::RenewLease => "keep_lease",
             Self::EndLease => "end_lease",
         }
     }
@@ -149,9 +149,9 @@
         self.layer.around(StoreCall::GrantLease, made).await
     }
 
-    async fn keep_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let made = self.store.keep_lease(lease);
-        self.layer.around(StoreCall::KeepLease, made).await
+    async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
+        let made = self.store.renew_lease(lease);
+        self.layer.around(StoreCall::RenewLease, made).await
     }
 
     async fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -176,7 +176,7 @@
         lanes,
         open_commits_count: Cell::new(0),
     });
-    tokio::task::spawn_local(leader_lease::keep_lease(node.clone(), leading.clone()));
+    tokio::task::spawn_local(leader_lease::renew_lease(node.clone(), leading.clone()));
     tokio::task::spawn_local(cell_follow::follow_nodes(node.clone(), leading.clone()));
     tokio::task::spawn_local(cell_follow::publish_candidates(
         node.clone(),
--- a/crates/control/src/leader_lease.rs
+++ b/crates/control/src/leader_lease.rs
@@ -24,7 +24,7 @@
 const RETRY: Duration = Duration::from_ms(100);
 
 /// Renews the lease until the term is over.
-pub(crate) async fn keep_lease<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
+pub(crate) async fn renew_lease<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
     let mut failures_count = 0;
     while !leading.is_over() {
         if failures_count == 0 {
@@ -35,7 +35,7 @@
         let sent_at = clock::now();
         let open_since = &leading.renewal_open_since;
         open_since.set(open_since.get().or(Some(sent_at)));
-        match node.store.keep_lease(leading.lease).await {
+        match node.store.renew_lease(leading.lease).await {
             Ok(()) => {
                 node.note_contact();
                 failures_count = 0;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -56,10 +56,10 @@
 pub use credentials::{Credentials, KeyHasher};
 pub use node::{run, NodeError, NodeSettings};
 pub use platform::{
-    Call, CallError, CordonError, CordonFault, EntryError, EntryFault, FrontLimits, Look, Platform,
-    Reply, RequestHead, Retry,
+    Call, CallError, CordonError, CordonFault, Platform, Reply, RequestHead, RequestLimits, Retry,
+    WorkerEntryError, WorkerEntryFault, WorkerPoll,
 };
 pub use store::{
-    sending_time, CommitError, Committed, Item, LeaseGrant, LeaseId, Page, Revision, Store,
+    transfer_time, CommitError, Committed, Item, LeaseGrant, LeaseId, Page, Revision, Store,
     StoreError, Transaction, UnreadableValue, Watched, WatchedChange, Write,
 };
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -21,7 +21,7 @@
     while !node.is_draining.get() {
         let kept = match lease {
             None => register(&node).await,
-            Some(lease) => node.store.keep_lease(lease).await.map(|()| lease),
+            Some(lease) => node.store.renew_lease(lease).await.map(|()| lease),
         };
         let pause = match kept {
             Ok(kept) => {
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,7 +1,7 @@
 //! A node's counters, gauges and histograms, as text for whoever asks.
 
 use crate::clock;
-use crate::platform::{CordonFault, EntryFault, Reply};
+use crate::platform::{CordonFault, Reply, WorkerEntryFault};
 use ospreywing_scheduler::{Decision, Forecast, SchedulerStatus, ServiceFragmentation, WaitReason};
 use ospreywing_types::{Duration, Instant};
 use prometheus_client::encoding::text::encode;
@@ -434,7 +434,7 @@
     }
 
     /// Counts a worker's entry that names no worker to use.
-    pub fn note_unreadable_entry(&self, fault: EntryFault) {
+    pub fn note_unreadable_entry(&self, fault: WorkerEntryFault) {
         let reason = fault.as_str();
         let labels = EntryLabels { reason };
         self.unreadable_entries.get_or_create(&labels).inc();
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -63,9 +63,9 @@
     /// The node's share of a core, in thousandths.
     pub cores_milli: u32,
     /// From how many workers on other nodes carry the leader's orders.
-    pub relayed_workers_count: usize,
+    pub relays_min_workers_count: usize,
     /// From how many nodes on configurations are handed on from node to node.
-    pub sharing_nodes_count: usize,
+    pub sharing_min_nodes_count: usize,
     /// The longest lease that a worker grants.
     pub grant_limit: Duration,
     /// How long a stop may take.
@@ -97,8 +97,8 @@
     }
 
     /// Sets from how many nodes on configurations are handed on from node to node.
-    pub const fn with_sharing_nodes_count(mut self, count: usize) -> Self {
-        self.sharing_nodes_count = count;
+    pub const fn with_sharing_min_nodes_count(mut self, count: usize) -> Self {
+        self.sharing_min_nodes_count = count;
         self
     }
 }
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -121,20 +121,20 @@
 
 /// Limits on what clients send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FrontLimits {
+pub struct RequestLimits {
     /// The largest head.
-    pub head_bytes: usize,
+    pub head_limit_bytes: usize,
     /// The largest body.
-    pub body_bytes: usize,
+    pub body_limit_bytes: usize,
     /// How long a request may take to arrive.
-    pub head_time: Duration,
+    pub read_timeout: Duration,
     /// How long a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A look at a worker, which may renew its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Look {
+pub struct WorkerPoll {
     /// Until when the lease holds, on the worker's clock; `None` to ask only.
     pub until_ms: Option<u64>,
     /// The last end that the worker may forget.
@@ -160,7 +160,7 @@
 
 /// What makes a worker's entry one that names no worker to use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
-pub enum EntryFault {
+pub enum WorkerEntryFault {
     /// A field is missing or of another type, or the bytes can't be read.
     #[error("a field is missing or can't be read")]
     Form,
@@ -178,7 +178,7 @@
     Service,
 }
 
-impl EntryFault {
+impl WorkerEntryFault {
     /// Returns the word for metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -194,11 +194,11 @@
 /// A worker's entry names no worker to use.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}: {fault} ({detail})")]
-pub struct EntryError {
+pub struct WorkerEntryError {
     /// The entry's key.
     pub key: String,
     /// What is wrong.
-    pub fault: EntryFault,
+    pub fault: WorkerEntryFault,
     /// Where.
     pub detail: String,
 }
@@ -268,8 +268,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`EntryError`] where the entry names no worker to use.
-    fn parse_worker(&self, key: &str, value: &[u8]) -> Result<WorkerFacts, EntryError>;
+    /// Returns an [`WorkerEntryError`] where the entry names no worker to use.
+    fn parse_worker(&self, key: &str, value: &[u8]) -> Result<WorkerFacts, WorkerEntryError>;
 
     /// Returns the prefix below which the operators' cordons stand.
     fn cordons_prefix(&self) -> &'static str;
@@ -282,7 +282,7 @@
     fn parse_cordon(&self, key: &str, value: &[u8]) -> Result<Arc<str>, CordonError>;
 
     /// Returns the limits on what clients send.
-    fn limits(routes: &Self::Routes) -> FrontLimits;
+    fn limits(routes: &Self::Routes) -> RequestLimits;
 
     /// Finds out what a request is for and who calls, by its head alone.
     ///
@@ -297,16 +297,16 @@
     /// # Errors
     ///
     /// Returns the reply to a request that can't be read.
-    fn read_call(&self, admission: Self::Admission, body: &[u8]) -> Result<Call, Reply>;
+    fn parse_call(&self, admission: Self::Admission, body: &[u8]) -> Result<Call, Reply>;
 
     /// Writes a reply.
     fn encode(&self, reply: &Reply) -> http::Response<Full<Bytes>>;
 
     /// Returns whether this is the question whether the node is ready.
-    fn is_ready_question(&self, method: &http::Method, path: &str) -> bool;
+    fn is_readiness_probe(&self, method: &http::Method, path: &str) -> bool;
 
     /// Renews a worker's lease and asks for its lists.
-    async fn hold(&self, to: &Endpoint, fence: u64, look: Look) -> HoldReply;
+    async fn hold(&self, to: &Endpoint, fence: u64, look: WorkerPoll) -> HoldReply;
 
     /// Starts a run.
     async fn start(&self, to: &Endpoint, fence: u64, order: &StartOrder) -> StartReply;
--- a/crates/control/src/probed.rs
+++ b/crates/control/src/probed.rs
@@ -7,7 +7,7 @@
 //! are given up, and whoever made them tries again.
 
 use crate::layered::{CallFailure, LayeredStore, StoreCall, StoreLayer};
-use crate::store::{sending_time, Store, StoreError};
+use crate::store::{transfer_time, Store, StoreError};
 use crate::{clock, keys};
 use ospreywing_types::{Duration, Instant};
 use std::cell::Cell;
@@ -72,9 +72,9 @@
     async fn guard<T, E: CallFailure>(
         &self,
         call: impl Future<Output = Result<T, E>>,
-        sending_time: Duration,
+        transfer_time: Duration,
     ) -> Result<T, E> {
-        let sent_at = clock::now() + sending_time;
+        let sent_at = clock::now() + transfer_time;
         let mut call = std::pin::pin!(call);
         loop {
             let answered = self.silence.answered.notified();
@@ -149,10 +149,11 @@
         match call {
             // How long these take is a matter of the size of what they bring.
             StoreCall::Range | StoreCall::Watch => made.await,
-            StoreCall::Commit { len_bytes } => self.guard(made, sending_time(len_bytes)).await,
-            StoreCall::Get | StoreCall::GrantLease | StoreCall::KeepLease | StoreCall::EndLease => {
-                self.guard(made, Duration::ZERO).await
-            }
+            StoreCall::Commit { len_bytes } => self.guard(made, transfer_time(len_bytes)).await,
+            StoreCall::Get
+            | StoreCall::GrantLease
+            | StoreCall::RenewLease
+            | StoreCall::EndLease => self.guard(made, Duration::ZERO).await,
         }
     }
 
--- a/crates/control/src/relay/assignment.rs
+++ b/crates/control/src/relay/assignment.rs
@@ -9,7 +9,7 @@
 
 /// By default, a cell with fewer workers has no relays: a leader of 350 needs none,
 /// and a relay adds up to 8 ms to the way of an order and 15 ms to that of its reply.
-pub const RELAYED_WORKERS_COUNT: usize = 600;
+pub const RELAYS_MIN_WORKERS_COUNT: usize = 600;
 /// The workers that one relay carries the orders of. A judgement: at 1,100 workers
 /// with some three calls a second each, a relay makes a thousand calls a second.
 pub const WORKERS_PER_RELAY: usize = 400;
--- a/crates/control/src/relay/links.rs
+++ b/crates/control/src/relay/links.rs
@@ -101,7 +101,7 @@
     let assignment = Assignment::new(
         candidates(node, relays),
         &workers_counts,
-        node.settings.relayed_workers_count,
+        node.settings.relays_min_workers_count,
     );
     let links: Vec<Rc<RelayLink>> = assignment
         .relays
--- a/crates/control/src/relay/message.rs
+++ b/crates/control/src/relay/message.rs
@@ -1,6 +1,6 @@
 //! What a leader and its relays say to one another.
 
-use crate::platform::{Look, Platform};
+use crate::platform::{Platform, WorkerPoll};
 use ospreywing_scheduler::{Endpoint, HoldReply, StartOrder, StartReply, StopReply, TaskKey};
 use serde::{Deserialize, Serialize};
 
@@ -26,7 +26,7 @@
         run: u32,
     },
     /// To renew the worker's lease and tell its lists.
-    Hold(Look),
+    Hold(WorkerPoll),
 }
 
 impl Order {
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -9,7 +9,7 @@
 const SENT_PER_MS_BYTES: usize = 125;
 
 /// Returns the time that a transaction of so many bytes may take on its way.
-pub const fn sending_time(len_bytes: usize) -> Duration {
+pub const fn transfer_time(len_bytes: usize) -> Duration {
     Duration::from_ms((len_bytes / SENT_PER_MS_BYTES) as u64)
 }
 
@@ -245,7 +245,7 @@
     /// # Errors
     ///
     /// Returns [`StoreError::LeaseOver`] where it is over.
-    async fn keep_lease(&self, lease: LeaseId) -> Result<(), StoreError>;
+    async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError>;
 
     /// Ends a lease, and its items with it.
     ///
--- a/crates/control/src/watches.rs
+++ b/crates/control/src/watches.rs
@@ -4,7 +4,7 @@
 use crate::keys::{self, IntakeKey};
 use crate::leader::Leading;
 use crate::node::Node;
-use crate::platform::{EntryError, EntryFault, Platform};
+use crate::platform::{Platform, WorkerEntryError, WorkerEntryFault};
 use crate::recovery::stored_job;
 use crate::store::{Item, Revision, WatchedChange};
 use crate::worker_entries::{EntryChange, WorkerEntries, WorkerEntry};
@@ -132,9 +132,9 @@
 fn read<P: Platform>(node: &Node<P>, item: &Item) -> WorkerEntry {
     let read = match item.bytes() {
         Ok(value) => node.platform.parse_worker(&item.key, value),
-        Err(error) => Err(EntryError {
+        Err(error) => Err(WorkerEntryError {
             key: item.key.clone(),
-            fault: EntryFault::Form,
+            fault: WorkerEntryFault::Form,
             detail: error.to_string(),
         }),
     };
--- a/crates/control/src/worker_entries.rs
+++ b/crates/control/src/worker_entries.rs
@@ -5,7 +5,7 @@
 //! runs there is neither given up nor started elsewhere for that reason; leases decide that,
 //! as for an entry that has gone.
 
-use crate::platform::EntryError;
+use crate::platform::WorkerEntryError;
 use crate::store::Revision;
 use ospreywing_scheduler::{WorkerChange, WorkerFacts};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 pub struct WorkerEntry {
     key: String,
     revision: Revision,
-    read: Result<WorkerFacts, EntryError>,
+    read: Result<WorkerFacts, WorkerEntryError>,
 }
 
 impl WorkerEntry {
@@ -27,7 +27,7 @@
     pub const fn new(
         key: String,
         revision: Revision,
-        read: Result<WorkerFacts, EntryError>,
+        read: Result<WorkerFacts, WorkerEntryError>,
     ) -> Self {
         Self {
             key,
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 pub struct WorkerEntries {
     entries: BTreeMap<String, WorkerEntry>,
-    new_faults: Vec<EntryError>,
+    new_faults: Vec<WorkerEntryError>,
 }
 
 impl WorkerEntries {
@@ -120,7 +120,7 @@
     }
 
     /// Returns the entries that have become unreadable since the last call.
-    pub fn take_new_faults(&mut self) -> Vec<EntryError> {
+    pub fn take_new_faults(&mut self) -> Vec<WorkerEntryError> {
         core::mem::take(&mut self.new_faults)
     }
 }
--- a/crates/control/tests/control/silence.rs
+++ b/crates/control/tests/control/silence.rs
@@ -25,7 +25,7 @@
 /// [`BACK_AFTER`] has passed; returns when it is back.
 async fn be_silent_for_a_call(memory: MemoryStore, store: ProbedStore<MemoryStore>) {
     memory.set_silent(true);
-    let failed = store.keep_lease(1).await;
+    let failed = store.renew_lease(1).await;
     assert!(matches!(failed, Err(StoreError::Unknown(_))), "{failed:?}");
     sleep(BACK_AFTER).await;
     memory.set_silent(false);
--- a/crates/control/tests/control/support.rs
+++ b/crates/control/tests/control/support.rs
@@ -291,7 +291,7 @@
         Ok(LeaseGrant { id: 1, ttl })
     }
 
-    async fn keep_lease(&self, _lease: LeaseId) -> Result<(), StoreError> {
+    async fn renew_lease(&self, _lease: LeaseId) -> Result<(), StoreError> {
         if self.0.borrow().is_silent {
             tokio::time::sleep(SILENT_RENEWAL_LIMIT.into()).await;
             return Err(no_answer());
--- a/crates/control/tests/control/suspension.rs
+++ b/crates/control/tests/control/suspension.rs
@@ -11,8 +11,8 @@
 use ospreywing_control::cell_view::LeaderRecord;
 use ospreywing_control::layered::{CallFailure, LayeredStore, StoreCall, StoreLayer};
 use ospreywing_control::{
-    clock, keys, Call, CallError, CordonError, EntryError, FrontLimits, Look, NodeSettings,
-    Platform, Reply, RequestHead, Store, StoreError, Transaction,
+    clock, keys, Call, CallError, CordonError, NodeSettings, Platform, Reply, RequestHead,
+    RequestLimits, Store, StoreError, Transaction, WorkerEntryError, WorkerPoll,
 };
 use ospreywing_scheduler::{
     AdviceReply, Configuration, Endpoint, Features, HoldReply, JobId, JobRecord, JobSpec, Queue,
@@ -105,7 +105,7 @@
             return made.await;
         }
         self.around.note_call(&self.store).await;
-        if call == StoreCall::KeepLease {
+        if call == StoreCall::RenewLease {
             // An answer takes its time, in which a node that knows nothing acts on.
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             if self.around.has_other_leader.get() {
@@ -173,7 +173,7 @@
         Ok(Arc::from(key))
     }
 
-    fn parse_worker(&self, _key: &str, _value: &[u8]) -> Result<WorkerFacts, EntryError> {
+    fn parse_worker(&self, _key: &str, _value: &[u8]) -> Result<WorkerFacts, WorkerEntryError> {
         Ok(WorkerFacts {
             id: Arc::from("w0"),
             life_start: None,
@@ -189,12 +189,12 @@
         })
     }
 
-    fn limits(_routes: &()) -> FrontLimits {
-        FrontLimits {
-            head_bytes: 4096,
-            body_bytes: 4096,
-            head_time: Duration::from_s(1),
-            idle_time: Duration::from_s(1),
+    fn limits(_routes: &()) -> RequestLimits {
+        RequestLimits {
+            head_limit_bytes: 4096,
+            body_limit_bytes: 4096,
+            read_timeout: Duration::from_s(1),
+            idle_timeout: Duration::from_s(1),
         }
     }
 
@@ -202,7 +202,7 @@
         Err(Reply::NoMethod)
     }
 
-    fn read_call(&self, _admission: (), _body: &[u8]) -> Result<Call, Reply> {
+    fn parse_call(&self, _admission: (), _body: &[u8]) -> Result<Call, Reply> {
         Err(Reply::NoMethod)
     }
 
@@ -210,11 +210,11 @@
         http::Response::new(Full::default())
     }
 
-    fn is_ready_question(&self, _method: &http::Method, _path: &str) -> bool {
+    fn is_readiness_probe(&self, _method: &http::Method, _path: &str) -> bool {
         false
     }
 
-    async fn hold(&self, _to: &Endpoint, _fence: u64, look: Look) -> HoldReply {
+    async fn hold(&self, _to: &Endpoint, _fence: u64, look: WorkerPoll) -> HoldReply {
         self.around.note_order("hold");
         self.around.note_call(&self.memory).await;
         let wait = look.wait.as_ms().min(20);
@@ -260,8 +260,8 @@
         metrics_address: None,
         data_centre: String::new(),
         cores_milli: 1000,
-        relayed_workers_count: 600,
-        sharing_nodes_count: 100,
+        relays_min_workers_count: 600,
+        sharing_min_nodes_count: 100,
         grant_limit: Duration::from_s(6),
         grace: Duration::from_s(6),
         retention: Duration::from_s(120),
