--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -5,7 +5,7 @@
 
 use crate::node::Node;
 use crate::platform::{Platform, Retry};
-use crate::spread::draw_below;
+use crate::stable_hash::stable_hash_below;
 use crate::store::{LeaseId, Store};
 use crate::{clock, keys};
 use ospreywing_scheduler::{Configuration, Feature, Forecast, JobId, JobRecord, Refusal};
@@ -16,11 +16,11 @@
 
 /// Nothing is refused for so long after a write of a job was in doubt: it may be done late,
 /// and its caller may hand it in again.
-const DOUBT_TIME: Duration = Duration::from_s(10);
+const UNCONFIRMED_WRITE_PAUSE: Duration = Duration::from_s(10);
 
 /// What a leader told.
 #[derive(Clone, Debug)]
-struct Kept {
+struct ReceivedForecast {
     forecast: Option<Forecast>,
     /// The lease of the leader that told it.
     leader: LeaseId,
@@ -30,18 +30,18 @@
 /// What a node knows of the leader's forecast.
 #[derive(Debug, Default)]
 pub struct ForecastView {
-    kept: RefCell<Option<Kept>>,
-    doubted_at: Cell<Option<Instant>>,
+    kept: RefCell<Option<ReceivedForecast>>,
+    unconfirmed_at: Cell<Option<Instant>>,
 }
 
 impl ForecastView {
     /// Takes in what a leader that was asked at `asked_at` told.
-    pub fn learn(&self, leader: LeaseId, asked_at: Instant, forecast: Option<Forecast>) {
+    pub fn update(&self, leader: LeaseId, asked_at: Instant, forecast: Option<Forecast>) {
         let mut kept = self.kept.borrow_mut();
         if kept.as_ref().is_some_and(|kept| kept.asked_at > asked_at) {
             return;
         }
-        *kept = Some(Kept {
+        *kept = Some(ReceivedForecast {
             forecast,
             leader,
             asked_at,
@@ -49,14 +49,14 @@
     }
 
     /// Notes that a write of a job is in doubt.
-    pub fn note_doubt(&self, now: Instant) {
-        self.doubted_at.set(Some(now));
+    pub fn record_unconfirmed_write(&self, now: Instant) {
+        self.unconfirmed_at.set(Some(now));
     }
 
     /// Returns whether a write was in doubt a short while ago.
-    pub fn is_in_doubt(&self, now: Instant) -> bool {
-        let doubted_at = self.doubted_at.get();
-        doubted_at.is_some_and(|at| now.since(at) < DOUBT_TIME)
+    pub fn has_recent_unconfirmed_write(&self, now: Instant) -> bool {
+        let unconfirmed_at = self.unconfirmed_at.get();
+        unconfirmed_at.is_some_and(|at| now.since(at) < UNCONFIRMED_WRITE_PAUSE)
     }
 
     /// Returns why a job is refused by what this leader told, if it is.
@@ -80,7 +80,7 @@
 ///
 /// Only the store tells whether the job was handed in before and is there, so it is read
 /// before a job is refused.
-pub(crate) async fn refuse<P: Platform>(
+pub(crate) async fn check_forecast<P: Platform>(
     node: &Rc<Node<P>>,
     job: JobId,
     record: &JobRecord,
@@ -90,12 +90,12 @@
     if !matches!(node.store.get(&keys::job(job)).await, Ok(None)) {
         return None;
     }
-    let after = refusal.come_back(draw_below(&job.to_string(), u64::MAX));
+    let after = refusal.come_back(stable_hash_below(&job.to_string(), u64::MAX));
     info!(node.log, "job refused"; "job" => %job, "queue" => &record.queue,
         "done_after_ms" => refusal.done_after.as_ms(),
         "worthless_after_ms" => refusal.worthless_after.as_ms(),
         "forecast_age_ms" => refusal.age.as_ms(), "come_back_ms" => after.as_ms());
-    node.metrics.note_refused_by_forecast();
+    node.metrics.count_refused_by_forecast();
     Some(Retry { after })
 }
 
@@ -106,11 +106,11 @@
 ) -> Option<Refusal> {
     let now = clock::now();
     let is_off = !node.settings.features.has(Feature::Admission);
-    if is_off || node.forecasts.is_in_doubt(now) || !node.has_contact() {
+    if is_off || node.forecasts.has_recent_unconfirmed_write(now) || !node.has_store_contact() {
         return None;
     }
-    if let Some(leading) = node.leading() {
-        let forecast = leading.forecast(now)?;
+    if let Some(term) = node.valid_term() {
+        let forecast = term.forecast(now)?;
         return forecast.refusal(record, configuration, Duration::ZERO);
     }
     let leader = node.cell.borrow().leader.as_ref()?.lease;
--- a/crates/control/src/cell_follow.rs
+++ b/crates/control/src/cell_follow.rs
@@ -6,8 +6,8 @@
 
 use crate::cell_view::{CandidateList, CellView};
 use crate::follow::{follow, Flow, FollowPolicy, Update};
-use crate::leader::Leading;
-use crate::node::{Node, WATCH_WAIT};
+use crate::leader::Term;
+use crate::node::{Node, WATCH_TIMEOUT};
 use crate::platform::Platform;
 use crate::store::{Item, Store, Transaction, WatchedChange};
 use crate::{cell_view, clock, election, keys, recovery};
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 
 /// The time between two answers on nodes that come and go.
-const NODES_PACE: Duration = Duration::from_ms(100);
+const NODES_MAX_PAUSE: Duration = Duration::from_ms(100);
 /// How long a watch of the leader waits in a large cell.
-const WATCH_WAIT_IN_LARGE_CELL: Duration = Duration::from_ms(6000);
+const LARGE_CELL_WATCH_TIMEOUT: Duration = Duration::from_ms(6000);
 /// The time after which the view of the cell is read again.
 const CELL_REFRESH: Duration = Duration::from_ms(10_000);
 /// The least time between two changes of the candidates: every node is told of each.
@@ -26,11 +26,11 @@
 
 /// How the parts of the cell are followed.
 const CELL_POLICY: FollowPolicy = FollowPolicy {
-    wait: WATCH_WAIT,
-    refresh: Some(CELL_REFRESH),
-    pace: Duration::ZERO,
-    is_confirming: false,
-    reads_after_failure: false,
+    wait: WATCH_TIMEOUT,
+    reread_after: Some(CELL_REFRESH),
+    max_pause: Duration::ZERO,
+    confirms_changes: false,
+    rereads_after_failure: false,
 };
 
 /// Keeps the view of the leader and the candidates.
@@ -43,7 +43,7 @@
         };
         let store = node.store.clone();
         follow(store, keys::LEADER_PREFIX, policy, None, |update, _| {
-            learn_leader(&node, update);
+            handle_leader_update(&node, update);
             if leader_wait(&node) == wait {
                 Flow::Continue
             } else {
@@ -58,37 +58,37 @@
 /// next election, and each answer without a change costs as much as one with.
 fn leader_wait<P: Platform>(node: &Node<P>) -> Duration {
     if node.cell.borrow().list.shares_configuration {
-        WATCH_WAIT_IN_LARGE_CELL
+        LARGE_CELL_WATCH_TIMEOUT
     } else {
-        WATCH_WAIT
+        WATCH_TIMEOUT
     }
 }
 
 /// Keeps the view of the live nodes until the term is over.
-pub(crate) async fn follow_nodes<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
+pub(crate) async fn follow_nodes<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let policy = FollowPolicy {
-        pace: NODES_PACE,
+        max_pause: NODES_MAX_PAUSE,
         ..CELL_POLICY
     };
     let store = node.store.clone();
     follow(store, keys::NODES_PREFIX, policy, None, |update, _| {
-        learn_nodes(&node, update);
-        leading.flow()
+        handle_nodes_update(&node, update);
+        term.flow()
     })
     .await;
     let mut view = node.cell.borrow_mut();
     view.nodes.clear();
-    view.registered.clear();
+    view.registered_at.clear();
 }
 
 fn put(log: &Logger, view: &mut CellView, item: &Item) {
     if let Err(error) = view.put(item) {
-        recovery::damaged(log, &item.key, &error.to_string());
+        recovery::log_unreadable_item(log, &item.key, &error.to_string());
     }
 }
 
 /// Takes in a part of the cell; returns whether the store answered.
-fn take_in<P: Platform>(
+fn apply_update<P: Platform>(
     node: &Node<P>,
     view: &mut CellView,
     update: Update,
@@ -117,17 +117,17 @@
     true
 }
 
-fn learn_leader<P: Platform>(node: &Rc<Node<P>>, update: Update) {
+fn handle_leader_update<P: Platform>(node: &Rc<Node<P>>, update: Update) {
     let mut view = node.cell.borrow_mut();
     let before = view.leader.clone();
     let forget = |view: &mut CellView| {
         view.leader = None;
         view.list = CandidateList::default();
     };
-    if !take_in(node, &mut view, update, forget) {
+    if !apply_update(node, &mut view, update, forget) {
         return;
     }
-    view.seen_at = clock::now();
+    view.confirmed_at = clock::now();
     if view.leader != before {
         let name = view.leader.as_ref().map(|leader| leader.name.clone());
         info!(node.log, "leader known"; "leader" => name.unwrap_or_default());
@@ -135,42 +135,48 @@
     let stale = view
         .leader
         .clone()
-        .filter(|leader| election::is_own_earlier_life(node, leader));
+        .filter(|leader| election::is_own_earlier_incarnation(node, leader));
     drop(view);
     if let Some(leader) = stale {
-        tokio::task::spawn_local(election::evict(node.clone(), leader, "own earlier life"));
+        tokio::task::spawn_local(election::evict_leader(
+            node.clone(),
+            leader,
+            "own earlier life",
+        ));
     }
-    node.note_contact();
+    node.record_store_contact();
     node.cell_changed.notify_waiters();
 }
 
 /// Takes in which nodes live.
-pub(crate) fn learn_nodes<P: Platform>(node: &Rc<Node<P>>, update: Update) {
+pub(crate) fn handle_nodes_update<P: Platform>(node: &Rc<Node<P>>, update: Update) {
     let forget = |view: &mut CellView| {
         view.nodes.clear();
-        view.registered.clear();
+        view.registered_at.clear();
     };
-    let is_answered = take_in(node, &mut node.cell.borrow_mut(), update, forget);
+    let is_answered = apply_update(node, &mut node.cell.borrow_mut(), update, forget);
     if is_answered {
-        node.note_contact();
+        node.record_store_contact();
         node.cell_changed.notify_waiters();
     }
 }
 
 /// Keeps the candidates written that the leader names, until its term is over.
-pub(crate) async fn publish_candidates<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
-    while !leading.is_over() {
+pub(crate) async fn publish_candidates<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
+    while !term.is_over() {
         let changed = node.cell_changed.notified();
-        let list =
-            cell_view::candidate_list(&node.cell.borrow(), node.settings.sharing_min_nodes_count);
+        let list = cell_view::build_candidate_list(
+            &node.cell.borrow(),
+            node.settings.sharing_min_nodes_count,
+        );
         if list.candidates.is_empty() || node.cell.borrow().list == list {
             // The term may end without a change.
-            let _ = tokio::time::timeout(WATCH_WAIT.into(), changed).await;
+            let _ = tokio::time::timeout(WATCH_TIMEOUT.into(), changed).await;
             continue;
         }
         let value = postcard::to_allocvec(&list).unwrap_or_default();
         let transaction = Transaction::new()
-            .with_expect(keys::LEADER, leading.fence)
+            .with_expect(keys::LEADER, term.fence)
             .with_put(keys::CANDIDATES, value);
         match node.store.commit(&transaction).await {
             Ok(_) => {
--- a/crates/control/src/cell_view.rs
+++ b/crates/control/src/cell_view.rs
@@ -85,9 +85,9 @@
     /// The live nodes by name; known to the leader alone.
     pub nodes: BTreeMap<String, NodeRecord>,
     /// The revision at which each of them registered.
-    pub registered: BTreeMap<String, Revision>,
+    pub registered_at: BTreeMap<String, Revision>,
     /// When the store last confirmed the view.
-    pub seen_at: Instant,
+    pub confirmed_at: Instant,
 }
 
 /// An item of the cell can't be read.
@@ -118,7 +118,7 @@
         } else if let Some(name) = item.key.strip_prefix(keys::NODES_PREFIX) {
             let record = NodeRecord::from_bytes(item.bytes()?)?;
             self.nodes.insert(name.to_owned(), record);
-            self.registered.insert(name.to_owned(), item.revision);
+            self.registered_at.insert(name.to_owned(), item.revision);
         }
         Ok(())
     }
@@ -130,14 +130,14 @@
             self.list = CandidateList::default();
         } else if let Some(name) = key.strip_prefix(keys::NODES_PREFIX) {
             self.nodes.remove(name);
-            self.registered.remove(name);
+            self.registered_at.remove(name);
         }
     }
 }
 
 /// Returns the nodes that should lead first: the strongest, and of equal ones one of each data
 /// centre before a second one of any.
-pub fn candidates_of(nodes: &BTreeMap<String, NodeRecord>) -> Vec<Candidate> {
+pub fn choose_candidates(nodes: &BTreeMap<String, NodeRecord>) -> Vec<Candidate> {
     let mut ranked: Vec<(&String, &NodeRecord)> = nodes.iter().collect();
     ranked.sort_by_key(|(name, record)| (Reverse(record.cores_milli), *name));
     let mut counts: HashMap<(u32, &str), usize> = HashMap::new();
@@ -162,13 +162,13 @@
 
 /// Returns what the leader tells of a cell, where configurations are handed on from
 /// `sharing_count` nodes on.
-pub(crate) fn candidate_list(view: &CellView, sharing_count: usize) -> CandidateList {
+pub(crate) fn build_candidate_list(view: &CellView, sharing_count: usize) -> CandidateList {
     let nodes_count = view.nodes.len();
     let is_large = nodes_count >= sharing_count;
     // Nodes that come and go at the bound don't change the way each time.
     let is_still_large = view.list.shares_configuration && nodes_count * 2 >= sharing_count;
     CandidateList {
-        candidates: candidates_of(&view.nodes),
+        candidates: choose_candidates(&view.nodes),
         shares_configuration: is_large || is_still_large,
     }
 }
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -23,7 +23,7 @@
 const CONFIRMATION_WAIT: Duration = Duration::from_ms(700);
 
 /// A configuration that is in force.
-pub struct InForce<P: Platform> {
+pub struct ActiveConfiguration<P: Platform> {
     /// The product's part.
     pub configuration: Configuration,
     /// How requests find their queues.
@@ -40,7 +40,7 @@
 
 /// What a node knows of the operators' configuration.
 pub struct ConfigurationView<P: Platform> {
-    in_force: RefCell<Option<Rc<InForce<P>>>>,
+    active: RefCell<Option<Rc<ActiveConfiguration<P>>>>,
     /// The one that is in force, as other nodes are told of it.
     stored: RefCell<Option<Rc<StoredConfiguration>>>,
     /// Told whenever another one is in force.
@@ -58,7 +58,7 @@
 impl<P: Platform> Default for ConfigurationView<P> {
     fn default() -> Self {
         Self {
-            in_force: RefCell::new(None),
+            active: RefCell::new(None),
             stored: RefCell::new(None),
             replaced: Notify::new(),
             avoided_sources: RefCell::default(),
@@ -71,20 +71,20 @@
 
 impl<P: Platform> ConfigurationView<P> {
     /// Returns the configuration that is in force.
-    pub fn in_force(&self) -> Option<Rc<InForce<P>>> {
-        self.in_force.borrow().clone()
+    pub fn active(&self) -> Option<Rc<ActiveConfiguration<P>>> {
+        self.active.borrow().clone()
     }
 
     /// Returns whether there is one at all.
     pub fn is_known(&self) -> bool {
-        self.in_force.borrow().is_some()
+        self.active.borrow().is_some()
     }
 
     /// Returns the version that is in force, 0 without one.
     pub fn version(&self) -> u64 {
-        let in_force = self.in_force.borrow();
-        let in_force = in_force.as_ref();
-        in_force.map_or(0, |in_force| in_force.configuration.version)
+        let active = self.active.borrow();
+        let active = active.as_ref();
+        active.map_or(0, |active| active.configuration.version)
     }
 
     /// Returns the one that is in force as it stands in the store.
@@ -115,15 +115,15 @@
 
     /// Puts a configuration in force, unless it is no newer; returns whether
     /// it is.
-    fn put_in_force(&self, configuration: Configuration, routes: P::Routes) -> bool {
+    fn activate(&self, configuration: Configuration, routes: P::Routes) -> bool {
         if self.is_known() && self.version() >= configuration.version {
             return false;
         }
-        let in_force = InForce {
+        let active = ActiveConfiguration {
             configuration,
             routes,
         };
-        *self.in_force.borrow_mut() = Some(Rc::new(in_force));
+        *self.active.borrow_mut() = Some(Rc::new(active));
         true
     }
 }
@@ -136,7 +136,7 @@
     /// nothing at all, it may be down for all, so that there are no changes; it
     /// may also turn this node away alone, so that is borne for a while only.
     pub fn is_current(&self) -> bool {
-        let limit = if self.has_contact() {
+        let limit = if self.has_store_contact() {
             self.settings.apply_limit
         } else {
             self.settings.apply_limit + self.settings.stretch_limit
@@ -154,29 +154,29 @@
 
     /// Returns the configuration by which requests may be answered; waits a
     /// while for its confirmation where that is missing.
-    pub async fn current_configuration(&self) -> Option<Rc<InForce<P>>> {
+    pub async fn current_configuration(&self) -> Option<Rc<ActiveConfiguration<P>>> {
         let confirmed = self.configuration.confirmed.notified();
         if !self.is_current() {
             // Whether it came is looked at below.
             let _ = tokio::time::timeout(CONFIRMATION_WAIT.into(), confirmed).await;
         }
-        let in_force = self.configuration.in_force();
-        in_force.filter(|_| self.is_current())
+        let active = self.configuration.active();
+        active.filter(|_| self.is_current())
     }
 
     /// Tells the metrics which configuration is in force, and how old it is.
-    pub(crate) fn note_configuration_age(&self) {
+    pub(crate) fn update_configuration_metrics(&self) {
         let view = &self.configuration;
         if view.is_known() {
             let age = view.age(clock::now());
-            self.metrics.note_configuration(view.version(), age);
+            self.metrics.set_configuration(view.version(), age);
         }
     }
 
     /// Notes that the store knew of no newer configuration at an instant.
-    fn note_confirmed(&self, true_at: Instant) {
+    fn record_confirmation(&self, as_of: Instant) {
         let view = &self.configuration;
-        view.confirmed_at.set(view.confirmed_at.get().max(true_at));
+        view.confirmed_at.set(view.confirmed_at.get().max(as_of));
         if !self.is_confirmed() {
             return;
         }
@@ -187,7 +187,7 @@
     }
 
     /// Notes that the store was asked for the configuration in vain.
-    fn note_unconfirmed(&self) {
+    fn log_if_outdated(&self) {
         let view = &self.configuration;
         if self.is_confirmed() || view.is_outdated.replace(true) {
             return;
@@ -198,7 +198,7 @@
     }
 
     /// Takes in what the store holds.
-    fn learn_configuration(&self, item: &Item) -> Result<(), CallError> {
+    fn apply_configuration_item(&self, item: &Item) -> Result<(), CallError> {
         let value = item.bytes().map_err(|error| CallError::Malformed {
             field: item.key.clone(),
             reason: error.to_string(),
@@ -206,10 +206,7 @@
         let (configuration, routes) = self.platform.parse_configuration(value)?;
         let before = self.configuration.version();
         let version = configuration.version;
-        if !self
-            .configuration
-            .put_in_force(configuration.clone(), routes)
-        {
+        if !self.configuration.activate(configuration.clone(), routes) {
             return Ok(());
         }
         self.configuration.store(StoredConfiguration {
@@ -217,15 +214,15 @@
             value: value.to_vec(),
         });
         info!(self.log, "configuration in force"; "version" => version, "before" => before);
-        if let Some(leading) = self.term() {
-            leading.configure(configuration);
+        if let Some(term) = self.term() {
+            term.configure(configuration);
         }
         self.cell_changed.notify_waiters();
         Ok(())
     }
 
     /// Takes in what the store answered, and an instant from which on it said so.
-    fn learn_configuration_update(&self, update: Update, true_at: Instant) {
+    fn handle_configuration_update(&self, update: Update, as_of: Instant) {
         let items = match update {
             Update::Snapshot(items) => items,
             Update::Changes(changes) => changes.into_iter().filter_map(written).collect(),
@@ -233,23 +230,23 @@
             Update::Failed(error) => {
                 warn!(self.log, "store call failed";
                     "what" => "configuration", "error" => error.to_string());
-                return self.note_unconfirmed();
+                return self.log_if_outdated();
             }
         };
-        self.note_contact();
-        self.take_configuration(&items, true_at);
+        self.record_store_contact();
+        self.apply_configuration_items(&items, as_of);
     }
 
     /// Takes in what was told, and an instant at which the store knew of nothing newer.
-    pub(crate) fn take_configuration(&self, items: &[Item], true_at: Instant) {
+    pub(crate) fn apply_configuration_items(&self, items: &[Item], as_of: Instant) {
         let key = self.platform.configuration_key();
         for item in items.iter().filter(|item| item.key == key) {
-            if let Err(error) = self.learn_configuration(item) {
+            if let Err(error) = self.apply_configuration_item(item) {
                 // The last valid one stays in force: it is the newest there is.
                 warn!(self.log, "configuration refused"; "error" => error.to_string());
             }
         }
-        self.note_confirmed(true_at);
+        self.record_confirmation(as_of);
     }
 }
 
@@ -264,8 +261,8 @@
 /// on, where there is one to ask, and by the store otherwise.
 pub(crate) async fn follow_configuration<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        match configuration_sharing::source_of(&node) {
-            Some(source) if configuration_sharing::ask(&node, &source).await => {}
+        match configuration_sharing::choose_source(&node) {
+            Some(source) if configuration_sharing::fetch(&node, &source).await => {}
             _ => follow_stored(&node).await,
         }
     }
@@ -277,20 +274,20 @@
     let policy = FollowPolicy {
         wait: Duration::from_ms(apply_limit_ms / CONFIRMATIONS_COUNT),
         // A watch that is answered has missed nothing.
-        refresh: None,
-        pace: Duration::ZERO,
-        is_confirming: true,
-        reads_after_failure: true,
+        reread_after: None,
+        max_pause: Duration::ZERO,
+        confirms_changes: true,
+        rereads_after_failure: true,
     };
     let key = node.platform.configuration_key();
     let store = node.store.clone();
     let from = node.configuration.revision();
     let from = (from > 0).then_some(from);
-    follow(store, key, policy, from, |update, true_at| {
+    follow(store, key, policy, from, |update, as_of| {
         // Whether changes are the newest is asked right after them.
         let is_answered = !matches!(update, Update::Changes(_));
-        node.learn_configuration_update(update, true_at);
-        if is_answered && configuration_sharing::source_of(node).is_some() {
+        node.handle_configuration_update(update, as_of);
+        if is_answered && configuration_sharing::choose_source(node).is_some() {
             Flow::Stop
         } else {
             Flow::Continue
--- a/crates/control/src/configuration_sharing.rs
+++ b/crates/control/src/configuration_sharing.rs
@@ -3,7 +3,7 @@
 //! A configuration may have hundreds of kilobytes. In a large cell the store would send each
 //! change to every node, and its link, which carries all other answers too, would be taken for
 //! longer the larger the cell is. So the candidates for the lead follow the store, and the
-//! others ask a candidate, in their own data centre where there is one. What a candidate tells
+//! others fetch a candidate, in their own data centre where there is one. What a candidate tells
 //! comes with its age, so that each node knows for itself how old its configuration may be;
 //! one whose candidate does not answer, or is out of date itself, asks the store.
 
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::peer::{self, PeerReply, PeerRequest, SharedConfiguration, SharedItem};
 use crate::platform::Platform;
-use crate::spread::draw_below;
+use crate::stable_hash::stable_hash_below;
 use crate::store::{Item, Revision};
 use ospreywing_types::{Duration, Instant};
 use slog::info;
@@ -23,9 +23,9 @@
 /// From how many nodes on configurations are handed on, unless set.
 pub const SHARING_MIN_NODES_COUNT: usize = 100;
 /// The questions within the time in which a change must be in force.
-const QUESTIONS_COUNT: u64 = 4;
+const QUERIES_COUNT: u64 = 4;
 /// How long an answer may take beyond the time that it waits for a change.
-const ANSWER_LIMIT: Duration = Duration::from_ms(300);
+const ANSWER_TIMEOUT: Duration = Duration::from_ms(300);
 /// For how long a node is not asked again that did not answer.
 const AVOID_TIME: Duration = Duration::from_ms(3000);
 /// The longest wait that a node grants another one.
@@ -62,7 +62,7 @@
 
 /// Returns the candidate that a node asks: one of its own data centre where there is one, not
 /// the same for each node.
-pub fn source_among<'c>(
+pub fn choose_source_among<'c>(
     name: &str,
     data_centre: &str,
     candidates: &'c [Candidate],
@@ -78,12 +78,12 @@
     let is_near = |candidate: &&&Candidate| candidate.record.data_centre == data_centre;
     let near: Vec<&Candidate> = usable.iter().filter(is_near).copied().collect();
     let choice = if near.is_empty() { usable } else { near };
-    let index = draw_below(name, choice.len() as u64) as usize;
+    let index = stable_hash_below(name, choice.len() as u64) as usize;
     choice.get(index).copied()
 }
 
-/// Returns the node to ask, where the cell is one in which configurations are handed on.
-pub(crate) fn source_of<P: Platform>(node: &Node<P>) -> Option<Candidate> {
+/// Returns the node to fetch, where the cell is one in which configurations are handed on.
+pub(crate) fn choose_source<P: Platform>(node: &Node<P>) -> Option<Candidate> {
     let now = clock::now();
     let cell = node.cell.borrow();
     if !cell.list.shares_configuration || node.term().is_some() {
@@ -92,7 +92,7 @@
     let avoided = node.configuration.avoided_sources.borrow();
     let settings = &node.settings;
     let is_avoided = |name: &str| avoided.has(now, name);
-    source_among(
+    choose_source_among(
         &settings.name,
         &settings.data_centre,
         &cell.list.candidates,
@@ -102,8 +102,8 @@
 }
 
 /// Asks a candidate for what is newer, and takes it in; returns whether it answered.
-pub(crate) async fn ask<P: Platform>(node: &Rc<Node<P>>, source: &Candidate) -> bool {
-    let Err(error) = try_ask(node, source).await else {
+pub(crate) async fn fetch<P: Platform>(node: &Rc<Node<P>>, source: &Candidate) -> bool {
+    let Err(error) = try_fetch(node, source).await else {
         return true;
     };
     info!(node.log, "configuration not handed on";
@@ -113,15 +113,18 @@
     false
 }
 
-async fn try_ask<P: Platform>(node: &Rc<Node<P>>, source: &Candidate) -> Result<(), SharingError> {
-    let wait = Duration::from_ms(node.settings.apply_limit.as_ms() / QUESTIONS_COUNT);
+async fn try_fetch<P: Platform>(
+    node: &Rc<Node<P>>,
+    source: &Candidate,
+) -> Result<(), SharingError> {
+    let wait = Duration::from_ms(node.settings.apply_limit.as_ms() / QUERIES_COUNT);
     let request = PeerRequest::Configuration {
         known: node.configuration.revision(),
         wait_ms: wait.as_ms(),
     };
     let asked_at = clock::now();
     let address = &source.record.address;
-    let reply = peer::call(&node.peers, address, &request, wait + ANSWER_LIMIT).await?;
+    let reply = peer::call(&node.peers, address, &request, wait + ANSWER_TIMEOUT).await?;
     let PeerReply::Configuration(shared) = reply else {
         return Err(SharingError::Refused);
     };
@@ -136,12 +139,12 @@
         value: Ok(item.value),
         revision: item.revision,
     });
-    node.take_configuration(item.as_slice(), answered_at - age);
+    node.apply_configuration_items(item.as_slice(), answered_at - age);
     Ok(())
 }
 
 /// Answers a node that asks for what is newer than `known`, as soon as there is something.
-pub(crate) async fn answer<P: Platform>(
+pub(crate) async fn handle_request<P: Platform>(
     node: &Rc<Node<P>>,
     known: Revision,
     wait: Duration,
--- a/crates/control/src/cordons.rs
+++ b/crates/control/src/cordons.rs
@@ -2,7 +2,7 @@
 //! its term lasts, and starts nothing while it may have missed one.
 
 use crate::follow::{follow, FollowPolicy, Update};
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::platform::{CordonError, CordonFault, Platform};
 use crate::store::{Item, WatchedChange};
@@ -89,13 +89,13 @@
         .iter()
         .map(|item| (item.key.clone(), read(node, item)));
     for error in list.replace(read) {
-        note_error(node, &error);
+        log_cordon_error(node, &error);
     }
     list.data_centres()
 }
 
-fn note_error<P: Platform>(node: &Node<P>, error: &CordonError) {
-    node.metrics.note_unusable_cordon(error.fault);
+fn log_cordon_error<P: Platform>(node: &Node<P>, error: &CordonError) {
+    node.metrics.count_unusable_cordon(error.fault);
     warn!(node.log, "cordon not followed";
         "key" => &error.key, "reason" => error.fault.as_str(), "detail" => &error.detail);
 }
@@ -104,21 +104,21 @@
 fn policy(limit: Duration) -> FollowPolicy {
     FollowPolicy {
         wait: Duration::from_ms(limit.as_ms() / CONFIRMATIONS_COUNT),
-        refresh: None,
-        pace: Duration::ZERO,
-        is_confirming: true,
-        reads_after_failure: true,
+        reread_after: None,
+        max_pause: Duration::ZERO,
+        confirms_changes: true,
+        rereads_after_failure: true,
     }
 }
 
 /// Tells the scheduler of cordons until the term is over.
-pub(crate) async fn follow_cordons<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
+pub(crate) async fn follow_cordons<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let mut list = CordonList::default();
     let mut told = None;
     let store = node.store.clone();
     let prefix = node.platform.cordons_prefix();
-    let policy = policy(leading.beliefs.cordons.limit());
-    follow(store, prefix, policy, None, |update, true_at| {
+    let policy = policy(term.store_views.cordons.limit());
+    follow(store, prefix, policy, None, |update, as_of| {
         let errors = match update {
             Update::Snapshot(items) => {
                 let read = items
@@ -126,27 +126,29 @@
                     .map(|item| (item.key.clone(), read(&node, item)));
                 list.replace(read)
             }
-            Update::Changes(changes) => take_changes(&node, &mut list, changes),
+            Update::Changes(changes) => apply_changes(&node, &mut list, changes),
             Update::Unchanged => Vec::new(),
             Update::Failed(error) => {
                 warn!(node.log, "store call failed";
                     "what" => "cordons", "error" => error.to_string());
-                return leading.flow();
+                return term.flow();
             }
         };
-        errors.iter().for_each(|error| note_error(&node, error));
+        errors
+            .iter()
+            .for_each(|error| log_cordon_error(&node, error));
         let data_centres = list.data_centres();
         if told.as_ref() != Some(&data_centres) {
-            leading.tell(Event::CordonsListed(data_centres.clone()));
+            term.send_event(Event::CordonsListed(data_centres.clone()));
             told = Some(data_centres);
         }
-        leading.beliefs.cordons.confirm(true_at);
-        leading.flow()
+        term.store_views.cordons.confirm(as_of);
+        term.flow()
     })
     .await;
 }
 
-fn take_changes<P: Platform>(
+fn apply_changes<P: Platform>(
     node: &Node<P>,
     list: &mut CordonList,
     changes: Vec<WatchedChange>,
--- a/crates/control/src/decision_loop.rs
+++ b/crates/control/src/decision_loop.rs
@@ -4,7 +4,7 @@
 use crate::commit::CommitOutcome;
 use crate::decision_log::{log_decision, log_status};
 use crate::lateness::Lateness;
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::orders;
 use crate::platform::{Platform, WorkerPoll};
@@ -23,13 +23,13 @@
 /// The time between two ticks.
 const TICK: Duration = Duration::from_ms(20);
 /// A process in which no tick came for so long stood still, or was starved of its processor.
-const STANDSTILL: Duration = Duration::from_ms(250);
+const STALL_THRESHOLD: Duration = Duration::from_ms(250);
 /// How long it then reads what has come before it decides: answers of some milliseconds.
-const CATCH_UP: Duration = Duration::from_ms(10);
+const CATCH_UP_TIME: Duration = Duration::from_ms(10);
 /// How long a renewal of the leader's lease may wait for its answer before the
 /// store is taken to be in trouble: it answers within some milliseconds. What the
 /// loop itself is late comes on top, twice: for the sending and for the answer.
-const TROUBLE_AFTER: Duration = Duration::from_ms(100);
+const RENEWAL_TROUBLE_AFTER: Duration = Duration::from_ms(100);
 const LATENESS_FACTOR: u64 = 2;
 
 /// What the loop of a term keeps from one batch of events to the next.
@@ -47,7 +47,7 @@
 /// Feeds the scheduler until the term is over.
 pub(crate) async fn run<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
     received: mpsc::UnboundedReceiver<Event>,
 ) {
     let mut ticks = tokio::time::interval(TICK.into());
@@ -61,25 +61,25 @@
         next_status_at: clock::now() + STATUS_PERIOD,
         handled_at: clock::now(),
     };
-    while !leading.is_over() {
+    while !term.is_over() {
         let first = tokio::select! {
             event = state.received.recv() => event,
             _ = ticks.tick() => Some(Event::Tick),
-            () = leading.ended.notified() => return,
+            () = term.ended.notified() => return,
         };
         let Some(first) = first else {
             return;
         };
         let is_tick = matches!(first, Event::Tick);
-        if clock::now().since(state.handled_at) >= STANDSTILL {
+        if clock::now().since(state.handled_at) >= STALL_THRESHOLD {
             // What has come meanwhile is read first: a newer configuration may be in it.
-            tokio::time::sleep(CATCH_UP.into()).await;
+            tokio::time::sleep(CATCH_UP_TIME.into()).await;
         }
-        handle_batch(node, leading, &mut state, first);
+        handle_batch(node, term, &mut state, first);
         state.handled_at = clock::now();
-        if is_tick && step_down::should_step_down(node, leading) {
-            step_down::log_stepped_down(node, leading.fence, "leading");
-            leading.resign().await;
+        if is_tick && step_down::should_step_down(node, term) {
+            step_down::log_stepped_down(node, term.fence, "leading");
+            term.resign().await;
         }
     }
 }
@@ -87,39 +87,39 @@
 /// Takes in an event and those that wait behind it, and carries out what follows.
 fn handle_batch<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
     state: &mut EventLoop,
     first: Event,
 ) {
     let now = clock::now();
-    let mut scheduler = leading.scheduler.borrow_mut();
+    let mut scheduler = term.scheduler.borrow_mut();
     if matches!(first, Event::Tick) {
-        tell_surroundings(node, leading, state, &mut scheduler);
+        update_environment(node, term, state, &mut scheduler);
     }
     let mut events = vec![first];
     while let Ok(event) = state.received.try_recv() {
         events.push(event);
     }
-    let have_workers_joined = events.iter().any(may_tell_new_workers);
-    if let Some(is_outdated) = leading.beliefs.take_change(now, &node.log) {
+    let have_workers_joined = events.iter().any(may_list_new_workers);
+    if let Some(is_outdated) = term.store_views.update_starts_held(now, &node.log) {
         events.push(Event::StartsHeld(is_outdated));
     }
     scheduler.handle_all(now, events, &mut state.actions);
     if have_workers_joined {
         // The first look at a worker goes through its relay too.
-        links::choose(node, leading, &scheduler, now);
+        links::choose_relays(node, term, &scheduler, now);
     }
-    if leading.may_order() && !leading.is_resigned.get() {
+    if term.may_send_orders() && !term.is_resigned.get() {
         scheduler.settle(now, &mut state.actions);
     }
     drop(scheduler);
     for action in state.actions.drain(..) {
-        carry_out(node, leading, action);
+        execute_action(node, term, action);
     }
 }
 
 /// Returns whether workers may be among what an event tells that were not listed before.
-fn may_tell_new_workers(event: &Event) -> bool {
+fn may_list_new_workers(event: &Event) -> bool {
     let may_be_new = |change: &WorkerChange| match change {
         WorkerChange::Listed(facts) => !facts.is_draining,
         WorkerChange::Unlisted(_) => false,
@@ -132,15 +132,15 @@
 }
 
 /// Tells the scheduler of the store, the clock and the nodes, where they changed.
-fn tell_surroundings<P: Platform>(
+fn update_environment<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
     state: &mut EventLoop,
     scheduler: &mut Scheduler,
 ) {
     let now = clock::now();
-    state.lateness.note_tick(now);
-    let has_trouble = has_trouble(now, leading, state.lateness.current());
+    state.lateness.record_tick(now);
+    let has_trouble = has_trouble(now, term, state.lateness.current());
     if has_trouble != state.has_trouble {
         state.has_trouble = has_trouble;
         info!(node.log, "store trouble"; "has_trouble" => has_trouble);
@@ -149,17 +149,17 @@
     if now >= state.next_status_at {
         state.next_status_at = now + STATUS_PERIOD;
         let status = scheduler.status(now);
-        node.metrics.note_status(&status);
-        node.metrics.note_forecast(scheduler.forecast(now).as_ref());
+        node.metrics.set_status(&status);
+        node.metrics.set_forecast(scheduler.forecast(now).as_ref());
         node.metrics
-            .note_worker_list_age(leading.beliefs.workers.age(now));
-        node.metrics.note_lateness(state.lateness.current());
+            .set_worker_list_age(term.store_views.workers.age(now));
+        node.metrics.set_lateness(state.lateness.current());
         log_status(&node.log, &status);
     }
     let wall_clock = Event::WallClock(clock::wall_ms());
     scheduler.handle(now, wall_clock, &mut state.actions);
-    links::choose_where_due(node, leading, scheduler, now);
-    if !node.has_names(&state.nodes) {
+    links::choose_if_due(node, term, scheduler, now);
+    if !node.matches_node_names(&state.nodes) {
         state.nodes = node.names();
         let listed = Event::NodesListed(state.nodes.clone());
         scheduler.handle(now, listed, &mut state.actions);
@@ -168,18 +168,18 @@
 
 /// Returns whether the store leaves a renewal unanswered, by more than this node's
 /// own lateness explains.
-fn has_trouble<P: Platform>(now: Instant, leading: &Leading<P>, lateness: Duration) -> bool {
-    let limit = TROUBLE_AFTER + lateness.times(LATENESS_FACTOR);
-    let unanswered = leading.renewal_open_since.get();
+fn has_trouble<P: Platform>(now: Instant, term: &Term<P>, lateness: Duration) -> bool {
+    let limit = RENEWAL_TROUBLE_AFTER + lateness.times(LATENESS_FACTOR);
+    let unanswered = term.renewal_open_since.get();
     unanswered.is_some_and(|since| now.since(since) > limit)
 }
 
-fn carry_out<P: Platform>(node: &Rc<Node<P>>, leading: &Rc<Leading<P>>, action: Action) {
+fn execute_action<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>, action: Action) {
     match action {
-        Action::Commit { lane, changes } => commit(node, leading, lane, changes),
-        Action::Start { to, order } => orders::give(node, leading, to, Order::Start(order)),
+        Action::Commit { lane, changes } => commit(node, term, lane, changes),
+        Action::Start { to, order } => orders::send_order(node, term, to, Order::Start(order)),
         Action::Stop { to, task, run } => {
-            orders::give(node, leading, to, Order::Stop { task, run });
+            orders::send_order(node, term, to, Order::Stop { task, run });
         }
         Action::Hold {
             to,
@@ -194,45 +194,40 @@
                 wait,
                 patience,
             };
-            orders::give(node, leading, to, Order::Hold(look));
+            orders::send_order(node, term, to, Order::Hold(look));
         }
         Action::Advise {
             step,
             workers,
-            node: asker,
+            node: adviser_node,
             expected,
-        } => orders::advise(node, leading, step, workers, &asker, expected),
+        } => orders::request_advice(node, term, step, workers, &adviser_node, expected),
         Action::StepDown => {
-            warn!(node.log, "fenced by a newer leader"; "fence" => leading.fence);
-            leading.end();
+            warn!(node.log, "fenced by a newer leader"; "fence" => term.fence);
+            term.end();
         }
         Action::Log(decision) => {
-            node.metrics.note_decision(&decision);
-            log_decision(&node.log, leading.fence, &decision);
+            node.metrics.count_decision(&decision);
+            log_decision(&node.log, term.fence, &decision);
         }
     }
 }
 
 /// Writes changes to the store, in a task of its own.
-fn commit<P: Platform>(
-    node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
-    lane: u32,
-    changes: Vec<Change>,
-) {
-    let commits_count = &leading.open_commits_count;
+fn commit<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>, lane: u32, changes: Vec<Change>) {
+    let commits_count = &term.open_commits_count;
     commits_count.set(commits_count.get() + 1);
-    let (node, leading) = (node.clone(), leading.clone());
+    let (node, term) = (node.clone(), term.clone());
     tokio::task::spawn_local(async move {
-        let writer = leading.lanes[lane as usize].clone();
-        let outcome = writer.commit(changes, || leading.is_over()).await;
-        let commits_count = &leading.open_commits_count;
+        let writer = term.lanes[lane as usize].clone();
+        let outcome = writer.commit(changes, || term.is_over()).await;
+        let commits_count = &term.open_commits_count;
         commits_count.set(commits_count.get() - 1);
         match outcome {
-            CommitOutcome::Done => leading.tell(Event::Committed { lane }),
+            CommitOutcome::Done => term.send_event(Event::Committed { lane }),
             CommitOutcome::Lost => {
-                warn!(node.log, "commit lost"; "lane" => lane, "fence" => leading.fence);
-                leading.end();
+                warn!(node.log, "commit lost"; "lane" => lane, "fence" => term.fence);
+                term.end();
             }
         }
     });
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -9,7 +9,7 @@
 use crate::commit::lane_value;
 use crate::node::Node;
 use crate::platform::Platform;
-use crate::spread::draw_below;
+use crate::stable_hash::stable_hash_below;
 use crate::store::{CommitError, LeaseId, Revision, Store, Transaction};
 use crate::{clock, keys, leader, membership};
 use ospreywing_scheduler::LANES_COUNT;
@@ -22,7 +22,7 @@
 pub const LEADER_LEASE: Duration = Duration::from_ms(1500);
 /// The longest that a look at the cell may be old for a campaign; a campaign
 /// on an old view is harmless, since the store decides.
-const VIEW_LIMIT: Duration = Duration::from_ms(15_000);
+const VIEW_AGE_LIMIT: Duration = Duration::from_ms(15_000);
 /// The time by which each further node campaigns later.
 const CAMPAIGN_STAGGER: Duration = Duration::from_ms(25);
 /// The least time between two evictions by one node.
@@ -34,7 +34,7 @@
 const STRONG_CORES_MILLI: u32 = 1000;
 /// Within which time nodes that are no candidates stand, each at a moment of its own, so
 /// that a large cell does not stand as one.
-const CROWD_PERIOD: Duration = Duration::from_ms(200);
+const NON_CANDIDATE_SPREAD: Duration = Duration::from_ms(200);
 /// How many times as strong a node must be to count as much stronger.
 const STRONGER_FACTOR: u32 = 2;
 /// The time until something that failed is tried again.
@@ -49,7 +49,7 @@
             let _ = tokio::time::timeout(RETRY.into(), changed).await;
             continue;
         }
-        tokio::time::sleep(stagger(&node).into()).await;
+        tokio::time::sleep(own_campaign_delay(&node).into()).await;
         if !may_campaign(&node) {
             continue;
         }
@@ -62,17 +62,17 @@
 
 fn may_campaign<P: Platform>(node: &Rc<Node<P>>) -> bool {
     let view = node.cell.borrow();
-    let is_fresh = clock::now().since(view.seen_at) <= VIEW_LIMIT;
+    let is_fresh = clock::now().since(view.confirmed_at) <= VIEW_AGE_LIMIT;
     let is_able = node.configuration.is_known() && !node.is_draining.get();
     view.leader.is_none() && is_fresh && is_able
 }
 
 /// Returns how long this node lets others go first.
-fn stagger<P: Platform>(node: &Rc<Node<P>>) -> Duration {
-    let draw_ms = draw_below(&node.settings.name, CROWD_PERIOD.as_ms());
+fn own_campaign_delay<P: Platform>(node: &Rc<Node<P>>) -> Duration {
+    let draw_ms = stable_hash_below(&node.settings.name, NON_CANDIDATE_SPREAD.as_ms());
     campaign_delay(
         &node.settings.name,
-        &membership::record(node),
+        &membership::own_node_record(node),
         &node.cell.borrow().list.candidates,
         Duration::from_ms(draw_ms),
     )
@@ -119,7 +119,7 @@
 /// An older registration may be that of a node which is gone or cut off: its
 /// item stays until its lease is over.
 pub fn has_stronger_joined(own: &NodeRecord, view: &CellView, since: Revision) -> bool {
-    let mut joined = view.registered.iter().filter(|(_, at)| **at > since);
+    let mut joined = view.registered_at.iter().filter(|(_, at)| **at > since);
     joined.any(|(name, _)| {
         let record = view.nodes.get(name);
         record.is_some_and(|record| is_much_stronger(record, own))
@@ -135,17 +135,17 @@
     let asked_at = clock::now();
     let grant = node.store.grant_lease(LEADER_LEASE).await?;
     node.own_lease.set(grant.id);
-    let record = own_record(node);
+    let record = own_leader_record(node);
     let fence = elect(node, &record, grant.id).await?;
     info!(node.log, "elected"; "fence" => fence, "lease" => grant.id);
     let valid_until = asked_at + grant.ttl;
-    let was_resigned = leader::lead(node, grant, fence, valid_until).await;
+    let was_resigned = leader::run_term(node, grant, fence, valid_until).await;
     info!(node.log, "term over"; "fence" => fence, "was_resigned" => was_resigned);
     Ok(())
 }
 
 /// Returns what the others are told where this node leads.
-pub fn own_record<P: Platform>(node: &Rc<Node<P>>) -> LeaderRecord {
+pub fn own_leader_record<P: Platform>(node: &Rc<Node<P>>) -> LeaderRecord {
     LeaderRecord {
         name: node.settings.name.clone(),
         address: node.settings.peer_address.to_string(),
@@ -191,13 +191,16 @@
 }
 
 /// Returns whether the leader is an earlier life of this very process.
-pub(crate) fn is_own_earlier_life<P: Platform>(node: &Rc<Node<P>>, leader: &LeaderRecord) -> bool {
+pub(crate) fn is_own_earlier_incarnation<P: Platform>(
+    node: &Rc<Node<P>>,
+    leader: &LeaderRecord,
+) -> bool {
     let own_address = node.settings.peer_address.to_string();
     leader.address == own_address && node.own_lease.get() != leader.lease
 }
 
 /// Ends the lease of a leader that is certainly gone.
-pub(crate) async fn evict<P: Platform>(
+pub(crate) async fn evict_leader<P: Platform>(
     node: Rc<Node<P>>,
     leader: LeaderRecord,
     reason: &'static str,
@@ -208,14 +211,17 @@
 }
 
 /// Takes in that nothing listens at the leader's address any more.
-pub fn suspect_leader<P: Platform>(node: &Rc<Node<P>>, leader: LeaderRecord) {
-    evict_once(node, leader, "connection refused");
+pub fn evict_unreachable_leader<P: Platform>(node: &Rc<Node<P>>, leader: LeaderRecord) {
+    evict_rate_limited(node, leader, "connection refused");
 }
 
 /// Takes in that the leader leaves calls of several nodes unanswered; returns whether it is
 /// evicted.
-pub(crate) fn evict_silent<P: Platform>(node: &Rc<Node<P>>, leader: LeaderRecord) -> bool {
-    evict_once(node, leader, "calls unanswered")
+pub(crate) fn evict_unresponsive_leader<P: Platform>(
+    node: &Rc<Node<P>>,
+    leader: LeaderRecord,
+) -> bool {
+    evict_rate_limited(node, leader, "calls unanswered")
 }
 
 /// Evicts a leader; returns whether it does so now.
@@ -223,13 +229,17 @@
 /// A node that is itself cut off would be mistaken, so each node does this once in a while
 /// at most. A leader that is evicted by mistake loses its lease, not its promises: its
 /// commits and its orders are fenced like those of any former leader.
-fn evict_once<P: Platform>(node: &Rc<Node<P>>, leader: LeaderRecord, reason: &'static str) -> bool {
+fn evict_rate_limited<P: Platform>(
+    node: &Rc<Node<P>>,
+    leader: LeaderRecord,
+    reason: &'static str,
+) -> bool {
     let now = clock::now();
     let is_current = node.cell.borrow().leader.as_ref() == Some(&leader);
     if !is_current || now < node.next_eviction_at.get() {
         return false;
     }
     node.next_eviction_at.set(now + EVICTION_PERIOD);
-    tokio::task::spawn_local(evict(node.clone(), leader, reason));
+    tokio::task::spawn_local(evict_leader(node.clone(), leader, reason));
     true
 }
--- a/crates/control/src/failure_detector.rs
+++ b/crates/control/src/failure_detector.rs
@@ -11,7 +11,7 @@
 /// The time between two probes; other calls that the leader answers stand for one.
 pub const PROBE_PERIOD: Duration = Duration::from_ms(150);
 /// How long a probe waits for its answer.
-pub const PROBE_LIMIT: Duration = Duration::from_ms(150);
+pub const PROBE_TIMEOUT: Duration = Duration::from_ms(150);
 /// How long a leader is silent before it is suspected: several times what it is late while
 /// it decides under load, and a third of its lease.
 pub const SUSPECT_AFTER: Duration = Duration::from_ms(500);
@@ -22,7 +22,7 @@
 /// another moment.
 pub const CONFIRM_MISSES_COUNT: u32 = 2;
 /// How long a new leader is not judged: it reads the store and decides on all that waits.
-pub const GRACE_TIME: Duration = Duration::from_ms(3000);
+pub const NEW_LEADER_GRACE_TIME: Duration = Duration::from_ms(3000);
 
 /// What one node has heard of one leader.
 #[derive(Clone, Copy, Debug, Default)]
@@ -50,35 +50,35 @@
     }
 
     /// Notes that a call that was sent at an instant was answered.
-    pub fn note_answer(&mut self, sent_at: Instant) {
+    pub fn record_answer(&mut self, sent_at: Instant) {
         self.answered_at = self.answered_at.max(sent_at);
         self.misses_count = 0;
     }
 
     /// Notes that a probe was not answered in time.
-    pub const fn note_miss(&mut self) {
+    pub const fn record_miss(&mut self) {
         self.misses_count += 1;
     }
 
     /// Returns for how long the leader has been silent.
-    pub fn silence(&self, now: Instant) -> Duration {
+    pub fn unresponsive_time(&self, now: Instant) -> Duration {
         now.since(self.answered_at)
     }
 
     /// Returns whether the leader must be asked whether it is there.
     pub fn is_probe_due(&self, now: Instant) -> bool {
-        self.silence(now) >= PROBE_PERIOD
+        self.unresponsive_time(now) >= PROBE_PERIOD
     }
 
     /// Returns whether the leader is taken for gone.
-    pub fn is_suspect(&self, now: Instant) -> bool {
-        let is_new = now.since(self.known_since) < GRACE_TIME;
-        let is_silent = self.silence(now) >= SUSPECT_AFTER;
-        !is_new && is_silent && self.misses_count >= SUSPECT_MISSES_COUNT
+    pub fn is_suspected(&self, now: Instant) -> bool {
+        let is_new = now.since(self.known_since) < NEW_LEADER_GRACE_TIME;
+        let is_unresponsive = self.unresponsive_time(now) >= SUSPECT_AFTER;
+        !is_new && is_unresponsive && self.misses_count >= SUSPECT_MISSES_COUNT
     }
 
     /// Returns whether the leader has left several probes unanswered.
-    pub const fn is_missed(&self) -> bool {
+    pub const fn has_missed_probes(&self) -> bool {
         self.misses_count >= CONFIRM_MISSES_COUNT
     }
 }
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -13,7 +13,7 @@
 
 /// Failures in a row, beside answers to small calls, after which a watch is
 /// given up and everything is read.
-const UNANSWERABLE_LIMIT_COUNT: u32 = 2;
+const FAILED_WATCHES_LIMIT_COUNT: u32 = 2;
 
 /// How a part of the store is followed.
 #[derive(Clone, Copy, Debug)]
@@ -21,17 +21,17 @@
     /// How long a watch waits.
     pub wait: Duration,
     /// The time after which everything is read again, where it is.
-    pub refresh: Option<Duration>,
+    pub reread_after: Option<Duration>,
     /// The time between a watch that brought one change and the next. The more it brings,
     /// the shorter the time: a part of the store that changes often is followed as closely as
     /// one that changes rarely.
-    pub pace: Duration,
+    pub max_pause: Duration,
     /// Whether a watch that failed is followed by reading what stands: a watch
     /// brings every version since, of which only the newest counts.
-    pub reads_after_failure: bool,
+    pub rereads_after_failure: bool,
     /// Whether a watch that brought changes is followed by one that does not
     /// wait, which tells whether they are the newest.
-    pub is_confirming: bool,
+    pub confirms_changes: bool,
 }
 
 impl FollowPolicy {
@@ -41,7 +41,7 @@
     /// high the rate is, and the time shrinks with it.
     pub fn pause_after(&self, changes_count: usize) -> Duration {
         let left_count = FULL_ANSWER_COUNT.saturating_sub(changes_count) as u64;
-        let pause_ms = self.pace.as_ms() * left_count / FULL_ANSWER_COUNT as u64;
+        let pause_ms = self.max_pause.as_ms() * left_count / FULL_ANSWER_COUNT as u64;
         Duration::from_ms(pause_ms)
     }
 }
@@ -133,7 +133,7 @@
         }
     }
 
-    fn read_again(&mut self) {
+    fn restart(&mut self) {
         *self = Self::new(None);
     }
 }
@@ -143,7 +143,7 @@
 /// After a failure a small call goes first, which tells whether the store
 /// answers at all: a page is given much time, which an outage would use up, and
 /// a watch that fails beside it has an answer that can't be taken in.
-async fn ask<S: Store>(
+async fn fetch_update<S: Store>(
     store: &S,
     prefix: &str,
     position: &mut Position,
@@ -168,7 +168,7 @@
             }
         }
         Err(StoreError::Compacted) => {
-            position.read_again();
+            position.restart();
             Ok(None)
         }
         Err(error) => {
@@ -182,7 +182,7 @@
 
 /// Follows a prefix until told to stop.
 ///
-/// `learn` is told each update with an instant from which on the store said so.
+/// `on_update` is told each update with an instant from which on the store said so.
 /// An answer was true at some moment after it was asked for; how long its last
 /// byte then took is a matter of its size and of the node's link.
 ///
@@ -193,13 +193,13 @@
     prefix: &str,
     policy: FollowPolicy,
     from: Option<Revision>,
-    mut learn: impl FnMut(Update, Instant) -> Flow,
+    mut on_update: impl FnMut(Update, Instant) -> Flow,
 ) {
     let mut position = Position::new(from);
     let mut read_at = clock::now();
     let mut is_failing = false;
     // What the caller knows may be old.
-    let mut is_unconfirmed = policy.is_confirming && from.is_some();
+    let mut is_unconfirmed = policy.confirms_changes && from.is_some();
     loop {
         let asked_at = clock::now();
         // A call that waits may hang on after the store is back.
@@ -208,15 +208,15 @@
         } else {
             policy.wait
         };
-        let asked = ask(&store, prefix, &mut position, wait, is_failing).await;
+        let asked = fetch_update(&store, prefix, &mut position, wait, is_failing).await;
         let update = match asked {
             Ok(Some(update)) => update,
             Ok(None) => continue,
             Err(error) => Update::Failed(error),
         };
         is_failing = matches!(update, Update::Failed(_));
-        is_unconfirmed = policy.is_confirming && matches!(update, Update::Changes(_));
-        let true_at = match &update {
+        is_unconfirmed = policy.confirms_changes && matches!(update, Update::Changes(_));
+        let as_of = match &update {
             // The store waited before it said so.
             Update::Unchanged => clock::now().min(asked_at + wait),
             Update::Snapshot(_) | Update::Changes(_) | Update::Failed(_) => asked_at,
@@ -224,17 +224,17 @@
         if matches!(update, Update::Snapshot(_)) {
             read_at = clock::now();
         }
-        let is_unanswerable = position.unanswerable_count >= UNANSWERABLE_LIMIT_COUNT;
-        let reads_next = is_failing && policy.reads_after_failure;
+        let is_unanswerable = position.unanswerable_count >= FAILED_WATCHES_LIMIT_COUNT;
+        let reads_next = is_failing && policy.rereads_after_failure;
         if is_stale(policy, read_at) || is_unanswerable || reads_next {
-            position.read_again();
+            position.restart();
         }
         let pause = match &update {
             Update::Failed(_) => RETRY,
             Update::Changes(changes) => policy.pause_after(changes.len()),
             Update::Snapshot(_) | Update::Unchanged => Duration::ZERO,
         };
-        if learn(update, true_at) == Flow::Stop {
+        if on_update(update, as_of) == Flow::Stop {
             return;
         }
         if is_failing {
@@ -246,6 +246,6 @@
 }
 
 fn is_stale(policy: FollowPolicy, read_at: Instant) -> bool {
-    let refresh = policy.refresh;
-    refresh.is_some_and(|refresh| clock::now().since(read_at) >= refresh)
+    let reread_after = policy.reread_after;
+    reread_after.is_some_and(|reread_after| clock::now().since(read_at) >= reread_after)
 }
--- a/crates/control/src/freshness.rs
+++ b/crates/control/src/freshness.rs
@@ -15,7 +15,7 @@
 /// out within `bound` of a change.
 ///
 /// A short bound leaves a half of it for the order.
-pub fn belief_limit(bound: Duration) -> Duration {
+pub fn max_view_age(bound: Duration) -> Duration {
     let half_ms = bound.as_ms() / 2;
     let left_ms = bound.as_ms().saturating_sub(ORDER_TIME.as_ms());
     Duration::from_ms(left_ms.max(half_ms))
@@ -46,8 +46,8 @@
     }
 
     /// Notes that the store knew of nothing newer at an instant.
-    pub fn confirm(&self, true_at: Instant) {
-        self.confirmed_at.set(self.confirmed_at.get().max(true_at));
+    pub fn confirm(&self, as_of: Instant) {
+        self.confirmed_at.set(self.confirmed_at.get().max(as_of));
     }
 
     /// Returns the time since the belief was confirmed.
@@ -63,13 +63,13 @@
 
 /// The ages of all beliefs on which a leader's starts rest.
 #[derive(Debug)]
-pub(crate) struct Beliefs {
+pub(crate) struct StoreViews {
     pub(crate) cordons: Freshness,
     pub(crate) workers: Freshness,
     is_outdated: Cell<bool>,
 }
 
-impl Beliefs {
+impl StoreViews {
     /// Creates the ages for a leader that knows nothing yet.
     pub(crate) const fn new(cordons: Freshness, workers: Freshness) -> Self {
         Self {
@@ -80,9 +80,9 @@
     }
 
     /// Returns whether starts must be held back, where that has changed since the last call.
-    pub(crate) fn take_change(&self, now: Instant, log: &Logger) -> Option<bool> {
-        let mut beliefs = [&self.cordons, &self.workers].into_iter();
-        let outdated = beliefs.find(|belief| belief.is_outdated(now));
+    pub(crate) fn update_starts_held(&self, now: Instant, log: &Logger) -> Option<bool> {
+        let mut store_views = [&self.cordons, &self.workers].into_iter();
+        let outdated = store_views.find(|belief| belief.is_outdated(now));
         let was_outdated = self.is_outdated.replace(outdated.is_some());
         if was_outdated == outdated.is_some() {
             return None;
--- a/crates/control/src/front.rs
+++ b/crates/control/src/front.rs
@@ -19,17 +19,17 @@
 use tokio::sync::watch;
 
 /// The least room that the HTTP library needs for a head.
-const HEAD_FLOOR_BYTES: usize = 8192;
+const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 /// The largest body of another node.
 const PEER_BODY_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 /// The pause after a connection could not be accepted.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
+const ACCEPT_RETRY_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
 /// The longest body that is read past, and for how long. A judgement: bodies of a few
 /// kilobytes come with the head or some milliseconds later.
-const SKIPPED_BODY_LIMIT_BYTES: usize = 16 * 1024;
-const SKIPPED_BODY_TIME: Duration = Duration::from_ms(50);
+const DISCARDED_BODY_LIMIT_BYTES: usize = 16 * 1024;
+const DISCARD_BODY_TIMEOUT: Duration = Duration::from_ms(50);
 /// Limits before the operators have set any.
-const FIRST_LIMITS: RequestLimits = RequestLimits {
+const DEFAULT_LIMITS: RequestLimits = RequestLimits {
     head_limit_bytes: 16 * 1024,
     body_limit_bytes: 256 * 1024,
     read_timeout: Duration::from_ms(3000),
@@ -37,7 +37,7 @@
 };
 /// When a client may come back that came before there was a configuration, or
 /// while it was not known whether there is a newer one.
-const COME_BACK: Retry = Retry {
+const RETRY_LATER: Retry = Retry {
     after: Duration::from_ms(1000),
 };
 
@@ -83,16 +83,16 @@
 }
 
 /// Counts something for as long as it lives.
-struct Counted(Rc<Cell<usize>>);
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl ConnectionGuard {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -139,14 +139,14 @@
             _ = stopped.wait_for(|stopped| *stopped) => return,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        let counted = (role == Role::Clients).then(|| Counted::new(&open_count));
+        let connection_guard = (role == Role::Clients).then(|| ConnectionGuard::new(&open_count));
         let connection = serve(stream, node.clone(), stopped.clone(), role);
         tokio::task::spawn_local(async move {
             connection.await;
-            drop(counted);
+            drop(connection_guard);
         });
     }
 }
@@ -167,7 +167,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(core::time::Duration::from(limits.idle_timeout))
-        .max_buf_size(limits.head_limit_bytes.max(HEAD_FLOOR_BYTES))
+        .max_buf_size(limits.head_limit_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -180,8 +180,8 @@
 }
 
 fn limits<P: Platform>(node: &Rc<Node<P>>) -> RequestLimits {
-    let in_force = node.configuration.in_force();
-    in_force.map_or(FIRST_LIMITS, |in_force| P::limits(&in_force.routes))
+    let active = node.configuration.active();
+    active.map_or(DEFAULT_LIMITS, |active| P::limits(&active.routes))
 }
 
 async fn respond<P: Platform>(
@@ -223,7 +223,7 @@
 }
 
 fn respond_metrics<P: Platform>(node: &Rc<Node<P>>) -> Response<Full<Bytes>> {
-    node.note_configuration_age();
+    node.update_configuration_metrics();
     let text = node.metrics.to_text();
     let mut response = Response::new(Full::new(Bytes::from(text)));
     let content_type = HeaderValue::from_static(metrics::CONTENT_TYPE);
@@ -243,42 +243,42 @@
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    peer::encode(&requests::answer_peer(node, request).await)
+    peer::encode(&requests::handle_peer_request(node, request).await)
 }
 
 async fn respond_client<P: Platform>(node: &Rc<Node<P>>, request: Request<IncomingBody>) -> Reply {
     let begun_at = clock::now();
     let reply = reply_to(node, request).await;
-    node.metrics.note_reply(&reply, begun_at);
+    node.metrics.count_reply(&reply, begun_at);
     reply
 }
 
 /// Answers a request by the configuration that is in force when its head is read.
 async fn reply_to<P: Platform>(node: &Rc<Node<P>>, request: Request<IncomingBody>) -> Reply {
     let (parts, body) = request.into_parts();
-    let Some(in_force) = node.current_configuration().await else {
-        skip_body(body).await;
-        return Reply::Unavailable(COME_BACK);
+    let Some(active) = node.current_configuration().await else {
+        discard_body(body).await;
+        return Reply::Unavailable(RETRY_LATER);
     };
     let head = RequestHead {
         method: &parts.method,
         path: parts.uri.path(),
         headers: &parts.headers,
     };
-    let admission = match node.platform.admit(&in_force.routes, head) {
+    let admission = match node.platform.admit(&active.routes, head) {
         Ok(admission) => admission,
         Err(reply) => {
-            skip_body(body).await;
+            discard_body(body).await;
             return reply;
         }
     };
-    let limits = P::limits(&in_force.routes);
+    let limits = P::limits(&active.routes);
     let body = match read_body(body, limits).await {
         Ok(body) => body,
         Err(reply) => return reply,
     };
     match node.platform.parse_call(admission, &body) {
-        Ok(call) => requests::execute(node, call, &in_force.configuration).await,
+        Ok(call) => requests::handle_call(node, call, &active.configuration).await,
         Err(reply) => reply,
     }
 }
@@ -301,8 +301,8 @@
 
 /// Reads past the body of a request that is answered by its head, where it is short and
 /// there already: the connection would be reset otherwise, and the answer lost with it.
-async fn skip_body(body: IncomingBody) {
-    let body = Limited::new(body, SKIPPED_BODY_LIMIT_BYTES).collect();
+async fn discard_body(body: IncomingBody) {
+    let body = Limited::new(body, DISCARDED_BODY_LIMIT_BYTES).collect();
     // What is longer or slower ends with its connection.
-    let _ = tokio::time::timeout(SKIPPED_BODY_TIME.into(), body).await;
+    let _ = tokio::time::timeout(DISCARD_BODY_TIMEOUT.into(), body).await;
 }
--- a/crates/control/src/handover.rs
+++ b/crates/control/src/handover.rs
@@ -4,7 +4,7 @@
 //! and never to the store, and an answer that is lost is not repeated before the next turn.
 
 use crate::clock;
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::peer::{self, PeerReply, PeerRequest};
 use crate::platform::Platform;
@@ -16,7 +16,7 @@
 /// The time between two turns. What is learned within one is lost with the leader.
 const PERIOD: Duration = Duration::from_s(10);
 /// How long a node may take to answer.
-const ANSWER_LIMIT: Duration = Duration::from_ms(1000);
+const ANSWER_TIMEOUT: Duration = Duration::from_ms(1000);
 /// How many candidates it goes to: one of the first leads next, unless all of them are lost.
 const RECEIVERS_COUNT: usize = 3;
 /// How old what was handed on may be: workers may have changed since.
@@ -24,12 +24,12 @@
 
 /// What an earlier leader has learned, as a node keeps it.
 #[derive(Debug, Default)]
-pub struct KeptLearned {
+pub struct LearnedSnapshot {
     learned: Learned,
     at: Instant,
 }
 
-impl KeptLearned {
+impl LearnedSnapshot {
     /// Keeps what has come from the leader.
     pub const fn new(now: Instant, learned: Learned) -> Self {
         Self { learned, at: now }
@@ -47,22 +47,22 @@
 }
 
 /// Hands on what this leader has learned, until its term is over.
-pub(crate) async fn hand_on<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
-    while !leading.is_over() {
+pub(crate) async fn send_learned<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
+    while !term.is_over() {
         tokio::time::sleep(PERIOD.into()).await;
         let now = clock::now();
-        let learned = leading.scheduler.borrow().learned(now);
-        if learned.is_empty() || !leading.may_order() {
+        let learned = term.scheduler.borrow().learned(now);
+        if learned.is_empty() || !term.may_send_orders() {
             continue;
         }
         // This node may be elected again.
-        *node.learned.borrow_mut() = KeptLearned::new(now, learned.clone());
+        *node.learned.borrow_mut() = LearnedSnapshot::new(now, learned.clone());
         let request = PeerRequest::Learned(learned);
         let candidates = node.cell.borrow().list.candidates.clone();
         let others = candidates.iter().filter(|it| it.name != node.settings.name);
         for candidate in others.take(RECEIVERS_COUNT) {
             let address = &candidate.record.address;
-            let reply = peer::call(&node.peers, address, &request, ANSWER_LIMIT).await;
+            let reply = peer::call(&node.peers, address, &request, ANSWER_TIMEOUT).await;
             if !matches!(reply, Ok(PeerReply::Taken)) {
                 debug!(node.log, "learned not handed on"; "to" => &candidate.name);
             }
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -17,9 +17,9 @@
 /// Entries that may wait.
 const QUEUE_LIMIT_COUNT: usize = 400;
 /// How long an entry is tried for that may be in the store.
-const DOUBT_LIMIT: Duration = Duration::from_ms(1200);
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_ms(1200);
 /// How long an entry is tried for that certainly is not: others can take it.
-const TRY_LIMIT: Duration = Duration::from_ms(120);
+const NOT_STORED_TIMEOUT: Duration = Duration::from_ms(120);
 /// The time until a call that failed is made again.
 const RETRY: Duration = Duration::from_ms(40);
 /// Failed calls in a row after which the store is taken not to answer.
@@ -41,9 +41,9 @@
 struct Entry {
     key: String,
     value: Vec<u8>,
-    since: ospreywing_types::Instant,
+    queued_at: ospreywing_types::Instant,
     /// Whether a call that carried it had no answer.
-    is_doubtful: bool,
+    is_unconfirmed: bool,
     reply: oneshot::Sender<IntakeOutcome>,
 }
 
@@ -91,8 +91,8 @@
         self.queue.borrow_mut().push_back(Entry {
             key,
             value,
-            since: clock::now(),
-            is_doubtful: false,
+            queued_at: clock::now(),
+            is_unconfirmed: false,
             reply,
         });
         self.arrived.notify_one();
@@ -106,7 +106,7 @@
     }
 
     /// Notes that the store has answered some other call.
-    pub fn note_answer(&self) {
+    pub fn record_answer(&self) {
         self.failures_count.set(0);
     }
 
@@ -152,12 +152,14 @@
                     let outcome = item.map_or(IntakeOutcome::Unknown, |item| entry.found(item));
                     entry.answer(outcome);
                 }
-                self.put_back(rest);
+                self.requeue(rest);
             }
             Err(CommitError::Store(error)) => {
                 self.failures_count.set(self.failures_count.get() + 1);
                 if !matches!(error, StoreError::Refused(_)) {
-                    group.iter_mut().for_each(|entry| entry.is_doubtful = true);
+                    group
+                        .iter_mut()
+                        .for_each(|entry| entry.is_unconfirmed = true);
                 }
                 self.retry_or_give_up(group).await;
             }
@@ -167,27 +169,27 @@
     async fn retry_or_give_up(&self, group: Vec<Entry>) {
         let now = clock::now();
         let is_over = |entry: &Entry| {
-            let limit = if entry.is_doubtful {
-                DOUBT_LIMIT
+            let limit = if entry.is_unconfirmed {
+                UNCONFIRMED_TIMEOUT
             } else {
-                TRY_LIMIT
+                NOT_STORED_TIMEOUT
             };
-            now.since(entry.since) >= limit
+            now.since(entry.queued_at) >= limit
         };
         let (over, rest): (Vec<_>, Vec<_>) = group.into_iter().partition(is_over);
         for entry in over {
-            let outcome = if entry.is_doubtful {
+            let outcome = if entry.is_unconfirmed {
                 IntakeOutcome::Unknown
             } else {
                 IntakeOutcome::NotStored
             };
             entry.answer(outcome);
         }
-        self.put_back(rest);
+        self.requeue(rest);
         self.store.pause(RETRY).await;
     }
 
-    fn put_back(&self, rest: Vec<Entry>) {
+    fn requeue(&self, rest: Vec<Entry>) {
         let mut queue = self.queue.borrow_mut();
         for entry in rest.into_iter().rev() {
             queue.push_front(entry);
--- a/crates/control/src/lateness.rs
+++ b/crates/control/src/lateness.rs
@@ -29,7 +29,7 @@
     }
 
     /// Takes in that the loop ticks.
-    pub fn note_tick(&mut self, now: Instant) {
+    pub fn record_tick(&mut self, now: Instant) {
         let gap = now.since(self.ticked_at);
         let late_ms = gap.as_ms().saturating_sub(self.period.as_ms());
         let remaining_ms = self.current.as_ms() * REMAINING_EIGHTHS / 8;
--- a/crates/control/src/layered.rs
+++ b/crates/control/src/layered.rs
@@ -73,10 +73,10 @@
     /// # Errors
     ///
     /// Returns the call's own error, or one of the layer's.
-    async fn around<T, E: CallFailure>(
+    async fn wrap_call<T, E: CallFailure>(
         &self,
         call: StoreCall,
-        made: impl Future<Output = Result<T, E>>,
+        future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E>;
 
     /// Waits before a call that failed is repeated.
@@ -117,13 +117,13 @@
     }
 
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
-        let made = self.store.get(key);
-        self.layer.around(StoreCall::Get, made).await
+        let future = self.store.get(key);
+        self.layer.wrap_call(StoreCall::Get, future).await
     }
 
     async fn range(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
-        let made = self.store.range(prefix, after);
-        self.layer.around(StoreCall::Range, made).await
+        let future = self.store.range(prefix, after);
+        self.layer.wrap_call(StoreCall::Range, future).await
     }
 
     async fn watch(
@@ -132,30 +132,30 @@
         from: Revision,
         wait: Duration,
     ) -> Result<Watched, StoreError> {
-        let made = self.store.watch(prefix, from, wait);
-        self.layer.around(StoreCall::Watch, made).await
+        let future = self.store.watch(prefix, from, wait);
+        self.layer.wrap_call(StoreCall::Watch, future).await
     }
 
     async fn commit(&self, transaction: &Transaction) -> Result<Committed, CommitError> {
         let len_bytes = len_bytes_of(transaction);
-        let made = self.store.commit(transaction);
+        let future = self.store.commit(transaction);
         self.layer
-            .around(StoreCall::Commit { len_bytes }, made)
+            .wrap_call(StoreCall::Commit { len_bytes }, future)
             .await
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
-        let made = self.store.grant_lease(ttl);
-        self.layer.around(StoreCall::GrantLease, made).await
+        let future = self.store.grant_lease(ttl);
+        self.layer.wrap_call(StoreCall::GrantLease, future).await
     }
 
     async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let made = self.store.renew_lease(lease);
-        self.layer.around(StoreCall::RenewLease, made).await
+        let future = self.store.renew_lease(lease);
+        self.layer.wrap_call(StoreCall::RenewLease, future).await
     }
 
     async fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let made = self.store.end_lease(lease);
-        self.layer.around(StoreCall::EndLease, made).await
+        let future = self.store.end_lease(lease);
+        self.layer.wrap_call(StoreCall::EndLease, future).await
     }
 }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -5,7 +5,7 @@
 use crate::cordons;
 use crate::election::LEADER_LEASE;
 use crate::follow::Flow;
-use crate::freshness::{belief_limit, Beliefs, Freshness};
+use crate::freshness::{max_view_age, Freshness, StoreViews};
 use crate::node::{Node, NodeStore};
 use crate::platform::Platform;
 use crate::relay::RelayLinks;
@@ -29,7 +29,7 @@
 const RESIGN_LIMIT: Duration = Duration::from_ms(400);
 
 /// A term.
-pub struct Leading<P: Platform> {
+pub struct Term<P: Platform> {
     /// The fencing token.
     pub fence: u64,
     pub(crate) begun_at: Instant,
@@ -44,25 +44,25 @@
     pub(crate) scheduler: RefCell<Scheduler>,
     pub(crate) events: mpsc::UnboundedSender<Event>,
     pub(crate) relays: RelayLinks,
-    pub(crate) beliefs: Beliefs,
+    pub(crate) store_views: StoreViews,
     pub(crate) lanes: Vec<Rc<CommitLane<NodeStore<P>>>>,
     pub(crate) open_commits_count: Cell<usize>,
 }
 
-impl<P: Platform> Leading<P> {
+impl<P: Platform> Term<P> {
     /// Tells the scheduler of something that happened.
-    pub fn tell(&self, event: Event) {
+    pub fn send_event(&self, event: Event) {
         // A term that is over needs to know nothing.
         let _ = self.events.send(event);
     }
 
     /// Brings a configuration into force.
     pub fn configure(&self, configuration: Configuration) {
-        self.tell(Event::Configured(configuration));
+        self.send_event(Event::Configured(configuration));
     }
 
     /// Returns whether orders may be given now.
-    pub fn may_order(&self) -> bool {
+    pub fn may_send_orders(&self) -> bool {
         !self.is_over.get() && clock::now() < self.valid_until.get()
     }
 
@@ -119,26 +119,26 @@
 }
 
 /// Returns the ages of a new leader's beliefs, none of which is confirmed.
-fn new_beliefs<P: Platform>(node: &Node<P>) -> Beliefs {
-    let cordons_limit = belief_limit(node.settings.cordon_limit);
+fn new_store_views<P: Platform>(node: &Node<P>) -> StoreViews {
+    let cordons_limit = max_view_age(node.settings.cordon_limit);
     // A slow store's answers must not hold back what is started.
-    let workers_limit = belief_limit(node.settings.drain_limit).max(LEADER_LEASE);
-    Beliefs::new(
+    let workers_limit = max_view_age(node.settings.drain_limit).max(LEADER_LEASE);
+    StoreViews::new(
         Freshness::new("cordons", cordons_limit),
         Freshness::new("workers", workers_limit),
     )
 }
 
 /// Leads until the term is over; returns whether the node gave it up itself.
-pub async fn lead<P: Platform>(
+pub async fn run_term<P: Platform>(
     node: &Rc<Node<P>>,
     grant: LeaseGrant,
     fence: u64,
     valid_until: Instant,
 ) -> bool {
-    let Some(in_force) = node
+    let Some(active) = node
         .configuration
-        .in_force()
+        .active()
         .filter(|_| !node.is_draining.get())
     else {
         // The lease runs out by itself otherwise.
@@ -156,11 +156,11 @@
         .collect();
     let empty = Scheduler::new(
         config,
-        in_force.configuration.clone(),
+        active.configuration.clone(),
         clock::now(),
         Recovered::default(),
     );
-    let leading = Rc::new(Leading::<P> {
+    let term = Rc::new(Term::<P> {
         fence,
         begun_at: clock::now(),
         lease: grant.id,
@@ -172,21 +172,18 @@
         scheduler: RefCell::new(empty),
         events,
         relays: RelayLinks::default(),
-        beliefs: new_beliefs(node),
+        store_views: new_store_views(node),
         lanes,
         open_commits_count: Cell::new(0),
     });
-    tokio::task::spawn_local(leader_lease::renew_lease(node.clone(), leading.clone()));
-    tokio::task::spawn_local(cell_follow::follow_nodes(node.clone(), leading.clone()));
-    tokio::task::spawn_local(cell_follow::publish_candidates(
-        node.clone(),
-        leading.clone(),
-    ));
+    tokio::task::spawn_local(leader_lease::renew_lease(node.clone(), term.clone()));
+    tokio::task::spawn_local(cell_follow::follow_nodes(node.clone(), term.clone()));
+    tokio::task::spawn_local(cell_follow::publish_candidates(node.clone(), term.clone()));
     let recovered = tokio::select! {
-        recovered = recovery::recover(node, &leading) => recovered,
-        () = step_down::wait_to_step_down(node, &leading) => {
+        recovered = recovery::recover(node, &term) => recovered,
+        () = step_down::wait_to_step_down(node, &term) => {
             step_down::log_stepped_down(node, fence, "recovering");
-            leading.is_resigned.set(true);
+            term.is_resigned.set(true);
             None
         }
     };
@@ -196,7 +193,7 @@
         for data_centre in &recovered.cordons {
             info!(node.log, "cordon"; "data_centre" => data_centre.as_ref(), "reason" => "stands");
         }
-        let newest = node.configuration.in_force().unwrap_or(in_force);
+        let newest = node.configuration.active().unwrap_or(active);
         let configuration = newest.configuration.clone();
         let mut scheduler = Scheduler::new(config, configuration, clock::now(), recovered);
         let kept = node.learned.take();
@@ -205,22 +202,22 @@
                 "sizes" => learned.sizes.len(), "speeds" => learned.speeds.len());
             scheduler.take_learned(clock::now(), &learned);
         }
-        *leading.scheduler.borrow_mut() = scheduler;
-        *node.leading.borrow_mut() = Some(leading.clone());
-        node.metrics.note_term(true);
+        *term.scheduler.borrow_mut() = scheduler;
+        *node.term.borrow_mut() = Some(term.clone());
+        node.metrics.set_leading(true);
         if node.is_draining.get() {
-            leading.resign().await;
+            term.resign().await;
         }
-        tokio::task::spawn_local(watches::follow_intake(node.clone(), leading.clone(), at));
-        tokio::task::spawn_local(watches::follow_workers(node.clone(), leading.clone()));
-        tokio::task::spawn_local(cordons::follow_cordons(node.clone(), leading.clone()));
-        tokio::task::spawn_local(handover::hand_on(node.clone(), leading.clone()));
-        decision_loop::run(node, &leading, received).await;
-        *node.leading.borrow_mut() = None;
-        node.metrics.note_term(false);
+        tokio::task::spawn_local(watches::follow_intake(node.clone(), term.clone(), at));
+        tokio::task::spawn_local(watches::follow_workers(node.clone(), term.clone()));
+        tokio::task::spawn_local(cordons::follow_cordons(node.clone(), term.clone()));
+        tokio::task::spawn_local(handover::send_learned(node.clone(), term.clone()));
+        decision_loop::run(node, &term, received).await;
+        *node.term.borrow_mut() = None;
+        node.metrics.set_leading(false);
     }
-    leading.is_over.set(true);
+    term.is_over.set(true);
     // The lease runs out by itself otherwise.
     let _ = node.store.end_lease(grant.id).await;
-    leading.is_resigned.get()
+    term.is_resigned.get()
 }
--- a/crates/control/src/leader_lease.rs
+++ b/crates/control/src/leader_lease.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::election::LEADER_LEASE;
-use crate::leader::{Leading, LEASE_MARGIN};
+use crate::leader::{Term, LEASE_MARGIN};
 use crate::node::Node;
 use crate::peer::{self, PeerReply, PeerRequest};
 use crate::platform::Platform;
@@ -24,35 +24,34 @@
 const RETRY: Duration = Duration::from_ms(100);
 
 /// Renews the lease until the term is over.
-pub(crate) async fn renew_lease<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
+pub(crate) async fn renew_lease<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let mut failures_count = 0;
-    while !leading.is_over() {
+    while !term.is_over() {
         if failures_count == 0 {
             tokio::time::sleep(RENEWAL.into()).await;
         } else {
             node.store.pause(RETRY).await;
         }
         let sent_at = clock::now();
-        let open_since = &leading.renewal_open_since;
+        let open_since = &term.renewal_open_since;
         open_since.set(open_since.get().or(Some(sent_at)));
-        match node.store.renew_lease(leading.lease).await {
+        match node.store.renew_lease(term.lease).await {
             Ok(()) => {
-                node.note_contact();
+                node.record_store_contact();
                 failures_count = 0;
                 open_since.set(None);
-                leading
-                    .valid_until
+                term.valid_until
                     .set((sent_at + LEADER_LEASE) - LEASE_MARGIN);
             }
             Err(StoreError::LeaseOver) => {
-                warn!(node.log, "leader's lease lost"; "fence" => leading.fence);
-                leading.end();
+                warn!(node.log, "leader's lease lost"; "fence" => term.fence);
+                term.end();
             }
             Err(error) => {
                 warn!(node.log, "leader's lease not renewed"; "error" => error.to_string());
                 failures_count += 1;
                 if failures_count % HAND_OVER_PERIOD_COUNT == HAND_OVER_AFTER_COUNT {
-                    hand_over(&node, &leading).await;
+                    end_lease_through_peer(&node, &term).await;
                 }
             }
         }
@@ -62,13 +61,13 @@
 /// Has another node end the lease, where the store answers that node: a
 /// leader that can't commit is none, and the others need not wait for its
 /// lease to run out.
-async fn hand_over<P: Platform>(node: &Rc<Node<P>>, leading: &Rc<Leading<P>>) {
-    let request = PeerRequest::EndLease(leading.lease);
-    for address in requests::other_nodes(node) {
+async fn end_lease_through_peer<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>) {
+    let request = PeerRequest::EndLease(term.lease);
+    for address in requests::forward_addresses(node) {
         let reply = peer::call(&node.peers, &address, &request, HAND_OVER_LIMIT).await;
         if matches!(reply, Ok(PeerReply::Ended)) {
-            info!(node.log, "lead handed over"; "fence" => leading.fence, "through" => address);
-            leading.end();
+            info!(node.log, "lead handed over"; "fence" => term.fence, "through" => address);
+            term.end();
             return;
         }
     }
--- a/crates/control/src/leader_probe.rs
+++ b/crates/control/src/leader_probe.rs
@@ -2,7 +2,7 @@
 //! that it is silent while the store answers.
 
 use crate::cell_view::{CellView, LeaderRecord};
-use crate::failure_detector::{FailureDetector, PROBE_LIMIT, PROBE_PERIOD};
+use crate::failure_detector::{FailureDetector, PROBE_PERIOD, PROBE_TIMEOUT};
 use crate::node::Node;
 use crate::peer::{self, PeerReply, PeerRequest};
 use crate::platform::Platform;
@@ -33,7 +33,7 @@
             continue;
         }
         probe(&node, &leader).await;
-        if node.detector.get().is_suspect(clock::now()) {
+        if node.detector.get().is_suspected(clock::now()) {
             evict_if_confirmed(&node, leader).await;
         }
     }
@@ -47,7 +47,7 @@
     let cell = node.cell.borrow();
     let leader = cell.leader.clone()?;
     let is_observer = observers(&cell).any(|name| name == node.settings.name);
-    let is_able = !cell.list.shares_configuration && node.has_contact();
+    let is_able = !cell.list.shares_configuration && node.has_store_contact();
     (is_observer && is_able && !node.is_draining.get()).then_some(leader)
 }
 
@@ -68,10 +68,10 @@
 }
 
 /// Notes that the leader with this lease has answered a call.
-pub(crate) fn note_answer<P: Platform>(node: &Node<P>, lease: LeaseId, sent_at: Instant) {
+pub(crate) fn record_answer<P: Platform>(node: &Node<P>, lease: LeaseId, sent_at: Instant) {
     let mut detector = node.detector.get();
     if detector.leader() == lease {
-        detector.note_answer(sent_at);
+        detector.record_answer(sent_at);
         node.detector.set(detector);
     }
 }
@@ -82,18 +82,18 @@
         &node.peers,
         &leader.address,
         &PeerRequest::Leader,
-        PROBE_LIMIT,
+        PROBE_TIMEOUT,
     )
     .await;
     if reply.is_ok() {
-        note_answer(node, leader.lease, sent_at);
+        record_answer(node, leader.lease, sent_at);
         return;
     }
     let mut detector = node.detector.get();
-    detector.note_miss();
+    detector.record_miss();
     node.detector.set(detector);
     if reply.is_err_and(|error| error.is_not_sent()) {
-        election::suspect_leader(node, leader.clone());
+        election::evict_unreachable_leader(node, leader.clone());
     }
 }
 
@@ -102,11 +102,11 @@
     let Some(address) = confirming_observer(node, &leader).await else {
         return;
     };
-    let silence = node.detector.get().silence(clock::now());
+    let unresponsive_time = node.detector.get().unresponsive_time(clock::now());
     let name = leader.name.clone();
-    if election::evict_silent(node, leader) {
+    if election::evict_unresponsive_leader(node, leader) {
         info!(node.log, "leader silent";
-            "leader" => name, "silence_ms" => silence.as_ms(), "confirmed_by" => address);
+            "leader" => name, "silence_ms" => unresponsive_time.as_ms(), "confirmed_by" => address);
     }
 }
 
@@ -117,7 +117,7 @@
 ) -> Option<String> {
     for address in other_observers(node) {
         let request = PeerRequest::IsLeaderSilent(leader.lease);
-        let reply = peer::call(&node.peers, &address, &request, PROBE_LIMIT).await;
+        let reply = peer::call(&node.peers, &address, &request, PROBE_TIMEOUT).await;
         if matches!(reply, Ok(PeerReply::LeaderSilent(true))) {
             return Some(address);
         }
@@ -135,7 +135,7 @@
 }
 
 /// Returns whether this node, as an observer, finds the leader with this lease silent.
-pub(crate) fn is_silent<P: Platform>(node: &Node<P>, lease: LeaseId) -> bool {
+pub(crate) fn is_unresponsive<P: Platform>(node: &Node<P>, lease: LeaseId) -> bool {
     let detector = node.detector.get();
-    detector.leader() == lease && detector.is_missed()
+    detector.leader() == lease && detector.has_missed_probes()
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -43,7 +43,7 @@
 pub mod recovery;
 pub mod relay;
 pub mod requests;
-pub mod spread;
+pub mod stable_hash;
 mod step_down;
 pub mod store;
 pub mod stored_view;
--- a/crates/control/src/log.rs
+++ b/crates/control/src/log.rs
@@ -12,9 +12,9 @@
 /// What may wait to be written.
 const BUFFER_LIMIT_BYTES: usize = 512 * 1024;
 /// What is written at once.
-const PIECE_BYTES: usize = 4096;
+const CHUNK_LIMIT_BYTES: usize = 4096;
 /// How long lines are gathered before they are written.
-const GATHER_TIME: Duration = Duration::from_millis(100);
+const BATCHING_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
 struct Buffer {
@@ -66,7 +66,7 @@
             let buffer = self.lock();
             let waited = self.shared.1.wait_while(buffer, |b| b.lines.is_empty());
             drop(waited);
-            std::thread::sleep(GATHER_TIME);
+            std::thread::sleep(BATCHING_DELAY);
             self.flush_to(&mut output);
         }
     }
@@ -78,26 +78,26 @@
             let line = format!("{{\"msg\":\"lines dropped\",\"count\":{dropped_count}}}\n");
             lines.extend_from_slice(line.as_bytes());
         }
-        for piece in pieces(&lines) {
+        for chunk in chunks(&lines) {
             // A closed output leaves nobody to be told.
-            let _ = output.write_all(piece);
+            let _ = output.write_all(chunk);
             let _ = output.flush();
         }
     }
 }
 
 /// Cuts lines into pieces that a pipe takes whole, each ending with a line.
-fn pieces(lines: &[u8]) -> impl Iterator<Item = &[u8]> {
+fn chunks(lines: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = lines;
     core::iter::from_fn(move || {
         if rest.is_empty() {
             return None;
         }
-        let reach = rest.len().min(PIECE_BYTES);
+        let reach = rest.len().min(CHUNK_LIMIT_BYTES);
         let end = rest[..reach].iter().rposition(|byte| *byte == b'\n');
-        let (piece, left) = rest.split_at(end.map_or(reach, |end| end + 1));
+        let (chunk, left) = rest.split_at(end.map_or(reach, |end| end + 1));
         rest = left;
-        Some(piece)
+        Some(chunk)
     })
 }
 
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -16,7 +16,7 @@
 const RETRY: Duration = Duration::from_ms(200);
 
 /// Keeps the node's own item.
-pub async fn keep_membership<P: Platform>(node: Rc<Node<P>>) {
+pub async fn maintain_membership<P: Platform>(node: Rc<Node<P>>) {
     let mut lease = None;
     while !node.is_draining.get() {
         let kept = match lease {
@@ -26,7 +26,7 @@
         let pause = match kept {
             Ok(kept) => {
                 lease = Some(kept);
-                node.note_contact();
+                node.record_store_contact();
                 NODE_RENEWAL
             }
             Err(StoreError::LeaseOver) => {
@@ -41,7 +41,7 @@
 
 async fn register<P: Platform>(node: &Rc<Node<P>>) -> Result<LeaseId, StoreError> {
     let grant = node.store.grant_lease(NODE_LEASE).await?;
-    let own = record(node);
+    let own = own_node_record(node);
     let value = postcard::to_allocvec(&own).unwrap_or_default();
     let key = keys::node(&node.settings.name);
     let transaction = Transaction::new().with_leased_put(key, value, grant.id);
@@ -61,7 +61,7 @@
 }
 
 /// Returns what the others are told of this node.
-pub(crate) fn record<P: Platform>(node: &Node<P>) -> NodeRecord {
+pub(crate) fn own_node_record<P: Platform>(node: &Node<P>) -> NodeRecord {
     NodeRecord {
         address: node.settings.peer_address.to_string(),
         cores_milli: node.settings.cores_milli,
--- a/crates/control/src/metered.rs
+++ b/crates/control/src/metered.rs
@@ -9,30 +9,30 @@
 
 /// Counts calls in metrics.
 #[derive(Clone, Debug)]
-pub struct Metering(Rc<Metrics>);
+pub struct MeteringLayer(Rc<Metrics>);
 
 /// A store whose calls are counted.
-pub type MeteredStore<S> = LayeredStore<S, Metering>;
+pub type MeteredStore<S> = LayeredStore<S, MeteringLayer>;
 
 impl<S: Store> MeteredStore<S> {
     /// Creates a store that counts its calls in `metrics`.
     pub const fn new(store: S, metrics: Rc<Metrics>) -> Self {
-        Self::with_layer(store, Metering(metrics))
+        Self::with_layer(store, MeteringLayer(metrics))
     }
 }
 
-impl StoreLayer for Metering {
-    async fn around<T, E: CallFailure>(
+impl StoreLayer for MeteringLayer {
+    async fn wrap_call<T, E: CallFailure>(
         &self,
         call: StoreCall,
-        made: impl Future<Output = Result<T, E>>,
+        future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
         let begun_at = clock::now();
-        let result = made.await;
+        let result = future.await;
         // A watch waits, so its time tells nothing of the store.
         if call != StoreCall::Watch {
             let outcome = result.as_ref().err().map_or("ok", outcome_of);
-            self.0.note_store_call(call.as_str(), outcome, begun_at);
+            self.0.count_store_call(call.as_str(), outcome, begun_at);
         }
         result
     }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -58,7 +58,7 @@
     service: String,
 }
 
-type Amount = Gauge<i64, AtomicI64>;
+type IntGauge = Gauge<i64, AtomicI64>;
 
 /// What a node counts.
 #[derive(Debug)]
@@ -69,46 +69,46 @@
     decisions: Family<DecisionLabels, Counter>,
     unreadable_entries: Family<EntryLabels, Counter>,
     unusable_cordons: Family<EntryLabels, Counter>,
-    cordons: Amount,
-    unanswered_refusals: Amount,
+    cordons: IntGauge,
+    unanswered_refusals: IntGauge,
     worker_entries: Counter,
-    worker_list_age_ms: Amount,
-    waiting_steps: Family<WaitLabels, Amount>,
-    oldest_wait_ms: Family<WaitLabels, Amount>,
+    worker_list_age_ms: IntGauge,
+    waiting_steps: Family<WaitLabels, IntGauge>,
+    oldest_wait_ms: Family<WaitLabels, IntGauge>,
     refused_by_forecast: Counter,
-    forecast_ms: Family<QueueLabels, Amount>,
-    fitting_cores: Family<ServiceLabels, Amount>,
-    fitting_accelerators: Family<ServiceLabels, Amount>,
-    fitting_tasks: Family<ServiceLabels, Amount>,
-    whole_room_percent: Family<ServiceLabels, Amount>,
+    forecast_ms: Family<QueueLabels, IntGauge>,
+    fitting_cores: Family<ServiceLabels, IntGauge>,
+    fitting_accelerators: Family<ServiceLabels, IntGauge>,
+    fitting_tasks: Family<ServiceLabels, IntGauge>,
+    whole_room_percent: Family<ServiceLabels, IntGauge>,
     store_calls: Family<StoreLabels, Counter>,
     store_call_s: Histogram,
     terms: Counter,
-    relays: Amount,
+    relays: IntGauge,
     relayed_orders: Counter,
     relays_lost: Counter,
-    loop_lateness_ms: Amount,
-    is_leader: Amount,
-    active_jobs: Amount,
-    runs: Amount,
-    workers: Amount,
-    placeable_workers: Amount,
-    capacity_millicores: Amount,
-    used_millicores: Amount,
-    overloaded_services: Amount,
-    waiting_gangs: Amount,
-    limit_reservations: Amount,
-    awaited_workers: Amount,
-    slow_workers: Amount,
-    ejected_workers: Amount,
-    learned_sizes: Amount,
-    forecast_error_percent: Amount,
-    estimate_error_percent: Amount,
-    beyond_share_customers: Amount,
-    largest_share_lag_ms: Amount,
-    configuration_version: Amount,
-    configuration_age_ms: Amount,
-    resident_bytes: Amount,
+    loop_lateness_ms: IntGauge,
+    is_leader: IntGauge,
+    active_jobs: IntGauge,
+    runs: IntGauge,
+    workers: IntGauge,
+    placeable_workers: IntGauge,
+    capacity_millicores: IntGauge,
+    used_millicores: IntGauge,
+    overloaded_services: IntGauge,
+    waiting_gangs: IntGauge,
+    limit_reservations: IntGauge,
+    awaited_workers: IntGauge,
+    slow_workers: IntGauge,
+    ejected_workers: IntGauge,
+    learned_sizes: IntGauge,
+    forecast_error_percent: IntGauge,
+    estimate_error_percent: IntGauge,
+    beyond_share_customers: IntGauge,
+    largest_share_lag_ms: IntGauge,
+    configuration_version: IntGauge,
+    configuration_age_ms: IntGauge,
+    resident_bytes: IntGauge,
 }
 
 impl Default for Metrics {
@@ -127,10 +127,10 @@
             decisions: Family::default(),
             unreadable_entries: Family::default(),
             unusable_cordons: Family::default(),
-            cordons: Amount::default(),
-            unanswered_refusals: Amount::default(),
+            cordons: IntGauge::default(),
+            unanswered_refusals: IntGauge::default(),
             worker_entries: Counter::default(),
-            worker_list_age_ms: Amount::default(),
+            worker_list_age_ms: IntGauge::default(),
             waiting_steps: Family::default(),
             oldest_wait_ms: Family::default(),
             refused_by_forecast: Counter::default(),
@@ -142,35 +142,35 @@
             store_calls: Family::default(),
             store_call_s: new_histogram(),
             terms: Counter::default(),
-            relays: Amount::default(),
+            relays: IntGauge::default(),
             relayed_orders: Counter::default(),
             relays_lost: Counter::default(),
-            loop_lateness_ms: Amount::default(),
-            is_leader: Amount::default(),
-            active_jobs: Amount::default(),
-            runs: Amount::default(),
-            workers: Amount::default(),
-            placeable_workers: Amount::default(),
-            capacity_millicores: Amount::default(),
-            used_millicores: Amount::default(),
-            overloaded_services: Amount::default(),
-            waiting_gangs: Amount::default(),
-            limit_reservations: Amount::default(),
-            awaited_workers: Amount::default(),
-            slow_workers: Amount::default(),
-            ejected_workers: Amount::default(),
-            learned_sizes: Amount::default(),
-            forecast_error_percent: Amount::default(),
-            estimate_error_percent: Amount::default(),
-            beyond_share_customers: Amount::default(),
-            largest_share_lag_ms: Amount::default(),
-            configuration_version: Amount::default(),
-            configuration_age_ms: Amount::default(),
-            resident_bytes: Amount::default(),
+            loop_lateness_ms: IntGauge::default(),
+            is_leader: IntGauge::default(),
+            active_jobs: IntGauge::default(),
+            runs: IntGauge::default(),
+            workers: IntGauge::default(),
+            placeable_workers: IntGauge::default(),
+            capacity_millicores: IntGauge::default(),
+            used_millicores: IntGauge::default(),
+            overloaded_services: IntGauge::default(),
+            waiting_gangs: IntGauge::default(),
+            limit_reservations: IntGauge::default(),
+            awaited_workers: IntGauge::default(),
+            slow_workers: IntGauge::default(),
+            ejected_workers: IntGauge::default(),
+            learned_sizes: IntGauge::default(),
+            forecast_error_percent: IntGauge::default(),
+            estimate_error_percent: IntGauge::default(),
+            beyond_share_customers: IntGauge::default(),
+            largest_share_lag_ms: IntGauge::default(),
+            configuration_version: IntGauge::default(),
+            configuration_age_ms: IntGauge::default(),
+            resident_bytes: IntGauge::default(),
         };
         metrics.register_counters();
-        metrics.register_amounts();
-        metrics.register_rooms();
+        metrics.register_gauges();
+        metrics.register_fragmentation();
         metrics
     }
 
@@ -249,7 +249,7 @@
         );
     }
 
-    fn register_amounts(&mut self) {
+    fn register_gauges(&mut self) {
         let amounts = [
             ("is_leader", "1 while this node leads", &self.is_leader),
             ("active_jobs", "Jobs with work left", &self.active_jobs),
@@ -367,7 +367,7 @@
         }
     }
 
-    fn register_rooms(&mut self) {
+    fn register_fragmentation(&mut self) {
         let registry = &mut self.registry;
         registry.register(
             "fitting_millicores",
@@ -392,7 +392,7 @@
     }
 
     /// Notes how broken up the free room of each service is; forgets services without room.
-    fn note_rooms(&self, rooms: &[ServiceFragmentation]) {
+    fn set_fragmentation(&self, rooms: &[ServiceFragmentation]) {
         self.fitting_cores.clear();
         self.fitting_accelerators.clear();
         self.fitting_tasks.clear();
@@ -400,7 +400,7 @@
         for room in rooms {
             let service = room.service.to_string();
             let labels = ServiceLabels { service };
-            let set = |family: &Family<ServiceLabels, Amount>, value: i64| {
+            let set = |family: &Family<ServiceLabels, IntGauge>, value: i64| {
                 family.get_or_create(&labels).set(value);
             };
             let fit = &room.largest_fit;
@@ -418,14 +418,14 @@
     }
 
     /// Counts a reply to a request that was read whole at `begun_at`.
-    pub fn note_reply(&self, reply: &Reply, begun_at: Instant) {
+    pub fn count_reply(&self, reply: &Reply, begun_at: Instant) {
         let outcome = outcome_of(reply);
         self.replies.get_or_create(&ReplyLabels { outcome }).inc();
         self.reply_s.observe(seconds_since(begun_at));
     }
 
     /// Counts a decision.
-    pub fn note_decision(&self, decision: &Decision) {
+    pub fn count_decision(&self, decision: &Decision) {
         let labels = DecisionLabels {
             kind: decision.kind.as_str(),
             reason: decision.reason,
@@ -434,31 +434,31 @@
     }
 
     /// Counts a worker's entry that names no worker to use.
-    pub fn note_unreadable_entry(&self, fault: WorkerEntryFault) {
+    pub fn count_unreadable_entry(&self, fault: WorkerEntryFault) {
         let reason = fault.as_str();
         let labels = EntryLabels { reason };
         self.unreadable_entries.get_or_create(&labels).inc();
     }
 
     /// Counts entries of workers that the store told as written or gone.
-    pub fn note_worker_entries(&self, count: usize) {
+    pub fn count_worker_entries(&self, count: usize) {
         self.worker_entries.inc_by(count as u64);
     }
 
     /// Notes how old the list of workers is.
-    pub fn note_worker_list_age(&self, age: Duration) {
+    pub fn set_worker_list_age(&self, age: Duration) {
         self.worker_list_age_ms.set(age.as_ms() as i64);
     }
 
     /// Counts a cordon that is not followed.
-    pub fn note_unusable_cordon(&self, fault: CordonFault) {
+    pub fn count_unusable_cordon(&self, fault: CordonFault) {
         let reason = fault.as_str();
         let labels = EntryLabels { reason };
         self.unusable_cordons.get_or_create(&labels).inc();
     }
 
     /// Counts a call of the store that began at `begun_at`.
-    pub fn note_store_call(&self, call: &'static str, outcome: &'static str, begun_at: Instant) {
+    pub fn count_store_call(&self, call: &'static str, outcome: &'static str, begun_at: Instant) {
         self.store_calls
             .get_or_create(&StoreLabels { call, outcome })
             .inc();
@@ -466,12 +466,12 @@
     }
 
     /// Counts a job that was refused by a forecast.
-    pub fn note_refused_by_forecast(&self) {
+    pub fn count_refused_by_forecast(&self) {
         self.refused_by_forecast.inc();
     }
 
     /// Notes the forecasts, which name few queues.
-    pub fn note_forecast(&self, forecast: Option<&Forecast>) {
+    pub fn set_forecast(&self, forecast: Option<&Forecast>) {
         self.forecast_ms.clear();
         for queue in forecast.iter().flat_map(|forecast| &forecast.queues) {
             let labels = QueueLabels {
@@ -483,41 +483,41 @@
     }
 
     /// Notes how many relays the leader uses.
-    pub fn note_relays(&self, count: usize) {
+    pub fn set_relays_count(&self, count: usize) {
         self.relays.set(count as i64);
     }
 
     /// Counts orders that were handed to a relay.
-    pub fn note_relayed(&self, count: usize) {
+    pub fn count_relayed_orders(&self, count: usize) {
         self.relayed_orders.inc_by(count as u64);
     }
 
     /// Counts a relay that did not answer.
-    pub fn note_relay_lost(&self) {
+    pub fn count_lost_relay(&self) {
         self.relays_lost.inc();
     }
 
     /// Notes how late the leader's own loop was lately.
-    pub fn note_lateness(&self, lateness: Duration) {
+    pub fn set_lateness(&self, lateness: Duration) {
         self.loop_lateness_ms.set(lateness.as_ms() as i64);
     }
 
     /// Notes that a term has begun or is over.
-    pub fn note_term(&self, is_leader: bool) {
+    pub fn set_leading(&self, is_leader: bool) {
         self.is_leader.set(i64::from(is_leader));
         if is_leader {
             self.terms.inc();
         } else {
-            self.note_status(&SchedulerStatus::default());
-            self.note_forecast(None);
-            self.note_relays(0);
-            self.note_lateness(Duration::ZERO);
+            self.set_status(&SchedulerStatus::default());
+            self.set_forecast(None);
+            self.set_relays_count(0);
+            self.set_lateness(Duration::ZERO);
         }
     }
 
     /// Notes the sizes of what the leader decides on.
-    pub fn note_status(&self, status: &SchedulerStatus) {
-        let set = |amount: &Amount, count: usize| {
+    pub fn set_status(&self, status: &SchedulerStatus) {
+        let set = |amount: &IntGauge, count: usize| {
             amount.set(count as i64);
         };
         set(&self.active_jobs, status.active_jobs_count);
@@ -543,7 +543,7 @@
         self.largest_share_lag_ms.set(lag_ms as i64);
         self.capacity_millicores.set(status.capacity_milli as i64);
         self.used_millicores.set(status.used_milli as i64);
-        self.note_rooms(&status.service_rooms);
+        self.set_fragmentation(&status.service_rooms);
         for (reason, wait) in WaitReason::ALL.iter().zip(&status.waits) {
             let labels = WaitLabels {
                 reason: reason.as_str(),
@@ -557,7 +557,7 @@
 
     /// Notes which configuration is in force, and how long ago the store
     /// confirmed that there is no newer one.
-    pub fn note_configuration(&self, version: u64, age: Duration) {
+    pub fn set_configuration(&self, version: u64, age: Duration) {
         self.configuration_version.set(version as i64);
         self.configuration_age_ms.set(age.as_ms() as i64);
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -5,9 +5,9 @@
 use crate::configuration::{self, ConfigurationView};
 use crate::failure_detector::FailureDetector;
 use crate::front::{self, Front, Listener};
-use crate::handover::KeptLearned;
+use crate::handover::LearnedSnapshot;
 use crate::intake::Intake;
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::log::LogBuffer;
 use crate::metered::MeteredStore;
 use crate::metrics::Metrics;
@@ -34,9 +34,9 @@
 /// does not make one wait for another.
 const INTAKE_WRITERS_COUNT: usize = 3;
 /// How long a node is ready after the store last answered.
-const CONTACT_LIMIT: Duration = Duration::from_ms(1500);
+const STORE_CONTACT_TIMEOUT: Duration = Duration::from_ms(1500);
 /// How long a watch of what every node follows waits.
-pub const WATCH_WAIT: Duration = Duration::from_ms(3000);
+pub const WATCH_TIMEOUT: Duration = Duration::from_ms(3000);
 /// How often the settings are looked at for a silent change.
 const RELOAD_PERIOD: Duration = Duration::from_s(2);
 /// How long a stopping node still takes connections, so that the balancer
@@ -147,11 +147,11 @@
     /// Told when the view of the cell has changed.
     pub cell_changed: Notify,
     /// The node's own term, while it leads.
-    pub leading: RefCell<Option<Rc<Leading<P>>>>,
+    pub term: RefCell<Option<Rc<Term<P>>>>,
     /// The orders that this node carries for a leader.
     pub(crate) relay_server: RelayServer,
     /// When the store last answered.
-    pub contact_at: Cell<Instant>,
+    pub store_contact_at: Cell<Instant>,
     /// The lease with which this process last stood for leader.
     pub own_lease: Cell<LeaseId>,
     /// What the node has heard of the leader, where it probes it.
@@ -159,49 +159,49 @@
     /// When the node may next take a leader for gone.
     pub next_eviction_at: Cell<Instant>,
     /// What an earlier leader has learned.
-    pub(crate) learned: RefCell<KeptLearned>,
+    pub(crate) learned: RefCell<LearnedSnapshot>,
     /// Whether the node is stopping.
     pub is_draining: Cell<bool>,
 }
 
 impl<P: Platform> Node<P> {
     /// Notes that the store has answered.
-    pub fn note_contact(&self) {
+    pub fn record_store_contact(&self) {
         let now = clock::now();
-        if now.since(self.contact_at.get()) > CONTACT_LIMIT {
+        if now.since(self.store_contact_at.get()) > STORE_CONTACT_TIMEOUT {
             info!(self.log, "store regained");
         }
-        self.contact_at.set(now);
-        self.intake.note_answer();
+        self.store_contact_at.set(now);
+        self.intake.record_answer();
     }
 
     /// Returns whether the store answered a short while ago.
-    pub fn has_contact(&self) -> bool {
-        clock::now().since(self.contact_at.get()) <= CONTACT_LIMIT
+    pub fn has_store_contact(&self) -> bool {
+        clock::now().since(self.store_contact_at.get()) <= STORE_CONTACT_TIMEOUT
     }
 
     /// Returns whether new connections should come here.
     pub fn is_ready(&self) -> bool {
         self.configuration.is_known()
-            && self.has_contact()
+            && self.has_store_contact()
             && self.is_current()
             && !self.is_draining.get()
     }
 
     /// Returns the node's own term, while it certainly leads.
-    pub fn leading(&self) -> Option<Rc<Leading<P>>> {
-        let leading = self.leading.borrow().clone();
-        leading.filter(|leading| leading.may_order())
+    pub fn valid_term(&self) -> Option<Rc<Term<P>>> {
+        let term = self.term.borrow().clone();
+        term.filter(|term| term.may_send_orders())
     }
 
     /// Returns the node's own term, whether or not its lease still holds.
-    pub fn term(&self) -> Option<Rc<Leading<P>>> {
-        self.leading.borrow().clone()
+    pub fn term(&self) -> Option<Rc<Term<P>>> {
+        self.term.borrow().clone()
     }
 
     /// Returns whether `names` are those of the live nodes, this one among them,
     /// in their order; asked at each tick of a term, so without making a list.
-    pub(crate) fn has_names(&self, names: &[Arc<str>]) -> bool {
+    pub(crate) fn matches_node_names(&self, names: &[Arc<str>]) -> bool {
         let cell = self.cell.borrow();
         let own_name = &self.settings.name;
         let own = (!cell.nodes.contains_key(own_name)).then_some(own_name);
@@ -268,9 +268,9 @@
         forecasts: ForecastView::default(),
         cell_changed: Notify::new(),
         learned: RefCell::default(),
-        leading: RefCell::new(None),
+        term: RefCell::new(None),
         relay_server: RelayServer::default(),
-        contact_at: Cell::new(Instant::default()),
+        store_contact_at: Cell::new(Instant::default()),
         own_lease: Cell::new(0),
         detector: Cell::new(FailureDetector::default()),
         next_eviction_at: Cell::new(Instant::default()),
@@ -315,19 +315,19 @@
         let intake = node.intake.clone();
         tokio::task::spawn_local(async move { intake.run().await });
     }
-    tokio::task::spawn_local(note_returns(node.clone()));
+    tokio::task::spawn_local(watch_store_recovery(node.clone()));
     tokio::task::spawn_local(configuration::follow_configuration(node.clone()));
     tokio::task::spawn_local(cell_follow::follow_leader(node.clone()));
-    tokio::task::spawn_local(membership::keep_membership(node.clone()));
+    tokio::task::spawn_local(membership::maintain_membership(node.clone()));
     tokio::task::spawn_local(election::campaign(node.clone()));
     tokio::task::spawn_local(leader_probe::probe_leader(node.clone()));
 }
 
 /// Notes contact whenever the store answers again.
-async fn note_returns<P: Platform>(node: Rc<Node<P>>) {
+async fn watch_store_recovery<P: Platform>(node: Rc<Node<P>>) {
     loop {
         node.store.answered().await;
-        node.note_contact();
+        node.record_store_contact();
     }
 }
 
@@ -362,8 +362,8 @@
     info!(node.log, "stopping"; "open" => front.open_count());
     node.is_draining.set(true);
     let begun = clock::now();
-    if let Some(leading) = node.term() {
-        leading.resign().await;
+    if let Some(term) = node.term() {
+        term.resign().await;
     }
     membership::leave(node).await;
     let grace_ms = node.settings.grace.as_ms();
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to workers and calls for advice.
 
 use crate::clock;
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::peer::{self, AdviceAnswer, PeerReply, PeerRequest};
 use crate::platform::Platform;
@@ -17,60 +17,60 @@
 
 /// Gives an order to a worker, through its relay where it has one, and tells the
 /// scheduler what became of it.
-pub fn give<P: Platform>(node: &Rc<Node<P>>, leading: &Rc<Leading<P>>, to: Endpoint, order: Order) {
+pub fn send_order<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>, to: Endpoint, order: Order) {
     let now = clock::now();
-    match leading.relays.link_of(now, to.worker) {
+    match term.relays.link_for_worker(now, to.worker) {
         Some(link) => link.send(now, to, order),
-        None => give_directly(now, node, leading, to, order),
+        None => send_directly(now, node, term, to, order),
     }
 }
 
 /// Gives an order in a task of its own, unless the term may be over.
-fn give_directly<P: Platform>(
+fn send_directly<P: Platform>(
     now: Instant,
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
     to: Endpoint,
     order: Order,
 ) {
     let open = OpenOrder::new(now, &to, &order);
-    let (node, leading) = (node.clone(), leading.clone());
+    let (node, term) = (node.clone(), term.clone());
     tokio::task::spawn_local(async move {
-        if !leading.may_order() {
-            leading.tell(open.not_given());
+        if !term.may_send_orders() {
+            term.send_event(open.not_sent());
             return;
         }
-        let reply = order.give(&node.platform, &to, leading.fence).await;
-        leading.tell(open.answered(reply));
+        let reply = order.send_to_worker(&node.platform, &to, term.fence).await;
+        term.send_event(open.answered(reply));
     });
 }
 
 /// Has a node ask the adviser.
-pub fn advise<P: Platform>(
+pub fn request_advice<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
     step: StepKey,
     workers: Vec<Endpoint>,
-    asker: &str,
+    adviser_node: &str,
     expected: Duration,
 ) {
-    let is_own = asker == node.settings.name;
+    let is_own = adviser_node == node.settings.name;
     let address = node
         .cell
         .borrow()
         .nodes
-        .get(asker)
+        .get(adviser_node)
         .map(|record| record.address.clone());
-    let (node, leading) = (node.clone(), leading.clone());
+    let (node, term) = (node.clone(), term.clone());
     tokio::task::spawn_local(async move {
         let ids: Vec<Arc<str>> = workers.iter().map(|to| to.id.clone()).collect();
         let limit = expected + ADVICE_SLACK;
         let reply = match address {
             _ if is_own => node.platform.advise(step, &ids, limit).await,
-            Some(address) => ask(&node, &address, step, ids, limit).await,
+            Some(address) => advise_through_peer(&node, &address, step, ids, limit).await,
             None => AdviceReply::Unanswered,
         };
-        leading.tell(Event::AdviceAnswered {
+        term.send_event(Event::AdviceAnswered {
             step,
             named: workers.iter().map(|to| to.worker).collect(),
             reply,
@@ -79,7 +79,7 @@
 }
 
 /// Asks through another node.
-async fn ask<P: Platform>(
+async fn advise_through_peer<P: Platform>(
     node: &Rc<Node<P>>,
     address: &str,
     step: StepKey,
@@ -92,12 +92,12 @@
         limit_ms: limit.as_ms(),
     };
     match peer::call(&node.peers, address, &request, limit).await {
-        Ok(PeerReply::Advice(Some(answer))) => advice_of(answer),
+        Ok(PeerReply::Advice(Some(answer))) => to_advice_reply(answer),
         _ => AdviceReply::Unanswered,
     }
 }
 
-fn advice_of(answer: AdviceAnswer) -> AdviceReply {
+fn to_advice_reply(answer: AdviceAnswer) -> AdviceReply {
     AdviceReply::Good {
         tickets: answer
             .good
--- a/crates/control/src/probed.rs
+++ b/crates/control/src/probed.rs
@@ -20,38 +20,38 @@
 const PROBE_PERIOD: Duration = Duration::from_ms(100);
 /// How long probes go on after the first answer: as long as the longest time
 /// limit of a call, so that each that was sent before is looked at.
-const PROBE_ON_TIME: Duration = Duration::from_ms(500);
+const PROBE_TAIL_TIME: Duration = Duration::from_ms(500);
 /// How many times as long as a probe a call may take. A transaction is larger
 /// than a probe, and a slow store's answers differ by half.
-const OUTRUN_FACTOR: u64 = 3;
+const OVERDUE_FACTOR: u64 = 3;
 /// What a call may take beyond that.
-const OUTRUN_SLACK: Duration = Duration::from_ms(120);
+const OVERDUE_SLACK: Duration = Duration::from_ms(120);
 
 /// What is known of the store's silence.
 #[derive(Debug, Default)]
-struct Silence {
+struct OutageState {
     is_probing: Cell<bool>,
     /// Calls that were sent before this are given up.
-    outrun_before: Cell<Instant>,
+    overdue_before: Cell<Instant>,
     answered: Notify,
 }
 
 /// Probes a store after a call without an answer.
 #[derive(Clone, Debug)]
-pub struct Probing<S> {
+pub struct ProbingLayer<S> {
     store: S,
-    silence: Rc<Silence>,
+    outage: Rc<OutageState>,
 }
 
 /// A store whose return from silence is noticed at once.
-pub type ProbedStore<S> = LayeredStore<S, Probing<S>>;
+pub type ProbedStore<S> = LayeredStore<S, ProbingLayer<S>>;
 
 impl<S: Store> ProbedStore<S> {
     /// Creates a store that probes `store` after a call without an answer.
     pub fn new(store: S) -> Self {
-        let layer = Probing {
+        let layer = ProbingLayer {
             store: store.clone(),
-            silence: Rc::default(),
+            outage: Rc::default(),
         };
         Self::with_layer(store, layer)
     }
@@ -62,14 +62,14 @@
     }
 }
 
-impl<S: Store> Probing<S> {
+impl<S: Store> ProbingLayer<S> {
     async fn answered(&self) {
-        self.silence.answered.notified().await;
+        self.outage.answered.notified().await;
     }
 
     /// Makes a call, and gives it up where probes have outrun it by more than
     /// what it has to send takes.
-    async fn guard<T, E: CallFailure>(
+    async fn abandon_when_overdue<T, E: CallFailure>(
         &self,
         call: impl Future<Output = Result<T, E>>,
         transfer_time: Duration,
@@ -77,16 +77,16 @@
         let sent_at = clock::now() + transfer_time;
         let mut call = std::pin::pin!(call);
         loop {
-            let answered = self.silence.answered.notified();
+            let answered = self.outage.answered.notified();
             tokio::select! {
                 result = &mut call => {
                     if result.as_ref().is_err_and(is_unanswered) {
-                        self.begin_probes();
+                        self.start_probes();
                     }
                     return result;
                 }
                 () = answered => {
-                    if sent_at < self.silence.outrun_before.get() {
+                    if sent_at < self.outage.overdue_before.get() {
                         let reason = "sent in a silence that is over".to_owned();
                         return Err(StoreError::Unknown(reason).into());
                     }
@@ -95,8 +95,8 @@
         }
     }
 
-    fn begin_probes(&self) {
-        if !self.silence.is_probing.replace(true) {
+    fn start_probes(&self) {
+        if !self.outage.is_probing.replace(true) {
             tokio::task::spawn_local(self.clone().probe());
         }
     }
@@ -114,9 +114,9 @@
             tokio::time::sleep(PROBE_PERIOD.into()).await;
             let is_back = first_answer_at
                 .get()
-                .is_some_and(|at| clock::now().since(at) >= PROBE_ON_TIME);
+                .is_some_and(|at| clock::now().since(at) >= PROBE_TAIL_TIME);
             if is_back {
-                self.silence.is_probing.set(false);
+                self.outage.is_probing.set(false);
                 return;
             }
         }
@@ -128,10 +128,10 @@
         // An error says what began the probes: there is no answer yet.
         self.store.get(keys::LEADER).await.ok()?;
         let now = clock::now();
-        let limit = now.since(sent_at).times(OUTRUN_FACTOR) + OUTRUN_SLACK;
-        let outrun_before = self.silence.outrun_before.get().max(now - limit);
-        self.silence.outrun_before.set(outrun_before);
-        self.silence.answered.notify_waiters();
+        let limit = now.since(sent_at).times(OVERDUE_FACTOR) + OVERDUE_SLACK;
+        let overdue_before = self.outage.overdue_before.get().max(now - limit);
+        self.outage.overdue_before.set(overdue_before);
+        self.outage.answered.notify_waiters();
         Some(now)
     }
 }
@@ -140,20 +140,23 @@
     matches!(error.store_error(), Some(StoreError::Unknown(_)))
 }
 
-impl<S: Store> StoreLayer for Probing<S> {
-    async fn around<T, E: CallFailure>(
+impl<S: Store> StoreLayer for ProbingLayer<S> {
+    async fn wrap_call<T, E: CallFailure>(
         &self,
         call: StoreCall,
-        made: impl Future<Output = Result<T, E>>,
+        future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
         match call {
             // How long these take is a matter of the size of what they bring.
-            StoreCall::Range | StoreCall::Watch => made.await,
-            StoreCall::Commit { len_bytes } => self.guard(made, transfer_time(len_bytes)).await,
+            StoreCall::Range | StoreCall::Watch => future.await,
+            StoreCall::Commit { len_bytes } => {
+                self.abandon_when_overdue(future, transfer_time(len_bytes))
+                    .await
+            }
             StoreCall::Get
             | StoreCall::GrantLease
             | StoreCall::RenewLease
-            | StoreCall::EndLease => self.guard(made, Duration::ZERO).await,
+            | StoreCall::EndLease => self.abandon_when_overdue(future, Duration::ZERO).await,
         }
     }
 
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use crate::follow::{read_all, Update};
 use crate::keys::{self, IntakeKey};
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::platform::Platform;
 use crate::store::{Item, Revision, StoreError, UnreadableValue};
@@ -13,20 +13,20 @@
 use std::rc::Rc;
 
 /// Failed attempts after which another node may try.
-const RECOVERIES_LIMIT_COUNT: usize = 3;
+const ATTEMPTS_LIMIT_COUNT: usize = 3;
 /// The time between two attempts.
 const RETRY: Duration = Duration::from_ms(100);
 
 /// Reads what the store keeps; `None` where the term is over before.
 pub async fn recover<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
 ) -> Option<(Recovered, Revision)> {
-    for _ in 0..RECOVERIES_LIMIT_COUNT {
-        if leading.is_over() {
+    for _ in 0..ATTEMPTS_LIMIT_COUNT {
+        if term.is_over() {
             return None;
         }
-        match read_recovered(node, leading).await {
+        match read_recovered(node, term).await {
             Ok(found) => return Some(found),
             Err(error) => {
                 warn!(node.log, "recovery failed"; "error" => error.to_string());
@@ -39,7 +39,7 @@
 
 async fn read_recovered<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Leading<P>,
+    term: &Term<P>,
 ) -> Result<(Recovered, Revision), StoreError> {
     let begun_at = clock::now();
     // All at once: a slow store makes each page long.
@@ -50,10 +50,10 @@
     let (intake, states, cordons, nodes) = tokio::join!(intake, states, cordons, nodes);
     let ((intake, at), (states, _), (cordons, _)) = (intake?, states?, cordons?);
     // The first looks at the workers go through relays.
-    cell_follow::learn_nodes(node, Update::Snapshot(nodes?.0));
+    cell_follow::handle_nodes_update(node, Update::Snapshot(nodes?.0));
     let mut recovered = assemble(&node.log, intake, &states, clock::wall_ms());
     recovered.cordons = cordons::read_all(node, &cordons);
-    leading.beliefs.cordons.confirm(begun_at);
+    term.store_views.cordons.confirm(begun_at);
     Ok((recovered, at))
 }
 
@@ -70,27 +70,27 @@
     };
     for item in &intake {
         match keys::parse_intake(&item.key) {
-            Some(IntakeKey::Job(id)) => match stored_job(item) {
+            Some(IntakeKey::Job(id)) => match parse_stored_job(item) {
                 Ok(StoredJob::Accepted(record)) => recovered.jobs.push((id, *record)),
                 Ok(StoredJob::Ended(outcome)) => recovered.ended.push((id, outcome)),
                 Err(error) => {
-                    damaged(log, &item.key, &error.to_string());
+                    log_unreadable_item(log, &item.key, &error.to_string());
                     recovered.unreadable.push(id);
                 }
             },
             Some(IntakeKey::Cancel(id)) => recovered.cancels.push(id),
-            None => damaged(log, &item.key, "unknown key"),
+            None => log_unreadable_item(log, &item.key, "unknown key"),
         }
     }
     for item in states {
-        let state = stored_state(item);
+        let state = parse_stored_state(item);
         match (keys::parse_state(&item.key), state) {
             (Some(id), Ok(state)) => recovered.states.push((id, state)),
             (Some(id), Err(error)) => {
-                damaged(log, &item.key, &error.to_string());
+                log_unreadable_item(log, &item.key, &error.to_string());
                 recovered.unreadable.push(id);
             }
-            (None, _) => damaged(log, &item.key, "unknown key"),
+            (None, _) => log_unreadable_item(log, &item.key, "unknown key"),
         }
     }
     let unreadable = &recovered.unreadable;
@@ -103,7 +103,7 @@
 /// # Errors
 ///
 /// Returns a [`StateError`] where that can't be read.
-pub fn stored_job(item: &Item) -> Result<StoredJob, StateError> {
+pub fn parse_stored_job(item: &Item) -> Result<StoredJob, StateError> {
     StoredJob::from_bytes(item.bytes().map_err(malformed)?)
 }
 
@@ -112,7 +112,7 @@
 /// # Errors
 ///
 /// Returns a [`StateError`] where that can't be read.
-pub fn stored_state(item: &Item) -> Result<JobState, StateError> {
+pub fn parse_stored_state(item: &Item) -> Result<JobState, StateError> {
     JobState::from_bytes(item.bytes().map_err(malformed)?)
 }
 
@@ -121,6 +121,6 @@
 }
 
 /// Notes a stored item that can't be read.
-pub fn damaged(log: &Logger, key: &str, error: &str) {
+pub fn log_unreadable_item(log: &Logger, key: &str, error: &str) {
     warn!(log, "stored item can't be read"; "key" => key, "error" => error);
 }
--- a/crates/control/src/relay/assignment.rs
+++ b/crates/control/src/relay/assignment.rs
@@ -46,15 +46,15 @@
 impl Assignment {
     /// Chooses the relays of a cell with so many workers in each data centre: the
     /// strongest nodes there, and of equal ones those whose names come first. There
-    /// are none with fewer than `least_count` workers in all.
+    /// are none with fewer than `min_workers_count` workers in all.
     pub fn new(
         mut candidates: Vec<RelayCandidate>,
         workers_counts: &BTreeMap<Arc<str>, usize>,
-        least_count: usize,
+        min_workers_count: usize,
     ) -> Self {
         let mut chosen = Self::default();
         let workers_count: usize = workers_counts.values().sum();
-        if workers_count < least_count {
+        if workers_count < min_workers_count {
             return chosen;
         }
         candidates.sort_by(|a, b| {
@@ -74,7 +74,7 @@
 
     /// Returns the relay of a worker, by rendezvous hashing among those of its data
     /// centre: where one goes, only its own workers move.
-    pub fn relay_of(&self, worker_id: &str, data_centre: &str) -> Option<RelayKey> {
+    pub fn relay_for_worker(&self, worker_id: &str, data_centre: &str) -> Option<RelayKey> {
         let here = self.by_data_centre.get(data_centre)?;
         let weight = |key: &RelayKey| weight_of(worker_id, &self.relays[*key].name);
         here.iter().copied().max_by_key(weight)
--- a/crates/control/src/relay/link.rs
+++ b/crates/control/src/relay/link.rs
@@ -1,12 +1,12 @@
 //! The leader's side of one relay: orders go out in batches, replies come in.
 
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::peer::{self, PeerReply, PeerRequest};
 use crate::platform::Platform;
 use crate::relay::message::{Order, RelaySession, RelayedOrder};
 use crate::relay::order::{is_unanswered, OpenOrder};
-use crate::relay::server::COLLECT_WAIT;
+use crate::relay::server::COLLECT_TIMEOUT;
 use ospreywing_scheduler::Endpoint;
 use ospreywing_types::{Duration, Instant};
 use slog::{info, warn};
@@ -20,10 +20,10 @@
 /// How long a relay may take to say that it has taken a batch, and to answer the
 /// question for replies beyond the time that it waits: an answer takes some
 /// milliseconds.
-const ANSWER_LIMIT: Duration = Duration::from_ms(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_ms(400);
 /// The least time between two batches to one relay: starts come in groups, with the
 /// commits.
-const BATCH_PACE: Duration = Duration::from_ms(8);
+const BATCH_INTERVAL: Duration = Duration::from_ms(8);
 /// The most orders in a batch: a start has up to 4.5 KB, with the text of its job,
 /// and nodes take bodies of 4 MB from one another.
 const BATCH_LIMIT_COUNT: usize = 500;
@@ -31,12 +31,12 @@
 const IDLE_PERIOD: Duration = Duration::from_ms(500);
 /// How long an order may be open. The longest is a renewal that waits 2 s at its
 /// worker and may then take a second.
-const ORDER_LIMIT: Duration = Duration::from_ms(5000);
+const ORDER_TIMEOUT: Duration = Duration::from_ms(5000);
 
 /// An order that was handed to a relay.
 struct OpenEntry {
     order: OpenOrder,
-    given_at: Instant,
+    queued_at: Instant,
 }
 
 /// A relay as its leader uses it.
@@ -84,7 +84,7 @@
         self.next_number.set(number + 1);
         let entry = OpenEntry {
             order: OpenOrder::new(now, &to, &order),
-            given_at: now,
+            queued_at: now,
         };
         self.open.borrow_mut().insert(number, entry);
         let relayed = RelayedOrder { number, to, order };
@@ -95,11 +95,11 @@
 
     /// Returns whether the link is of no more use; a retired one is lost with its
     /// last reply, so that nobody uses it again.
-    fn is_over<P: Platform>(&self, leading: &Leading<P>) -> bool {
+    fn is_over<P: Platform>(&self, term: &Term<P>) -> bool {
         if self.is_retired.get() && self.open.borrow().is_empty() {
             self.is_lost.set(true);
         }
-        self.is_lost.get() || leading.is_over()
+        self.is_lost.get() || term.is_over()
     }
 
     fn take_batch(&self) -> Vec<RelayedOrder> {
@@ -109,36 +109,36 @@
     }
 
     /// Tells the scheduler of orders that were certainly not given.
-    fn take_back<P: Platform>(&self, leading: &Leading<P>, numbers: &[u64]) {
+    fn report_not_sent<P: Platform>(&self, term: &Term<P>, numbers: &[u64]) {
         for number in numbers {
             if let Some(entry) = self.open.borrow_mut().remove(number) {
-                leading.tell(entry.order.not_given());
+                term.send_event(entry.order.not_sent());
             }
         }
     }
 
     /// Takes in that the relay does not answer: nothing is known of what it holds,
     /// and what it was not sent was not given.
-    fn lose<P: Platform>(&self, node: &Node<P>, leading: &Leading<P>, reason: &str) {
+    fn mark_lost<P: Platform>(&self, node: &Node<P>, term: &Term<P>, reason: &str) {
         if self.is_lost.replace(true) {
             return;
         }
         let unsent = core::mem::take(&mut *self.queue.borrow_mut());
         let unsent: Vec<u64> = unsent.iter().map(|order| order.number).collect();
-        self.take_back(leading, &unsent);
+        self.report_not_sent(term, &unsent);
         let open = core::mem::take(&mut *self.open.borrow_mut());
         warn!(node.log, "relay lost"; "relay" => self.name.as_ref(), "reason" => reason,
             "session" => self.session.number, "unsent" => unsent.len(), "open" => open.len());
-        node.metrics.note_relay_lost();
-        leading.relays.note_lost(&self.name);
+        node.metrics.count_lost_relay();
+        term.relays.pause_relay(&self.name);
         for entry in open.into_values() {
-            leading.tell(entry.order.unanswered());
+            term.send_event(entry.order.unanswered());
         }
     }
 
     /// Gives up orders of which nothing was heard for too long.
-    fn expire<P: Platform>(&self, leading: &Leading<P>, now: Instant) {
-        let is_old = |entry: &OpenEntry| now.since(entry.given_at) > ORDER_LIMIT;
+    fn expire_orders<P: Platform>(&self, term: &Term<P>, now: Instant) {
+        let is_old = |entry: &OpenEntry| now.since(entry.queued_at) > ORDER_TIMEOUT;
         loop {
             let mut open = self.open.borrow_mut();
             let oldest = open.first_entry().filter(|oldest| is_old(oldest.get()));
@@ -147,34 +147,22 @@
             };
             let entry = oldest.remove();
             drop(open);
-            leading.tell(entry.order.unanswered());
+            term.send_event(entry.order.unanswered());
         }
     }
 }
 
 /// Begins to use a relay.
-pub(crate) fn open<P: Platform>(
-    node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
-    link: &Rc<RelayLink>,
-) {
+pub(crate) fn open<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>, link: &Rc<RelayLink>) {
     info!(node.log, "relay used"; "relay" => link.name.as_ref(),
         "session" => link.session.number, "fence" => link.session.fence);
-    tokio::task::spawn_local(hand_over_orders(
-        node.clone(),
-        leading.clone(),
-        link.clone(),
-    ));
-    tokio::task::spawn_local(collect_replies(node.clone(), leading.clone(), link.clone()));
+    tokio::task::spawn_local(send_orders(node.clone(), term.clone(), link.clone()));
+    tokio::task::spawn_local(collect_replies(node.clone(), term.clone(), link.clone()));
 }
 
 /// Hands orders over until the relay is of no more use.
-async fn hand_over_orders<P: Platform>(
-    node: Rc<Node<P>>,
-    leading: Rc<Leading<P>>,
-    link: Rc<RelayLink>,
-) {
-    while !link.is_over(&leading) {
+async fn send_orders<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>, link: Rc<RelayLink>) {
+    while !link.is_over(&term) {
         let orders = link.take_batch();
         if orders.is_empty() {
             // Both ends of the wait lead to the same look.
@@ -182,46 +170,42 @@
             continue;
         }
         let numbers: Vec<u64> = orders.iter().map(|order| order.number).collect();
-        if !leading.may_order() {
-            link.take_back(&leading, &numbers);
+        if !term.may_send_orders() {
+            link.report_not_sent(&term, &numbers);
             continue;
         }
-        node.metrics.note_relayed(orders.len());
+        node.metrics.count_relayed_orders(orders.len());
         let session = link.session;
         let request = PeerRequest::RelayOrders { session, orders };
-        match peer::call(&node.peers, &link.address, &request, ANSWER_LIMIT).await {
+        match peer::call(&node.peers, &link.address, &request, ANSWER_TIMEOUT).await {
             Ok(PeerReply::Taken) => {}
-            Ok(_) => return link.lose(&node, &leading, "it refuses orders"),
+            Ok(_) => return link.mark_lost(&node, &term, "it refuses orders"),
             Err(error) => {
                 if error.is_not_sent() {
-                    link.take_back(&leading, &numbers);
+                    link.report_not_sent(&term, &numbers);
                 }
-                return link.lose(&node, &leading, &error.to_string());
+                return link.mark_lost(&node, &term, &error.to_string());
             }
         }
-        tokio::time::sleep(BATCH_PACE.into()).await;
+        tokio::time::sleep(BATCH_INTERVAL.into()).await;
     }
 }
 
 /// Collects replies until the relay is of no more use.
-async fn collect_replies<P: Platform>(
-    node: Rc<Node<P>>,
-    leading: Rc<Leading<P>>,
-    link: Rc<RelayLink>,
-) {
+async fn collect_replies<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>, link: Rc<RelayLink>) {
     let request = PeerRequest::RelayReplies {
         session: link.session,
     };
-    while !link.is_over(&leading) {
+    while !link.is_over(&term) {
         if link.open.borrow().is_empty() {
             let _ = timeout(IDLE_PERIOD.into(), link.opened.notified()).await;
             continue;
         }
-        let limit = COLLECT_WAIT + ANSWER_LIMIT;
+        let limit = COLLECT_TIMEOUT + ANSWER_TIMEOUT;
         let replies = match peer::call(&node.peers, &link.address, &request, limit).await {
             Ok(PeerReply::Relayed(replies)) => replies,
-            Ok(_) => return link.lose(&node, &leading, "it refuses to tell replies"),
-            Err(error) => return link.lose(&node, &leading, &error.to_string()),
+            Ok(_) => return link.mark_lost(&node, &term, "it refuses to tell replies"),
+            Err(error) => return link.mark_lost(&node, &term, &error.to_string()),
         };
         let now = crate::clock::now();
         for relayed in replies {
@@ -229,10 +213,10 @@
                 continue;
             };
             if is_unanswered(&relayed.reply) {
-                leading.relays.note_unanswered(now, entry.order.worker());
+                term.relays.bypass_relay(now, entry.order.worker());
             }
-            leading.tell(entry.order.answered(relayed.reply));
+            term.send_event(entry.order.answered(relayed.reply));
         }
-        link.expire(&leading, now);
+        link.expire_orders(&term, now);
     }
 }
--- a/crates/control/src/relay/links.rs
+++ b/crates/control/src/relay/links.rs
@@ -1,6 +1,6 @@
 //! The relays of a leader's term.
 
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::platform::Platform;
 use crate::relay::assignment::{Assignment, RelayCandidate};
@@ -17,11 +17,11 @@
 /// The time between two choices of relays.
 const CHOICE_PERIOD: Duration = Duration::from_ms(500);
 /// How long a relay that did not answer is not used again.
-const LOST_PAUSE: Duration = Duration::from_ms(3000);
+const LOST_RELAY_PAUSE: Duration = Duration::from_ms(3000);
 /// For how long the orders to a worker that did not answer through its relay go
 /// out directly: long enough for its repeats, so that no worker is taken for
 /// silent because of its relay alone.
-const DETOUR_TIME: Duration = Duration::from_ms(5000);
+const BYPASS_TIME: Duration = Duration::from_ms(5000);
 
 /// The relays that a leader uses.
 #[derive(Default)]
@@ -29,25 +29,25 @@
     links: RefCell<Vec<Rc<RelayLink>>>,
     by_worker: RefCell<SecondaryMap<WorkerKey, Option<Rc<RelayLink>>>>,
     /// Until when the orders to a worker go out directly.
-    detours: RefCell<HashMap<WorkerKey, Instant>>,
+    bypassed_until: RefCell<HashMap<WorkerKey, Instant>>,
     /// Until when a node is not used.
-    paused: RefCell<HashMap<Arc<str>, Instant>>,
+    paused_until: RefCell<HashMap<Arc<str>, Instant>>,
     sessions_count: Cell<u64>,
     next_choice_at: Cell<Instant>,
 }
 
 impl RelayLinks {
     /// Returns the relay that carries the orders of a worker, where one does.
-    pub(crate) fn link_of(&self, now: Instant, worker: WorkerKey) -> Option<Rc<RelayLink>> {
+    pub(crate) fn link_for_worker(&self, now: Instant, worker: WorkerKey) -> Option<Rc<RelayLink>> {
         let link = self.by_worker.borrow()[worker].clone()?;
-        let detour = self.detours.borrow().get(&worker).copied();
+        let detour = self.bypassed_until.borrow().get(&worker).copied();
         let is_detoured = detour.is_some_and(|until| now < until);
         (!is_detoured && !link.is_lost()).then_some(link)
     }
 
     /// Gives further orders to these relays alone. Others are kept until their last
     /// order is answered, since a node has one session at a time.
-    fn use_only(&self, used: Vec<Rc<RelayLink>>) {
+    fn set_active(&self, used: Vec<Rc<RelayLink>>) {
         let mut links = self.links.borrow_mut();
         let is_used = |link: &Rc<RelayLink>| used.iter().any(|other| Rc::ptr_eq(other, link));
         links.retain(|link| !link.is_lost() && !is_used(link));
@@ -57,17 +57,19 @@
     }
 
     /// Takes in that a worker did not answer through its relay.
-    pub(crate) fn note_unanswered(&self, now: Instant, worker: WorkerKey) {
-        self.detours.borrow_mut().insert(worker, now + DETOUR_TIME);
+    pub(crate) fn bypass_relay(&self, now: Instant, worker: WorkerKey) {
+        self.bypassed_until
+            .borrow_mut()
+            .insert(worker, now + BYPASS_TIME);
     }
 
     /// Takes in that a relay does not answer.
-    pub(crate) fn note_lost(&self, name: &Arc<str>) {
-        let until = crate::clock::now() + LOST_PAUSE;
-        self.paused.borrow_mut().insert(name.clone(), until);
+    pub(crate) fn pause_relay(&self, name: &Arc<str>) {
+        let until = crate::clock::now() + LOST_RELAY_PAUSE;
+        self.paused_until.borrow_mut().insert(name.clone(), until);
     }
 
-    fn link_to(&self, name: &str) -> Option<Rc<RelayLink>> {
+    fn usable_link(&self, name: &str) -> Option<Rc<RelayLink>> {
         let links = self.links.borrow();
         let mut usable = links.iter().filter(|link| !link.is_lost());
         usable.find(|link| *link.name == *name).cloned()
@@ -75,28 +77,34 @@
 }
 
 /// Chooses the relays anew, where that is due.
-pub(crate) fn choose_where_due<P: Platform>(
+pub(crate) fn choose_if_due<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
     scheduler: &Scheduler,
     now: Instant,
 ) {
-    if now >= leading.relays.next_choice_at.get() {
-        choose(node, leading, scheduler, now);
+    if now >= term.relays.next_choice_at.get() {
+        choose_relays(node, term, scheduler, now);
     }
 }
 
 /// Chooses the relays anew, by the nodes and workers that there are.
-pub(crate) fn choose<P: Platform>(
+pub(crate) fn choose_relays<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
     scheduler: &Scheduler,
     now: Instant,
 ) {
-    let relays = &leading.relays;
+    let relays = &term.relays;
     relays.next_choice_at.set(now + CHOICE_PERIOD);
-    relays.detours.borrow_mut().retain(|_, until| now < *until);
-    relays.paused.borrow_mut().retain(|_, until| now < *until);
+    relays
+        .bypassed_until
+        .borrow_mut()
+        .retain(|_, until| now < *until);
+    relays
+        .paused_until
+        .borrow_mut()
+        .retain(|_, until| now < *until);
     let workers_counts = count_workers(scheduler);
     let assignment = Assignment::new(
         candidates(node, relays),
@@ -106,16 +114,16 @@
     let links: Vec<Rc<RelayLink>> = assignment
         .relays
         .values()
-        .map(|relay| link_for(node, leading, relay))
+        .map(|relay| get_or_open_link(node, term, relay))
         .collect();
-    node.metrics.note_relays(links.len());
+    node.metrics.set_relays_count(links.len());
     let mut by_worker = SecondaryMap::new();
     for (key, facts) in scheduler.listed_workers() {
-        let relay = assignment.relay_of(&facts.id, &facts.data_centre);
+        let relay = assignment.relay_for_worker(&facts.id, &facts.data_centre);
         by_worker[key] = relay.map(|relay| links[relay.index()].clone());
     }
     *relays.by_worker.borrow_mut() = by_worker;
-    relays.use_only(links);
+    relays.set_active(links);
 }
 
 /// Returns how many workers each data centre has.
@@ -135,11 +143,10 @@
 /// Returns the nodes that may be relays.
 fn candidates<P: Platform>(node: &Node<P>, relays: &RelayLinks) -> Vec<RelayCandidate> {
     let cell = node.cell.borrow();
-    let paused = relays.paused.borrow();
-    let others = cell
-        .nodes
-        .iter()
-        .filter(|(name, _)| **name != node.settings.name && !paused.contains_key(name.as_str()));
+    let paused_until = relays.paused_until.borrow();
+    let others = cell.nodes.iter().filter(|(name, _)| {
+        **name != node.settings.name && !paused_until.contains_key(name.as_str())
+    });
     let candidates = others.map(|(name, record)| RelayCandidate {
         name: Arc::from(name.as_str()),
         address: Arc::from(record.address.as_str()),
@@ -150,21 +157,21 @@
 }
 
 /// Returns the link to a relay, which is made where there is none.
-fn link_for<P: Platform>(
+fn get_or_open_link<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
     relay: &RelayCandidate,
 ) -> Rc<RelayLink> {
-    if let Some(link) = leading.relays.link_to(&relay.name) {
+    if let Some(link) = term.relays.usable_link(&relay.name) {
         return link;
     }
-    let number = leading.relays.sessions_count.get() + 1;
-    leading.relays.sessions_count.set(number);
+    let number = term.relays.sessions_count.get() + 1;
+    term.relays.sessions_count.set(number);
     let session = RelaySession {
-        fence: leading.fence,
+        fence: term.fence,
         number,
     };
     let link = RelayLink::new(relay.name.clone(), relay.address.clone(), session);
-    link::open(node, leading, &link);
+    link::open(node, term, &link);
     link
 }
--- a/crates/control/src/relay/message.rs
+++ b/crates/control/src/relay/message.rs
@@ -31,7 +31,7 @@
 
 impl Order {
     /// Gives the order to a worker, under the fence of the leader that decided it.
-    pub(crate) async fn give<P: Platform>(
+    pub(crate) async fn send_to_worker<P: Platform>(
         self,
         platform: &P,
         to: &Endpoint,
--- a/crates/control/src/relay/order.rs
+++ b/crates/control/src/relay/order.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the event of an order that was certainly not given.
-    pub(crate) fn not_given(self) -> Event {
+    pub(crate) fn not_sent(self) -> Event {
         match self {
             Self::Start { .. } => {
                 let refused = StartReply::Refused(RefusedStart::Late);
--- a/crates/control/src/relay/server.rs
+++ b/crates/control/src/relay/server.rs
@@ -13,11 +13,11 @@
 use tokio::time::timeout;
 
 /// How long the question for replies waits for one.
-pub(crate) const COLLECT_WAIT: Duration = Duration::from_ms(300);
+pub(crate) const COLLECT_TIMEOUT: Duration = Duration::from_ms(300);
 /// How long it then waits for more, so that one answer brings many. With 5 ms, and
 /// orders each 4 ms in place of 8, worth at 1,100 workers was 0.536 in place of 0.542
 /// (one play each), within the noise.
-const GATHER_TIME: Duration = Duration::from_ms(15);
+const BATCHING_DELAY: Duration = Duration::from_ms(15);
 /// The most replies that one answer brings: a worker's lists have up to 30 KB, with
 /// 500 ends, and answers have a limit of 8 MB.
 const REPLIES_LIMIT_COUNT: usize = 200;
@@ -55,7 +55,7 @@
 }
 
 /// Takes orders and begins to give them.
-pub(crate) fn take_orders<P: Platform>(
+pub(crate) fn accept_orders<P: Platform>(
     node: &Rc<Node<P>>,
     id: RelaySession,
     orders: Vec<RelayedOrder>,
@@ -68,7 +68,9 @@
     for RelayedOrder { number, to, order } in orders {
         let (node, session) = (node.clone(), session.clone());
         tokio::task::spawn_local(async move {
-            let reply = order.give(&node.platform, &to, session.id.fence).await;
+            let reply = order
+                .send_to_worker(&node.platform, &to, session.id.fence)
+                .await;
             let reply = RelayedReply { number, reply };
             session.replies.borrow_mut().push(reply);
             session.replied.notify_one();
@@ -87,9 +89,9 @@
     };
     if session.replies.borrow().is_empty() {
         // Without a reply in time there is nothing to tell.
-        let _ = timeout(COLLECT_WAIT.into(), session.replied.notified()).await;
+        let _ = timeout(COLLECT_TIMEOUT.into(), session.replied.notified()).await;
     }
-    tokio::time::sleep(GATHER_TIME.into()).await;
+    tokio::time::sleep(BATCHING_DELAY.into()).await;
     let mut replies = session.replies.borrow_mut();
     let count = replies.len().min(REPLIES_LIMIT_COUNT);
     PeerReply::Relayed(replies.drain(..count).collect())
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -3,13 +3,13 @@
 use crate::caller::Caller;
 use crate::cell_view::LeaderRecord;
 use crate::election;
-use crate::handover::KeptLearned;
+use crate::handover::LearnedSnapshot;
 use crate::intake::IntakeOutcome;
 use crate::node::Node;
 use crate::peer::{self, AdviceAnswer, GoodWorker, PeerError, PeerReply, PeerRequest};
 use crate::platform::{Call, Platform, Reply, Retry};
 use crate::relay::server;
-use crate::spread::draw_below;
+use crate::stable_hash::stable_hash_below;
 use crate::store::{LeaseId, Store};
 use crate::stored_view::{access, read_view, Access, StoredView};
 use crate::{admission, clock, configuration_sharing, keys, leader_probe};
@@ -23,23 +23,23 @@
 use tokio::time::timeout;
 
 /// How long the leader may take for an answer.
-const LEADER_LIMIT: Duration = Duration::from_ms(400);
+const LEADER_TIMEOUT: Duration = Duration::from_ms(400);
 /// How long another node may take to say who leads.
-const ASK_LIMIT: Duration = Duration::from_ms(150);
+const LEADER_QUERY_TIMEOUT: Duration = Duration::from_ms(150);
 /// How long another node may take to write to the store.
-const FORWARD_LIMIT: Duration = Duration::from_ms(1500);
+const FORWARD_TIMEOUT: Duration = Duration::from_ms(1500);
 /// How long the store may take to answer a write before another node is asked to make it
 /// too: many times what it takes, and well under the time limit of a call.
 const FORWARD_AFTER: Duration = Duration::from_ms(120);
 /// When a client that was turned away may come back.
-const COME_BACK: Retry = Retry {
+const RETRY_LATER: Retry = Retry {
     after: Duration::from_ms(1000),
 };
 /// How many other nodes are asked to write.
-pub const FORWARDS_COUNT: usize = 2;
+pub const FORWARD_TARGETS_COUNT: usize = 2;
 
 /// Does what a client asks for; `configuration` is the one by which the call was read.
-pub async fn execute<P: Platform>(
+pub async fn handle_call<P: Platform>(
     node: &Rc<Node<P>>,
     call: Call,
     configuration: &Configuration,
@@ -76,7 +76,7 @@
     let customer = record.customer.clone();
     let reply = match impossible_step(&record, configuration) {
         Some(step) => Reply::BeyondLimit { step },
-        None => match admission::refuse(node, job, &record, configuration).await {
+        None => match admission::check_forecast(node, job, &record, configuration).await {
             Some(retry) => Reply::Unavailable(retry),
             None => write_or_forward(node, job, record, configuration.version).await,
         },
@@ -112,17 +112,17 @@
             return reply;
         }
         let forwarded = forward_job(node, job, &record, version).await;
-        return both_written(written, forwarded);
+        return combine_write_outcomes(written, forwarded);
     }
     info!(node.log, "job forwarded"; "job" => %job, "reason" => "no answer of the store yet");
     let mut forwarded = std::pin::pin!(forward_job(node, job, &record, version));
     tokio::select! {
         written = &mut own => match written.reply() {
             Some(reply) => reply,
-            None => both_written(written, forwarded.await),
+            None => combine_write_outcomes(written, forwarded.await),
         },
         reply = &mut forwarded => match reply {
-            Reply::Unavailable(_) | Reply::Unknown => both_written(own.await, reply),
+            Reply::Unavailable(_) | Reply::Unknown => combine_write_outcomes(own.await, reply),
             reply => reply,
         },
     }
@@ -144,20 +144,20 @@
 }
 
 /// Returns what a client is told of a job that this node and another one tried to write.
-fn both_written(own: JobWritten, forwarded: Reply) -> Reply {
+fn combine_write_outcomes(own: JobWriteOutcome, forwarded: Reply) -> Reply {
     if let Some(reply) = own.reply() {
         return reply;
     }
     match (own, forwarded) {
         // This node's write may be done yet.
-        (JobWritten::Unknown, Reply::Unavailable(_)) => Reply::Unknown,
+        (JobWriteOutcome::Unknown, Reply::Unavailable(_)) => Reply::Unknown,
         (_, forwarded) => forwarded,
     }
 }
 
 /// What became of a job that was to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum JobWritten {
+enum JobWriteOutcome {
     /// It is in the store.
     Stored,
     /// Another customer's job has its id.
@@ -168,7 +168,7 @@
     Unknown,
 }
 
-impl JobWritten {
+impl JobWriteOutcome {
     /// Returns what a client is told, where another node's write changes nothing about it.
     const fn reply(self) -> Option<Reply> {
         match self {
@@ -180,24 +180,28 @@
 }
 
 /// Writes a job to the store and tells the leader.
-async fn write_job<P: Platform>(node: &Rc<Node<P>>, job: JobId, record: &JobRecord) -> JobWritten {
-    if is_cut_off(node) {
-        return JobWritten::NotStored;
+async fn write_job<P: Platform>(
+    node: &Rc<Node<P>>,
+    job: JobId,
+    record: &JobRecord,
+) -> JobWriteOutcome {
+    if is_store_unreachable(node) {
+        return JobWriteOutcome::NotStored;
     }
     let outcome = node.intake.write(keys::job(job), record.to_bytes()).await;
     let written = match outcome {
-        IntakeOutcome::Stored => JobWritten::Stored,
-        IntakeOutcome::Exists(value) if is_same_customer(&value, record) => JobWritten::Stored,
-        IntakeOutcome::Exists(_) => JobWritten::IdTaken,
-        IntakeOutcome::NotStored => JobWritten::NotStored,
-        IntakeOutcome::Unknown => JobWritten::Unknown,
+        IntakeOutcome::Stored => JobWriteOutcome::Stored,
+        IntakeOutcome::Exists(value) if is_same_customer(&value, record) => JobWriteOutcome::Stored,
+        IntakeOutcome::Exists(_) => JobWriteOutcome::IdTaken,
+        IntakeOutcome::NotStored => JobWriteOutcome::NotStored,
+        IntakeOutcome::Unknown => JobWriteOutcome::Unknown,
     };
-    if written == JobWritten::Unknown {
-        node.forecasts.note_doubt(clock::now());
+    if written == JobWriteOutcome::Unknown {
+        node.forecasts.record_unconfirmed_write(clock::now());
     }
-    if written == JobWritten::Stored {
-        node.note_contact();
-        tell_leader(node, job, record.clone());
+    if written == JobWriteOutcome::Stored {
+        node.record_store_contact();
+        notify_leader(node, job, record.clone());
     }
     written
 }
@@ -210,14 +214,14 @@
 }
 
 /// Returns whether the store is known not to answer this node.
-fn is_cut_off<P: Platform>(node: &Rc<Node<P>>) -> bool {
-    !node.has_contact() || node.intake.is_failing()
+fn is_store_unreachable<P: Platform>(node: &Rc<Node<P>>) -> bool {
+    !node.has_store_contact() || node.intake.is_failing()
 }
 
-fn tell_leader<P: Platform>(node: &Rc<Node<P>>, job: JobId, record: JobRecord) {
-    if let Some(leading) = node.leading() {
+fn notify_leader<P: Platform>(node: &Rc<Node<P>>, job: JobId, record: JobRecord) {
+    if let Some(term) = node.valid_term() {
         let record = Box::new(record);
-        leading.tell(Event::JobAccepted { job, record });
+        term.send_event(Event::JobAccepted { job, record });
         return;
     }
     send_to_leader(node, PeerRequest::JobTaken { job, record });
@@ -233,9 +237,9 @@
         let lease = leader.lease;
         let asked_at = clock::now();
         match call_leader(&node, leader, &request).await {
-            Ok(PeerReply::Taken) => node.forecasts.learn(lease, asked_at, None),
+            Ok(PeerReply::Taken) => node.forecasts.update(lease, asked_at, None),
             Ok(PeerReply::TakenInOverload(forecast)) => {
-                node.forecasts.learn(lease, asked_at, Some(forecast));
+                node.forecasts.update(lease, asked_at, Some(forecast));
             }
             _ => {}
         }
@@ -245,11 +249,17 @@
 /// Returns the leader. A node that the store does not answer may be out of
 /// date and asks others.
 async fn find_leader<P: Platform>(node: &Rc<Node<P>>) -> Option<LeaderRecord> {
-    if node.has_contact() {
+    if node.has_store_contact() {
         return node.cell.borrow().leader.clone();
     }
-    for address in other_nodes(node) {
-        let reply = peer::call(&node.peers, &address, &PeerRequest::Leader, ASK_LIMIT).await;
+    for address in forward_addresses(node) {
+        let reply = peer::call(
+            &node.peers,
+            &address,
+            &PeerRequest::Leader,
+            LEADER_QUERY_TIMEOUT,
+        )
+        .await;
         if let Ok(PeerReply::NotLeader(Some(leader))) = reply {
             return Some(leader);
         }
@@ -264,20 +274,20 @@
     request: &PeerRequest,
 ) -> Result<PeerReply, PeerError> {
     let sent_at = clock::now();
-    let reply = peer::call(&node.peers, &leader.address, request, LEADER_LIMIT).await;
+    let reply = peer::call(&node.peers, &leader.address, request, LEADER_TIMEOUT).await;
     if reply.is_ok() {
-        leader_probe::note_answer(node, leader.lease, sent_at);
+        leader_probe::record_answer(node, leader.lease, sent_at);
     }
     if reply.as_ref().is_err_and(PeerError::is_not_sent) {
-        election::suspect_leader(node, leader);
+        election::evict_unreachable_leader(node, leader);
     }
     reply
 }
 
 /// Has another node write, where the store does not answer this one.
 async fn forward<P: Platform>(node: &Rc<Node<P>>, request: PeerRequest, success: Reply) -> Reply {
-    for address in other_nodes(node) {
-        match peer::call(&node.peers, &address, &request, FORWARD_LIMIT).await {
+    for address in forward_addresses(node) {
+        match peer::call(&node.peers, &address, &request, FORWARD_TIMEOUT).await {
             Ok(PeerReply::Accepted) => return success,
             Ok(PeerReply::NoJob) => return Reply::NoJob,
             Ok(PeerReply::IdTaken) => return Reply::IdTaken,
@@ -287,16 +297,16 @@
             Err(_) => return Reply::Unknown,
         }
     }
-    Reply::Unavailable(COME_BACK)
+    Reply::Unavailable(RETRY_LATER)
 }
 
 /// Returns a few other nodes, the leader first, then candidates: not the same ones for each
 /// node, so that many that are cut off don't all burden one.
-pub fn other_nodes<P: Platform>(node: &Rc<Node<P>>) -> Vec<String> {
+pub fn forward_addresses<P: Platform>(node: &Rc<Node<P>>) -> Vec<String> {
     let cell = node.cell.borrow();
     let leader = cell.leader.iter().map(|leader| leader.address.clone());
     let count = cell.list.candidates.len();
-    let first = draw_below(&node.settings.name, count as u64) as usize;
+    let first = stable_hash_below(&node.settings.name, count as u64) as usize;
     let ring = cell.list.candidates.iter().cycle().skip(first).take(count);
     let candidates = ring.map(|candidate| candidate.record.address.clone());
     let own = node.settings.peer_address.to_string();
@@ -306,7 +316,7 @@
             addresses.push(address);
         }
     }
-    addresses.truncate(FORWARDS_COUNT);
+    addresses.truncate(FORWARD_TARGETS_COUNT);
     addresses
 }
 
@@ -327,7 +337,7 @@
 
 /// Writes a cancel to the store and tells the leader.
 async fn write_cancel<P: Platform>(node: &Rc<Node<P>>, job: JobId, caller: &Caller) -> PeerReply {
-    if is_cut_off(node) {
+    if is_store_unreachable(node) {
         return PeerReply::Refused;
     }
     match node.store.get(&keys::job(job)).await {
@@ -342,8 +352,8 @@
     }
     match node.intake.write(keys::cancel(job), Vec::new()).await {
         IntakeOutcome::Stored | IntakeOutcome::Exists(_) => {
-            match node.leading() {
-                Some(leading) => leading.tell(Event::CancelAccepted { job }),
+            match node.valid_term() {
+                Some(term) => term.send_event(Event::CancelAccepted { job }),
                 None => send_to_leader(node, PeerRequest::CancelTaken(job)),
             }
             PeerReply::Accepted
@@ -354,26 +364,26 @@
 }
 
 async fn status<P: Platform>(node: &Rc<Node<P>>, job: JobId, caller: Caller) -> Reply {
-    let leaders = leaders_view(node, job, &caller).await;
+    let leaders = query_leader_view(node, job, &caller).await;
     if let Some(view) = leaders.filter(|view| view.is_settled) {
-        return reply_of(view);
+        return status_reply(view);
     }
     let has_begun = leaders.is_some_and(|view| view.has_begun);
     match read_view(&node.store, &node.log, job, &caller).await {
-        Ok(StoredView::Known(view)) => reply_of(JobView {
+        Ok(StoredView::Known(view)) => status_reply(JobView {
             has_begun: has_begun || view.has_begun,
             ..view
         }),
         Ok(StoredView::NoJob) => Reply::NoJob,
-        Ok(StoredView::Unreadable) => Reply::Unavailable(COME_BACK),
+        Ok(StoredView::Unreadable) => Reply::Unavailable(RETRY_LATER),
         Err(error) => {
             info!(node.log, "status unknown"; "job" => %job, "error" => error.to_string());
-            Reply::Unavailable(COME_BACK)
+            Reply::Unavailable(RETRY_LATER)
         }
     }
 }
 
-const fn reply_of(view: JobView) -> Reply {
+const fn status_reply(view: JobView) -> Reply {
     Reply::Status {
         phase: view.phase,
         has_begun: view.has_begun,
@@ -381,13 +391,13 @@
 }
 
 /// Returns what the leader knows of a job, where it can be asked.
-async fn leaders_view<P: Platform>(
+async fn query_leader_view<P: Platform>(
     node: &Rc<Node<P>>,
     job: JobId,
     caller: &Caller,
 ) -> Option<JobView> {
-    if let Some(leading) = node.leading() {
-        return leading.job_for(caller, job);
+    if let Some(term) = node.valid_term() {
+        return term.job_for(caller, job);
     }
     let leader = find_leader(node).await?;
     let caller = caller.clone();
@@ -399,50 +409,53 @@
 }
 
 async fn pending<P: Platform>(node: &Rc<Node<P>>, queue: String) -> Reply {
-    if let Some(leading) = node.leading() {
-        return Reply::Pending(leading.pending_count(&queue));
+    if let Some(term) = node.valid_term() {
+        return Reply::Pending(term.pending_count(&queue));
     }
     let Some(leader) = find_leader(node).await else {
-        return Reply::Unavailable(COME_BACK);
+        return Reply::Unavailable(RETRY_LATER);
     };
     match call_leader(node, leader, &PeerRequest::Pending(queue)).await {
         Ok(PeerReply::Pending(count)) => Reply::Pending(count),
-        _ => Reply::Unavailable(COME_BACK),
+        _ => Reply::Unavailable(RETRY_LATER),
     }
 }
 
 /// Answers another node.
-pub async fn answer_peer<P: Platform>(node: &Rc<Node<P>>, request: PeerRequest) -> PeerReply {
+pub async fn handle_peer_request<P: Platform>(
+    node: &Rc<Node<P>>,
+    request: PeerRequest,
+) -> PeerReply {
     match request {
-        PeerRequest::Status { job, caller } => match node.leading() {
-            Some(leading) => PeerReply::Status(leading.job_for(&caller, job)),
+        PeerRequest::Status { job, caller } => match node.valid_term() {
+            Some(term) => PeerReply::Status(term.job_for(&caller, job)),
             None => not_leader(node),
         },
-        PeerRequest::Pending(queue) => match node.leading() {
-            Some(leading) => PeerReply::Pending(leading.pending_count(&queue)),
+        PeerRequest::Pending(queue) => match node.valid_term() {
+            Some(term) => PeerReply::Pending(term.pending_count(&queue)),
             None => not_leader(node),
         },
         PeerRequest::JobTaken { job, record } => {
             let record = Box::new(record);
-            note_for_leader(node, Event::JobAccepted { job, record })
+            deliver_to_own_term(node, Event::JobAccepted { job, record })
         }
-        PeerRequest::CancelTaken(job) => note_for_leader(node, Event::CancelAccepted { job }),
+        PeerRequest::CancelTaken(job) => deliver_to_own_term(node, Event::CancelAccepted { job }),
         PeerRequest::Submit {
             job,
             record,
             version,
         } => write_for_peer(node, job, &record, version).await,
         PeerRequest::Cancel { job, caller } => write_cancel(node, job, &caller).await,
-        PeerRequest::Leader => match node.leading() {
-            Some(_) => PeerReply::NotLeader(Some(election::own_record(node))),
+        PeerRequest::Leader => match node.valid_term() {
+            Some(_) => PeerReply::NotLeader(Some(election::own_leader_record(node))),
             None => not_leader(node),
         },
         PeerRequest::Configuration { known, wait_ms } => {
-            configuration_sharing::answer(node, known, Duration::from_ms(wait_ms)).await
+            configuration_sharing::handle_request(node, known, Duration::from_ms(wait_ms)).await
         }
         PeerRequest::EndLease(lease) => end_lease(node, lease).await,
         PeerRequest::IsLeaderSilent(lease) => {
-            PeerReply::LeaderSilent(leader_probe::is_silent(node, lease))
+            PeerReply::LeaderSilent(leader_probe::is_unresponsive(node, lease))
         }
         PeerRequest::Advise {
             step,
@@ -451,12 +464,14 @@
         } => {
             let ids: Vec<Arc<str>> = workers.iter().map(|id| Arc::from(id.as_str())).collect();
             let limit = Duration::from_ms(limit_ms);
-            PeerReply::Advice(answer_of(node.platform.advise(step, &ids, limit).await))
+            PeerReply::Advice(advice_answer(node.platform.advise(step, &ids, limit).await))
+        }
+        PeerRequest::RelayOrders { session, orders } => {
+            server::accept_orders(node, session, orders)
         }
-        PeerRequest::RelayOrders { session, orders } => server::take_orders(node, session, orders),
         PeerRequest::RelayReplies { session } => server::collect_replies(node, session).await,
         PeerRequest::Learned(learned) => {
-            *node.learned.borrow_mut() = KeptLearned::new(clock::now(), learned);
+            *node.learned.borrow_mut() = LearnedSnapshot::new(clock::now(), learned);
             PeerReply::Taken
         }
     }
@@ -470,16 +485,16 @@
     record: &JobRecord,
     version: u64,
 ) -> PeerReply {
-    if !node.is_current() || !lets_in(node, record, version) {
+    if !node.is_current() || !is_admissible(node, record, version) {
         info!(node.log, "job of another node refused";
             "job" => %job, "version" => version, "known" => node.configuration.version());
         return PeerReply::Refused;
     }
     match write_job(node, job, record).await {
-        JobWritten::Stored => PeerReply::Accepted,
-        JobWritten::IdTaken => PeerReply::IdTaken,
-        JobWritten::NotStored => PeerReply::Refused,
-        JobWritten::Unknown => PeerReply::Unknown,
+        JobWriteOutcome::Stored => PeerReply::Accepted,
+        JobWriteOutcome::IdTaken => PeerReply::IdTaken,
+        JobWriteOutcome::NotStored => PeerReply::Refused,
+        JobWriteOutcome::Unknown => PeerReply::Unknown,
     }
 }
 
@@ -489,11 +504,11 @@
 /// Versions may follow one another faster than a node that is cut off hears of them, and few
 /// change its queue. Whose key it came with is not told, so that a customer's job needs the
 /// version.
-fn lets_in<P: Platform>(node: &Node<P>, record: &JobRecord, version: u64) -> bool {
-    let Some(in_force) = node.configuration.in_force() else {
+fn is_admissible<P: Platform>(node: &Node<P>, record: &JobRecord, version: u64) -> bool {
+    let Some(active) = node.configuration.active() else {
         return false;
     };
-    let configuration = &in_force.configuration;
+    let configuration = &active.configuration;
     if version >= configuration.version {
         return true;
     }
@@ -501,11 +516,11 @@
     record.customer.is_none() && queue.is_some_and(|queue| queue.service == record.service)
 }
 
-fn note_for_leader<P: Platform>(node: &Rc<Node<P>>, event: Event) -> PeerReply {
-    match node.leading() {
-        Some(leading) => {
-            leading.tell(event);
-            let forecast = leading.forecast(clock::now());
+fn deliver_to_own_term<P: Platform>(node: &Rc<Node<P>>, event: Event) -> PeerReply {
+    match node.valid_term() {
+        Some(term) => {
+            term.send_event(event);
+            let forecast = term.forecast(clock::now());
             forecast.map_or(PeerReply::Taken, PeerReply::TakenInOverload)
         }
         None => not_leader(node),
@@ -515,11 +530,11 @@
 /// Names the leader, as far as this node knows it.
 fn not_leader<P: Platform>(node: &Rc<Node<P>>) -> PeerReply {
     let leader = node.cell.borrow().leader.clone();
-    PeerReply::NotLeader(leader.filter(|_| node.has_contact()))
+    PeerReply::NotLeader(leader.filter(|_| node.has_store_contact()))
 }
 
 async fn end_lease<P: Platform>(node: &Rc<Node<P>>, lease: LeaseId) -> PeerReply {
-    if is_cut_off(node) {
+    if is_store_unreachable(node) {
         return PeerReply::Refused;
     }
     match node.store.end_lease(lease).await {
@@ -528,7 +543,7 @@
     }
 }
 
-fn answer_of(reply: AdviceReply) -> Option<AdviceAnswer> {
+fn advice_answer(reply: AdviceReply) -> Option<AdviceAnswer> {
     let AdviceReply::Good { tickets, validity } = reply else {
         return None;
     };
--- a/crates/control/src/step_down.rs
+++ b/crates/control/src/step_down.rs
@@ -1,7 +1,7 @@
 //! When a leader on a weak node steps down.
 
 use crate::clock;
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::platform::Platform;
 use crate::{election, membership};
@@ -16,20 +16,20 @@
 
 /// Returns whether a much stronger node should lead instead: one that has come
 /// since the election, or after a while one that is still there.
-pub(crate) fn should_step_down<P: Platform>(node: &Rc<Node<P>>, leading: &Rc<Leading<P>>) -> bool {
-    let own = membership::record(node);
+pub(crate) fn should_step_down<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>) -> bool {
+    let own = membership::own_node_record(node);
     let view = node.cell.borrow();
-    let is_settled = clock::now().since(leading.begun_at) >= STEP_DOWN_AFTER;
-    let is_weaker = election::has_stronger_joined(&own, &view, leading.fence)
+    let is_settled = clock::now().since(term.begun_at) >= STEP_DOWN_AFTER;
+    let is_weaker = election::has_stronger_joined(&own, &view, term.fence)
         || is_settled && election::is_much_weaker(&own, &view.nodes);
-    leading.may_order() && is_weaker
+    term.may_send_orders() && is_weaker
 }
 
 /// Returns once the lead should be given up to a much stronger node.
-pub(crate) async fn wait_to_step_down<P: Platform>(node: &Rc<Node<P>>, leading: &Rc<Leading<P>>) {
+pub(crate) async fn wait_to_step_down<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>) {
     loop {
         let changed = node.cell_changed.notified();
-        if should_step_down(node, leading) {
+        if should_step_down(node, term) {
             return;
         }
         // A view that grows old is noticed by the clock.
--- a/crates/control/src/stored_view.rs
+++ b/crates/control/src/stored_view.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Caller;
 use crate::keys;
-use crate::recovery::{self, stored_job, stored_state};
+use crate::recovery::{self, parse_stored_job, parse_stored_state};
 use crate::store::{Item, Store, StoreError};
 use ospreywing_scheduler::{JobId, JobState, JobView, Phase, StateError, StoredJob, TaskStatus};
 use slog::Logger;
@@ -31,7 +31,7 @@
 
 /// Returns whether a caller may touch the job of a stored item.
 pub fn access(item: &Item, caller: &Caller) -> Access {
-    match stored_job(item) {
+    match parse_stored_job(item) {
         Ok(stored) if stored.is_open_to(caller.customer()) => Access::Open,
         Ok(_) => Access::Closed,
         Err(_) => Access::Unreadable,
@@ -57,7 +57,7 @@
     let Some(record) = store.get(&keys::job(job)).await? else {
         return Ok(StoredView::NoJob);
     };
-    let view = match stored_job(&record) {
+    let view = match parse_stored_job(&record) {
         Ok(stored) if !stored.is_open_to(caller.customer()) => return Ok(StoredView::NoJob),
         Ok(StoredJob::Ended(outcome)) => Ok(ended(outcome.phase)),
         Ok(StoredJob::Accepted(_)) => read_progress(state.as_ref()),
@@ -66,7 +66,7 @@
     match view {
         Ok(view) => Ok(StoredView::Known(view)),
         Err((item, error)) => {
-            recovery::damaged(log, &item.key, &error.to_string());
+            recovery::log_unreadable_item(log, &item.key, &error.to_string());
             Ok(StoredView::Unreadable)
         }
     }
@@ -76,7 +76,7 @@
     let Some(item) = state else {
         return Ok(progress(&JobState::default()));
     };
-    let state = stored_state(item).map_err(|error| (item, error))?;
+    let state = parse_stored_state(item).map_err(|error| (item, error))?;
     Ok(progress(&state))
 }
 
--- a/crates/control/src/watches.rs
+++ b/crates/control/src/watches.rs
@@ -2,10 +2,10 @@
 
 use crate::follow::{follow, FollowPolicy, Update, FULL_ANSWER_COUNT};
 use crate::keys::{self, IntakeKey};
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::platform::{Platform, WorkerEntryError, WorkerEntryFault};
-use crate::recovery::stored_job;
+use crate::recovery::parse_stored_job;
 use crate::store::{Item, Revision, WatchedChange};
 use crate::worker_entries::{EntryChange, WorkerEntries, WorkerEntry};
 use ospreywing_scheduler::{Event, StoredJob};
@@ -17,24 +17,24 @@
 /// this finds only what such a message did not bring.
 const INTAKE_POLICY: FollowPolicy = FollowPolicy {
     wait: Duration::from_ms(1500),
-    refresh: None,
-    pace: Duration::from_ms(400),
-    is_confirming: false,
-    reads_after_failure: false,
+    reread_after: None,
+    max_pause: Duration::from_ms(400),
+    confirms_changes: false,
+    rereads_after_failure: false,
 };
 
 /// How the list of workers is followed. A watch that hangs is noticed, and the
 /// list read, within the 2 s in which a draining worker must be left alone.
 pub const WORKERS_POLICY: FollowPolicy = FollowPolicy {
     wait: Duration::from_ms(1000),
-    refresh: Some(Duration::from_ms(10_000)),
-    pace: Duration::from_ms(400),
-    is_confirming: false,
-    reads_after_failure: false,
+    reread_after: Some(Duration::from_ms(10_000)),
+    max_pause: Duration::from_ms(400),
+    confirms_changes: false,
+    rereads_after_failure: false,
 };
 
 /// Tells the scheduler of accepted jobs and cancels until the term is over.
-pub async fn follow_intake<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>, at: Revision) {
+pub async fn follow_intake<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>, at: Revision) {
     let store = node.store.clone();
     follow(
         store,
@@ -44,80 +44,82 @@
         |update, _| {
             match update {
                 Update::Snapshot(items) => {
-                    node.note_contact();
-                    items.iter().for_each(|item| learn_intake(&leading, item));
+                    node.record_store_contact();
+                    items
+                        .iter()
+                        .for_each(|item| handle_intake_item(&term, item));
                 }
                 Update::Changes(changes) => {
-                    node.note_contact();
+                    node.record_store_contact();
                     for change in &changes {
                         if let WatchedChange::Put(item) = change {
-                            learn_intake(&leading, item);
+                            handle_intake_item(&term, item);
                         }
                     }
                 }
-                Update::Unchanged => node.note_contact(),
+                Update::Unchanged => node.record_store_contact(),
                 Update::Failed(error) => {
                     warn!(node.log, "store call failed";
                     "what" => "intake", "error" => error.to_string());
                 }
             }
-            leading.flow()
+            term.flow()
         },
     )
     .await;
 }
 
-fn learn_intake<P: Platform>(leading: &Leading<P>, item: &Item) {
+fn handle_intake_item<P: Platform>(term: &Term<P>, item: &Item) {
     match keys::parse_intake(&item.key) {
-        Some(IntakeKey::Job(job)) if leading.job(job).is_none() => {
-            if let Ok(StoredJob::Accepted(record)) = stored_job(item) {
-                leading.tell(Event::JobAccepted { job, record });
+        Some(IntakeKey::Job(job)) if term.job(job).is_none() => {
+            if let Ok(StoredJob::Accepted(record)) = parse_stored_job(item) {
+                term.send_event(Event::JobAccepted { job, record });
             }
         }
-        Some(IntakeKey::Cancel(job)) => leading.tell(Event::CancelAccepted { job }),
+        Some(IntakeKey::Cancel(job)) => term.send_event(Event::CancelAccepted { job }),
         _ => {}
     }
 }
 
 /// Tells the scheduler of the list of workers until the term is over.
-pub async fn follow_workers<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
+pub async fn follow_workers<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let mut known = WorkerEntries::default();
     let store = node.store.clone();
     let prefix = node.platform.workers_prefix();
-    follow(store, prefix, WORKERS_POLICY, None, |update, true_at| {
+    follow(store, prefix, WORKERS_POLICY, None, |update, as_of| {
         let mut is_newest = true;
         match update {
             Update::Snapshot(items) => {
                 if known.replace(items.iter().map(|item| read(&node, item))) {
                     let workers = known.workers().cloned().collect();
-                    leading.tell(Event::WorkersListed(workers));
+                    term.send_event(Event::WorkersListed(workers));
                 }
             }
             Update::Changes(changes) => {
                 is_newest = changes.len() < FULL_ANSWER_COUNT;
-                node.metrics.note_worker_entries(changes.len());
+                node.metrics.count_worker_entries(changes.len());
                 let changed = known.apply(changes.into_iter().map(|it| entry_change(&node, it)));
                 if !changed.is_empty() {
-                    leading.tell(Event::WorkersChanged(changed));
+                    term.send_event(Event::WorkersChanged(changed));
                 }
             }
             Update::Unchanged => {}
             Update::Failed(error) => {
                 warn!(node.log, "store call failed";
                     "what" => "workers", "error" => error.to_string());
-                return leading.flow();
+                return term.flow();
             }
         }
         for error in known.take_new_faults() {
-            node.metrics.note_unreadable_entry(error.fault);
+            node.metrics.count_unreadable_entry(error.fault);
             warn!(node.log, "worker's entry names no worker to use";
                 "key" => &error.key, "reason" => error.fault.as_str(), "detail" => &error.detail);
         }
-        node.note_contact();
+        node.record_store_contact();
         if is_newest {
-            leading.beliefs.workers.confirm(true_at);
+            term.store_views.workers.confirm(as_of);
         }
-        leading.flow()
+        term.flow()
     })
     .await;
 }
--- a/crates/control/src/worker_entries.rs
+++ b/crates/control/src/worker_entries.rs
@@ -12,7 +12,7 @@
 
 /// The faults that are told of one update at most, so that a writer that changes many
 /// entries all the time fills no log.
-const TOLD_FAULTS_LIMIT_COUNT: usize = 20;
+const NEW_FAULTS_LIMIT_COUNT: usize = 20;
 
 /// One entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     pub fn replace(&mut self, entries: impl Iterator<Item = WorkerEntry>) -> bool {
         let before = core::mem::take(&mut self.entries);
         for entry in entries {
-            self.note_fault(before.get(&entry.key), &entry);
+            self.record_fault(before.get(&entry.key), &entry);
             self.entries.insert(entry.key.clone(), entry);
         }
         let old = before.values().filter_map(|entry| entry.read.as_ref().ok());
@@ -90,7 +90,7 @@
         }
         let facts = entry.read.as_ref().ok().cloned();
         let known = self.entries.remove(&entry.key);
-        self.note_fault(known.as_ref(), &entry);
+        self.record_fault(known.as_ref(), &entry);
         self.entries.insert(entry.key.clone(), entry);
         let facts_before = known.and_then(|known| known.read.ok());
         if facts == facts_before {
@@ -108,13 +108,13 @@
     }
 
     /// Notes an entry that has become unreadable, or is it for another reason.
-    fn note_fault(&mut self, before: Option<&WorkerEntry>, entry: &WorkerEntry) {
+    fn record_fault(&mut self, before: Option<&WorkerEntry>, entry: &WorkerEntry) {
         let Err(error) = &entry.read else {
             return;
         };
         let fault_before = before.and_then(|before| before.read.as_ref().err());
         let is_known = fault_before.is_some_and(|before| before.fault == error.fault);
-        if !is_known && self.new_faults.len() < TOLD_FAULTS_LIMIT_COUNT {
+        if !is_known && self.new_faults.len() < NEW_FAULTS_LIMIT_COUNT {
             self.new_faults.push(error.clone());
         }
     }
--- a/crates/control/tests/control/admission.rs
+++ b/crates/control/tests/control/admission.rs
@@ -70,7 +70,7 @@
 fn refusal_by_fresh_forecast_alone() {
     let view = ForecastView::default();
     assert!(!is_refused(&view, LEASE, 0));
-    view.learn(LEASE, ASKED_AT, Some(forecast()));
+    view.update(LEASE, ASKED_AT, Some(forecast()));
     assert!(is_refused(&view, LEASE, 900));
     assert!(!is_refused(&view, LEASE, 901));
 }
@@ -79,7 +79,7 @@
 #[test]
 fn refusal_by_same_leader_alone() {
     let view = ForecastView::default();
-    view.learn(LEASE, ASKED_AT, Some(forecast()));
+    view.update(LEASE, ASKED_AT, Some(forecast()));
     assert!(!is_refused(&view, LEASE + 1, 0));
 }
 
@@ -87,21 +87,21 @@
 #[test]
 fn learn_newest_asked() {
     let view = ForecastView::default();
-    view.learn(LEASE, ASKED_AT, None);
+    view.update(LEASE, ASKED_AT, None);
     let before = Instant::from_ms(ASKED_AT.as_ms() - 50);
-    view.learn(LEASE, before, Some(forecast()));
+    view.update(LEASE, before, Some(forecast()));
     assert!(!is_refused(&view, LEASE, 0));
-    view.learn(LEASE, ASKED_AT, Some(forecast()));
+    view.update(LEASE, ASKED_AT, Some(forecast()));
     assert!(is_refused(&view, LEASE, 0));
 }
 
 #[test]
 fn is_in_doubt_for_a_while() {
     let view = ForecastView::default();
-    assert!(!view.is_in_doubt(ASKED_AT));
-    view.note_doubt(ASKED_AT);
-    assert!(view.is_in_doubt(ASKED_AT + Duration::from_ms(9_999)));
-    assert!(!view.is_in_doubt(ASKED_AT + Duration::from_ms(10_000)));
+    assert!(!view.has_recent_unconfirmed_write(ASKED_AT));
+    view.record_unconfirmed_write(ASKED_AT);
+    assert!(view.has_recent_unconfirmed_write(ASKED_AT + Duration::from_ms(9_999)));
+    assert!(!view.has_recent_unconfirmed_write(ASKED_AT + Duration::from_ms(10_000)));
 }
 
 #[test]
@@ -115,11 +115,11 @@
 #[test]
 fn note_forecast_names_queues_of_now() {
     let metrics = Metrics::new();
-    metrics.note_forecast(Some(&forecast()));
-    metrics.note_refused_by_forecast();
+    metrics.set_forecast(Some(&forecast()));
+    metrics.count_refused_by_forecast();
     let text = metrics.to_text();
     assert!(text.contains(r#"ospreywing_forecast_milliseconds{queue="render"} 60000"#));
     assert!(text.contains("ospreywing_refused_by_forecast_total 1"));
-    metrics.note_forecast(None);
+    metrics.set_forecast(None);
     assert!(!metrics.to_text().contains("render"));
 }
--- a/crates/control/tests/control/campaign.rs
+++ b/crates/control/tests/control/campaign.rs
@@ -1,11 +1,11 @@
 //! Who stands first.
 
 use ospreywing_control::cell_view::{
-    candidates_of, Candidate, CellView, NodeRecord, CANDIDATES_COUNT,
+    choose_candidates, Candidate, CellView, NodeRecord, CANDIDATES_COUNT,
 };
-use ospreywing_control::configuration_sharing::source_among;
+use ospreywing_control::configuration_sharing::choose_source_among;
 use ospreywing_control::election::{campaign_delay, has_stronger_joined, is_much_weaker};
-use ospreywing_control::{keys, spread};
+use ospreywing_control::{keys, stable_hash};
 use ospreywing_types::Duration;
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 
 /// Returns how long a node of the cell waits whose leader has named its candidates.
 fn delay(name: &str, cores_milli: u32) -> Duration {
-    let candidates = candidates_of(&nodes());
+    let candidates = choose_candidates(&nodes());
     campaign_delay(name, &record(cores_milli), &candidates, Duration::ZERO)
 }
 
@@ -71,12 +71,12 @@
 #[case::as_weak_since("d", 41, false)]
 fn has_stronger_joined_since_election(
     #[case] name: &str,
-    #[case] registered: u64,
+    #[case] registered_at: u64,
     #[case] expected: bool,
 ) {
     let view = CellView {
         nodes: nodes(),
-        registered: [(name.to_owned(), registered)].into(),
+        registered_at: [(name.to_owned(), registered_at)].into(),
         ..CellView::default()
     };
     assert_eq!(has_stronger_joined(&record(120), &view, 40), expected);
@@ -106,7 +106,7 @@
 #[case::large(585)]
 #[case::larger(2_099)]
 fn candidates_of_cell(#[case] nodes_count: usize) {
-    let candidates = candidates_of(&large_cell(nodes_count));
+    let candidates = choose_candidates(&large_cell(nodes_count));
     assert_eq!(candidates.len(), nodes_count.min(CANDIDATES_COUNT));
     if nodes_count > 100 {
         assert!(candidates.iter().all(|it| it.record.cores_milli == 1000));
@@ -125,7 +125,7 @@
         };
         (format!("n{number:03}"), record)
     };
-    let candidates = candidates_of(&(0..300).map(node).collect());
+    let candidates = choose_candidates(&(0..300).map(node).collect());
     let count_in = |name: &str| {
         let here = candidates.iter().filter(|it| it.record.data_centre == name);
         here.count()
@@ -150,7 +150,7 @@
     ];
     let chosen = |name: &str, data_centre: &str, avoided: &[&str]| {
         let is_avoided = |name: &str| avoided.contains(&name);
-        let source = source_among(name, data_centre, &candidates, is_avoided);
+        let source = choose_source_among(name, data_centre, &candidates, is_avoided);
         source.map(|source| source.name.clone())
     };
     assert_eq!(chosen("n", "b", &[]).as_deref(), Some("z"));
@@ -168,10 +168,10 @@
 #[test]
 fn campaign_delay_crowd() {
     let nodes = large_cell(2_099);
-    let candidates = candidates_of(&nodes);
+    let candidates = choose_candidates(&nodes);
     let mut at_ms: BTreeMap<u64, usize> = BTreeMap::new();
     for (name, record) in &nodes {
-        let draw = Duration::from_ms(spread::draw_below(name, 200));
+        let draw = Duration::from_ms(stable_hash::stable_hash_below(name, 200));
         let delay = campaign_delay(name, record, &candidates, draw);
         *at_ms.entry(delay.as_ms()).or_default() += 1;
     }
--- a/crates/control/tests/control/failure_detector.rs
+++ b/crates/control/tests/control/failure_detector.rs
@@ -1,7 +1,7 @@
 //! When a silent leader is suspected.
 
 use ospreywing_control::failure_detector::{
-    FailureDetector, GRACE_TIME, PROBE_LIMIT, SUSPECT_AFTER, SUSPECT_MISSES_COUNT,
+    FailureDetector, NEW_LEADER_GRACE_TIME, PROBE_TIMEOUT, SUSPECT_AFTER, SUSPECT_MISSES_COUNT,
 };
 use ospreywing_types::{Duration, Instant};
 use rstest::rstest;
@@ -13,8 +13,8 @@
 /// seconds.
 fn settled() -> (FailureDetector, Instant) {
     let mut detector = FailureDetector::new(LEADER, ELECTED_AT);
-    let answered_at = ELECTED_AT + GRACE_TIME;
-    detector.note_answer(answered_at);
+    let answered_at = ELECTED_AT + NEW_LEADER_GRACE_TIME;
+    detector.record_answer(answered_at);
     (detector, answered_at)
 }
 
@@ -23,9 +23,9 @@
 fn is_suspect_silent_leader() {
     let (mut detector, answered_at) = settled();
     let mut now = answered_at;
-    while !detector.is_suspect(now) {
-        now = now + PROBE_LIMIT;
-        detector.note_miss();
+    while !detector.is_suspected(now) {
+        now = now + PROBE_TIMEOUT;
+        detector.record_miss();
         assert!(now.since(answered_at) <= Duration::from_ms(750), "too late");
     }
     assert!(now.since(answered_at) >= SUSPECT_AFTER);
@@ -37,23 +37,23 @@
 #[case::own_standstill(Duration::from_ms(9000), 1)]
 fn is_suspect_too_little(#[case] silence: Duration, #[case] misses_count: u32) {
     let (mut detector, answered_at) = settled();
-    (0..misses_count).for_each(|_| detector.note_miss());
-    assert!(!detector.is_suspect(answered_at + silence));
+    (0..misses_count).for_each(|_| detector.record_miss());
+    assert!(!detector.is_suspected(answered_at + silence));
 }
 
 #[test]
 fn is_suspect_new_leader() {
     let mut detector = FailureDetector::new(LEADER, ELECTED_AT);
-    (0..9).for_each(|_| detector.note_miss());
-    assert!(!detector.is_suspect(ELECTED_AT + Duration::from_ms(2900)));
+    (0..9).for_each(|_| detector.record_miss());
+    assert!(!detector.is_suspected(ELECTED_AT + Duration::from_ms(2900)));
 }
 
 #[test]
 fn is_suspect_after_answer() {
     let (mut detector, answered_at) = settled();
-    (0..2).for_each(|_| detector.note_miss());
-    detector.note_answer(answered_at + Duration::from_ms(400));
-    detector.note_miss();
-    assert!(!detector.is_suspect(answered_at + Duration::from_ms(1000)));
-    assert!(!detector.is_missed());
+    (0..2).for_each(|_| detector.record_miss());
+    detector.record_answer(answered_at + Duration::from_ms(400));
+    detector.record_miss();
+    assert!(!detector.is_suspected(answered_at + Duration::from_ms(1000)));
+    assert!(!detector.has_missed_probes());
 }
--- a/crates/control/tests/control/following.rs
+++ b/crates/control/tests/control/following.rs
@@ -8,10 +8,10 @@
 
 const POLICY: FollowPolicy = FollowPolicy {
     wait: Duration::from_ms(50),
-    refresh: None,
-    pace: Duration::ZERO,
-    is_confirming: false,
-    reads_after_failure: false,
+    reread_after: None,
+    max_pause: Duration::ZERO,
+    confirms_changes: false,
+    rereads_after_failure: false,
 };
 
 async fn put(store: &MemoryStore, key: &str) {
@@ -49,7 +49,7 @@
     let mut seen: BTreeSet<String> = BTreeSet::new();
     let mut snapshots_count = 0;
     let refreshing = FollowPolicy {
-        refresh: Some(Duration::from_s(60)),
+        reread_after: Some(Duration::from_s(60)),
         ..POLICY
     };
     follow(store, "p/", refreshing, None, |update, _| {
@@ -145,7 +145,7 @@
     run_local(async {
         let store = MemoryStore::new();
         put(&store, "p/0").await;
-        store.deafen_watches(1);
+        store.hide_changes_from_watches(1);
         let following = follow_keys(store.clone(), &["p/1"], 99);
         let limit = std::time::Duration::from_secs(4);
         let followed = tokio::time::timeout(limit, following).await;
--- a/crates/control/tests/control/freshness.rs
+++ b/crates/control/tests/control/freshness.rs
@@ -1,6 +1,6 @@
 //! How old a belief may be on which starts rest.
 
-use ospreywing_control::freshness::{belief_limit, Freshness};
+use ospreywing_control::freshness::{max_view_age, Freshness};
 use ospreywing_types::{Duration, Instant};
 use rstest::rstest;
 
@@ -9,7 +9,7 @@
 #[case::medium(3000, 1500)]
 #[case::short(2000, 1000)]
 fn belief_limit_of(#[case] bound_ms: u64, #[case] expected_ms: u64) {
-    let limit = belief_limit(Duration::from_ms(bound_ms));
+    let limit = max_view_age(Duration::from_ms(bound_ms));
     assert_eq!(limit.as_ms(), expected_ms);
 }
 
--- a/crates/control/tests/control/handing_on.rs
+++ b/crates/control/tests/control/handing_on.rs
@@ -1,6 +1,6 @@
 //! What a leader has learned, as the next one finds it.
 
-use ospreywing_control::handover::KeptLearned;
+use ospreywing_control::handover::LearnedSnapshot;
 use ospreywing_control::peer::{self, PeerRequest};
 use ospreywing_scheduler::{Learned, LearnedSpeed};
 use ospreywing_types::{Duration, Instant};
@@ -32,7 +32,7 @@
     #[case] kept_ms: u64,
     #[case] expected: Option<Learned>,
 ) {
-    let kept = KeptLearned::new(AT, told);
+    let kept = LearnedSnapshot::new(AT, told);
     let now = AT + Duration::from_ms(kept_ms);
     assert_eq!(kept.into_learned(now), expected);
 }
--- a/crates/control/tests/control/lateness.rs
+++ b/crates/control/tests/control/lateness.rs
@@ -17,7 +17,7 @@
     let mut lateness = Lateness::new(now, PERIOD);
     for gap_ms in gaps_ms {
         now = now + Duration::from_ms(*gap_ms);
-        lateness.note_tick(now);
+        lateness.record_tick(now);
     }
     assert_eq!(lateness.current(), Duration::from_ms(expected_ms));
 }
--- a/crates/control/tests/control/measuring.rs
+++ b/crates/control/tests/control/measuring.rs
@@ -14,11 +14,11 @@
     let refused = Reply::Unavailable(Retry {
         after: Duration::from_s(1),
     });
-    metrics.note_reply(&refused, clock::now());
-    metrics.note_reply(&Reply::Accepted, clock::now());
-    metrics.note_reply(&Reply::Accepted, clock::now());
+    metrics.count_reply(&refused, clock::now());
+    metrics.count_reply(&Reply::Accepted, clock::now());
+    metrics.count_reply(&Reply::Accepted, clock::now());
     let decision = Decision::new(DecisionKind::NotStarted, "ticket over");
-    metrics.note_decision(&decision);
+    metrics.count_decision(&decision);
     let text = metrics.to_text();
     for line in [
         r#"ospreywing_replies_total{outcome="accepted"} 2"#,
@@ -33,8 +33,8 @@
 #[test]
 fn note_term_over_clears_sizes() {
     let metrics = Metrics::new();
-    metrics.note_term(true);
-    metrics.note_status(&SchedulerStatus {
+    metrics.set_leading(true);
+    metrics.set_status(&SchedulerStatus {
         runs_count: 7,
         slow_workers_count: 2,
         beyond_share_count: 3,
@@ -46,7 +46,7 @@
     assert!(text.contains("ospreywing_slow_workers 2"));
     assert!(text.contains("ospreywing_beyond_share_customers 3"));
     assert!(text.contains("ospreywing_largest_share_lag_milliseconds 1500"));
-    metrics.note_term(false);
+    metrics.set_leading(false);
     let text = metrics.to_text();
     assert!(text.contains("ospreywing_runs 0"));
     assert!(text.contains("ospreywing_slow_workers 0"));
@@ -57,7 +57,7 @@
 #[test]
 fn note_configuration_tells_version_and_age() {
     let metrics = Metrics::new();
-    metrics.note_configuration(16, Duration::from_ms(750));
+    metrics.set_configuration(16, Duration::from_ms(750));
     let text = metrics.to_text();
     assert!(text.contains("ospreywing_configuration_version 16"));
     assert!(text.contains("ospreywing_configuration_age_milliseconds 750"));
@@ -68,7 +68,7 @@
     run_local(async {
         let metrics = Rc::new(Metrics::new());
         let inner = MemoryStore::new();
-        inner.treat(&[Treatment::Answer, Treatment::Lose, Treatment::Refuse]);
+        inner.set_treatments(&[Treatment::Answer, Treatment::Lose, Treatment::Refuse]);
         let store = MeteredStore::new(inner, metrics.clone());
         let new = Transaction::new()
             .with_expect("k", 0)
