--- a/crates/control/tests/control/relays.rs
+++ b/crates/control/tests/control/relays.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const LEAST_COUNT: usize = 600;
+const MIN_WORKERS_COUNT: usize = 600;
 
 fn candidate(name: &str, data_centre: &str, cores_milli: u32) -> RelayCandidate {
     RelayCandidate {
@@ -42,7 +42,7 @@
         candidate("a2", "a", 120),
         candidate("b0", "b", 250),
     ];
-    let assignment = Assignment::new(candidates, &counts(workers), LEAST_COUNT);
+    let assignment = Assignment::new(candidates, &counts(workers), MIN_WORKERS_COUNT);
     assert_eq!(names(&assignment), expected);
 }
 
@@ -51,10 +51,10 @@
 fn relay_of_after_one_has_gone() {
     let all = ["a0", "a1", "a2"].map(|name| candidate(name, "a", 120));
     let workers = counts(&[("a", 1200)]);
-    let before = Assignment::new(all.to_vec(), &workers, LEAST_COUNT);
-    let after = Assignment::new(all[..2].to_vec(), &workers, LEAST_COUNT);
+    let before = Assignment::new(all.to_vec(), &workers, MIN_WORKERS_COUNT);
+    let after = Assignment::new(all[..2].to_vec(), &workers, MIN_WORKERS_COUNT);
     let name_of = |assignment: &Assignment, worker: &str| {
-        let relay = assignment.relay_of(worker, "a").expect("a relay");
+        let relay = assignment.relay_for_worker(worker, "a").expect("a relay");
         assignment.relays[relay].name.clone()
     };
     let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
@@ -71,7 +71,7 @@
         counts.len() == 3 && counts.values().all(is_even),
         "{counts:?}"
     );
-    assert_eq!(before.relay_of("w0", "b"), None);
+    assert_eq!(before.relay_for_worker("w0", "b"), None);
 }
 
 /// Nodes of the version before tell no data centre.
--- a/crates/control/tests/control/silence.rs
+++ b/crates/control/tests/control/silence.rs
@@ -15,7 +15,7 @@
 const BACK_AFTER: Duration = Duration::from_ms(100);
 /// What does not come about within this time will not: a call that was sent in
 /// the silence hangs for ever.
-const PATIENCE: std::time::Duration = std::time::Duration::from_secs(60);
+const TEST_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(60);
 
 async fn sleep(time: Duration) {
     tokio::time::sleep(time.into()).await;
@@ -23,7 +23,7 @@
 
 /// Lets the store be silent until it has failed one call and
 /// [`BACK_AFTER`] has passed; returns when it is back.
-async fn be_silent_for_a_call(memory: MemoryStore, store: ProbedStore<MemoryStore>) {
+async fn stop_answering_for_one_call(memory: MemoryStore, store: ProbedStore<MemoryStore>) {
     memory.set_silent(true);
     let failed = store.renew_lease(1).await;
     assert!(matches!(failed, Err(StoreError::Unknown(_))), "{failed:?}");
@@ -42,7 +42,7 @@
         let intake = Intake::new(store.clone());
         let runner = intake.clone();
         tokio::task::spawn_local(async move { runner.run().await });
-        let silence = tokio::task::spawn_local(be_silent_for_a_call(memory, store));
+        let silence = tokio::task::spawn_local(stop_answering_for_one_call(memory, store));
         sleep(SECOND_AFTER).await;
         let writer = intake.clone();
         let write =
@@ -50,7 +50,7 @@
                 async move { writer.write("k".to_owned(), b"job".to_vec()).await },
             );
         silence.await.expect("the store is back");
-        let outcome = tokio::time::timeout(PATIENCE, write).await;
+        let outcome = tokio::time::timeout(TEST_TIMEOUT, write).await;
         let outcome = outcome.expect("the write is made again");
         assert_eq!(outcome.expect("a write"), IntakeOutcome::Stored);
     });
@@ -64,7 +64,7 @@
         let begin = Transaction::new().with_put(keys::lane(0), lane_value(FENCE, 0));
         let begun = store.commit(&begin).await.expect("the store answers");
         let lane = CommitLane::new(store.clone(), 0, FENCE, begun.revision);
-        let silence = tokio::task::spawn_local(be_silent_for_a_call(memory, store));
+        let silence = tokio::task::spawn_local(stop_answering_for_one_call(memory, store));
         sleep(SECOND_AFTER).await;
         let change = Change {
             job: JobId::new(1),
@@ -73,7 +73,7 @@
         let commit =
             tokio::task::spawn_local(async move { lane.commit(vec![change], || false).await });
         silence.await.expect("the store is back");
-        let outcome = tokio::time::timeout(PATIENCE, commit).await;
+        let outcome = tokio::time::timeout(TEST_TIMEOUT, commit).await;
         let outcome = outcome.expect("the commit is made again");
         assert_eq!(outcome.expect("a commit"), CommitOutcome::Done);
     });
@@ -86,7 +86,7 @@
         let memory = MemoryStore::new();
         let store = ProbedStore::new(memory.clone());
         memory.set_commit_time(Duration::from_ms(80));
-        be_silent_for_a_call(memory, store.clone()).await;
+        stop_answering_for_one_call(memory, store.clone()).await;
         let write = Transaction::new().with_put("k", b"value".to_vec());
         for _ in 0..5 {
             let committed = store.commit(&write).await;
--- a/crates/control/tests/control/store_writes.rs
+++ b/crates/control/tests/control/store_writes.rs
@@ -23,13 +23,13 @@
 fn write_store_in_trouble(#[case] treatments: &[Treatment], #[case] expected: IntakeOutcome) {
     run_local(async {
         let store = MemoryStore::new();
-        store.treat(treatments);
+        store.set_treatments(treatments);
         let intake = Intake::new(store.clone());
         let runner = intake.clone();
         tokio::task::spawn_local(async move { runner.run().await });
         let outcome = intake.write("k".to_owned(), b"first".to_vec()).await;
         assert_eq!(outcome, expected);
-        store.do_late();
+        store.apply_delayed();
         // Nothing that is done late takes the place of what is there.
         let again = intake.write("k".to_owned(), b"second".to_vec()).await;
         if expected == IntakeOutcome::Stored {
@@ -88,12 +88,12 @@
     run_local(async {
         let store = MemoryStore::new();
         let lane = lane_of(&store, FENCE).await;
-        store.treat(treatments);
+        store.set_treatments(treatments);
         let first = lane.commit(change("first"), || false).await;
         let second = lane.commit(change("second"), || false).await;
         assert_eq!((first, second), (CommitOutcome::Done, CommitOutcome::Done));
         // A commit that is done late must not bring an earlier state back.
-        store.do_late();
+        store.apply_delayed();
         assert_eq!(
             store.value(&keys::state(JobId::new(1))),
             Some(b"second".to_vec())
--- a/crates/control/tests/control/support.rs
+++ b/crates/control/tests/control/support.rs
@@ -16,7 +16,7 @@
     Answer,
     /// It is done and not answered.
     Lose,
-    /// It is not answered and done later, by [`MemoryStore::do_late`].
+    /// It is not answered and done later, by [`MemoryStore::apply_delayed`].
     Delay,
     /// It is turned away.
     Refuse,
@@ -31,7 +31,7 @@
     treatments: VecDeque<Treatment>,
     late: Vec<Transaction>,
     failing_watches_count: usize,
-    deaf_watches_count: usize,
+    blind_watches_count: usize,
     watch_waits: Vec<Duration>,
     silent_reads_count: usize,
     reads: Vec<Read>,
@@ -43,7 +43,7 @@
 
 /// How long the renewal of a lease hangs at a silent store. Other calls hang for
 /// ever, also once the store answers again.
-const SILENT_RENEWAL_LIMIT: Duration = Duration::from_ms(300);
+const RENEWAL_TIMEOUT: Duration = Duration::from_ms(300);
 
 /// A kind of reading call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     }
 
     /// Sets how the next transactions are treated; later ones are answered.
-    pub fn treat(&self, treatments: &[Treatment]) {
+    pub fn set_treatments(&self, treatments: &[Treatment]) {
         self.0
             .borrow_mut()
             .treatments
@@ -72,7 +72,7 @@
     }
 
     /// Does the transactions that were delayed, as far as their conditions hold.
-    pub fn do_late(&self) {
+    pub fn apply_delayed(&self) {
         let late = core::mem::take(&mut self.0.borrow_mut().late);
         for transaction in late {
             let _ = self.0.borrow_mut().apply(&transaction);
@@ -86,8 +86,8 @@
 
     /// Lets the next watches that have changes to tell of end as if there were
     /// none.
-    pub fn deafen_watches(&self, count: usize) {
-        self.0.borrow_mut().deaf_watches_count = count;
+    pub fn hide_changes_from_watches(&self, count: usize) {
+        self.0.borrow_mut().blind_watches_count = count;
     }
 
     /// Lets the next reads of items and pages go without an answer.
@@ -149,7 +149,7 @@
 }
 
 impl Inner {
-    fn note_read(&mut self, read: Read) -> Result<(), StoreError> {
+    fn record_read(&mut self, read: Read) -> Result<(), StoreError> {
         self.reads.push(read);
         if self.silent_reads_count == 0 {
             return Ok(());
@@ -199,7 +199,7 @@
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
         self.hang_while_silent().await;
         self.0.borrow_mut().item_keys.push(key.to_owned());
-        self.0.borrow_mut().note_read(Read::Item)?;
+        self.0.borrow_mut().record_read(Read::Item)?;
         let found = self.0.borrow().items.get(key).cloned();
         let after = self.0.borrow_mut().after_read.take();
         if let Some(transaction) = after {
@@ -212,7 +212,7 @@
 
     async fn range(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
         const PAGE_COUNT: usize = 2;
-        self.0.borrow_mut().note_read(Read::Page)?;
+        self.0.borrow_mut().record_read(Read::Page)?;
         let inner = self.0.borrow();
         let found = inner
             .items
@@ -255,8 +255,8 @@
         };
         let changes = later.map(|(_, change)| change.clone()).filter(is_ours);
         let mut changes: Vec<WatchedChange> = changes.collect();
-        if inner.deaf_watches_count > 0 && !changes.is_empty() {
-            inner.deaf_watches_count -= 1;
+        if inner.blind_watches_count > 0 && !changes.is_empty() {
+            inner.blind_watches_count -= 1;
             changes.clear();
         }
         Ok(Watched {
@@ -293,7 +293,7 @@
 
     async fn renew_lease(&self, _lease: LeaseId) -> Result<(), StoreError> {
         if self.0.borrow().is_silent {
-            tokio::time::sleep(SILENT_RENEWAL_LIMIT.into()).await;
+            tokio::time::sleep(RENEWAL_TIMEOUT.into()).await;
             return Err(no_answer());
         }
         Ok(())
--- a/crates/control/tests/control/suspension.rs
+++ b/crates/control/tests/control/suspension.rs
@@ -31,16 +31,16 @@
 const QUEUE: &str = "render";
 const WORKERS_PREFIX: &str = "workers/";
 /// How long a node plays after it was suspended.
-const PLAY: std::time::Duration = std::time::Duration::from_millis(600);
+const RUN_TIME: std::time::Duration = std::time::Duration::from_millis(600);
 /// The longest that a node takes to make so many calls.
-const PLAY_LIMIT: std::time::Duration = std::time::Duration::from_secs(10);
+const RUN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 /// The leader's lease; in a shorter suspend nobody else is elected.
 const LEADER_LEASE: Duration = Duration::from_ms(1500);
 
 /// What surrounds the node: calls are counted, and one of them is when the machine is
 /// suspended.
 #[derive(Default)]
-struct Surroundings {
+struct Environment {
     calls_count: Cell<usize>,
     suspend_at_call: Cell<usize>,
     length: Cell<Duration>,
@@ -50,10 +50,10 @@
     running: RefCell<Vec<RunningRun>>,
 }
 
-impl Surroundings {
+impl Environment {
     /// Counts a call; at one of them the machine is suspended, and another node leads
     /// from then on where the leader's lease runs out meanwhile.
-    async fn note_call(&self, store: &MemoryStore) {
+    async fn handle_call(&self, store: &MemoryStore) {
         self.calls_count.set(self.calls_count.get() + 1);
         if self.calls_count.get() != self.suspend_at_call.get() {
             return;
@@ -77,7 +77,7 @@
 
     /// Notes an order; one after another leader's election must not be given. What was
     /// on its way when the machine was suspended is late and no new order.
-    fn note_order(&self, kind: &'static str) {
+    fn record_order(&self, kind: &'static str) {
         if self.has_other_leader.get() {
             self.late_orders.borrow_mut().push(kind);
         }
@@ -88,31 +88,31 @@
 #[derive(Clone)]
 struct Counting {
     store: MemoryStore,
-    around: Rc<Surroundings>,
+    environment: Rc<Environment>,
 }
 
 type CountingStore = LayeredStore<MemoryStore, Counting>;
 
 impl StoreLayer for Counting {
-    async fn around<T, E: CallFailure>(
+    async fn wrap_call<T, E: CallFailure>(
         &self,
         call: StoreCall,
-        made: impl Future<Output = Result<T, E>>,
+        future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
         if call == StoreCall::Watch {
             // The store in memory answers at once.
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
-            return made.await;
+            return future.await;
         }
-        self.around.note_call(&self.store).await;
+        self.environment.handle_call(&self.store).await;
         if call == StoreCall::RenewLease {
             // An answer takes its time, in which a node that knows nothing acts on.
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-            if self.around.has_other_leader.get() {
+            if self.environment.has_other_leader.get() {
                 return Err(StoreError::LeaseOver.into());
             }
         }
-        made.await
+        future.await
     }
 }
 
@@ -120,7 +120,7 @@
 #[derive(Clone)]
 struct OneWorker {
     memory: MemoryStore,
-    around: Rc<Surroundings>,
+    environment: Rc<Environment>,
 }
 
 impl Platform for OneWorker {
@@ -131,7 +131,7 @@
     fn store(&self) -> CountingStore {
         let layer = Counting {
             store: self.memory.clone(),
-            around: self.around.clone(),
+            environment: self.environment.clone(),
         };
         LayeredStore::with_layer(self.memory.clone(), layer)
     }
@@ -215,22 +215,22 @@
     }
 
     async fn hold(&self, _to: &Endpoint, _fence: u64, look: WorkerPoll) -> HoldReply {
-        self.around.note_order("hold");
-        self.around.note_call(&self.memory).await;
+        self.environment.record_order("hold");
+        self.environment.handle_call(&self.memory).await;
         let wait = look.wait.as_ms().min(20);
         tokio::time::sleep(std::time::Duration::from_millis(wait)).await;
         HoldReply::Listed {
             life_start: None,
             clock_ms: clock::now().as_ms(),
-            running: self.around.running.borrow().clone(),
+            running: self.environment.running.borrow().clone(),
             ended: Vec::new(),
         }
     }
 
     async fn start(&self, _to: &Endpoint, _fence: u64, order: &StartOrder) -> StartReply {
-        self.around.note_order("start");
-        self.around.note_call(&self.memory).await;
-        self.around.running.borrow_mut().push(RunningRun {
+        self.environment.record_order("start");
+        self.environment.handle_call(&self.memory).await;
+        self.environment.running.borrow_mut().push(RunningRun {
             task: order.task,
             run: order.run,
             checkpoint: None,
@@ -241,7 +241,7 @@
     }
 
     async fn stop(&self, _to: &Endpoint, _fence: u64, _task: TaskKey, _run: u32) -> StopReply {
-        self.around.note_order("stop");
+        self.environment.record_order("stop");
         StopReply::Stopping
     }
 
@@ -311,34 +311,37 @@
     #[values(500, 2_000, 30_000)] length_ms: u64,
 ) {
     run_local(async move {
-        let around = Rc::new(Surroundings::default());
-        around.suspend_at_call.set(call);
-        around.length.set(Duration::from_ms(length_ms));
+        let environment = Rc::new(Environment::default());
+        environment.suspend_at_call.set(call);
+        environment.length.set(Duration::from_ms(length_ms));
         let memory = MemoryStore::new();
         fill(&memory).await;
         let platform = OneWorker {
             memory,
-            around: around.clone(),
+            environment: environment.clone(),
         };
         let log = Logger::root(Discard, o!());
         let buffer = ospreywing_control::log::LogBuffer::new();
         let node = ospreywing_control::run(platform, settings(), log, buffer);
-        let played = async {
-            while around.calls_count.get() < call {
+        let run = async {
+            while environment.calls_count.get() < call {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
-            tokio::time::sleep(PLAY).await;
+            tokio::time::sleep(RUN_TIME).await;
         };
         tokio::select! {
             _ = node => panic!("the node has stopped"),
-            played = tokio::time::timeout(PLAY_LIMIT, played) => {
-                played.expect("the node makes its calls");
+            run = tokio::time::timeout(RUN_TIMEOUT, run) => {
+                run.expect("the node makes its calls");
             }
         }
-        let late = around.late_orders.borrow();
+        let late = environment.late_orders.borrow();
         assert!(late.is_empty(), "orders after the lease was over: {late:?}");
         if length_ms < LEADER_LEASE.as_ms() {
-            assert!(!around.running.borrow().is_empty(), "nothing was started");
+            assert!(
+                !environment.running.borrow().is_empty(),
+                "nothing was started"
+            );
         }
     });
 }
--- a/crates/control/tests/control/worker_list.rs
+++ b/crates/control/tests/control/worker_list.rs
@@ -35,7 +35,7 @@
         behind_ms = behind_ms.max(pause_ms + CALL_MS);
         now_ms += pause_ms;
     }
-    assert!(policy.pace > Duration::ZERO);
+    assert!(policy.max_pause > Duration::ZERO);
     (behind_ms, calls_count / 60)
 }
 
@@ -57,7 +57,7 @@
 #[test]
 fn worker_list_with_a_fixed_pause_falls_behind() {
     let policy = WORKERS_POLICY;
-    let (behind_ms, _) = play(policy, 6_000, |_| policy.pace);
+    let (behind_ms, _) = play(policy, 6_000, |_| policy.max_pause);
     assert!(behind_ms > BEHIND_LIMIT.as_ms(), "{behind_ms} ms");
 }
 
