--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -1,7 +1,8 @@
-//! What a node knows of the leader's forecast, and the jobs that it refuses by it.
+//! Admission control: rejects jobs that would finish too late by the leader's forecast.
 //!
-//! The forecast comes with the leader's answers on jobs that were taken. A node that refuses
-//! all jobs hears of none any more, and takes the next one as soon as what it knows is old.
+//! The leader sends its forecast with the answers to notifications of accepted jobs. A node
+//! that rejects all jobs receives no new forecast, and so accepts the next job once its
+//! forecast is outdated.
 
 use crate::node::Node;
 use crate::platform::{Platform, Retry};
@@ -14,20 +15,20 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Nothing is refused for so long after a write of a job was in doubt: it may be done late,
-/// and its caller may hand it in again.
+/// How long no job is rejected after an unconfirmed write of a job: the write may be applied
+/// late, and its caller may submit the job again.
 const UNCONFIRMED_WRITE_PAUSE: Duration = Duration::from_s(10);
 
-/// What a leader told.
+/// A leader's last answer.
 #[derive(Clone, Debug)]
 struct ReceivedForecast {
     forecast: Option<Forecast>,
-    /// The lease of the leader that told it.
+    /// The lease of the leader that sent it.
     leader: LeaseId,
     asked_at: Instant,
 }
 
-/// What a node knows of the leader's forecast.
+/// A node's view of the leader's forecast.
 #[derive(Debug, Default)]
 pub struct ForecastView {
     kept: RefCell<Option<ReceivedForecast>>,
@@ -35,7 +36,8 @@
 }
 
 impl ForecastView {
-    /// Takes in what a leader that was asked at `asked_at` told.
+    /// Stores the forecast in a leader's answer to a call that was sent at `asked_at`, unless
+    /// there is one of a later call.
     pub fn update(&self, leader: LeaseId, asked_at: Instant, forecast: Option<Forecast>) {
         let mut kept = self.kept.borrow_mut();
         if kept.as_ref().is_some_and(|kept| kept.asked_at > asked_at) {
@@ -48,18 +50,18 @@
         });
     }
 
-    /// Notes that a write of a job is in doubt.
+    /// Records that a write of a job is unconfirmed.
     pub fn record_unconfirmed_write(&self, now: Instant) {
         self.unconfirmed_at.set(Some(now));
     }
 
-    /// Returns whether a write was in doubt a short while ago.
+    /// Returns whether a write was unconfirmed a short while ago.
     pub fn has_recent_unconfirmed_write(&self, now: Instant) -> bool {
         let unconfirmed_at = self.unconfirmed_at.get();
         unconfirmed_at.is_some_and(|at| now.since(at) < UNCONFIRMED_WRITE_PAUSE)
     }
 
-    /// Returns why a job is refused by what this leader told, if it is.
+    /// Returns why a job is rejected by this leader's forecast; `None` if it is not.
     pub fn refusal(
         &self,
         now: Instant,
@@ -76,10 +78,9 @@
     }
 }
 
-/// Returns when the caller of a job may come back that is refused, if it is.
+/// Checks a job against the forecast; returns when its caller may retry if it is rejected.
 ///
-/// Only the store tells whether the job was handed in before and is there, so it is read
-/// before a job is refused.
+/// The job may have been accepted before, so the store is read before it is rejected.
 pub(crate) async fn check_forecast<P: Platform>(
     node: &Rc<Node<P>>,
     job: JobId,
@@ -91,7 +92,7 @@
         return None;
     }
     let after = refusal.come_back(stable_hash_below(&job.to_string(), u64::MAX));
-    info!(node.log, "job refused"; "job" => %job, "queue" => &record.queue,
+    info!(node.log, "job rejected by forecast"; "job" => %job, "queue" => &record.queue,
         "done_after_ms" => refusal.done_after.as_ms(),
         "worthless_after_ms" => refusal.worthless_after.as_ms(),
         "forecast_age_ms" => refusal.age.as_ms(), "come_back_ms" => after.as_ms());
--- a/crates/control/src/cell_follow.rs
+++ b/crates/control/src/cell_follow.rs
@@ -1,8 +1,8 @@
-//! Following the cell in the store.
+//! Keeps a node's view of the cell up to date by watching the store.
 //!
-//! Every node keeps an item with a lease of its own. The leader alone follows these: where
-//! each node did, what the store tells would grow with the square of the cell. The others
-//! follow the leader and the few nodes that it names as candidates.
+//! Every node has an item with a lease of its own. Only the leader follows these items: if
+//! every node did, the store's traffic would grow with the square of the number of nodes.
+//! The other nodes follow the leader item and the few candidates that the leader names.
 
 use crate::cell_view::{CandidateList, CellView};
 use crate::follow::{follow, Flow, FollowPolicy, Update};
@@ -15,13 +15,14 @@
 use slog::{info, warn, Logger};
 use std::rc::Rc;
 
-/// The time between two answers on nodes that come and go.
+/// The longest pause between two watches of the node items.
 const NODES_MAX_PAUSE: Duration = Duration::from_ms(100);
-/// How long a watch of the leader waits in a large cell.
+/// How long a watch of the leader item waits for changes in a large cell.
 const LARGE_CELL_WATCH_TIMEOUT: Duration = Duration::from_ms(6000);
-/// The time after which the view of the cell is read again.
+/// The time after which the whole view of the cell is read again.
 const CELL_REFRESH: Duration = Duration::from_ms(10_000);
-/// The least time between two changes of the candidates: every node is told of each.
+/// The minimum time between two changes of the candidate list, since each is sent to every
+/// node.
 const CANDIDATES_PERIOD: Duration = Duration::from_ms(500);
 
 /// How the parts of the cell are followed.
@@ -33,7 +34,7 @@
     rereads_after_failure: false,
 };
 
-/// Keeps the view of the leader and the candidates.
+/// Follows the leader and the candidates.
 pub async fn follow_leader<P: Platform>(node: Rc<Node<P>>) {
     loop {
         let wait = leader_wait(&node);
@@ -54,8 +55,9 @@
     }
 }
 
-/// Returns how long a watch of the leader waits. In a large cell few nodes matter for the
-/// next election, and each answer without a change costs as much as one with.
+/// Returns how long a watch of the leader waits for changes. It is longer in a large cell:
+/// there few nodes matter for the next election, and an answer without changes costs as much
+/// as one with.
 fn leader_wait<P: Platform>(node: &Node<P>) -> Duration {
     if node.cell.borrow().list.shares_configuration {
         LARGE_CELL_WATCH_TIMEOUT
@@ -64,7 +66,7 @@
     }
 }
 
-/// Keeps the view of the live nodes until the term is over.
+/// Follows the live nodes until the term is over.
 pub(crate) async fn follow_nodes<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let policy = FollowPolicy {
         max_pause: NODES_MAX_PAUSE,
@@ -87,16 +89,17 @@
     }
 }
 
-/// Takes in a part of the cell; returns whether the store answered.
+/// Applies an update to a part of the view; returns whether the store answered. `clear`
+/// empties that part of the view before a snapshot.
 fn apply_update<P: Platform>(
     node: &Node<P>,
     view: &mut CellView,
     update: Update,
-    forget: fn(&mut CellView),
+    clear: fn(&mut CellView),
 ) -> bool {
     match update {
         Update::Snapshot(items) => {
-            forget(view);
+            clear(view);
             items.iter().for_each(|item| put(&node.log, view, item));
         }
         Update::Changes(changes) => {
@@ -120,17 +123,17 @@
 fn handle_leader_update<P: Platform>(node: &Rc<Node<P>>, update: Update) {
     let mut view = node.cell.borrow_mut();
     let before = view.leader.clone();
-    let forget = |view: &mut CellView| {
+    let clear = |view: &mut CellView| {
         view.leader = None;
         view.list = CandidateList::default();
     };
-    if !apply_update(node, &mut view, update, forget) {
+    if !apply_update(node, &mut view, update, clear) {
         return;
     }
     view.confirmed_at = clock::now();
     if view.leader != before {
         let name = view.leader.as_ref().map(|leader| leader.name.clone());
-        info!(node.log, "leader known"; "leader" => name.unwrap_or_default());
+        info!(node.log, "leader changed"; "leader" => name.unwrap_or_default());
     }
     let stale = view
         .leader
@@ -148,20 +151,20 @@
     node.cell_changed.notify_waiters();
 }
 
-/// Takes in which nodes live.
+/// Applies an update of the live nodes to the view.
 pub(crate) fn handle_nodes_update<P: Platform>(node: &Rc<Node<P>>, update: Update) {
-    let forget = |view: &mut CellView| {
+    let clear = |view: &mut CellView| {
         view.nodes.clear();
         view.registered_at.clear();
     };
-    let is_answered = apply_update(node, &mut node.cell.borrow_mut(), update, forget);
+    let is_answered = apply_update(node, &mut node.cell.borrow_mut(), update, clear);
     if is_answered {
         node.record_store_contact();
         node.cell_changed.notify_waiters();
     }
 }
 
-/// Keeps the candidates written that the leader names, until its term is over.
+/// Writes the candidate list whenever it changes, until the term is over.
 pub(crate) async fn publish_candidates<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     while !term.is_over() {
         let changed = node.cell_changed.notified();
@@ -170,7 +173,7 @@
             node.settings.sharing_min_nodes_count,
         );
         if list.candidates.is_empty() || node.cell.borrow().list == list {
-            // The term may end without a change.
+            // The term may end without a change of the view.
             let _ = tokio::time::timeout(WATCH_TIMEOUT.into(), changed).await;
             continue;
         }
@@ -186,7 +189,7 @@
                     "shares_configuration" => list.shares_configuration);
                 node.cell.borrow_mut().list = list;
             }
-            Err(error) => info!(node.log, "candidates not named"; "error" => error.to_string()),
+            Err(error) => info!(node.log, "candidates not written"; "error" => error.to_string()),
         }
         tokio::time::sleep(CANDIDATES_PERIOD.into()).await;
     }
--- a/crates/control/src/cell_view.rs
+++ b/crates/control/src/cell_view.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the cell: the leader, its candidates and the live nodes.
+//! A node's view of the cell: the leader, its candidates and the live nodes.
 
 use crate::keys;
 use crate::store::{Item, LeaseId, Revision, UnreadableValue};
@@ -8,26 +8,26 @@
 use std::collections::{BTreeMap, HashMap};
 use thiserror::Error;
 
-/// The candidates that a leader names.
+/// The most candidates that a leader names.
 pub const CANDIDATES_COUNT: usize = 8;
 
-/// A node, as the others find it.
+/// The record of a live node, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Where it is called.
+    /// The address for calls of other nodes.
     pub address: String,
-    /// Its share of a core, in thousandths.
+    /// Its processor share, in thousandths of a core.
     pub cores_milli: u32,
-    /// Its data centre; empty where it is not known.
+    /// Its data centre; empty if it is not known.
     pub data_centre: String,
 }
 
 impl NodeRecord {
-    /// Reads the stored form, also that of nodes which tell no data centre.
+    /// Parses the stored form, also that of earlier versions without a data centre.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with bytes that can't be read.
+    /// Returns an error if the bytes can't be parsed.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let (address, cores_milli, rest): (String, u32, &[u8]) = {
             let ((address, cores_milli), rest) = postcard::take_from_bytes(bytes)?;
@@ -46,69 +46,68 @@
     }
 }
 
-/// The leader, as the others find it.
+/// The record of the leader, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The node's name.
     pub name: String,
-    /// Where it is called.
+    /// The address for calls of other nodes.
     pub address: String,
-    /// Its lease.
+    /// The leader lease, which identifies the term.
     pub lease: LeaseId,
 }
 
-/// A node that stands for leader before others.
+/// A node that campaigns before others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// What it tells of itself.
+    /// The node's record.
     pub record: NodeRecord,
 }
 
-/// What a leader tells all nodes of the cell.
+/// The information that a leader publishes to all nodes of the cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CandidateList {
-    /// The nodes that stand first where there is no leader, in their order.
+    /// The nodes that campaign first if there is no leader, in this order.
     pub candidates: Vec<Candidate>,
-    /// Whether the others have configurations from these rather than from the store.
+    /// Whether the other nodes fetch configurations from the candidates instead of the store.
     pub shares_configuration: bool,
 }
 
-/// What a node knows of the cell.
+/// A node's view of the cell.
 #[derive(Clone, Debug, Default)]
 pub struct CellView {
-    /// The leader, where there is one.
+    /// The leader, if there is one.
     pub leader: Option<LeaderRecord>,
-    /// What the leader tells all nodes.
+    /// The list that the leader published.
     pub list: CandidateList,
-    /// The live nodes by name; known to the leader alone.
+    /// The live nodes by name; known only to the leader.
     pub nodes: BTreeMap<String, NodeRecord>,
     /// The revision at which each of them registered.
     pub registered_at: BTreeMap<String, Revision>,
-    /// When the store last confirmed the view.
+    /// When the store last confirmed the leader and the list.
     pub confirmed_at: Instant,
 }
 
-/// An item of the cell can't be read.
+/// An item of the cell can't be parsed.
 #[derive(Debug, Error)]
 pub(crate) enum CellItemError {
-    /// Its value did not come whole.
+    /// The value was not received whole.
     #[error(transparent)]
     Value(#[from] UnreadableValue),
-    /// The value is of another form.
+    /// The value has an unknown form.
     #[error(transparent)]
     Form(#[from] postcard::Error),
 }
 
 impl CellView {
-    /// Takes in an item.
+    /// Applies an item that was written.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with an item that can't be read; a leader that
-    /// can't be read is taken for none, so that one is elected once its lease
-    /// is over.
+    /// Returns an error if the item can't be parsed. A leader item that can't be parsed
+    /// counts as no leader, so that a new one is elected once its lease has expired.
     pub(crate) fn put(&mut self, item: &Item) -> Result<(), CellItemError> {
         if item.key == keys::LEADER {
             self.leader = None;
@@ -135,8 +134,8 @@
     }
 }
 
-/// Returns the nodes that should lead first: the strongest, and of equal ones one of each data
-/// centre before a second one of any.
+/// Returns the nodes that should campaign first: those with the most processor, and among
+/// equal ones one of each data centre before a second one of any.
 pub fn choose_candidates(nodes: &BTreeMap<String, NodeRecord>) -> Vec<Candidate> {
     let mut ranked: Vec<(&String, &NodeRecord)> = nodes.iter().collect();
     ranked.sort_by_key(|(name, record)| (Reverse(record.cores_milli), *name));
@@ -160,12 +159,12 @@
     candidates.collect()
 }
 
-/// Returns what the leader tells of a cell, where configurations are handed on from
-/// `sharing_count` nodes on.
+/// Builds the list that the leader publishes; nodes share configurations in a cell of at
+/// least `sharing_count` nodes.
 pub(crate) fn build_candidate_list(view: &CellView, sharing_count: usize) -> CandidateList {
     let nodes_count = view.nodes.len();
     let is_large = nodes_count >= sharing_count;
-    // Nodes that come and go at the bound don't change the way each time.
+    // Hysteresis: changes of the node count near the limit must not switch it each time.
     let is_still_large = view.list.shares_configuration && nodes_count * 2 >= sharing_count;
     CandidateList {
         candidates: choose_candidates(&view.nodes),
--- a/crates/control/src/commit.rs
+++ b/crates/control/src/commit.rs
@@ -1,8 +1,8 @@
-//! The leader's commits: one transaction at a time in each lane.
+//! The leader's commits, one transaction at a time in each lane.
 //!
-//! A lane's key changes with each of its transactions and is the condition of
-//! the next. A transaction that is done late, or sent by a leader that is none
-//! any more, finds another revision there and does nothing.
+//! Each transaction of a lane writes the lane's key, on the condition that the key has
+//! the revision of the transaction before. So a transaction that arrives late, or is sent
+//! by a former leader, finds another revision and has no effect.
 
 use crate::keys;
 use crate::store::{CommitError, Revision, Store, Transaction};
@@ -11,19 +11,19 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The time until a call that failed is made again.
+/// The pause before a failed commit is retried.
 const RETRY: Duration = Duration::from_ms(60);
 
-/// What became of a commit.
+/// The outcome of a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It is in the store.
+    /// The changes are in the store.
     Done,
-    /// Another leader has taken the lanes.
+    /// Another leader has written the lane's key, or the term is over.
     Lost,
 }
 
-/// A lane of the leader's commits.
+/// A sequence of the leader's commits, independent of the other lanes.
 pub struct CommitLane<S> {
     store: S,
     number: u32,
@@ -32,7 +32,7 @@
     sequence: Cell<u64>,
 }
 
-/// Returns the value of a lane's key after the given commit of a term.
+/// Returns the value of a lane's key after commit `sequence` of the term with this fence.
 pub fn lane_value(fence: u64, sequence: u64) -> Vec<u8> {
     format!("{fence}.{sequence}").into_bytes()
 }
@@ -49,9 +49,8 @@
         })
     }
 
-    /// Writes changes until they are certainly there, or another leader is.
-    ///
-    /// `is_over` tells whether the caller has given up leading.
+    /// Commits changes, and retries until they are certainly stored or another leader has
+    /// written the lane's key. After a failed call it also gives up once `is_over` returns true.
     pub async fn commit(&self, changes: Vec<Change>, is_over: impl Fn() -> bool) -> CommitOutcome {
         let key = keys::lane(self.number);
         let sequence = self.sequence.get() + 1;
@@ -69,7 +68,7 @@
                     let Some(item) = item.filter(|item| item.has_value(&value)) else {
                         return CommitOutcome::Lost;
                     };
-                    // An earlier call of this transaction was done, unheard.
+                    // An earlier attempt of this transaction succeeded, but its answer was lost.
                     self.revision.set(item.revision);
                     return CommitOutcome::Done;
                 }
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration: which one is in force, and whether requests
-//! may be answered by it.
+//! The operators' configuration: keeps the active one up to date, and decides whether it
+//! is recent enough to answer requests.
 
 use crate::clock;
 use crate::configuration_sharing::{self, AvoidedNodes};
@@ -15,22 +15,22 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// The watches that answer within the time in which a change must be in force:
+/// The watches that fit into the time within which a change must be in force, so that
 /// one may fail.
 const CONFIRMATIONS_COUNT: u64 = 2;
-/// How long a request waits for the configuration to be confirmed: a call
-/// that fails, and the next.
+/// How long a request waits for the configuration to be confirmed: long enough for one
+/// failed call and its retry.
 const CONFIRMATION_WAIT: Duration = Duration::from_ms(700);
 
-/// A configuration that is in force.
+/// The configuration that is in force.
 pub struct ActiveConfiguration<P: Platform> {
-    /// The product's part.
+    /// The scheduler's part.
     pub configuration: Configuration,
-    /// How requests find their queues.
+    /// The platform's part, which maps requests to queues.
     pub routes: P::Routes,
 }
 
-/// A configuration as it stands in the store.
+/// A configuration as stored.
 pub(crate) struct StoredConfiguration {
     /// The revision of its last change.
     pub(crate) revision: Revision,
@@ -38,20 +38,20 @@
     pub(crate) value: Vec<u8>,
 }
 
-/// What a node knows of the operators' configuration.
+/// A node's view of the operators' configuration.
 pub struct ConfigurationView<P: Platform> {
     active: RefCell<Option<Rc<ActiveConfiguration<P>>>>,
-    /// The one that is in force, as other nodes are told of it.
+    /// The stored form of the active one, for other nodes.
     stored: RefCell<Option<Rc<StoredConfiguration>>>,
-    /// Told whenever another one is in force.
+    /// Notified when another one becomes active.
     replaced: Notify,
-    /// The nodes that are not asked for it for a while.
+    /// The nodes from which it is not fetched for a while.
     pub(crate) avoided_sources: RefCell<AvoidedNodes>,
     /// When the store last confirmed that there is no newer one.
     confirmed_at: Cell<Instant>,
-    /// Told whenever it does.
+    /// Notified when the store confirms that.
     confirmed: Notify,
-    /// Whether the lack of a confirmation was logged.
+    /// Whether it was logged that the confirmation is overdue.
     is_outdated: Cell<bool>,
 }
 
@@ -70,35 +70,35 @@
 }
 
 impl<P: Platform> ConfigurationView<P> {
-    /// Returns the configuration that is in force.
+    /// Returns the active configuration.
     pub fn active(&self) -> Option<Rc<ActiveConfiguration<P>>> {
         self.active.borrow().clone()
     }
 
-    /// Returns whether there is one at all.
+    /// Returns whether there is an active configuration.
     pub fn is_known(&self) -> bool {
         self.active.borrow().is_some()
     }
 
-    /// Returns the version that is in force, 0 without one.
+    /// Returns the active version; 0 without one.
     pub fn version(&self) -> u64 {
         let active = self.active.borrow();
         let active = active.as_ref();
         active.map_or(0, |active| active.configuration.version)
     }
 
-    /// Returns the one that is in force as it stands in the store.
+    /// Returns the stored form of the active configuration.
     pub(crate) fn stored(&self) -> Option<Rc<StoredConfiguration>> {
         self.stored.borrow().clone()
     }
 
-    /// Returns the revision of the one that is in force, 0 without one.
+    /// Returns the revision of the active configuration; 0 without one.
     pub(crate) fn revision(&self) -> Revision {
         let stored = self.stored.borrow();
         stored.as_ref().map_or(0, |stored| stored.revision)
     }
 
-    /// Returns once another one is in force.
+    /// Returns a future that completes when another configuration becomes active.
     pub(crate) fn changed(&self) -> Notified<'_> {
         self.replaced.notified()
     }
@@ -108,13 +108,12 @@
         self.replaced.notify_waiters();
     }
 
-    /// Returns the time since the store confirmed it.
+    /// Returns the time since the store last confirmed the configuration.
     pub fn age(&self, now: Instant) -> Duration {
         now.since(self.confirmed_at.get())
     }
 
-    /// Puts a configuration in force, unless it is no newer; returns whether
-    /// it is.
+    /// Activates a configuration if it is newer than the active one; returns whether it is.
     fn activate(&self, configuration: Configuration, routes: P::Routes) -> bool {
         if self.is_known() && self.version() >= configuration.version {
             return false;
@@ -129,20 +128,20 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// Returns whether requests may be answered by the configuration at hand.
+    /// Returns whether the active configuration is recent enough to answer requests.
     ///
-    /// It may be outdated where the store has not confirmed it for as long as
-    /// a change may take to be in force. Where the store answers this node
-    /// nothing at all, it may be down for all, so that there are no changes; it
-    /// may also turn this node away alone, so that is borne for a while only.
+    /// It may be outdated if the store has not confirmed it within the time that a change
+    /// may take to be in force. If the store does not answer this node at all, it may be
+    /// down for all nodes, so that there are no changes; but it may also be unreachable
+    /// from this node only, so the time is extended by a limited amount.
     pub fn is_current(&self) -> bool {
         let limit = if self.has_store_contact() {
             self.settings.apply_limit
         } else {
             self.settings.apply_limit + self.settings.stretch_limit
         };
-        // Where the operators want it so, a key that may have been taken away is not
-        // taken even while the store is down.
+        // With a separate revocation limit, a key that may have been revoked is not
+        // accepted for longer, even while the store is down.
         let revoke_limit = self.settings.revoke_limit;
         let limit = revoke_limit.map_or(limit, |revoke_limit| limit.min(revoke_limit));
         self.configuration.age(clock::now()) <= limit
@@ -152,19 +151,19 @@
         self.configuration.age(clock::now()) <= self.settings.apply_limit
     }
 
-    /// Returns the configuration by which requests may be answered; waits a
-    /// while for its confirmation where that is missing.
+    /// Returns the configuration with which requests may be answered; waits a short time
+    /// for a confirmation if that is overdue.
     pub async fn current_configuration(&self) -> Option<Rc<ActiveConfiguration<P>>> {
         let confirmed = self.configuration.confirmed.notified();
         if !self.is_current() {
-            // Whether it came is looked at below.
+            // Whether it was confirmed is checked below.
             let _ = tokio::time::timeout(CONFIRMATION_WAIT.into(), confirmed).await;
         }
         let active = self.configuration.active();
         active.filter(|_| self.is_current())
     }
 
-    /// Tells the metrics which configuration is in force, and how old it is.
+    /// Updates the metrics of the active configuration's version and age.
     pub(crate) fn update_configuration_metrics(&self) {
         let view = &self.configuration;
         if view.is_known() {
@@ -173,7 +172,7 @@
         }
     }
 
-    /// Notes that the store knew of no newer configuration at an instant.
+    /// Records that the store had no newer configuration at `as_of`.
     fn record_confirmation(&self, as_of: Instant) {
         let view = &self.configuration;
         view.confirmed_at.set(view.confirmed_at.get().max(as_of));
@@ -186,7 +185,7 @@
         view.confirmed.notify_waiters();
     }
 
-    /// Notes that the store was asked for the configuration in vain.
+    /// Logs that the confirmation is overdue, unless that was logged already.
     fn log_if_outdated(&self) {
         let view = &self.configuration;
         if self.is_confirmed() || view.is_outdated.replace(true) {
@@ -197,7 +196,7 @@
             "version" => view.version(), "age_ms" => age.as_ms());
     }
 
-    /// Takes in what the store holds.
+    /// Parses a stored configuration and activates it if it is newer.
     fn apply_configuration_item(&self, item: &Item) -> Result<(), CallError> {
         let value = item.bytes().map_err(|error| CallError::Malformed {
             field: item.key.clone(),
@@ -221,11 +220,11 @@
         Ok(())
     }
 
-    /// Takes in what the store answered, and an instant from which on it said so.
+    /// Handles an update of the followed configuration, current as of `as_of`.
     fn handle_configuration_update(&self, update: Update, as_of: Instant) {
         let items = match update {
             Update::Snapshot(items) => items,
-            Update::Changes(changes) => changes.into_iter().filter_map(written).collect(),
+            Update::Changes(changes) => changes.into_iter().filter_map(put_item).collect(),
             Update::Unchanged => Vec::new(),
             Update::Failed(error) => {
                 warn!(self.log, "store call failed";
@@ -237,12 +236,13 @@
         self.apply_configuration_items(&items, as_of);
     }
 
-    /// Takes in what was told, and an instant at which the store knew of nothing newer.
+    /// Applies the configuration among `items`, if any, and records that the store had no
+    /// newer one at `as_of`.
     pub(crate) fn apply_configuration_items(&self, items: &[Item], as_of: Instant) {
         let key = self.platform.configuration_key();
         for item in items.iter().filter(|item| item.key == key) {
             if let Err(error) = self.apply_configuration_item(item) {
-                // The last valid one stays in force: it is the newest there is.
+                // The last valid configuration stays active.
                 warn!(self.log, "configuration refused"; "error" => error.to_string());
             }
         }
@@ -250,15 +250,15 @@
     }
 }
 
-fn written(change: WatchedChange) -> Option<Item> {
+fn put_item(change: WatchedChange) -> Option<Item> {
     match change {
         WatchedChange::Put(item) => Some(item),
         WatchedChange::Gone { .. } => None,
     }
 }
 
-/// Keeps the configuration current for as long as the node lives: by what another node hands
-/// on, where there is one to ask, and by the store otherwise.
+/// Keeps the configuration up to date while the node runs: from another node if there is one
+/// to fetch it from, otherwise from the store.
 pub(crate) async fn follow_configuration<P: Platform>(node: Rc<Node<P>>) {
     loop {
         match configuration_sharing::choose_source(&node) {
@@ -268,12 +268,12 @@
     }
 }
 
-/// Follows the store until another node may be asked.
+/// Follows the configuration in the store until it can be fetched from another node.
 async fn follow_stored<P: Platform>(node: &Rc<Node<P>>) {
     let apply_limit_ms = node.settings.apply_limit.as_ms();
     let policy = FollowPolicy {
         wait: Duration::from_ms(apply_limit_ms / CONFIRMATIONS_COUNT),
-        // A watch that is answered has missed nothing.
+        // An answered watch misses no change.
         reread_after: None,
         max_pause: Duration::ZERO,
         confirms_changes: true,
@@ -284,7 +284,7 @@
     let from = node.configuration.revision();
     let from = (from > 0).then_some(from);
     follow(store, key, policy, from, |update, as_of| {
-        // Whether changes are the newest is asked right after them.
+        // After changes the store must first confirm that they are the newest.
         let is_answered = !matches!(update, Update::Changes(_));
         node.handle_configuration_update(update, as_of);
         if is_answered && configuration_sharing::choose_source(node).is_some() {
--- a/crates/control/src/configuration_sharing.rs
+++ b/crates/control/src/configuration_sharing.rs
@@ -1,11 +1,12 @@
-//! Configurations handed on from node to node.
+//! Sharing of configurations between nodes.
 //!
 //! A configuration may have hundreds of kilobytes. In a large cell the store would send each
-//! change to every node, and its link, which carries all other answers too, would be taken for
-//! longer the larger the cell is. So the candidates for the lead follow the store, and the
-//! others fetch a candidate, in their own data centre where there is one. What a candidate tells
-//! comes with its age, so that each node knows for itself how old its configuration may be;
-//! one whose candidate does not answer, or is out of date itself, asks the store.
+//! change to every node, and this would block its link, which carries all other answers too,
+//! for longer the larger the cell is. So only the leader and the candidates follow the store.
+//! The other nodes fetch the configuration from a candidate, if possible in their own data
+//! centre. A candidate's answer includes the configuration's age, so that each node knows how
+//! outdated its own may be. A node whose candidate does not answer, or is outdated itself,
+//! follows the store.
 
 use crate::cell_view::Candidate;
 use crate::clock;
@@ -20,32 +21,32 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// From how many nodes on configurations are handed on, unless set.
+/// The default number of nodes from which configurations are shared between nodes.
 pub const SHARING_MIN_NODES_COUNT: usize = 100;
-/// The questions within the time in which a change must be in force.
+/// The fetches that fit into the time within which a change must be in force.
 const QUERIES_COUNT: u64 = 4;
-/// How long an answer may take beyond the time that it waits for a change.
+/// The timeout of a fetch beyond the time that it waits for a change.
 const ANSWER_TIMEOUT: Duration = Duration::from_ms(300);
-/// For how long a node is not asked again that did not answer.
+/// How long a node that did not answer is not asked again.
 const AVOID_TIME: Duration = Duration::from_ms(3000);
-/// The longest wait that a node grants another one.
+/// The longest time that a node holds another node's fetch.
 const WAIT_LIMIT: Duration = Duration::from_ms(5000);
 
-/// Why a node's configuration was not had from another.
+/// Why a configuration could not be fetched from another node.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 enum SharingError {
     /// There was no usable answer.
     #[error(transparent)]
     Peer(#[from] peer::PeerError),
-    /// The other node has none that it may hand on.
-    #[error("it has none")]
+    /// The other node has no configuration.
+    #[error("the other node has no configuration")]
     Refused,
-    /// The other node's may be outdated.
-    #[error("it is {} ms old", .0.as_ms())]
+    /// The other node's configuration may be outdated.
+    #[error("the other node's configuration was confirmed {} ms ago", .0.as_ms())]
     Outdated(Duration),
 }
 
-/// The nodes that are not asked for a while.
+/// The nodes that are not asked for a while, since they gave no usable answer.
 #[derive(Debug, Default)]
 pub(crate) struct AvoidedNodes(HashMap<String, Instant>);
 
@@ -60,8 +61,9 @@
     }
 }
 
-/// Returns the candidate that a node asks: one of its own data centre where there is one, not
-/// the same for each node.
+/// Returns the candidate from which a node fetches configurations: if possible one in its own
+/// data centre. The choice depends on the node's name, to spread the load. A candidate itself
+/// has none.
 pub fn choose_source_among<'c>(
     name: &str,
     data_centre: &str,
@@ -82,7 +84,7 @@
     choice.get(index).copied()
 }
 
-/// Returns the node to fetch, where the cell is one in which configurations are handed on.
+/// Returns the node to fetch the configuration from; `None` if it is read from the store.
 pub(crate) fn choose_source<P: Platform>(node: &Node<P>) -> Option<Candidate> {
     let now = clock::now();
     let cell = node.cell.borrow();
@@ -101,12 +103,13 @@
     .cloned()
 }
 
-/// Asks a candidate for what is newer, and takes it in; returns whether it answered.
+/// Fetches a newer configuration from a candidate and applies it; returns whether there was
+/// a usable answer.
 pub(crate) async fn fetch<P: Platform>(node: &Rc<Node<P>>, source: &Candidate) -> bool {
     let Err(error) = try_fetch(node, source).await else {
         return true;
     };
-    info!(node.log, "configuration not handed on";
+    info!(node.log, "configuration not fetched from another node";
         "by" => &source.name, "error" => error.to_string());
     let mut avoided = node.configuration.avoided_sources.borrow_mut();
     avoided.avoid(clock::now(), &source.name);
@@ -132,7 +135,8 @@
     if age.times(2) > node.settings.apply_limit + wait {
         return Err(SharingError::Outdated(age));
     }
-    // Its clock is another one; what it held the question for has passed on this one too.
+    // The nodes' clocks differ, but the time for which the request was held has also passed
+    // on this node's clock.
     let answered_at = asked_at + Duration::from_ms(shared.held_ms);
     let item = shared.item.map(|item| Item {
         key: node.platform.configuration_key().to_owned(),
@@ -143,7 +147,8 @@
     Ok(())
 }
 
-/// Answers a node that asks for what is newer than `known`, as soon as there is something.
+/// Handles another node's fetch: answers as soon as there is a configuration newer than
+/// `known`, or after `wait`.
 pub(crate) async fn handle_request<P: Platform>(
     node: &Rc<Node<P>>,
     known: Revision,
@@ -160,7 +165,7 @@
             break;
         }
         let left = Duration::from_ms(wait.as_ms() - held.as_ms());
-        // Both ends of the wait lead to the same look.
+        // Whether notified or timed out, the revision is checked again.
         let _ = tokio::time::timeout(left.into(), changed).await;
     }
     let Some(stored) = view.stored() else {
--- a/crates/control/src/cordons.rs
+++ b/crates/control/src/cordons.rs
@@ -1,5 +1,6 @@
-//! Cordons, as the operators set them in the store: the leader follows them for as long as
-//! its term lasts, and starts nothing while it may have missed one.
+//! Follows the operators' cordons in the store.
+//!
+//! The leader follows them during its term, and starts no run while it may have missed one.
 
 use crate::follow::{follow, FollowPolicy, Update};
 use crate::leader::Term;
@@ -13,17 +14,17 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The watches that answer within the time for which an answer holds: two may fail.
+/// The watches that fit into the time for which a confirmation is valid, so that two may fail.
 const CONFIRMATIONS_COUNT: u64 = 3;
 
-/// The cordons of all data centres, as they were read last.
+/// The cordons by key, as last read.
 #[derive(Debug, Default)]
 pub struct CordonList {
     by_key: BTreeMap<String, Arc<str>>,
 }
 
 impl CordonList {
-    /// Takes in a whole list; returns what of it can't be used.
+    /// Replaces the whole list; returns the errors of unusable cordons.
     pub fn replace(
         &mut self,
         items: impl Iterator<Item = (String, Result<Arc<str>, CordonError>)>,
@@ -36,7 +37,7 @@
                     self.by_key.insert(key, data_centre);
                 }
                 Err(error) => {
-                    // What can't be read changes nothing.
+                    // An unusable cordon leaves the state as it was.
                     if let Some(data_centre) = before.get(&key) {
                         self.by_key.insert(key, data_centre.clone());
                     }
@@ -47,11 +48,11 @@
         errors
     }
 
-    /// Takes in a cordon that was written.
+    /// Applies a cordon that was written.
     ///
     /// # Errors
     ///
-    /// Returns the [`CordonError`] of one that can't be used; what was known stands.
+    /// Returns the [`CordonError`] of an unusable cordon, which leaves the list as it was.
     pub fn write(
         &mut self,
         key: String,
@@ -61,18 +62,18 @@
         Ok(())
     }
 
-    /// Takes in that a cordon was lifted.
+    /// Removes a cordon that was lifted.
     pub fn lift(&mut self, key: &str) {
         self.by_key.remove(key);
     }
 
-    /// Returns the data centres.
+    /// Returns the cordoned data centres.
     pub fn data_centres(&self) -> BTreeSet<Arc<str>> {
         self.by_key.values().cloned().collect()
     }
 }
 
-/// Reads a stored cordon.
+/// Parses a stored cordon.
 pub(crate) fn read<P: Platform>(node: &Node<P>, item: &Item) -> Result<Arc<str>, CordonError> {
     let value = item.bytes().map_err(|error| CordonError {
         key: item.key.clone(),
@@ -82,7 +83,7 @@
     node.platform.parse_cordon(&item.key, value)
 }
 
-/// Reads the cordons that stand at the start of a term.
+/// Parses the cordons that are set at the start of a term.
 pub(crate) fn read_all<P: Platform>(node: &Node<P>, items: &[Item]) -> BTreeSet<Arc<str>> {
     let mut list = CordonList::default();
     let read = items
@@ -100,7 +101,7 @@
         "key" => &error.key, "reason" => error.fault.as_str(), "detail" => &error.detail);
 }
 
-/// Returns how the cordons are followed.
+/// Returns the policy for following cordons whose confirmations are valid for `limit`.
 fn policy(limit: Duration) -> FollowPolicy {
     FollowPolicy {
         wait: Duration::from_ms(limit.as_ms() / CONFIRMATIONS_COUNT),
@@ -111,10 +112,10 @@
     }
 }
 
-/// Tells the scheduler of cordons until the term is over.
+/// Passes changes of the cordons to the scheduler until the term is over.
 pub(crate) async fn follow_cordons<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let mut list = CordonList::default();
-    let mut told = None;
+    let mut last_sent = None;
     let store = node.store.clone();
     let prefix = node.platform.cordons_prefix();
     let policy = policy(term.store_views.cordons.limit());
@@ -138,9 +139,9 @@
             .iter()
             .for_each(|error| log_cordon_error(&node, error));
         let data_centres = list.data_centres();
-        if told.as_ref() != Some(&data_centres) {
+        if last_sent.as_ref() != Some(&data_centres) {
             term.send_event(Event::CordonsListed(data_centres.clone()));
-            told = Some(data_centres);
+            last_sent = Some(data_centres);
         }
         term.store_views.cordons.confirm(as_of);
         term.flow()
--- a/crates/control/src/credentials.rs
+++ b/crates/control/src/credentials.rs
@@ -1,14 +1,14 @@
-//! The keys by which callers show on whose behalf they call.
+//! The keys by which callers are identified as customers.
 
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::HashMap;
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// The longest key that is looked up; a longer one is nobody's.
+/// The longest key that is looked up; a longer one belongs to no customer.
 const KEY_LIMIT_BYTES: usize = 1024;
 
-/// A keyed hash by which one process keeps keys.
+/// A keyed hash under which a process keeps customers' keys.
 #[derive(Clone, Copy)]
 pub struct KeyHasher {
     low: u64,
@@ -16,7 +16,7 @@
 }
 
 impl KeyHasher {
-    /// Creates a hash under a secret, which is to be drawn at random for each process.
+    /// Creates a hash with a secret, which must be chosen at random for each process.
     pub const fn new(secret: (u64, u64)) -> Self {
         Self {
             low: secret.0,
@@ -37,10 +37,10 @@
     }
 }
 
-/// The keys of one configuration.
+/// The customers' keys of one configuration.
 ///
-/// Only digests under the process's own secret are kept: a dump of them tells no key, and
-/// a look-up takes as long for a key that is nearly right as for any other.
+/// Only digests under the process's own secret are kept: a dump of them reveals no key, and
+/// a look-up takes as long for an almost correct key as for any other.
 #[derive(Clone)]
 pub struct Credentials {
     hasher: KeyHasher,
@@ -48,7 +48,7 @@
 }
 
 impl Credentials {
-    /// Creates a table without keys.
+    /// Creates an empty table.
     pub fn new(hasher: KeyHasher) -> Self {
         Self {
             hasher,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Adds a customer's key. Of two customers with one key the first has it; an empty key
-    /// is nobody's.
+    /// Adds a customer's key. A key that is added for two customers belongs to the first; an
+    /// empty or too long key is ignored.
     pub fn add(&mut self, key: &str, customer: &Arc<str>) {
         if !key.is_empty() && key.len() <= KEY_LIMIT_BYTES {
             let digest = self.hasher.digest(key.as_bytes());
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns whose key it is.
+    /// Returns the customer to whom a key belongs.
     pub fn customer_of(&self, key: &[u8]) -> Option<&Arc<str>> {
         if key.len() > KEY_LIMIT_BYTES {
             return None;
@@ -74,12 +74,12 @@
         self.customers.get(&self.hasher.digest(key))
     }
 
-    /// Returns how many keys there are.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.customers.len()
     }
 
-    /// Returns whether there is no key.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.customers.is_empty()
     }
--- a/crates/control/src/decision_log.rs
+++ b/crates/control/src/decision_log.rs
@@ -1,10 +1,10 @@
-//! Log lines of the scheduler's decisions and sizes.
+//! Log lines for the scheduler's decisions and status.
 
 use ospreywing_scheduler::{Decision, DecisionKind, SchedulerStatus};
 use slog::{debug, info, Logger};
 use std::sync::Arc;
 
-/// Logs how much the leader has to decide on.
+/// Logs the scheduler's status: numbers of jobs, runs and workers, and capacity.
 pub(crate) fn log_status(log: &Logger, status: &SchedulerStatus) {
     info!(log, "status";
         "active_jobs" => status.active_jobs_count,
@@ -20,7 +20,7 @@
         "largest_share_lag_ms" => status.largest_share_lag.as_ms());
 }
 
-/// Logs a decision.
+/// Logs a decision of the scheduler.
 pub(crate) fn log_decision(log: &Logger, fence: u64, decision: &Decision) {
     let kind = decision.kind.as_str();
     let worker: &str = decision
--- a/crates/control/src/decision_loop.rs
+++ b/crates/control/src/decision_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of a term: events go to the scheduler, its actions are carried out.
+//! The event loop of a term: passes events to the scheduler and executes its actions.
 
 use crate::clock;
 use crate::commit::CommitOutcome;
@@ -18,33 +18,35 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// The time between two lines with sizes.
+/// The time between two log lines with the scheduler's status.
 const STATUS_PERIOD: Duration = Duration::from_s(5);
 /// The time between two ticks.
 const TICK: Duration = Duration::from_ms(20);
-/// A process in which no tick came for so long stood still, or was starved of its processor.
+/// The time without a tick after which the process is taken to have been suspended or
+/// starved of its processor.
 const STALL_THRESHOLD: Duration = Duration::from_ms(250);
-/// How long it then reads what has come before it decides: answers of some milliseconds.
+/// How long the loop then waits for pending input before it decides; answers take some
+/// milliseconds.
 const CATCH_UP_TIME: Duration = Duration::from_ms(10);
-/// How long a renewal of the leader's lease may wait for its answer before the
-/// store is taken to be in trouble: it answers within some milliseconds. What the
-/// loop itself is late comes on top, twice: for the sending and for the answer.
+/// How long a renewal of the leader lease may be unanswered before the store is taken
+/// to be degraded. The store usually answers within some milliseconds. The loop's own
+/// lateness is added twice: for the request and for the answer.
 const RENEWAL_TROUBLE_AFTER: Duration = Duration::from_ms(100);
 const LATENESS_FACTOR: u64 = 2;
 
-/// What the loop of a term keeps from one batch of events to the next.
+/// The state of the event loop between two batches of events.
 struct EventLoop {
     received: mpsc::UnboundedReceiver<Event>,
     actions: Vec<Action>,
-    has_trouble: bool,
+    has_store_trouble: bool,
     lateness: Lateness,
     nodes: Vec<Arc<str>>,
     next_status_at: Instant,
-    /// When events were last taken in.
+    /// When the last batch of events was handled.
     handled_at: Instant,
 }
 
-/// Feeds the scheduler until the term is over.
+/// Passes events to the scheduler until the term is over.
 pub(crate) async fn run<P: Platform>(
     node: &Rc<Node<P>>,
     term: &Rc<Term<P>>,
@@ -55,7 +57,7 @@
     let mut state = EventLoop {
         received,
         actions: Vec::new(),
-        has_trouble: false,
+        has_store_trouble: false,
         lateness: Lateness::new(clock::now(), TICK),
         nodes: Vec::new(),
         next_status_at: clock::now() + STATUS_PERIOD,
@@ -72,7 +74,7 @@
         };
         let is_tick = matches!(first, Event::Tick);
         if clock::now().since(state.handled_at) >= STALL_THRESHOLD {
-            // What has come meanwhile is read first: a newer configuration may be in it.
+            // Pending input is read before deciding: it may hold a newer configuration.
             tokio::time::sleep(CATCH_UP_TIME.into()).await;
         }
         handle_batch(node, term, &mut state, first);
@@ -84,7 +86,7 @@
     }
 }
 
-/// Takes in an event and those that wait behind it, and carries out what follows.
+/// Handles an event and all that are queued behind it, and executes the resulting actions.
 fn handle_batch<P: Platform>(
     node: &Rc<Node<P>>,
     term: &Rc<Term<P>>,
@@ -106,7 +108,7 @@
     }
     scheduler.handle_all(now, events, &mut state.actions);
     if have_workers_joined {
-        // The first look at a worker goes through its relay too.
+        // The first poll of a worker goes through its relay too.
         links::choose_relays(node, term, &scheduler, now);
     }
     if term.may_send_orders() && !term.is_resigned.get() {
@@ -118,7 +120,7 @@
     }
 }
 
-/// Returns whether workers may be among what an event tells that were not listed before.
+/// Returns whether an event may list workers that were not listed before.
 fn may_list_new_workers(event: &Event) -> bool {
     let may_be_new = |change: &WorkerChange| match change {
         WorkerChange::Listed(facts) => !facts.is_draining,
@@ -131,7 +133,8 @@
     }
 }
 
-/// Tells the scheduler of the store, the clock and the nodes, where they changed.
+/// Updates the scheduler's view of the store's health, the clock and the live nodes, and
+/// periodically the metrics and the status log.
 fn update_environment<P: Platform>(
     node: &Rc<Node<P>>,
     term: &Rc<Term<P>>,
@@ -140,11 +143,15 @@
 ) {
     let now = clock::now();
     state.lateness.record_tick(now);
-    let has_trouble = has_trouble(now, term, state.lateness.current());
-    if has_trouble != state.has_trouble {
-        state.has_trouble = has_trouble;
-        info!(node.log, "store trouble"; "has_trouble" => has_trouble);
-        scheduler.handle(now, Event::StoreTrouble(has_trouble), &mut state.actions);
+    let has_store_trouble = has_store_trouble(now, term, state.lateness.current());
+    if has_store_trouble != state.has_store_trouble {
+        state.has_store_trouble = has_store_trouble;
+        info!(node.log, "store health changed"; "has_trouble" => has_store_trouble);
+        scheduler.handle(
+            now,
+            Event::StoreTrouble(has_store_trouble),
+            &mut state.actions,
+        );
     }
     if now >= state.next_status_at {
         state.next_status_at = now + STATUS_PERIOD;
@@ -166,9 +173,9 @@
     }
 }
 
-/// Returns whether the store leaves a renewal unanswered, by more than this node's
+/// Returns whether the store has left a renewal unanswered for longer than this node's
 /// own lateness explains.
-fn has_trouble<P: Platform>(now: Instant, term: &Term<P>, lateness: Duration) -> bool {
+fn has_store_trouble<P: Platform>(now: Instant, term: &Term<P>, lateness: Duration) -> bool {
     let limit = RENEWAL_TROUBLE_AFTER + lateness.times(LATENESS_FACTOR);
     let unanswered = term.renewal_open_since.get();
     unanswered.is_some_and(|since| now.since(since) > limit)
@@ -213,7 +220,7 @@
     }
 }
 
-/// Writes changes to the store, in a task of its own.
+/// Writes changes to the store in a spawned task.
 fn commit<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>, lane: u32, changes: Vec<Change>) {
     let commits_count = &term.open_commits_count;
     commits_count.set(commits_count.get() + 1);
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -1,9 +1,9 @@
-//! Elections: who stands for leader, when, and who is evicted.
+//! Leader election: when a node campaigns, and when it evicts a leader.
 //!
-//! The leader's item is written on the condition that there is none, in one
-//! transaction with the keys of the commit lanes: whoever led before can
-//! commit nothing from then on. The transaction's revision is the term's
-//! fencing token.
+//! A candidate writes the leader item on the condition that none exists, in one
+//! transaction with the keys of the commit lanes. Since that changes the lanes'
+//! revisions, a former leader can no longer commit. The transaction's revision
+//! is the term's fencing token.
 
 use crate::cell_view::{Candidate, CellView, LeaderRecord, NodeRecord};
 use crate::commit::lane_value;
@@ -18,26 +18,26 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The leader's lease.
+/// The duration of the leader lease.
 pub const LEADER_LEASE: Duration = Duration::from_ms(1500);
-/// The longest that a look at the cell may be old for a campaign; a campaign
-/// on an old view is harmless, since the store decides.
+/// The oldest view of the cell on which a node campaigns. A campaign on an outdated
+/// view is harmless, since the store decides.
 const VIEW_AGE_LIMIT: Duration = Duration::from_ms(15_000);
-/// The time by which each further node campaigns later.
+/// The delay between the campaigns of two successive candidates.
 const CAMPAIGN_STAGGER: Duration = Duration::from_ms(25);
 /// The least time between two evictions by one node.
 const EVICTION_PERIOD: Duration = Duration::from_ms(5000);
-/// How much longer a node waits that is much weaker than others.
+/// The additional delay of a node that is much weaker than another one.
 const WEAK_DELAY: Duration = Duration::from_ms(400);
-/// The strength of a node that does not wait as a weak one where no candidates are known:
-/// a whole core.
-const STRONG_CORES_MILLI: u32 = 1000;
-/// Within which time nodes that are no candidates stand, each at a moment of its own, so
-/// that a large cell does not stand as one.
+/// The processor share from which a node campaigns without that delay if no candidates
+/// are known: a whole core.
+const NO_DELAY_CORES_MILLI: u32 = 1000;
+/// The period over which the campaigns of nodes that are not candidates are spread, so that
+/// the nodes of a large cell don't all campaign at once.
 const NON_CANDIDATE_SPREAD: Duration = Duration::from_ms(200);
-/// How many times as strong a node must be to count as much stronger.
+/// The factor between the processor shares of two nodes from which one is much stronger.
 const STRONGER_FACTOR: u32 = 2;
-/// The time until something that failed is tried again.
+/// The pause before a failed step is retried.
 const RETRY: Duration = Duration::from_ms(200);
 
 /// Campaigns whenever there is no leader.
@@ -45,7 +45,7 @@
     loop {
         let changed = node.cell_changed.notified();
         if !may_campaign(&node) {
-            // A view that grows old is noticed by the clock.
+            // The view may become outdated without a notification.
             let _ = tokio::time::timeout(RETRY.into(), changed).await;
             continue;
         }
@@ -54,7 +54,7 @@
             continue;
         }
         if let Err(error) = run_campaign(&node).await {
-            info!(node.log, "campaign lost"; "error" => error.to_string());
+            info!(node.log, "campaign failed"; "error" => error.to_string());
             tokio::time::sleep(RETRY.into()).await;
         }
     }
@@ -67,30 +67,33 @@
     view.leader.is_none() && is_fresh && is_able
 }
 
-/// Returns how long this node lets others go first.
+/// Returns how long this node waits before it campaigns.
 fn own_campaign_delay<P: Platform>(node: &Rc<Node<P>>) -> Duration {
-    let draw_ms = stable_hash_below(&node.settings.name, NON_CANDIDATE_SPREAD.as_ms());
+    let non_candidate_delay_ms =
+        stable_hash_below(&node.settings.name, NON_CANDIDATE_SPREAD.as_ms());
     campaign_delay(
         &node.settings.name,
         &membership::own_node_record(node),
         &node.cell.borrow().list.candidates,
-        Duration::from_ms(draw_ms),
+        Duration::from_ms(non_candidate_delay_ms),
     )
 }
 
-/// Returns how long a node lets others stand first: the candidates, in their order. Whoever
-/// is none stands after them, at a moment that `draw` tells. A node that is much weaker than
-/// others waits long enough for all of them, since the whole cell's speed is the leader's.
+/// Returns how long a node waits before it campaigns.
+///
+/// Candidates campaign first, in their order. Other nodes follow, each after a further delay
+/// of `non_candidate_delay`. A node that is much weaker than another candidate waits until all candidates
+/// have campaigned, since the leader's speed limits that of the whole cell.
 pub fn campaign_delay(
     name: &str,
     own: &NodeRecord,
     candidates: &[Candidate],
-    draw: Duration,
+    non_candidate_delay: Duration,
 ) -> Duration {
     let rank = candidates.iter().position(|other| other.name == name);
     let delay = match rank {
         Some(rank) => CAMPAIGN_STAGGER.times(rank as u64),
-        None => CAMPAIGN_STAGGER.times(candidates.len() as u64) + draw,
+        None => CAMPAIGN_STAGGER.times(candidates.len() as u64) + non_candidate_delay,
     };
     let mut others = candidates.iter().filter(|other| other.name != name);
     if candidates.is_empty() {
@@ -102,10 +105,10 @@
     }
 }
 
-/// Returns how long a node lets others go first of which it knows nothing.
+/// Returns the delay of a node that knows no candidates: the weaker the node, the longer.
 fn weak_delay(own: &NodeRecord) -> Duration {
-    let missing_milli = STRONG_CORES_MILLI.saturating_sub(own.cores_milli);
-    let part_ms = WEAK_DELAY.as_ms() * u64::from(missing_milli) / u64::from(STRONG_CORES_MILLI);
+    let missing_milli = NO_DELAY_CORES_MILLI.saturating_sub(own.cores_milli);
+    let part_ms = WEAK_DELAY.as_ms() * u64::from(missing_milli) / u64::from(NO_DELAY_CORES_MILLI);
     Duration::from_ms(part_ms)
 }
 
@@ -114,10 +117,10 @@
     nodes.values().any(|record| is_much_stronger(record, own))
 }
 
-/// Returns whether a much stronger node has registered after this revision.
+/// Returns whether a much stronger node has registered after a revision.
 ///
-/// An older registration may be that of a node which is gone or cut off: its
-/// item stays until its lease is over.
+/// An older registration may belong to a node that has stopped or is partitioned:
+/// its item exists until its lease expires.
 pub fn has_stronger_joined(own: &NodeRecord, view: &CellView, since: Revision) -> bool {
     let mut joined = view.registered_at.iter().filter(|(_, at)| **at > since);
     joined.any(|(name, _)| {
@@ -130,7 +133,7 @@
     other.cores_milli >= own.cores_milli * STRONGER_FACTOR
 }
 
-/// Campaigns for the lead, and leads where elected until the term is over.
+/// Campaigns once and, if elected, leads until the term is over.
 async fn run_campaign<P: Platform>(node: &Rc<Node<P>>) -> Result<(), CommitError> {
     let asked_at = clock::now();
     let grant = node.store.grant_lease(LEADER_LEASE).await?;
@@ -144,7 +147,7 @@
     Ok(())
 }
 
-/// Returns what the others are told where this node leads.
+/// Returns the leader record that this node publishes when it leads.
 pub fn own_leader_record<P: Platform>(node: &Rc<Node<P>>) -> LeaderRecord {
     LeaderRecord {
         name: node.settings.name.clone(),
@@ -153,7 +156,7 @@
     }
 }
 
-/// Writes the leader's item; returns the term's fencing token.
+/// Writes the leader item and returns the term's fencing token.
 async fn elect<P: Platform>(
     node: &Rc<Node<P>>,
     record: &LeaderRecord,
@@ -164,7 +167,7 @@
         .with_expect(keys::LEADER, 0)
         .with_leased_put(keys::LEADER, value.clone(), lease);
     for lane in 0..LANES_COUNT {
-        // The lease's number is the term's until its fence is known.
+        // The fencing token is not known yet, so the lease id identifies the term.
         transaction = transaction.with_put(keys::lane(lane), lane_value(lease, 0));
     }
     let begun = clock::now();
@@ -175,7 +178,7 @@
                 let own = items
                     .iter()
                     .find(|item| item.key == keys::LEADER && item.has_value(&value));
-                // An earlier call of this transaction was done, unheard.
+                // An earlier attempt of this transaction succeeded, but its answer was lost.
                 return own
                     .map(|item| item.revision)
                     .ok_or(CommitError::Conflict(items.clone()));
@@ -190,7 +193,8 @@
     }
 }
 
-/// Returns whether the leader is an earlier life of this very process.
+/// Returns whether the leader is an earlier incarnation of this node: it has the same
+/// address, but a lease that this process did not take.
 pub(crate) fn is_own_earlier_incarnation<P: Platform>(
     node: &Rc<Node<P>>,
     leader: &LeaderRecord,
@@ -199,24 +203,23 @@
     leader.address == own_address && node.own_lease.get() != leader.lease
 }
 
-/// Ends the lease of a leader that is certainly gone.
+/// Ends the lease of a leader that no longer leads.
 pub(crate) async fn evict_leader<P: Platform>(
     node: Rc<Node<P>>,
     leader: LeaderRecord,
     reason: &'static str,
 ) {
     info!(node.log, "leader evicted"; "leader" => leader.name, "reason" => reason);
-    // The lease runs out by itself otherwise.
+    // If the call fails, the lease expires by itself.
     let _ = node.store.end_lease(leader.lease).await;
 }
 
-/// Takes in that nothing listens at the leader's address any more.
+/// Evicts a leader whose address refuses connections.
 pub fn evict_unreachable_leader<P: Platform>(node: &Rc<Node<P>>, leader: LeaderRecord) {
     evict_rate_limited(node, leader, "connection refused");
 }
 
-/// Takes in that the leader leaves calls of several nodes unanswered; returns whether it is
-/// evicted.
+/// Evicts a leader that leaves calls of several nodes unanswered; returns whether it does.
 pub(crate) fn evict_unresponsive_leader<P: Platform>(
     node: &Rc<Node<P>>,
     leader: LeaderRecord,
@@ -224,11 +227,12 @@
     evict_rate_limited(node, leader, "calls unanswered")
 }
 
-/// Evicts a leader; returns whether it does so now.
+/// Evicts a leader, unless this node has evicted one within the eviction period; returns
+/// whether it does.
 ///
-/// A node that is itself cut off would be mistaken, so each node does this once in a while
-/// at most. A leader that is evicted by mistake loses its lease, not its promises: its
-/// commits and its orders are fenced like those of any former leader.
+/// The limit is there because a node that is itself partitioned suspects every leader. A
+/// mistaken eviction is safe: the evicted leader's commits and orders are fenced like
+/// those of any former leader.
 fn evict_rate_limited<P: Platform>(
     node: &Rc<Node<P>>,
     leader: LeaderRecord,
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -1,44 +1,44 @@
-//! Following a part of the store: read it whole, then watch what changes.
+//! Follows a key prefix of the store: reads it whole, then watches for changes.
 
 use crate::store::{Item, Revision, Store, StoreError, Watched, WatchedChange};
 use crate::{clock, keys};
 use ospreywing_types::{Duration, Instant};
 
-/// The time until a call that failed is made again.
+/// The pause before a failed call is retried.
 const RETRY: Duration = Duration::from_ms(150);
 
-/// The changes of an answer after which the next watch follows at once. An answer with fewer
-/// holds all there were: a page of the store holds more.
+/// The number of changes in an answer from which the next watch follows without a pause. An
+/// answer with fewer changes is complete, since the store's pages hold more.
 pub const FULL_ANSWER_COUNT: usize = 200;
 
-/// Failures in a row, beside answers to small calls, after which a watch is
-/// given up and everything is read.
+/// The watches in a row that may fail, each right after a small call was answered, before
+/// the prefix is read whole instead.
 const FAILED_WATCHES_LIMIT_COUNT: u32 = 2;
 
-/// How a part of the store is followed.
+/// How a prefix of the store is followed.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowPolicy {
-    /// How long a watch waits.
+    /// How long a watch waits for changes.
     pub wait: Duration,
-    /// The time after which everything is read again, where it is.
+    /// The time after which everything is read again, if set.
     pub reread_after: Option<Duration>,
-    /// The time between a watch that brought one change and the next. The more it brings,
-    /// the shorter the time: a part of the store that changes often is followed as closely as
-    /// one that changes rarely.
+    /// The longest pause between a watch with changes and the next. The more changes an
+    /// answer holds, the shorter the pause, so that the view of a prefix with many changes is
+    /// no more behind than that of one with few.
     pub max_pause: Duration,
-    /// Whether a watch that failed is followed by reading what stands: a watch
-    /// brings every version since, of which only the newest counts.
+    /// Whether everything is read again after a failed watch. A watch returns every version
+    /// since its revision, of which only the newest matters.
     pub rereads_after_failure: bool,
-    /// Whether a watch that brought changes is followed by one that does not
-    /// wait, which tells whether they are the newest.
+    /// Whether a watch with changes is followed by one that does not wait, which shows
+    /// whether there are newer ones.
     pub confirms_changes: bool,
 }
 
 impl FollowPolicy {
-    /// Returns the time between a watch that brought so many changes and the next.
+    /// Returns the pause between a watch with `changes_count` changes and the next.
     ///
-    /// Where changes come at a steady rate, an answer brings less than a full one however
-    /// high the rate is, and the time shrinks with it.
+    /// At a steady rate of changes the answers stay below a full one however high the rate
+    /// is, since the pause shrinks with it.
     pub fn pause_after(&self, changes_count: usize) -> Duration {
         let left_count = FULL_ANSWER_COUNT.saturating_sub(changes_count) as u64;
         let pause_ms = self.max_pause.as_ms() * left_count / FULL_ANSWER_COUNT as u64;
@@ -46,36 +46,36 @@
     }
 }
 
-/// What a follower learned.
+/// One update of a followed prefix.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// Everything, as it stands.
+    /// All items.
     Snapshot(Vec<Item>),
-    /// What has changed since.
+    /// The changes since the last update.
     Changes(Vec<WatchedChange>),
-    /// The store answered and nothing has changed.
+    /// The store answered, and there are no changes.
     Unchanged,
-    /// The store did not answer.
+    /// The call failed.
     Failed(StoreError),
 }
 
-/// Whether to go on.
+/// Whether to continue following.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
-    /// Go on.
+    /// Continue following.
     Continue,
     /// Stop following.
     Stop,
 }
 
-/// Reads everything below a prefix, page by page.
+/// Reads all items under a prefix, page by page.
 ///
-/// The revision is that of the first page, so that a watch from there misses
-/// nothing that a later page did not show.
+/// The returned revision is that of the first page, so that a watch from there
+/// misses no change that happened while later pages were read.
 ///
 /// # Errors
 ///
-/// Returns a [`StoreError`] where a page did not come.
+/// Returns a [`StoreError`] if a page can't be read.
 pub async fn read_all<S: Store>(
     store: &S,
     prefix: &str,
@@ -95,15 +95,14 @@
     Ok((items, at))
 }
 
-/// Where a follower stands.
+/// A follower's position in the store's history.
 #[derive(Clone, Copy, Debug)]
 struct Position {
-    /// The revision from which the next watch goes on; without it everything
-    /// is read.
+    /// The revision from which the next watch continues; `None` to read everything.
     at: Option<Revision>,
-    /// Where the last answer without changes would have gone on.
+    /// The next revision that the last answer named, if it held no changes.
     empty_at: Option<Revision>,
-    /// Watches in a row that failed right after a small call was answered.
+    /// The watches in a row that failed right after a small call was answered.
     unanswerable_count: u32,
 }
 
@@ -116,11 +115,11 @@
         }
     }
 
-    /// Goes on behind an answer.
+    /// Advances the position after an answer.
     ///
-    /// An answer without changes moves the position only as far as the one before
-    /// it: a watch that ended while the store was behind with its changes would
-    /// otherwise pass them over for good.
+    /// An answer without changes advances it only to the revision of the answer before. A
+    /// watch may end while the store has not yet delivered its changes but already name the
+    /// newest revision; continuing from there would skip these changes forever.
     fn advance(&mut self, from: Revision, watched: &Watched) {
         let at = watched.at.max(from);
         self.unanswerable_count = 0;
@@ -138,11 +137,11 @@
     }
 }
 
-/// Asks once: for everything, or for the changes since.
+/// Fetches one update: all items, or the changes since the position.
 ///
-/// After a failure a small call goes first, which tells whether the store
-/// answers at all: a page is given much time, which an outage would use up, and
-/// a watch that fails beside it has an answer that can't be taken in.
+/// After a failure a small call is made first, to see whether the store answers at all.
+/// A page has a long timeout, which would be wasted in an outage. And if a watch fails
+/// although the small call is answered, its answer is too large to be received.
 async fn fetch_update<S: Store>(
     store: &S,
     prefix: &str,
@@ -180,13 +179,13 @@
     }
 }
 
-/// Follows a prefix until told to stop.
+/// Follows a prefix until `on_update` returns [`Flow::Stop`].
 ///
-/// `on_update` is told each update with an instant from which on the store said so.
-/// An answer was true at some moment after it was asked for; how long its last
-/// byte then took is a matter of its size and of the node's link.
+/// `on_update` is called with each update and an instant at which, or after which, the
+/// store's answer was current. That is the start of the call: when the last byte of an
+/// answer arrives depends on its size and on the node's link.
 ///
-/// `from` is the revision up to which the caller knows everything; without it
+/// `from` is the revision up to which the caller knows all changes; without it
 /// everything is read first.
 pub async fn follow<S: Store>(
     store: S,
@@ -198,18 +197,18 @@
     let mut position = Position::new(from);
     let mut read_at = clock::now();
     let mut is_failing = false;
-    // What the caller knows may be old.
+    // The caller's state may be outdated.
     let mut is_unconfirmed = policy.confirms_changes && from.is_some();
     loop {
         let asked_at = clock::now();
-        // A call that waits may hang on after the store is back.
+        // A watch that waits might keep hanging after the store has recovered.
         let wait = if is_failing || is_unconfirmed {
             Duration::ZERO
         } else {
             policy.wait
         };
-        let asked = fetch_update(&store, prefix, &mut position, wait, is_failing).await;
-        let update = match asked {
+        let fetched = fetch_update(&store, prefix, &mut position, wait, is_failing).await;
+        let update = match fetched {
             Ok(Some(update)) => update,
             Ok(None) => continue,
             Err(error) => Update::Failed(error),
@@ -217,7 +216,7 @@
         is_failing = matches!(update, Update::Failed(_));
         is_unconfirmed = policy.confirms_changes && matches!(update, Update::Changes(_));
         let as_of = match &update {
-            // The store waited before it said so.
+            // The store answered this at the end of its wait.
             Update::Unchanged => clock::now().min(asked_at + wait),
             Update::Snapshot(_) | Update::Changes(_) | Update::Failed(_) => asked_at,
         };
@@ -225,8 +224,8 @@
             read_at = clock::now();
         }
         let is_unanswerable = position.unanswerable_count >= FAILED_WATCHES_LIMIT_COUNT;
-        let reads_next = is_failing && policy.rereads_after_failure;
-        if is_stale(policy, read_at) || is_unanswerable || reads_next {
+        let rereads_next = is_failing && policy.rereads_after_failure;
+        if is_stale(policy, read_at) || is_unanswerable || rereads_next {
             position.restart();
         }
         let pause = match &update {
--- a/crates/control/src/freshness.rs
+++ b/crates/control/src/freshness.rs
@@ -1,37 +1,37 @@
-//! How old what the leader believes of the store may be while it gives orders.
+//! Limits the age of the leader's cached views of the store.
 //!
-//! A follower of the store confirms its belief whenever an answer shows that nothing newer
-//! is there. While a belief on which starts rest may be older than its limit, none is sent.
+//! A follower of the store confirms its view whenever an answer shows that it is the newest.
+//! While a view on which starts depend may be older than its limit, no start is sent.
 
 use ospreywing_types::{Duration, Instant};
 use slog::{info, warn, Logger};
 use std::cell::Cell;
 
-/// How long an order may be on its way after it was decided: it waits for a batch, and its
+/// How long an order may take to arrive after it was decided: it waits for a batch, and its
 /// relay may have to connect to the worker first.
 const ORDER_TIME: Duration = Duration::from_ms(1500);
 
-/// Returns how old a belief may be when an order is decided, where the order must be carried
-/// out within `bound` of a change.
+/// Returns how old a view may be when an order is decided, if no order may still be executed
+/// `bound` after a change that forbids it.
 ///
-/// A short bound leaves a half of it for the order.
+/// Of a short bound, half is left for the order.
 pub fn max_view_age(bound: Duration) -> Duration {
     let half_ms = bound.as_ms() / 2;
     let left_ms = bound.as_ms().saturating_sub(ORDER_TIME.as_ms());
     Duration::from_ms(left_ms.max(half_ms))
 }
 
-/// The age of one belief.
+/// The age of one store view.
 #[derive(Debug)]
 pub struct Freshness {
-    /// What is believed, for the log.
+    /// The view's name, for the log.
     name: &'static str,
     limit: Duration,
     confirmed_at: Cell<Instant>,
 }
 
 impl Freshness {
-    /// Creates the age of a belief that nothing has confirmed yet.
+    /// Creates the age of a view that is not confirmed yet.
     pub fn new(name: &'static str, limit: Duration) -> Self {
         Self {
             name,
@@ -40,28 +40,28 @@
         }
     }
 
-    /// Returns how old the belief may be.
+    /// Returns how old the view may be.
     pub(crate) const fn limit(&self) -> Duration {
         self.limit
     }
 
-    /// Notes that the store knew of nothing newer at an instant.
+    /// Records that the store had nothing newer at `as_of`.
     pub fn confirm(&self, as_of: Instant) {
         self.confirmed_at.set(self.confirmed_at.get().max(as_of));
     }
 
-    /// Returns the time since the belief was confirmed.
+    /// Returns the time since the view was confirmed.
     pub fn age(&self, now: Instant) -> Duration {
         now.since(self.confirmed_at.get())
     }
 
-    /// Returns whether there may be something newer that counts.
+    /// Returns whether the view is older than its limit.
     pub fn is_outdated(&self, now: Instant) -> bool {
         self.age(now) > self.limit
     }
 }
 
-/// The ages of all beliefs on which a leader's starts rest.
+/// The ages of all store views on which a leader's starts depend.
 #[derive(Debug)]
 pub(crate) struct StoreViews {
     pub(crate) cordons: Freshness,
@@ -70,7 +70,7 @@
 }
 
 impl StoreViews {
-    /// Creates the ages for a leader that knows nothing yet.
+    /// Creates the ages for a new leader.
     pub(crate) const fn new(cordons: Freshness, workers: Freshness) -> Self {
         Self {
             cordons,
@@ -79,20 +79,20 @@
         }
     }
 
-    /// Returns whether starts must be held back, where that has changed since the last call.
+    /// Returns whether starts must be paused, if that has changed since the last call.
     pub(crate) fn update_starts_held(&self, now: Instant, log: &Logger) -> Option<bool> {
         let mut store_views = [&self.cordons, &self.workers].into_iter();
-        let outdated = store_views.find(|belief| belief.is_outdated(now));
-        let was_outdated = self.is_outdated.replace(outdated.is_some());
-        if was_outdated == outdated.is_some() {
+        let outdated_view = store_views.find(|view| view.is_outdated(now));
+        let was_outdated = self.is_outdated.replace(outdated_view.is_some());
+        if was_outdated == outdated_view.is_some() {
             return None;
         }
-        match outdated {
-            Some(belief) => warn!(log, "starts held back";
-                "reason" => "not confirmed", "belief" => belief.name,
-                "age_ms" => belief.age(now).as_ms(), "limit_ms" => belief.limit.as_ms()),
-            None => info!(log, "starts go on"),
+        match outdated_view {
+            Some(view) => warn!(log, "starts paused";
+                "reason" => "not confirmed", "belief" => view.name,
+                "age_ms" => view.age(now).as_ms(), "limit_ms" => view.limit.as_ms()),
+            None => info!(log, "starts resumed"),
         }
-        Some(outdated.is_some())
+        Some(outdated_view.is_some())
     }
 }
--- a/crates/control/src/front.rs
+++ b/crates/control/src/front.rs
@@ -1,4 +1,4 @@
-//! Listening: clients, the balancer's question, other nodes.
+//! The HTTP servers for clients, readiness probes, other nodes and metrics.
 
 use crate::node::{Node, NodeError};
 use crate::platform::{Platform, Reply, RequestHead, RequestLimits, Retry};
@@ -18,46 +18,46 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The least room that the HTTP library needs for a head.
+/// The smallest head buffer that the HTTP library accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8192;
-/// The largest body of another node.
+/// The largest request body of another node.
 const PEER_BODY_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 /// The pause after a connection could not be accepted.
 const ACCEPT_RETRY_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
-/// The longest body that is read past, and for how long. A judgement: bodies of a few
-/// kilobytes come with the head or some milliseconds later.
+/// The longest body that is read and discarded, and the time within which it must arrive.
+/// Bodies of a few kilobytes arrive with the head or some milliseconds later.
 const DISCARDED_BODY_LIMIT_BYTES: usize = 16 * 1024;
 const DISCARD_BODY_TIMEOUT: Duration = Duration::from_ms(50);
-/// Limits before the operators have set any.
+/// The limits before there is a configuration.
 const DEFAULT_LIMITS: RequestLimits = RequestLimits {
     head_limit_bytes: 16 * 1024,
     body_limit_bytes: 256 * 1024,
     read_timeout: Duration::from_ms(3000),
     idle_timeout: Duration::from_ms(15_000),
 };
-/// When a client may come back that came before there was a configuration, or
-/// while it was not known whether there is a newer one.
+/// When a client may retry a request that arrived before there was a configuration, or
+/// while the configuration might be outdated.
 const RETRY_LATER: Retry = Retry {
     after: Duration::from_ms(1000),
 };
 
-/// Whom a listener serves.
+/// The kind of requests that a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Clients.
+    /// Client requests.
     Clients,
-    /// The balancer, which asks whether the node is ready.
+    /// The load balancer's readiness probes.
     Ready,
-    /// Other nodes.
+    /// Calls of other nodes.
     Peer,
-    /// Whoever watches the node.
+    /// Requests for metrics.
     Metrics,
 }
 
-/// A socket that listens.
+/// A listening socket.
 pub struct Listener {
     listener: TcpListener,
-    /// Its address, with the port that it was given where any would do.
+    /// The socket's address, with the port that was assigned if it was 0.
     pub address: SocketAddr,
 }
 
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] where the address can't be listened on.
+    /// Returns a [`NodeError`] if the address can't be listened on.
     pub async fn bind(address: SocketAddr) -> Result<Self, NodeError> {
         let failed = |error| NodeError::Listen { address, error };
         let listener = TcpListener::bind(address).await.map_err(failed)?;
@@ -82,7 +82,7 @@
     open_count: Rc<Cell<usize>>,
 }
 
-/// Counts something for as long as it lives.
+/// Counts an open connection until it is dropped.
 struct ConnectionGuard(Rc<Cell<usize>>);
 
 impl ConnectionGuard {
@@ -99,7 +99,7 @@
 }
 
 impl<P: Platform> Front<P> {
-    /// Creates a front without listeners, which ends when `stopped` says so.
+    /// Creates a front without listeners, which shuts down when `stopped` becomes true.
     pub fn new(node: Rc<Node<P>>, stopped: watch::Receiver<bool>) -> Self {
         Self {
             node,
@@ -108,12 +108,12 @@
         }
     }
 
-    /// Returns how many client connections are open.
+    /// Returns the number of open client connections.
     pub fn open_count(&self) -> usize {
         self.open_count.get()
     }
 
-    /// Serves whoever connects to a listener until the front ends.
+    /// Serves a listener's connections until the front shuts down.
     pub fn serve(&self, listener: Listener, role: Role) {
         let accept = accept(
             listener.listener,
@@ -157,7 +157,7 @@
     mut stopped: watch::Receiver<bool>,
     role: Role,
 ) {
-    // A stream without it is only slower.
+    // A failure only makes the connection slower.
     let _ = stream.set_nodelay(true);
     let limits = limits(&node);
     let service = service_fn(|request| {
@@ -175,7 +175,7 @@
         _ = stopped.wait_for(|stopped| *stopped) => {}
     }
     connection.as_mut().graceful_shutdown();
-    // How a connection ends concerns nobody.
+    // The connection is closed either way.
     let _ = connection.await;
 }
 
@@ -253,7 +253,7 @@
     reply
 }
 
-/// Answers a request by the configuration that is in force when its head is read.
+/// Handles a client request with the configuration that is active when its head is read.
 async fn reply_to<P: Platform>(node: &Rc<Node<P>>, request: Request<IncomingBody>) -> Reply {
     let (parts, body) = request.into_parts();
     let Some(active) = node.current_configuration().await else {
@@ -299,10 +299,11 @@
     }
 }
 
-/// Reads past the body of a request that is answered by its head, where it is short and
-/// there already: the connection would be reset otherwise, and the answer lost with it.
+/// Reads and discards the body of a request that is answered by its head alone, if the body
+/// is short and arrives soon. Otherwise closing the connection would reset it, and the
+/// answer would be lost.
 async fn discard_body(body: IncomingBody) {
     let body = Limited::new(body, DISCARDED_BODY_LIMIT_BYTES).collect();
-    // What is longer or slower ends with its connection.
+    // A longer or slower body is dropped with its connection.
     let _ = tokio::time::timeout(DISCARD_BODY_TIMEOUT.into(), body).await;
 }
--- a/crates/control/src/handover.rs
+++ b/crates/control/src/handover.rs
@@ -1,7 +1,8 @@
-//! What a leader has learned, handed on to the nodes that stand for leader after it.
+//! Handover of a leader's learned statistics to the candidates that may lead after it.
 //!
-//! It is worth seconds, not truth: a node without it learns anew. So it goes from node to node
-//! and never to the store, and an answer that is lost is not repeated before the next turn.
+//! The statistics only save a new leader some seconds: without them it learns again. So they
+//! are sent from node to node, are never stored, and a lost message is not repeated before
+//! the next period.
 
 use crate::clock;
 use crate::leader::Term;
@@ -13,16 +14,17 @@
 use slog::debug;
 use std::rc::Rc;
 
-/// The time between two turns. What is learned within one is lost with the leader.
-const PERIOD: Duration = Duration::from_s(10);
-/// How long a node may take to answer.
+/// The time between two sends. What was learned since the last one is lost with the leader.
+const SEND_PERIOD: Duration = Duration::from_s(10);
+/// The timeout for a receiver's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_ms(1000);
-/// How many candidates it goes to: one of the first leads next, unless all of them are lost.
+/// The number of candidates that receive the statistics. One of the first candidates leads
+/// next, unless all of them are lost.
 const RECEIVERS_COUNT: usize = 3;
-/// How old what was handed on may be: workers may have changed since.
-const AGE_LIMIT: Duration = Duration::from_s(300);
+/// The age from which statistics are discarded, since workers may have changed.
+const MAX_AGE: Duration = Duration::from_s(300);
 
-/// What an earlier leader has learned, as a node keeps it.
+/// A leader's learned statistics with the time at which this node received them.
 #[derive(Debug, Default)]
 pub struct LearnedSnapshot {
     learned: Learned,
@@ -30,15 +32,15 @@
 }
 
 impl LearnedSnapshot {
-    /// Keeps what has come from the leader.
+    /// Creates a snapshot of statistics that were received at `now`.
     pub const fn new(now: Instant, learned: Learned) -> Self {
         Self { learned, at: now }
     }
 
-    /// Returns what was learned as it is now, where it is not too old.
+    /// Returns the statistics aged to `now`; `None` if they are too old or empty.
     pub fn into_learned(mut self, now: Instant) -> Option<Learned> {
         let kept = now.since(self.at);
-        if kept > AGE_LIMIT || self.learned.is_empty() {
+        if kept > MAX_AGE || self.learned.is_empty() {
             return None;
         }
         self.learned.age(kept);
@@ -46,10 +48,10 @@
     }
 }
 
-/// Hands on what this leader has learned, until its term is over.
+/// Sends this leader's learned statistics to candidates until its term is over.
 pub(crate) async fn send_learned<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     while !term.is_over() {
-        tokio::time::sleep(PERIOD.into()).await;
+        tokio::time::sleep(SEND_PERIOD.into()).await;
         let now = clock::now();
         let learned = term.scheduler.borrow().learned(now);
         if learned.is_empty() || !term.may_send_orders() {
@@ -64,7 +66,7 @@
             let address = &candidate.record.address;
             let reply = peer::call(&node.peers, address, &request, ANSWER_TIMEOUT).await;
             if !matches!(reply, Ok(PeerReply::Taken)) {
-                debug!(node.log, "learned not handed on"; "to" => &candidate.name);
+                debug!(node.log, "learned statistics not sent"; "to" => &candidate.name);
             }
         }
     }
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -1,8 +1,8 @@
-//! Group commits of what clients hand in: accepted jobs and cancels.
+//! Group commits of accepted jobs and cancels to the store.
 //!
-//! Every entry is written on the condition that its key does not exist, so a
-//! repeated id stays one job whichever node takes it, and a write that is done
-//! late can do no harm.
+//! Every entry is written on the condition that its key does not exist. So a
+//! repeated id stays one job whichever node accepts it, and a write that is
+//! applied late overwrites nothing.
 
 use crate::clock;
 use crate::store::{CommitError, Item, Store, StoreError, Transaction};
@@ -12,29 +12,30 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// Entries of one transaction; each takes a condition and a write.
+/// The most entries of one transaction; each needs a condition and a write.
 const GROUP_LIMIT_COUNT: usize = 15;
-/// Entries that may wait.
+/// The most entries that may be queued.
 const QUEUE_LIMIT_COUNT: usize = 400;
-/// How long an entry is tried for that may be in the store.
+/// How long an entry is retried that may already be in the store.
 const UNCONFIRMED_TIMEOUT: Duration = Duration::from_ms(1200);
-/// How long an entry is tried for that certainly is not: others can take it.
+/// How long an entry is retried that certainly is not in the store: other nodes can
+/// write it.
 const NOT_STORED_TIMEOUT: Duration = Duration::from_ms(120);
-/// The time until a call that failed is made again.
+/// The pause before a failed commit is retried.
 const RETRY: Duration = Duration::from_ms(40);
-/// Failed calls in a row after which the store is taken not to answer.
+/// Failed commits in a row after which the store is taken to be unreachable.
 const FAILING_COUNT: u32 = 2;
 
-/// What became of an entry.
+/// The outcome of writing an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IntakeOutcome {
-    /// It is in the store.
+    /// The entry is in the store.
     Stored,
-    /// The store has its key already, with this other value.
+    /// The key already exists, with this other value.
     Exists(Vec<u8>),
-    /// It certainly is not and will not be.
+    /// The entry is not in the store and the write will not be applied.
     NotStored,
-    /// It may be, or may come to be.
+    /// The write may have been applied, or may still be.
     Unknown,
 }
 
@@ -42,13 +43,13 @@
     key: String,
     value: Vec<u8>,
     queued_at: ospreywing_types::Instant,
-    /// Whether a call that carried it had no answer.
+    /// Whether a commit with this entry had no answer, so that it may have been applied.
     is_unconfirmed: bool,
     reply: oneshot::Sender<IntakeOutcome>,
 }
 
 impl Entry {
-    /// Returns what became of the entry where the store has its key.
+    /// Returns the outcome for an entry whose key exists as `item`.
     fn found(&self, item: Item) -> IntakeOutcome {
         if item.has_value(&self.value) {
             return IntakeOutcome::Stored;
@@ -58,12 +59,12 @@
     }
 
     fn answer(self, outcome: IntakeOutcome) {
-        // Who asked may have gone.
+        // The caller may have been dropped.
         let _ = self.reply.send(outcome);
     }
 }
 
-/// The queue before the store.
+/// The queue of entries to be written to the store.
 pub struct Intake<S> {
     store: S,
     queue: RefCell<VecDeque<Entry>>,
@@ -82,7 +83,7 @@
         })
     }
 
-    /// Writes an entry, once, and waits for what becomes of it.
+    /// Writes an entry if its key does not exist, and waits for the outcome.
     pub async fn write(&self, key: String, value: Vec<u8>) -> IntakeOutcome {
         let (reply, outcome) = oneshot::channel();
         if self.queue.borrow().len() >= QUEUE_LIMIT_COUNT {
@@ -99,18 +100,18 @@
         outcome.await.unwrap_or(IntakeOutcome::Unknown)
     }
 
-    /// Returns whether the last calls have failed and no other call of the
-    /// node has been answered since.
+    /// Returns whether the last commits have failed and the store has answered no
+    /// other call of this node since.
     pub fn is_failing(&self) -> bool {
         self.failures_count.get() >= FAILING_COUNT
     }
 
-    /// Notes that the store has answered some other call.
+    /// Records that the store has answered a call.
     pub fn record_answer(&self) {
         self.failures_count.set(0);
     }
 
-    /// Writes groups for ever.
+    /// Writes queued entries in groups; never returns.
     pub async fn run(&self) {
         loop {
             if self.queue.borrow().is_empty() {
@@ -137,18 +138,18 @@
             }
             Err(CommitError::Conflict(items)) => {
                 self.failures_count.set(0);
-                let there = items.into_iter().filter(|item| item.revision > 0);
-                let mut there: HashMap<String, Item> =
-                    there.map(|item| (item.key.clone(), item)).collect();
+                let existing = items.into_iter().filter(|item| item.revision > 0);
+                let mut existing: HashMap<String, Item> =
+                    existing.map(|item| (item.key.clone(), item)).collect();
                 let (found, rest): (Vec<Entry>, Vec<Entry>) = group
                     .into_iter()
-                    .partition(|entry| there.contains_key(&entry.key));
+                    .partition(|entry| existing.contains_key(&entry.key));
                 if found.is_empty() {
-                    // A conflict that names no entry can't be told apart from none.
+                    // The conflict does not show which entries exist.
                     return answer_all(rest, &IntakeOutcome::Unknown);
                 }
                 for entry in found {
-                    let item = there.remove(&entry.key);
+                    let item = existing.remove(&entry.key);
                     let outcome = item.map_or(IntakeOutcome::Unknown, |item| entry.found(item));
                     entry.answer(outcome);
                 }
--- a/crates/control/src/layered.rs
+++ b/crates/control/src/layered.rs
@@ -1,4 +1,4 @@
-//! A store with a layer around its calls.
+//! A store whose calls pass through a layer, such as for metrics or probes.
 
 use crate::store::{
     CommitError, Committed, Item, LeaseGrant, LeaseId, Page, Revision, Store, StoreError,
@@ -7,30 +7,30 @@
 use ospreywing_types::Duration;
 use std::future::Future;
 
-/// A call of the store, as a layer sees it.
+/// The kind of a store call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// An item is read.
+    /// Reads an item.
     Get,
-    /// A page of items is read.
+    /// Reads a page of items.
     Range,
-    /// Changes are waited for.
+    /// Waits for changes.
     Watch,
-    /// A transaction is done.
+    /// Commits a transaction.
     Commit {
-        /// The bytes of its keys and values.
+        /// The length of the written keys and values.
         len_bytes: usize,
     },
-    /// A lease is taken.
+    /// Grants a lease.
     GrantLease,
-    /// A lease is renewed.
+    /// Renews a lease.
     RenewLease,
-    /// A lease is ended.
+    /// Ends a lease.
     EndLease,
 }
 
 impl StoreCall {
-    /// Returns the word for metrics.
+    /// Returns the label for metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Get => "get",
@@ -44,9 +44,9 @@
     }
 }
 
-/// Why a call failed: both kinds of the store's errors.
+/// An error of a store call; implemented by both error types of the store.
 pub trait CallFailure: From<StoreError> {
-    /// Returns the store's error; `None` where a condition did not hold.
+    /// Returns the store's error; `None` if a condition of a transaction did not hold.
     fn store_error(&self) -> Option<&StoreError>;
 }
 
@@ -65,27 +65,27 @@
     }
 }
 
-/// What is done around each call of a store.
+/// A layer through which each call of a store passes.
 #[allow(async_fn_in_trait, reason = "every node runs on one thread")]
 pub trait StoreLayer: Clone + 'static {
-    /// Makes a call.
+    /// Makes the call by awaiting `future`.
     ///
     /// # Errors
     ///
-    /// Returns the call's own error, or one of the layer's.
+    /// Returns the call's error, or one of the layer.
     async fn wrap_call<T, E: CallFailure>(
         &self,
         call: StoreCall,
         future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E>;
 
-    /// Waits before a call that failed is repeated.
+    /// Waits before a failed call is retried.
     async fn pause(&self, length: Duration) {
         tokio::time::sleep(length.into()).await;
     }
 }
 
-/// A store with a layer around its calls.
+/// A store whose calls pass through a layer.
 #[derive(Clone, Debug)]
 pub struct LayeredStore<S, L> {
     store: S,
@@ -93,7 +93,7 @@
 }
 
 impl<S: Store, L: StoreLayer> LayeredStore<S, L> {
-    /// Puts a layer around a store.
+    /// Creates a store that makes the calls of `store` through `layer`.
     pub const fn with_layer(store: S, layer: L) -> Self {
         Self { store, layer }
     }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -23,20 +23,22 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
-/// What is taken off the leader's lease for calls on their way.
+/// The margin before the lease's end within which the leader sends nothing, for calls in
+/// flight.
 pub(crate) const LEASE_MARGIN: Duration = Duration::from_ms(150);
 /// How long a resigning leader waits for its open commits.
 const RESIGN_LIMIT: Duration = Duration::from_ms(400);
 
-/// A term.
+/// The state of one term of this node as leader.
 pub struct Term<P: Platform> {
     /// The fencing token.
     pub fence: u64,
-    pub(crate) begun_at: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) lease: LeaseId,
-    /// Until when the lease certainly holds, on this node's clock.
+    /// The instant until which the lease certainly holds, on this node's clock.
     pub(crate) valid_until: Cell<Instant>,
-    /// Since when renewals of the lease are sent without an answer.
+    /// When the first renewal was sent that has had no successful answer since; `None` if the
+    /// last one succeeded.
     pub(crate) renewal_open_since: Cell<Option<Instant>>,
     pub(crate) is_over: Cell<bool>,
     pub(crate) is_resigned: Cell<bool>,
@@ -50,18 +52,18 @@
 }
 
 impl<P: Platform> Term<P> {
-    /// Tells the scheduler of something that happened.
+    /// Sends an event to the scheduler.
     pub fn send_event(&self, event: Event) {
-        // A term that is over needs to know nothing.
+        // Events after the term's end are dropped.
         let _ = self.events.send(event);
     }
 
-    /// Brings a configuration into force.
+    /// Sends a new configuration to the scheduler.
     pub fn configure(&self, configuration: Configuration) {
         self.send_event(Event::Configured(configuration));
     }
 
-    /// Returns whether orders may be given now.
+    /// Returns whether the leader may send orders now: its lease certainly still holds.
     pub fn may_send_orders(&self) -> bool {
         !self.is_over.get() && clock::now() < self.valid_until.get()
     }
@@ -71,7 +73,7 @@
         self.is_over.get()
     }
 
-    /// Returns whether to go on following what the store tells.
+    /// Returns whether the term's followers of the store should continue.
     pub(crate) fn flow(&self) -> Flow {
         if self.is_over() {
             Flow::Stop
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Returns the state of a job that a client is shown, where it is open to the client.
+    /// Returns the state of a job, if the caller may see the job.
     pub fn job_for(&self, caller: &Caller, job: JobId) -> Option<JobView> {
         self.scheduler.borrow().job_for(caller.customer(), job)
     }
@@ -90,17 +92,17 @@
         self.scheduler.borrow().job(job)
     }
 
-    /// Returns how many of a queue's jobs have not begun.
+    /// Returns how many of a queue's jobs have not started.
     pub fn pending_count(&self, queue: &str) -> u64 {
         self.scheduler.borrow().pending_count(queue) as u64
     }
 
-    /// Returns what is forecast for jobs that are handed in now.
+    /// Returns the forecast for jobs that are submitted now, if services are overloaded.
     pub fn forecast(&self, now: Instant) -> Option<Forecast> {
         self.scheduler.borrow().forecast(now)
     }
 
-    /// Gives up the lead after the commits that are open.
+    /// Ends the term after waiting for the open commits.
     pub async fn resign(&self) {
         self.is_resigned.set(true);
         let begun = clock::now();
@@ -118,10 +120,10 @@
     }
 }
 
-/// Returns the ages of a new leader's beliefs, none of which is confirmed.
+/// Creates a new leader's store views, none of which is confirmed yet.
 fn new_store_views<P: Platform>(node: &Node<P>) -> StoreViews {
     let cordons_limit = max_view_age(node.settings.cordon_limit);
-    // A slow store's answers must not hold back what is started.
+    // The limit is at least the leader lease: a slow store's answers must not pause starts.
     let workers_limit = max_view_age(node.settings.drain_limit).max(LEADER_LEASE);
     StoreViews::new(
         Freshness::new("cordons", cordons_limit),
@@ -129,7 +131,7 @@
     )
 }
 
-/// Leads until the term is over; returns whether the node gave it up itself.
+/// Leads until the term is over; returns whether the node resigned.
 pub async fn run_term<P: Platform>(
     node: &Rc<Node<P>>,
     grant: LeaseGrant,
@@ -141,7 +143,7 @@
         .active()
         .filter(|_| !node.is_draining.get())
     else {
-        // The lease runs out by itself otherwise.
+        // If the call fails, the lease expires by itself.
         let _ = node.store.end_lease(grant.id).await;
         return true;
     };
@@ -162,7 +164,7 @@
     );
     let term = Rc::new(Term::<P> {
         fence,
-        begun_at: clock::now(),
+        started_at: clock::now(),
         lease: grant.id,
         valid_until: Cell::new(valid_until - LEASE_MARGIN),
         renewal_open_since: Cell::new(None),
@@ -198,7 +200,7 @@
         let mut scheduler = Scheduler::new(config, configuration, clock::now(), recovered);
         let kept = node.learned.take();
         if let Some(learned) = kept.into_learned(clock::now()) {
-            info!(node.log, "learned taken over";
+            info!(node.log, "learned statistics restored";
                 "sizes" => learned.sizes.len(), "speeds" => learned.speeds.len());
             scheduler.take_learned(clock::now(), &learned);
         }
@@ -217,7 +219,7 @@
         node.metrics.set_leading(false);
     }
     term.is_over.set(true);
-    // The lease runs out by itself otherwise.
+    // If the call fails, the lease expires by itself.
     let _ = node.store.end_lease(grant.id).await;
     term.is_resigned.get()
 }
--- a/crates/control/src/leader_lease.rs
+++ b/crates/control/src/leader_lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease: renewed, and handed over where the store does not answer.
+//! Renews the leader lease, and has another node end it if the store does not answer.
 
 use crate::clock;
 use crate::election::LEADER_LEASE;
@@ -12,18 +12,18 @@
 use slog::{info, warn};
 use std::rc::Rc;
 
-/// The time between two renewals of the leader's lease.
+/// The time between two renewals of the leader lease.
 const RENEWAL: Duration = Duration::from_ms(350);
-/// Failed renewals in a row after which the lead is handed over.
-const HAND_OVER_AFTER_COUNT: u32 = 2;
-/// Failed renewals after which that is tried again.
-const HAND_OVER_PERIOD_COUNT: u32 = 6;
-/// How long another node may take to end the lease.
-const HAND_OVER_LIMIT: Duration = Duration::from_ms(300);
-/// The time until something that failed is tried again.
+/// Failed renewals in a row after which another node is asked to end the lease.
+const END_THROUGH_PEER_AFTER_COUNT: u32 = 2;
+/// Further failed renewals after which that is retried.
+const END_THROUGH_PEER_PERIOD_COUNT: u32 = 6;
+/// The timeout for another node to end the lease.
+const END_THROUGH_PEER_TIMEOUT: Duration = Duration::from_ms(300);
+/// The pause before a failed renewal is retried.
 const RETRY: Duration = Duration::from_ms(100);
 
-/// Renews the lease until the term is over.
+/// Renews the leader lease until the term is over.
 pub(crate) async fn renew_lease<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let mut failures_count = 0;
     while !term.is_over() {
@@ -44,13 +44,13 @@
                     .set((sent_at + LEADER_LEASE) - LEASE_MARGIN);
             }
             Err(StoreError::LeaseOver) => {
-                warn!(node.log, "leader's lease lost"; "fence" => term.fence);
+                warn!(node.log, "leader lease lost"; "fence" => term.fence);
                 term.end();
             }
             Err(error) => {
-                warn!(node.log, "leader's lease not renewed"; "error" => error.to_string());
+                warn!(node.log, "leader lease renewal failed"; "error" => error.to_string());
                 failures_count += 1;
-                if failures_count % HAND_OVER_PERIOD_COUNT == HAND_OVER_AFTER_COUNT {
+                if failures_count % END_THROUGH_PEER_PERIOD_COUNT == END_THROUGH_PEER_AFTER_COUNT {
                     end_lease_through_peer(&node, &term).await;
                 }
             }
@@ -58,15 +58,16 @@
     }
 }
 
-/// Has another node end the lease, where the store answers that node: a
-/// leader that can't commit is none, and the others need not wait for its
-/// lease to run out.
+/// Asks other nodes to end the lease, in case the store still answers them.
+///
+/// A leader that can't commit is useless, and this way the other nodes need not
+/// wait for its lease to expire.
 async fn end_lease_through_peer<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>) {
     let request = PeerRequest::EndLease(term.lease);
     for address in requests::forward_addresses(node) {
-        let reply = peer::call(&node.peers, &address, &request, HAND_OVER_LIMIT).await;
+        let reply = peer::call(&node.peers, &address, &request, END_THROUGH_PEER_TIMEOUT).await;
         if matches!(reply, Ok(PeerReply::Ended)) {
-            info!(node.log, "lead handed over"; "fence" => term.fence, "through" => address);
+            info!(node.log, "leader lease ended through another node"; "fence" => term.fence, "through" => address);
             term.end();
             return;
         }
--- a/crates/control/src/leader_probe.rs
+++ b/crates/control/src/leader_probe.rs
@@ -1,5 +1,5 @@
-//! Probing the leader: the first candidates call it, and evict it once two of them agree
-//! that it is silent while the store answers.
+//! Probes the leader: the first candidates call it periodically, and evict it once two of
+//! them agree that it is unresponsive while the store answers.
 
 use crate::cell_view::{CellView, LeaderRecord};
 use crate::failure_detector::{FailureDetector, PROBE_PERIOD, PROBE_TIMEOUT};
@@ -13,7 +13,7 @@
 use slog::info;
 use std::rc::Rc;
 
-/// How many candidates probe the leader: the second one confirms what the first suspects.
+/// The number of candidates that probe the leader: one suspects it, another confirms that.
 const OBSERVERS_COUNT: usize = 2;
 
 /// Probes the leader for as long as the node runs.
@@ -39,10 +39,10 @@
     }
 }
 
-/// Returns the leader, where this node is one of those that probe it.
+/// Returns the leader if this node is to probe it.
 ///
-/// In a large cell a leader may be busy for longer than a detector waits; there its lease
-/// alone tells.
+/// In a large cell nobody probes it: there a leader may be busy for longer than the detector
+/// waits, so only its lease counts.
 fn observed_leader<P: Platform>(node: &Node<P>) -> Option<LeaderRecord> {
     let cell = node.cell.borrow();
     let leader = cell.leader.clone()?;
@@ -60,14 +60,14 @@
         .take(OBSERVERS_COUNT)
 }
 
-/// Begins anew where another leader is known than before.
+/// Resets the failure detector if there is a new leader.
 fn follow_leader<P: Platform>(node: &Node<P>, lease: LeaseId) {
     if node.detector.get().leader() != lease {
         node.detector.set(FailureDetector::new(lease, clock::now()));
     }
 }
 
-/// Notes that the leader with this lease has answered a call.
+/// Records that the leader with this lease has answered a call.
 pub(crate) fn record_answer<P: Platform>(node: &Node<P>, lease: LeaseId, sent_at: Instant) {
     let mut detector = node.detector.get();
     if detector.leader() == lease {
@@ -97,7 +97,7 @@
     }
 }
 
-/// Evicts the leader where another observer finds it silent too.
+/// Evicts the leader if another observer confirms that it is unresponsive.
 async fn evict_if_confirmed<P: Platform>(node: &Rc<Node<P>>, leader: LeaderRecord) {
     let Some(address) = confirming_observer(node, &leader).await else {
         return;
@@ -105,12 +105,12 @@
     let unresponsive_time = node.detector.get().unresponsive_time(clock::now());
     let name = leader.name.clone();
     if election::evict_unresponsive_leader(node, leader) {
-        info!(node.log, "leader silent";
+        info!(node.log, "leader unresponsive";
             "leader" => name, "silence_ms" => unresponsive_time.as_ms(), "confirmed_by" => address);
     }
 }
 
-/// Returns where another observer is called that finds the leader silent too.
+/// Returns the address of another observer that also finds the leader unresponsive.
 async fn confirming_observer<P: Platform>(
     node: &Rc<Node<P>>,
     leader: &LeaderRecord,
@@ -134,7 +134,7 @@
     others.map(|it| it.record.address.clone()).collect()
 }
 
-/// Returns whether this node, as an observer, finds the leader with this lease silent.
+/// Returns whether this node, as an observer, finds the leader with this lease unresponsive.
 pub(crate) fn is_unresponsive<P: Platform>(node: &Node<P>, lease: LeaseId) -> bool {
     let detector = node.detector.get();
     detector.leader() == lease && detector.has_missed_probes()
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,11 @@
 //! A node of the cell.
 //!
-//! All nodes are alike. Each takes requests from clients and writes accepted
-//! jobs and cancels to the store itself. One of them holds the leader's lease
-//! and runs the [`ospreywing_scheduler::Scheduler`]; the others pass questions
-//! to it and ask the adviser on its behalf. The crate is the shell around the
-//! decisions: it owns sockets, clocks and the store's calls, and speaks to the
-//! outside through the [`Platform`] trait alone.
+//! All nodes run the same code. Each accepts client requests and writes accepted
+//! jobs and cancels to the store itself. One node holds the leader lease and runs
+//! the [`ospreywing_scheduler::Scheduler`]; the others forward queries to it and
+//! call the adviser on its behalf. This crate does the I/O around the scheduler's
+//! decisions: sockets, clocks and store calls. It reaches external systems only
+//! through the [`Platform`] and [`Store`] traits.
 
 pub mod admission;
 mod caller;
--- a/crates/control/src/log.rs
+++ b/crates/control/src/log.rs
@@ -1,19 +1,19 @@
-//! The log: JSON lines on standard output, bounded, never blocking.
+//! The log: JSON lines on standard output, through a bounded buffer that never blocks.
 //!
-//! Lines are formatted into a buffer in memory. A thread of its own writes the
-//! buffer out. Where the reader stops reading, the buffer fills up, further
-//! lines are counted and dropped, and the count is written once there is room.
+//! Lines are formatted into a buffer in memory, which a separate thread writes out. If the
+//! reader stops reading, the buffer fills up, and further lines are dropped and counted;
+//! the count is logged once the buffer has space again.
 
 use slog::{o, Drain, FnValue, Logger, PushFnValue, Record};
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What may wait to be written.
+/// The most bytes that may wait to be written.
 const BUFFER_LIMIT_BYTES: usize = 512 * 1024;
-/// What is written at once.
+/// The most bytes of one write.
 const CHUNK_LIMIT_BYTES: usize = 4096;
-/// How long lines are gathered before they are written.
+/// How long lines are collected before they are written.
 const BATCHING_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
@@ -22,7 +22,7 @@
     dropped_count: u64,
 }
 
-/// The buffer between the node and the thread that writes.
+/// The buffer between the node and the thread that writes the log.
 #[derive(Clone, Default)]
 pub struct LogBuffer {
     shared: Arc<(Mutex<Buffer>, Condvar)>,
@@ -34,7 +34,7 @@
         Self::default()
     }
 
-    /// Takes everything that waits, and the number of lines that were dropped.
+    /// Removes and returns the buffered lines and the number of dropped lines.
     pub fn take(&self) -> (Vec<u8>, u64) {
         let mut buffer = self.lock();
         let dropped_count = core::mem::take(&mut buffer.dropped_count);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Writes what waits to `output` for ever, a gathering time after it came.
+    /// Writes buffered lines to `output`, each batch after the batching delay; never returns.
     pub fn write_to(&self, mut output: impl Write) {
         loop {
             let buffer = self.lock();
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Writes what waits to `output` now.
+    /// Writes the buffered lines to `output` now.
     pub fn flush_to(&self, output: &mut impl Write) {
         let (mut lines, dropped_count) = self.take();
         if dropped_count > 0 {
@@ -79,29 +79,29 @@
             lines.extend_from_slice(line.as_bytes());
         }
         for chunk in chunks(&lines) {
-            // A closed output leaves nobody to be told.
+            // An error can't be reported: the log itself is closed.
             let _ = output.write_all(chunk);
             let _ = output.flush();
         }
     }
 }
 
-/// Cuts lines into pieces that a pipe takes whole, each ending with a line.
+/// Splits lines into chunks that a pipe accepts in one write, each ending with a whole line.
 fn chunks(lines: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = lines;
     core::iter::from_fn(move || {
         if rest.is_empty() {
             return None;
         }
-        let reach = rest.len().min(CHUNK_LIMIT_BYTES);
-        let end = rest[..reach].iter().rposition(|byte| *byte == b'\n');
-        let (chunk, left) = rest.split_at(end.map_or(reach, |end| end + 1));
+        let limit_bytes = rest.len().min(CHUNK_LIMIT_BYTES);
+        let end = rest[..limit_bytes].iter().rposition(|byte| *byte == b'\n');
+        let (chunk, left) = rest.split_at(end.map_or(limit_bytes, |end| end + 1));
         rest = left;
         Some(chunk)
     })
 }
 
-/// Creates a logger whose lines go to the buffer.
+/// Creates a logger that writes to the buffer; each line names the node.
 pub fn logger(buffer: &LogBuffer, node: &str) -> Logger {
     let writer = BufferWriter {
         buffer: buffer.clone(),
@@ -121,7 +121,7 @@
     Logger::root(Mutex::new(json).fuse(), o!("node" => node.to_owned()))
 }
 
-/// Puts lines together from the parts that the formatter writes.
+/// Assembles whole lines from the parts that the formatter writes.
 struct BufferWriter {
     buffer: LogBuffer,
     line: Vec<u8>,
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,4 +1,4 @@
-//! A node's own item among the live nodes, which lives by a lease.
+//! Registers a node in the cell, by an item in the store that is bound to a lease.
 
 use crate::cell_view::NodeRecord;
 use crate::keys;
@@ -8,14 +8,14 @@
 use ospreywing_types::Duration;
 use std::rc::Rc;
 
-/// A node's lease.
+/// The duration of a node's lease.
 const NODE_LEASE: Duration = Duration::from_ms(4000);
 /// The time between two renewals of a node's lease.
 const NODE_RENEWAL: Duration = Duration::from_ms(900);
-/// The time until something that failed is tried again.
+/// The pause before a failed call is retried.
 const RETRY: Duration = Duration::from_ms(200);
 
-/// Keeps the node's own item.
+/// Registers the node and renews its lease until it drains.
 pub async fn maintain_membership<P: Platform>(node: Rc<Node<P>>) {
     let mut lease = None;
     while !node.is_draining.get() {
@@ -52,15 +52,15 @@
     }
 }
 
-/// Takes the node's own item away, so that nobody calls it any more.
+/// Removes the node's item, so that other nodes stop calling it.
 pub async fn leave<P: Platform>(node: &Rc<Node<P>>) {
     let key = keys::node(&node.settings.name);
     let transaction = Transaction::new().with_remove(key);
-    // The item goes with its lease otherwise.
+    // If the call fails, the item is removed when its lease expires.
     let _ = node.store.commit(&transaction).await;
 }
 
-/// Returns what the others are told of this node.
+/// Returns the record that this node publishes of itself.
 pub(crate) fn own_node_record<P: Platform>(node: &Node<P>) -> NodeRecord {
     NodeRecord {
         address: node.settings.peer_address.to_string(),
--- a/crates/control/src/metered.rs
+++ b/crates/control/src/metered.rs
@@ -1,4 +1,4 @@
-//! A store whose calls are counted.
+//! A store layer that counts calls and their durations.
 
 use crate::clock;
 use crate::layered::{CallFailure, LayeredStore, StoreCall, StoreLayer};
@@ -7,7 +7,7 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// Counts calls in metrics.
+/// Counts store calls in metrics.
 #[derive(Clone, Debug)]
 pub struct MeteringLayer(Rc<Metrics>);
 
@@ -29,7 +29,7 @@
     ) -> Result<T, E> {
         let begun_at = clock::now();
         let result = future.await;
-        // A watch waits, so its time tells nothing of the store.
+        // A watch waits for changes, so its duration says nothing about the store.
         if call != StoreCall::Watch {
             let outcome = result.as_ref().err().map_or("ok", outcome_of);
             self.0.count_store_call(call.as_str(), outcome, begun_at);
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! A node's counters, gauges and histograms, as text for whoever asks.
+//! A node's counters, gauges and histograms, exported in the OpenMetrics text format.
 
 use crate::clock;
 use crate::platform::{CordonFault, Reply, WorkerEntryFault};
@@ -13,9 +13,9 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicI64;
 
-/// The type of the text, as its format asks for.
+/// The content type of the OpenMetrics text format.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// The first bound of histograms, in seconds; each further one is twice as high.
+/// The first bucket's bound in histograms; each further bound is twice as high.
 const FIRST_BUCKET_S: f64 = 0.002;
 const BUCKETS_COUNT: u16 = 13;
 /// A page of memory, in bytes.
@@ -60,7 +60,7 @@
 
 type IntGauge = Gauge<i64, AtomicI64>;
 
-/// What a node counts.
+/// The metrics of a node.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -80,7 +80,7 @@
     fitting_cores: Family<ServiceLabels, IntGauge>,
     fitting_accelerators: Family<ServiceLabels, IntGauge>,
     fitting_tasks: Family<ServiceLabels, IntGauge>,
-    whole_room_percent: Family<ServiceLabels, IntGauge>,
+    usable_capacity_percent: Family<ServiceLabels, IntGauge>,
     store_calls: Family<StoreLabels, Counter>,
     store_call_s: Histogram,
     terms: Counter,
@@ -118,7 +118,7 @@
 }
 
 impl Metrics {
-    /// Creates metrics that stand at zero.
+    /// Creates metrics that are all zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("ospreywing"),
@@ -138,7 +138,7 @@
             fitting_cores: Family::default(),
             fitting_accelerators: Family::default(),
             fitting_tasks: Family::default(),
-            whole_room_percent: Family::default(),
+            usable_capacity_percent: Family::default(),
             store_calls: Family::default(),
             store_call_s: new_histogram(),
             terms: Counter::default(),
@@ -183,7 +183,7 @@
         );
         registry.register(
             "reply_seconds",
-            "Time from a whole request to its reply",
+            "Time from reading a request's head to its reply",
             self.reply_s.clone(),
         );
         registry.register(
@@ -193,53 +193,57 @@
         );
         registry.register(
             "unreadable_entries",
-            "Workers' entries that name no worker to use, by reason",
+            "Unusable worker entries, by reason",
             self.unreadable_entries.clone(),
         );
         registry.register(
             "worker_entries",
-            "Entries of workers that the store told as written or gone",
+            "Changes of worker entries that the store reported",
             self.worker_entries.clone(),
         );
         registry.register(
             "unusable_cordons",
-            "Cordons that are not followed, by reason",
+            "Unusable cordons, by reason",
             self.unusable_cordons.clone(),
         );
         registry.register(
             "refused_by_forecast",
-            "Jobs that were refused since they would be worth nothing when they are done",
+            "Jobs rejected since they would finish too late to be of use",
             self.refused_by_forecast.clone(),
         );
         registry.register(
             "forecast_milliseconds",
-            "When a job would be done at the best that is handed in now, by queue",
+            "Earliest completion of a job submitted now, by queue",
             self.forecast_ms.clone(),
         );
         registry.register(
             "waiting_steps",
-            "Steps that wait to start, by reason",
+            "Steps waiting to start, by reason",
             self.waiting_steps.clone(),
         );
         registry.register(
             "oldest_wait_milliseconds",
-            "How long the first of them has waited",
+            "Longest wait of these steps, by reason",
             self.oldest_wait_ms.clone(),
         );
         registry.register(
             "store_calls",
-            "Calls of the platform's store",
+            "Calls to the platform's store, by call and outcome",
             self.store_calls.clone(),
         );
         registry.register(
             "store_call_seconds",
-            "Time of the store's calls, but for watches",
+            "Duration of store calls, except watches",
             self.store_call_s.clone(),
         );
-        registry.register("terms", "Terms that this node has led", self.terms.clone());
+        registry.register(
+            "terms",
+            "Terms in which this node has led",
+            self.terms.clone(),
+        );
         registry.register(
             "relayed_orders",
-            "Orders that were handed to relays",
+            "Orders sent through relays",
             self.relayed_orders.clone(),
         );
         registry.register(
@@ -254,56 +258,56 @@
             ("is_leader", "1 while this node leads", &self.is_leader),
             ("active_jobs", "Jobs with work left", &self.active_jobs),
             ("runs", "Runs that occupy workers", &self.runs),
-            ("workers", "Workers that are listed", &self.workers),
-            ("cordons", "Data centres that are cordoned", &self.cordons),
+            ("workers", "Listed workers", &self.workers),
+            ("cordons", "Cordoned data centres", &self.cordons),
             (
                 "unanswered_refusals",
-                "Stops of starts meant for an earlier life of a worker, not answered yet",
+                "Unanswered stops of starts that were meant for an earlier incarnation of a worker",
                 &self.unanswered_refusals,
             ),
             (
                 "worker_list_age_milliseconds",
-                "Time since the list of workers was known to be the newest",
+                "Time since the worker list was confirmed to be the newest",
                 &self.worker_list_age_ms,
             ),
             (
                 "placeable_workers",
-                "Workers that may take a run",
+                "Workers on which runs may start",
                 &self.placeable_workers,
             ),
             (
                 "capacity_millicores",
-                "What these hold, in thousandths of a core",
+                "Capacity of these workers, in thousandths of a core",
                 &self.capacity_millicores,
             ),
             (
                 "used_millicores",
-                "What of it runs occupy",
+                "Part of this capacity that runs occupy",
                 &self.used_millicores,
             ),
             (
                 "overloaded_services",
-                "Services that are short of room",
+                "Services that are short of capacity",
                 &self.overloaded_services,
             ),
             (
                 "waiting_gangs",
-                "Gangs that workers are kept free for",
+                "Gangs for which workers are reserved",
                 &self.waiting_gangs,
             ),
             (
                 "limit_reservations",
-                "Steps for which a part of their customer's limit is reserved",
+                "Steps for which part of their customer's limit is reserved",
                 &self.limit_reservations,
             ),
             (
                 "awaited_workers",
-                "Workers that are kept free",
+                "Workers that are reserved for gangs",
                 &self.awaited_workers,
             ),
             (
                 "slow_workers",
-                "Workers that are known to be slower than others of their service",
+                "Workers known to be slower than others of their service",
                 &self.slow_workers,
             ),
             (
@@ -313,52 +317,52 @@
             ),
             (
                 "learned_sizes",
-                "Sizes of steps whose lengths are learned",
+                "Step sizes with learned durations",
                 &self.learned_sizes,
             ),
             (
                 "forecast_error_percent",
-                "How far off learned lengths were, as a mean factor less 1",
+                "Error of learned durations, as a mean factor minus 1",
                 &self.forecast_error_percent,
             ),
             (
                 "estimate_error_percent",
-                "How far off clients' estimates of the same tasks were",
+                "Error of clients' estimates for the same tasks, as a mean factor minus 1",
                 &self.estimate_error_percent,
             ),
             (
                 "beyond_share_customers",
-                "Customers whose further work comes later, by service",
+                "Customers over their fair share, summed over services",
                 &self.beyond_share_customers,
             ),
             (
                 "largest_share_lag_milliseconds",
-                "How far a customer is ahead of its share at most",
+                "Largest lead of a customer over its fair share",
                 &self.largest_share_lag_ms,
             ),
             (
                 "configuration_version",
-                "The version of the operators' configuration that is in force",
+                "Version of the active operators' configuration",
                 &self.configuration_version,
             ),
             (
                 "configuration_age_milliseconds",
-                "Time since the store last confirmed it",
+                "Time since the store last confirmed this configuration",
                 &self.configuration_age_ms,
             ),
             (
                 "relays",
-                "Nodes that carry this leader's orders",
+                "Nodes that relay this leader's orders",
                 &self.relays,
             ),
             (
                 "loop_lateness_milliseconds",
-                "How late the leader's own loop was lately",
+                "Recent lateness of the leader's event loop",
                 &self.loop_lateness_ms,
             ),
             (
                 "resident_bytes",
-                "The process's resident memory",
+                "Resident memory of the process",
                 &self.resident_bytes,
             ),
         ];
@@ -371,7 +375,7 @@
         let registry = &mut self.registry;
         registry.register(
             "fitting_millicores",
-            "Thousandths of a core of the largest recent task that fits now, by service",
+            "Cores of the largest recent task that fits now, in thousandths, by service",
             self.fitting_cores.clone(),
         );
         registry.register(
@@ -381,29 +385,29 @@
         );
         registry.register(
             "fitting_tasks",
-            "How many such tasks fit now, by service",
+            "Number of such tasks that fit now, by service",
             self.fitting_tasks.clone(),
         );
         registry.register(
             "whole_room_percent",
-            "The part of the free room in which the largest recent task fits, by service",
-            self.whole_room_percent.clone(),
+            "Share of the free capacity in which the largest recent task fits, by service",
+            self.usable_capacity_percent.clone(),
         );
     }
 
-    /// Notes how broken up the free room of each service is; forgets services without room.
-    fn set_fragmentation(&self, rooms: &[ServiceFragmentation]) {
+    /// Sets how fragmented each service's free capacity is; removes services without any.
+    fn set_fragmentation(&self, fragmentations: &[ServiceFragmentation]) {
         self.fitting_cores.clear();
         self.fitting_accelerators.clear();
         self.fitting_tasks.clear();
-        self.whole_room_percent.clear();
-        for room in rooms {
-            let service = room.service.to_string();
+        self.usable_capacity_percent.clear();
+        for fragmentation in fragmentations {
+            let service = fragmentation.service.to_string();
             let labels = ServiceLabels { service };
             let set = |family: &Family<ServiceLabels, IntGauge>, value: i64| {
                 family.get_or_create(&labels).set(value);
             };
-            let fit = &room.largest_fit;
+            let fit = &fragmentation.largest_fit;
             set(&self.fitting_cores, i64::from(fit.cores_milli));
             set(
                 &self.fitting_accelerators,
@@ -411,13 +415,16 @@
             );
             set(
                 &self.fitting_tasks,
-                room.fit_count.min(i64::MAX as u64) as i64,
+                fragmentation.fit_count.min(i64::MAX as u64) as i64,
+            );
+            set(
+                &self.usable_capacity_percent,
+                i64::from(fragmentation.whole_percent),
             );
-            set(&self.whole_room_percent, i64::from(room.whole_percent));
         }
     }
 
-    /// Counts a reply to a request that was read whole at `begun_at`.
+    /// Counts a reply to a request whose head was read at `begun_at`.
     pub fn count_reply(&self, reply: &Reply, begun_at: Instant) {
         let outcome = outcome_of(reply);
         self.replies.get_or_create(&ReplyLabels { outcome }).inc();
@@ -433,31 +440,31 @@
         self.decisions.get_or_create(&labels).inc();
     }
 
-    /// Counts a worker's entry that names no worker to use.
+    /// Counts an unusable worker entry.
     pub fn count_unreadable_entry(&self, fault: WorkerEntryFault) {
         let reason = fault.as_str();
         let labels = EntryLabels { reason };
         self.unreadable_entries.get_or_create(&labels).inc();
     }
 
-    /// Counts entries of workers that the store told as written or gone.
+    /// Counts changes of worker entries that the store reported.
     pub fn count_worker_entries(&self, count: usize) {
         self.worker_entries.inc_by(count as u64);
     }
 
-    /// Notes how old the list of workers is.
+    /// Sets the age of the worker list.
     pub fn set_worker_list_age(&self, age: Duration) {
         self.worker_list_age_ms.set(age.as_ms() as i64);
     }
 
-    /// Counts a cordon that is not followed.
+    /// Counts an unusable cordon.
     pub fn count_unusable_cordon(&self, fault: CordonFault) {
         let reason = fault.as_str();
         let labels = EntryLabels { reason };
         self.unusable_cordons.get_or_create(&labels).inc();
     }
 
-    /// Counts a call of the store that began at `begun_at`.
+    /// Counts a store call that began at `begun_at`.
     pub fn count_store_call(&self, call: &'static str, outcome: &'static str, begun_at: Instant) {
         self.store_calls
             .get_or_create(&StoreLabels { call, outcome })
@@ -465,12 +472,12 @@
         self.store_call_s.observe(seconds_since(begun_at));
     }
 
-    /// Counts a job that was refused by a forecast.
+    /// Counts a job that was rejected by a forecast.
     pub fn count_refused_by_forecast(&self) {
         self.refused_by_forecast.inc();
     }
 
-    /// Notes the forecasts, which name few queues.
+    /// Sets the forecasts by queue; removes queues without one.
     pub fn set_forecast(&self, forecast: Option<&Forecast>) {
         self.forecast_ms.clear();
         for queue in forecast.iter().flat_map(|forecast| &forecast.queues) {
@@ -482,12 +489,12 @@
         }
     }
 
-    /// Notes how many relays the leader uses.
+    /// Sets the number of relays that the leader uses.
     pub fn set_relays_count(&self, count: usize) {
         self.relays.set(count as i64);
     }
 
-    /// Counts orders that were handed to a relay.
+    /// Counts orders that are sent to a relay.
     pub fn count_relayed_orders(&self, count: usize) {
         self.relayed_orders.inc_by(count as u64);
     }
@@ -497,12 +504,12 @@
         self.relays_lost.inc();
     }
 
-    /// Notes how late the leader's own loop was lately.
+    /// Sets the recent lateness of the leader's event loop.
     pub fn set_lateness(&self, lateness: Duration) {
         self.loop_lateness_ms.set(lateness.as_ms() as i64);
     }
 
-    /// Notes that a term has begun or is over.
+    /// Sets whether this node leads; counts a new term, and clears the leader's gauges after one.
     pub fn set_leading(&self, is_leader: bool) {
         self.is_leader.set(i64::from(is_leader));
         if is_leader {
@@ -515,7 +522,7 @@
         }
     }
 
-    /// Notes the sizes of what the leader decides on.
+    /// Sets the gauges of the scheduler's status.
     pub fn set_status(&self, status: &SchedulerStatus) {
         let set = |amount: &IntGauge, count: usize| {
             amount.set(count as i64);
@@ -555,14 +562,14 @@
         }
     }
 
-    /// Notes which configuration is in force, and how long ago the store
-    /// confirmed that there is no newer one.
+    /// Sets the version of the active configuration, and how long ago the store confirmed that
+    /// there is no newer one.
     pub fn set_configuration(&self, version: u64, age: Duration) {
         self.configuration_version.set(version as i64);
         self.configuration_age_ms.set(age.as_ms() as i64);
     }
 
-    /// Returns everything as text.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn to_text(&self) -> String {
         if let Some(bytes) = resident_bytes() {
             self.resident_bytes.set(bytes);
@@ -603,7 +610,7 @@
     }
 }
 
-/// Returns the process's resident memory, where the system tells.
+/// Returns the process's resident memory in bytes, if the system reports it.
 fn resident_bytes() -> Option<i64> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: i64 = text.split_whitespace().nth(1)?.parse().ok()?;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! A node's life, from start to stop.
+//! Runs a node from its start to its shutdown, and holds the state that its parts share.
 
 use crate::admission::ForecastView;
 use crate::cell_view::CellView;
@@ -28,82 +28,82 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{watch, Notify};
 
-/// Idle connections that are kept to each peer.
+/// The idle connections that are kept open to each peer.
 const PEER_IDLE_COUNT: usize = 8;
-/// Groups that may be on their way to the store at once, so that a slow store
-/// does not make one wait for another.
+/// The number of concurrent group commits to the intake, so that one slow commit
+/// does not delay the others.
 const INTAKE_WRITERS_COUNT: usize = 3;
-/// How long a node is ready after the store last answered.
+/// How long after the store's last answer a node still counts as connected to it.
 const STORE_CONTACT_TIMEOUT: Duration = Duration::from_ms(1500);
-/// How long a watch of what every node follows waits.
+/// How long a watch of the keys that every node follows waits for changes.
 pub const WATCH_TIMEOUT: Duration = Duration::from_ms(3000);
-/// How often the settings are looked at for a silent change.
-const RELOAD_PERIOD: Duration = Duration::from_s(2);
-/// How long a stopping node still takes connections, so that the balancer
-/// finds out first.
+/// How often the platform's settings are reloaded without a signal.
+const SETTINGS_RELOAD_PERIOD: Duration = Duration::from_s(2);
+/// How long a stopping node still accepts connections: the load balancer must see
+/// first that it is not ready.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_ms(2600);
-/// What is left of the grace time at the end of a drain.
+/// The part of the grace time that a drain leaves unused.
 const DRAIN_MARGIN: Duration = Duration::from_ms(1000);
 
-/// A node's settings.
+/// The settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// The node's name.
     pub name: String,
-    /// Where clients are served.
+    /// The address on which clients are served.
     pub front_address: SocketAddr,
-    /// Where the balancer asks whether the node is ready.
+    /// The address of the load balancer's readiness probe.
     pub ready_address: SocketAddr,
-    /// Where other nodes call.
+    /// The address on which other nodes call.
     pub peer_address: SocketAddr,
-    /// Where metrics are told, if anywhere.
+    /// The address on which metrics are served, if any.
     pub metrics_address: Option<SocketAddr>,
-    /// The node's data centre; empty where the platform tells none.
+    /// The node's data centre; empty if the platform does not name one.
     pub data_centre: String,
-    /// The node's share of a core, in thousandths.
+    /// The node's processor share, in thousandths of a core.
     pub cores_milli: u32,
-    /// From how many workers on other nodes carry the leader's orders.
+    /// The number of workers from which other nodes relay the leader's orders.
     pub relays_min_workers_count: usize,
-    /// From how many nodes on configurations are handed on from node to node.
+    /// The number of nodes from which nodes fetch configurations from one another.
     pub sharing_min_nodes_count: usize,
     /// The longest lease that a worker grants.
     pub grant_limit: Duration,
-    /// How long a stop may take.
+    /// The time within which the node must stop.
     pub grace: Duration,
-    /// How long a stop may take at a worker.
+    /// The time within which a worker must stop a run.
     pub stop_grace: Duration,
     /// How long a job's outcome is kept.
     pub retention: Duration,
-    /// The time in which a change of the configuration must be in force.
+    /// The time within which a change of the configuration must be in force.
     pub apply_limit: Duration,
-    /// What a store that turns nodes away may add to that.
+    /// The time by which `apply_limit` is extended while the store does not answer.
     pub stretch_limit: Duration,
-    /// The time in which a cordon must be in force.
+    /// The time within which a cordon must be in force.
     pub cordon_limit: Duration,
-    /// The time after which a worker that is leaving must be given nothing new.
+    /// The time after which no new run may start on a worker that is draining.
     pub drain_limit: Duration,
-    /// The time after which keys are not used any more that the store does not confirm,
-    /// where that is set apart.
+    /// The time after which keys that the store has not confirmed are no longer accepted,
+    /// if it is set separately.
     pub revoke_limit: Option<Duration>,
-    /// The decisions under load that are on.
+    /// The optional scheduler features that are enabled.
     pub features: Features,
 }
 
 impl NodeSettings {
-    /// Sets which decisions under load are on.
+    /// Sets which optional scheduler features are enabled.
     pub const fn with_features(mut self, features: Features) -> Self {
         self.features = features;
         self
     }
 
-    /// Sets from how many nodes on configurations are handed on from node to node.
+    /// Sets the number of nodes from which nodes fetch configurations from one another.
     pub const fn with_sharing_min_nodes_count(mut self, count: usize) -> Self {
         self.sharing_min_nodes_count = count;
         self
     }
 }
 
-/// Why a node could not run.
+/// An error that keeps a node from starting.
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// An address could not be listened on.
@@ -119,10 +119,10 @@
     Signals(std::io::Error),
 }
 
-/// The platform's store, as a node calls it.
+/// The platform's store with the layers through which a node calls it.
 pub type NodeStore<P> = ProbedStore<MeteredStore<<P as Platform>::Store>>;
 
-/// A node.
+/// The state that the parts of a node share.
 pub struct Node<P: Platform> {
     /// The platform.
     pub platform: P,
@@ -130,57 +130,57 @@
     pub store: NodeStore<P>,
     /// The settings.
     pub settings: NodeSettings,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Rc<Metrics>,
     /// The log.
     pub log: Logger,
-    /// Connections to other nodes.
+    /// The HTTP client for calls to other nodes.
     pub peers: HttpClient,
-    /// What clients have handed in.
+    /// The queue of jobs and cancels to be written to the store.
     pub intake: Rc<Intake<NodeStore<P>>>,
     /// The operators' configuration.
     pub configuration: ConfigurationView<P>,
-    /// Who leads, and who lives.
+    /// The node's view of the leader, its candidates and the live nodes.
     pub cell: RefCell<CellView>,
-    /// What the leader forecasts for jobs that are handed in now.
+    /// The leader's forecast for jobs that are submitted now.
     pub forecasts: ForecastView,
-    /// Told when the view of the cell has changed.
+    /// Notified when the view of the cell changes.
     pub cell_changed: Notify,
-    /// The node's own term, while it leads.
+    /// The node's current term, while it leads.
     pub term: RefCell<Option<Rc<Term<P>>>>,
-    /// The orders that this node carries for a leader.
+    /// The session in which this node relays a leader's orders.
     pub(crate) relay_server: RelayServer,
     /// When the store last answered.
     pub store_contact_at: Cell<Instant>,
-    /// The lease with which this process last stood for leader.
+    /// The lease of this process's last campaign.
     pub own_lease: Cell<LeaseId>,
-    /// What the node has heard of the leader, where it probes it.
+    /// The failure detector for the leader, if this node probes it.
     pub(crate) detector: Cell<FailureDetector>,
-    /// When the node may next take a leader for gone.
+    /// When the node may next evict a leader.
     pub next_eviction_at: Cell<Instant>,
-    /// What an earlier leader has learned.
+    /// The statistics that a leader sent or that this node recorded as leader.
     pub(crate) learned: RefCell<LearnedSnapshot>,
     /// Whether the node is stopping.
     pub is_draining: Cell<bool>,
 }
 
 impl<P: Platform> Node<P> {
-    /// Notes that the store has answered.
+    /// Records that the store has answered a call.
     pub fn record_store_contact(&self) {
         let now = clock::now();
         if now.since(self.store_contact_at.get()) > STORE_CONTACT_TIMEOUT {
-            info!(self.log, "store regained");
+            info!(self.log, "store contact restored");
         }
         self.store_contact_at.set(now);
         self.intake.record_answer();
     }
 
-    /// Returns whether the store answered a short while ago.
+    /// Returns whether the store has answered within the contact timeout.
     pub fn has_store_contact(&self) -> bool {
         clock::now().since(self.store_contact_at.get()) <= STORE_CONTACT_TIMEOUT
     }
 
-    /// Returns whether new connections should come here.
+    /// Returns whether the load balancer should route new connections to this node.
     pub fn is_ready(&self) -> bool {
         self.configuration.is_known()
             && self.has_store_contact()
@@ -188,19 +188,19 @@
             && !self.is_draining.get()
     }
 
-    /// Returns the node's own term, while it certainly leads.
+    /// Returns the node's term if its lease certainly still holds.
     pub fn valid_term(&self) -> Option<Rc<Term<P>>> {
         let term = self.term.borrow().clone();
         term.filter(|term| term.may_send_orders())
     }
 
-    /// Returns the node's own term, whether or not its lease still holds.
+    /// Returns the node's term, whether or not its lease still holds.
     pub fn term(&self) -> Option<Rc<Term<P>>> {
         self.term.borrow().clone()
     }
 
-    /// Returns whether `names` are those of the live nodes, this one among them,
-    /// in their order; asked at each tick of a term, so without making a list.
+    /// Returns whether `names` equals the result of [`Self::names`]. It allocates nothing,
+    /// since it is called at each tick of a term.
     pub(crate) fn matches_node_names(&self, names: &[Arc<str>]) -> bool {
         let cell = self.cell.borrow();
         let own_name = &self.settings.name;
@@ -209,7 +209,7 @@
         live.map(String::as_str).eq(names.iter().map(AsRef::as_ref))
     }
 
-    /// Returns the names of the live nodes, this one among them.
+    /// Returns the names of the live nodes, including this one.
     pub fn names(&self) -> Vec<Arc<str>> {
         let cell = self.cell.borrow();
         let mut names: Vec<Arc<str>> = cell.nodes.keys().map(|n| Arc::from(n.as_str())).collect();
@@ -220,7 +220,7 @@
     }
 }
 
-/// The sockets without which a node is of no use.
+/// The sockets that a node needs to start.
 struct Sockets {
     clients: Listener,
     ready: Listener,
@@ -228,7 +228,7 @@
 }
 
 impl Sockets {
-    /// Listens where the settings say, and notes there which ports were given.
+    /// Listens on the addresses in the settings, and writes the assigned ports back to them.
     async fn bind(settings: &mut NodeSettings) -> Result<Self, NodeError> {
         let sockets = Self {
             ready: Listener::bind(settings.ready_address).await?,
@@ -242,11 +242,11 @@
     }
 }
 
-/// Runs a node until it is told to stop.
+/// Runs a node until it receives a signal to stop.
 ///
 /// # Errors
 ///
-/// Returns a [`NodeError`] where it can't begin.
+/// Returns a [`NodeError`] if the node can't start.
 pub async fn run<P: Platform>(
     platform: P,
     mut settings: NodeSettings,
@@ -299,14 +299,14 @@
     Ok(())
 }
 
-/// Tells metrics where that was asked for; a node works without them.
+/// Serves metrics if an address is set; a failure to listen is only logged.
 async fn listen_for_metrics<P: Platform>(node: &Rc<Node<P>>, front: &Front<P>) {
     let Some(address) = node.settings.metrics_address else {
         return;
     };
     match Listener::bind(address).await {
         Ok(listener) => front.serve(listener, front::Role::Metrics),
-        Err(error) => warn!(node.log, "no metrics"; "error" => error.to_string()),
+        Err(error) => warn!(node.log, "can't serve metrics"; "error" => error.to_string()),
     }
 }
 
@@ -323,7 +323,7 @@
     tokio::task::spawn_local(leader_probe::probe_leader(node.clone()));
 }
 
-/// Notes contact whenever the store answers again.
+/// Records store contact whenever the store answers again after an outage.
 async fn watch_store_recovery<P: Platform>(node: Rc<Node<P>>) {
     loop {
         node.store.answered().await;
@@ -332,10 +332,10 @@
 }
 
 async fn reload_on_signal<P: Platform>(node: Rc<Node<P>>, mut hup: tokio::signal::unix::Signal) {
-    let mut period = tokio::time::interval(RELOAD_PERIOD.into());
+    let mut period = tokio::time::interval(SETTINGS_RELOAD_PERIOD.into());
     loop {
         tokio::select! {
-            _ = hup.recv() => info!(node.log, "settings read again"; "reason" => "signal"),
+            _ = hup.recv() => info!(node.log, "settings reloaded"; "reason" => "signal"),
             _ = period.tick() => {}
         }
         node.platform.reload();
@@ -357,7 +357,8 @@
     }
 }
 
-/// Gives up the lead, lets the balancer find out, and answers what is open.
+/// Shuts down: resigns as leader, waits until the load balancer stops routing here, and
+/// finishes the open requests.
 async fn drain<P: Platform>(node: &Rc<Node<P>>, front: &Front<P>, stop: &watch::Sender<bool>) {
     info!(node.log, "stopping"; "open" => front.open_count());
     node.is_draining.set(true);
@@ -369,7 +370,7 @@
     let grace_ms = node.settings.grace.as_ms();
     let grace = Duration::from_ms(grace_ms.saturating_sub(DRAIN_MARGIN.as_ms()));
     tokio::time::sleep(DRAIN_ACCEPT_TIME.into()).await;
-    // A receiver that is gone has nothing open.
+    // Without a receiver there are no open connections.
     let _ = stop.send(true);
     while front.open_count() > 0 && clock::now().since(begun) < grace {
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers and calls for advice.
+//! Sends orders to workers and requests to the adviser.
 
 use crate::clock;
 use crate::leader::Term;
@@ -12,11 +12,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What a call for advice may take beyond the adviser's own time.
+/// The timeout of an advice request beyond the adviser's expected time.
 const ADVICE_SLACK: Duration = Duration::from_ms(700);
 
-/// Gives an order to a worker, through its relay where it has one, and tells the
-/// scheduler what became of it.
+/// Sends an order to a worker, through its relay if it has one, and passes the reply to
+/// the scheduler as an event.
 pub fn send_order<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>, to: Endpoint, order: Order) {
     let now = clock::now();
     match term.relays.link_for_worker(now, to.worker) {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Gives an order in a task of its own, unless the term may be over.
+/// Sends an order from this node in a spawned task, unless the term may be over.
 fn send_directly<P: Platform>(
     now: Instant,
     node: &Rc<Node<P>>,
@@ -45,7 +45,7 @@
     });
 }
 
-/// Has a node ask the adviser.
+/// Requests advice on a step through the node `adviser_node`, which may be this one.
 pub fn request_advice<P: Platform>(
     node: &Rc<Node<P>>,
     term: &Rc<Term<P>>,
@@ -78,7 +78,7 @@
     });
 }
 
-/// Asks through another node.
+/// Requests advice through another node.
 async fn advise_through_peer<P: Platform>(
     node: &Rc<Node<P>>,
     address: &str,
--- a/crates/control/src/peer.rs
+++ b/crates/control/src/peer.rs
@@ -1,7 +1,7 @@
-//! What nodes say to one another: one request, one answer, over HTTP.
+//! Calls between nodes: one request and one reply, over HTTP.
 //!
-//! Bodies are in a compact binary form. The calls are few and small, and the
-//! machines have a quarter of a core, so a general RPC library does not pay.
+//! Bodies are encoded with postcard. The calls are few and small, and the boxes have a
+//! quarter of a core, so a general RPC library is not worth its cost.
 
 use crate::caller::Caller;
 use crate::cell_view::LeaderRecord;
@@ -18,136 +18,136 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The path of every call.
+/// The HTTP path of every call.
 pub const PATH: &str = "/peer";
 
-/// What one node asks of another.
+/// A request of one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// To tell a job's state, as its leader.
+    /// Queries a job's state; for the leader.
     Status {
         /// The job.
         job: JobId,
-        /// Who asks.
+        /// The client that queries it.
         caller: Caller,
     },
-    /// To tell how many jobs of a queue have not begun, as its leader.
+    /// Queries how many jobs of a queue have not started; for the leader.
     Pending(String),
-    /// To know of a job that is in the store.
+    /// Notifies the leader of a job that was written to the store.
     JobTaken {
         /// The job.
         job: JobId,
-        /// What was accepted.
+        /// The accepted job.
         record: JobRecord,
     },
-    /// To know of a cancel that is in the store.
+    /// Notifies the leader of a cancel that was written to the store.
     CancelTaken(JobId),
-    /// To write a job to the store, where the caller can't reach it.
+    /// Writes a job to the store, which the sender can't reach.
     Submit {
         /// The job.
         job: JobId,
-        /// What is to be accepted.
+        /// The job to be accepted.
         record: JobRecord,
-        /// The version of the configuration by which it was read.
+        /// The version of the configuration with which the job was parsed.
         version: u64,
     },
-    /// To write a cancel to the store, where the caller can't reach it.
+    /// Writes a cancel to the store, which the sender can't reach.
     Cancel {
         /// The job.
         job: JobId,
-        /// Who cancels it.
+        /// The client that cancels it.
         caller: Caller,
     },
-    /// To tell who leads.
+    /// Queries which node leads; also serves as a probe of the leader.
     Leader,
-    /// To end the lease of a leader that the store does not answer.
+    /// Ends the lease of the sender, a leader that the store does not answer.
     EndLease(LeaseId),
-    /// To ask the adviser.
+    /// Requests advice on a step from the adviser.
     Advise {
         /// The step.
         step: StepKey,
-        /// The ids of the workers to be named.
+        /// The ids of the workers to query.
         workers: Vec<String>,
-        /// How long the call may take, in milliseconds.
+        /// The call's timeout, in milliseconds.
         limit_ms: u64,
     },
-    /// To give these orders, as a relay.
+    /// Sends these orders to workers; for a relay.
     RelayOrders {
         /// The session.
         session: RelaySession,
         /// The orders.
         orders: Vec<RelayedOrder>,
     },
-    /// To tell what became of orders.
+    /// Collects the replies to relayed orders.
     RelayReplies {
         /// The session.
         session: RelaySession,
     },
-    /// To hand on the configuration, as soon as there is a newer one than the one known.
+    /// Fetches the configuration, as soon as there is one newer than the sender's.
     Configuration {
-        /// The revision of the known one; 0 for none.
+        /// The revision of the sender's configuration; 0 for none.
         known: Revision,
-        /// How long the answer may wait for a newer one, in milliseconds.
+        /// How long the request may be held until there is a newer one, in milliseconds.
         wait_ms: u64,
     },
-    /// To tell whether the leader with this lease leaves calls unanswered.
+    /// Queries whether the receiver finds the leader with this lease unresponsive.
     IsLeaderSilent(LeaseId),
-    /// To keep what the leader has learned, for a term of the node's own.
+    /// Passes on the leader's learned statistics, in case the receiver leads next.
     Learned(Learned),
 }
 
-/// What it answers.
+/// The reply to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The job's state, where the leader knows the job.
+    /// The job's state, if the leader knows the job and the caller may see it.
     Status(Option<JobView>),
-    /// How many jobs have not begun.
+    /// The number of jobs that have not started.
     Pending(u64),
-    /// Noted.
+    /// The request was accepted.
     Taken,
-    /// The node is not the leader; it knows of this one, or of none.
+    /// The node does not lead, or was asked who leads; the leader as far as it knows.
     NotLeader(Option<LeaderRecord>),
-    /// The lease is over.
+    /// The lease was ended.
     Ended,
     /// The job or cancel is in the store.
     Accepted,
-    /// There is no such job.
+    /// The job does not exist.
     NoJob,
-    /// Nothing was done.
+    /// The request was rejected; nothing was done.
     Refused,
-    /// What was done is not known.
+    /// The outcome is unknown.
     Unknown,
-    /// The workers that may run the step, with their tickets.
+    /// The adviser's answer, if there was one.
     Advice(Option<AdviceAnswer>),
-    /// What became of orders.
+    /// The replies to relayed orders.
     Relayed(Vec<RelayedReply>),
-    /// The id is that of another customer's job; nothing was done.
+    /// Another customer's job has this id; nothing was done.
     IdTaken,
     /// The configuration.
     Configuration(SharedConfiguration),
-    /// Whether the leader leaves calls unanswered.
+    /// Whether the node finds the leader unresponsive.
     LeaderSilent(bool),
-    /// Noted, by a leader whose services are overloaded.
+    /// The notification was accepted by a leader whose services are overloaded; its forecast.
     TakenInOverload(Forecast),
 }
 
-/// What a node tells another one of the configuration.
+/// A node's reply to a configuration fetch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedConfiguration {
-    /// A newer one than the one known, where there is one.
+    /// The configuration, if it is newer than the receiver's.
     pub item: Option<SharedItem>,
-    /// How long ago the store confirmed to the node that there is no newer one.
+    /// How long ago the store confirmed to the node that there is no newer one, in milliseconds.
     pub age_ms: u64,
-    /// For how long the node held the question back.
+    /// How long the node held the request before it answered, in milliseconds.
     pub held_ms: u64,
 }
 
-/// A stored configuration, as it stands in the store.
+/// A stored configuration.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedItem {
     /// The revision of its last change.
     pub revision: Revision,
-    /// Its value, which holds customers' keys.
+    /// Its value, which contains customers' keys and so is not shown by `Debug`.
     pub value: Vec<u8>,
 }
 
@@ -162,44 +162,44 @@
 /// The adviser's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdviceAnswer {
-    /// Ids of workers and their tickets.
+    /// The workers that may run the step.
     pub good: Vec<GoodWorker>,
-    /// How long the tickets hold, in milliseconds.
+    /// How long the tickets are valid, in milliseconds.
     pub validity_ms: u64,
 }
 
 /// A worker that may run a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GoodWorker {
-    /// Its id.
+    /// The worker's id.
     pub worker: Arc<str>,
-    /// Its ticket.
+    /// The adviser's ticket for the worker.
     pub ticket: Arc<str>,
 }
 
-/// Why a peer gave no answer.
+/// Why a call to another node failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PeerError {
-    /// The call failed.
+    /// The HTTP call failed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The answer can't be read.
-    #[error("the answer can't be read")]
+    /// A message can't be encoded or parsed.
+    #[error("the answer can't be parsed")]
     Malformed,
 }
 
 impl PeerError {
-    /// Returns whether the peer certainly has not received the call.
+    /// Returns whether the other node certainly has not received the call.
     pub const fn is_not_sent(&self) -> bool {
         matches!(self, Self::Http(error) if error.is_not_sent())
     }
 }
 
-/// Calls another node.
+/// Calls another node, with a timeout.
 ///
 /// # Errors
 ///
-/// Returns a [`PeerError`] where there was no usable answer.
+/// Returns a [`PeerError`] if there was no usable answer.
 pub async fn call(
     client: &HttpClient,
     address: &str,
@@ -212,12 +212,12 @@
     postcard::from_bytes(&answer.body).map_err(|_| PeerError::Malformed)
 }
 
-/// Reads a call.
+/// Parses the body of a call; `None` if it is malformed.
 pub fn decode(body: &[u8]) -> Option<PeerRequest> {
     postcard::from_bytes(body).ok()
 }
 
-/// Writes an answer.
+/// Encodes a reply as an HTTP response.
 pub fn encode(reply: &PeerReply) -> http::Response<Full<Bytes>> {
     let body = postcard::to_allocvec(reply).unwrap_or_default();
     http::Response::new(Full::new(Bytes::from(body)))
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the product needs of the platform that it runs on.
+//! The interface between a node and the platform that it runs on.
 
 use crate::caller::Caller;
 use crate::store::Store;
@@ -13,10 +13,10 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What a client asks for.
+/// A client request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// To take a job.
+    /// Submits a job.
     Submit {
         /// The job's id.
         job: JobId,
@@ -24,66 +24,66 @@
         queue: String,
         /// The queue's service.
         service: String,
-        /// What is to be done.
+        /// The job's specification.
         spec: JobSpec,
-        /// Who hands it in.
+        /// The client that submits it.
         caller: Caller,
     },
-    /// To tell a job's state.
+    /// Queries a job's state.
     Status {
         /// The job's id.
         job: JobId,
-        /// Who asks.
+        /// The client that queries it.
         caller: Caller,
     },
-    /// To cancel a job.
+    /// Cancels a job.
     Cancel {
         /// The job's id.
         job: JobId,
-        /// Who cancels it.
+        /// The client that cancels it.
         caller: Caller,
     },
-    /// To tell how many jobs of a queue have not begun.
+    /// Queries how many jobs of a queue have not started.
     Pending {
         /// The queue.
         queue: String,
     },
 }
 
-/// When to come back.
+/// When a client may retry a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retry {
-    /// After this time.
+    /// The delay before the retry.
     pub after: Duration,
 }
 
-/// What a client is told.
+/// The reply to a client request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The job is in the store.
+    /// The job is written to the store.
     Accepted,
-    /// The cancel is in the store.
+    /// The cancel is written to the store.
     Cancelled,
     /// The job's state.
     Status {
-        /// Its life.
+        /// The phase of its life cycle.
         phase: Phase,
-        /// Whether a task has begun.
+        /// Whether any of its tasks has started.
         has_begun: bool,
     },
-    /// How many jobs have not begun.
+    /// The number of jobs that have not started.
     Pending(u64),
-    /// There is no such queue.
+    /// The queue does not exist.
     NoQueue,
-    /// There is no such job.
+    /// The job does not exist.
     NoJob,
-    /// The caller has shown no key, or one that is no customer's; nothing was done.
+    /// The caller sent no key, or one that belongs to no customer; nothing was done.
     NoCustomer,
-    /// The id is that of another customer's job; nothing was done.
+    /// Another customer's job has this id; nothing was done.
     IdTaken,
     /// The job can never run within its customer's limit; nothing was done.
     BeyondLimit {
-        /// The first step that can't.
+        /// The index of the first step that exceeds the limit.
         step: usize,
     },
     /// The request is malformed; nothing was done.
@@ -95,60 +95,60 @@
     },
     /// The request is too large; nothing was done.
     TooLarge {
-        /// The limit.
+        /// The largest body that is accepted.
         limit_bytes: usize,
     },
-    /// The method is not one of the queue's.
+    /// The queue does not have this method.
     NoMethod,
     /// The request did not arrive in time; nothing was done.
     TooSlow,
-    /// Nothing was done.
+    /// The node can't serve the request now; nothing was done.
     Unavailable(Retry),
-    /// The outcome is not known; the request may be repeated.
+    /// The outcome is unknown; the client may repeat the request.
     Unknown,
 }
 
-/// The head of a request.
+/// The head of an HTTP request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestHead<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'a http::Method,
-    /// The path.
+    /// The path of the URI.
     pub path: &'a str,
     /// The headers.
     pub headers: &'a http::HeaderMap,
 }
 
-/// Limits on what clients send.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// The largest head.
+    /// The largest request head.
     pub head_limit_bytes: usize,
-    /// The largest body.
+    /// The largest request body.
     pub body_limit_bytes: usize,
-    /// How long a request may take to arrive.
+    /// The time within which a request body must arrive.
     pub read_timeout: Duration,
-    /// How long a connection may be idle.
+    /// The time that a connection may wait for the next request head.
     pub idle_timeout: Duration,
 }
 
-/// A look at a worker, which may renew its lease.
+/// The parameters of one poll of a worker, which may renew its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerPoll {
-    /// Until when the lease holds, on the worker's clock; `None` to ask only.
+    /// The end of the renewed lease on the worker's clock; `None` leaves the lease as it is.
     pub until_ms: Option<u64>,
-    /// The last end that the worker may forget.
+    /// The number of the last ended run that was received; the worker may drop it and earlier ones.
     pub last_seen: u64,
-    /// How long the worker may wait for an end.
+    /// How long the worker may wait for a run to end before it replies.
     pub wait: Duration,
-    /// How long the answer may take beyond that.
+    /// The timeout for the reply, beyond `wait`.
     pub patience: Duration,
 }
 
-/// A call of an outside system brought nothing.
+/// A value of an external system could not be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// What was read is not as agreed.
+    /// The value does not have the expected form.
     #[error("{field}: {reason}")]
     Malformed {
         /// The field.
@@ -158,22 +158,22 @@
     },
 }
 
-/// What makes a worker's entry one that names no worker to use.
+/// Why a worker's entry is unusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum WorkerEntryFault {
-    /// A field is missing or of another type, or the bytes can't be read.
+    /// A field is missing or has the wrong type, or the bytes can't be parsed.
     #[error("a field is missing or can't be read")]
     Form,
-    /// The id is none.
+    /// The id is invalid.
     #[error("the id can't be used")]
     Id,
-    /// The address is none.
+    /// The address is not `IP:port`.
     #[error("the address is not IP:port")]
     Address,
-    /// The state is not one that is known.
+    /// The state is unknown.
     #[error("the state is not known")]
     State,
-    /// It names no service.
+    /// The service is missing.
     #[error("there is no service")]
     Service,
 }
@@ -191,7 +191,7 @@
     }
 }
 
-/// A worker's entry names no worker to use.
+/// A worker's entry is unusable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}: {fault} ({detail})")]
 pub struct WorkerEntryError {
@@ -199,17 +199,17 @@
     pub key: String,
     /// What is wrong.
     pub fault: WorkerEntryFault,
-    /// Where.
+    /// The value or position that is wrong.
     pub detail: String,
 }
 
-/// What makes a cordon one that is not followed.
+/// Why a cordon is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum CordonFault {
-    /// The bytes can't be read.
+    /// The bytes can't be parsed.
     #[error("it can't be read")]
     Form,
-    /// It names no data centre that there is.
+    /// The data centre does not exist.
     #[error("there is no such data centre")]
     DataCentre,
 }
@@ -224,7 +224,7 @@
     }
 }
 
-/// A cordon is not followed.
+/// A cordon is unusable and therefore ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}: {fault} ({detail})")]
 pub struct CordonError {
@@ -232,91 +232,91 @@
     pub key: String,
     /// What is wrong.
     pub fault: CordonFault,
-    /// Where.
+    /// The value or position that is wrong.
     pub detail: String,
 }
 
-/// The platform.
+/// The platform on which a cell runs: its store, configuration, workers and adviser.
 #[allow(async_fn_in_trait, reason = "every node runs on one thread")]
 pub trait Platform: Clone + 'static {
     /// The store.
     type Store: Store;
-    /// How requests find their queues and callers are known, from the operators'
-    /// configuration.
+    /// The part of the operators' configuration that maps requests to queues and
+    /// keys to customers.
     type Routes: 'static;
-    /// A request that was let in by its head.
+    /// A request that was admitted by its head.
     type Admission;
 
     /// Returns the store.
     fn store(&self) -> Self::Store;
 
-    /// Returns the key of the operators' configuration.
+    /// Returns the store key of the operators' configuration.
     fn configuration_key(&self) -> &'static str;
 
-    /// Reads the operators' configuration.
+    /// Parses the operators' configuration.
     ///
     /// # Errors
     ///
-    /// Returns a [`CallError`] that names the field.
+    /// Returns a [`CallError`] that names the malformed field.
     fn parse_configuration(&self, value: &[u8])
         -> Result<(Configuration, Self::Routes), CallError>;
 
-    /// Returns the prefix below which live workers stand.
+    /// Returns the key prefix of the live workers' entries.
     fn workers_prefix(&self) -> &'static str;
 
-    /// Reads a worker's entry.
+    /// Parses a worker's entry.
     ///
     /// # Errors
     ///
-    /// Returns an [`WorkerEntryError`] where the entry names no worker to use.
+    /// Returns a [`WorkerEntryError`] if the entry is unusable.
     fn parse_worker(&self, key: &str, value: &[u8]) -> Result<WorkerFacts, WorkerEntryError>;
 
-    /// Returns the prefix below which the operators' cordons stand.
+    /// Returns the key prefix of the operators' cordons.
     fn cordons_prefix(&self) -> &'static str;
 
-    /// Reads a cordon; returns the data centre that it names.
+    /// Parses a cordon and returns the data centre that it names.
     ///
     /// # Errors
     ///
-    /// Returns a [`CordonError`] where it is not to be followed.
+    /// Returns a [`CordonError`] if the cordon is unusable.
     fn parse_cordon(&self, key: &str, value: &[u8]) -> Result<Arc<str>, CordonError>;
 
-    /// Returns the limits on what clients send.
+    /// Returns the limits on client requests.
     fn limits(routes: &Self::Routes) -> RequestLimits;
 
-    /// Finds out what a request is for and who calls, by its head alone.
+    /// Identifies the queue, method and caller of a request by its head alone.
     ///
     /// # Errors
     ///
-    /// Returns the reply to a request that is not let in.
+    /// Returns the reply to send if the request is not admitted.
     fn admit(&self, routes: &Self::Routes, head: RequestHead<'_>)
         -> Result<Self::Admission, Reply>;
 
-    /// Reads the body of a request that was let in.
+    /// Parses the body of an admitted request.
     ///
     /// # Errors
     ///
-    /// Returns the reply to a request that can't be read.
+    /// Returns the reply to send if the body is malformed.
     fn parse_call(&self, admission: Self::Admission, body: &[u8]) -> Result<Call, Reply>;
 
-    /// Writes a reply.
+    /// Encodes a reply as an HTTP response.
     fn encode(&self, reply: &Reply) -> http::Response<Full<Bytes>>;
 
-    /// Returns whether this is the question whether the node is ready.
+    /// Returns whether a request is the load balancer's readiness probe.
     fn is_readiness_probe(&self, method: &http::Method, path: &str) -> bool;
 
-    /// Renews a worker's lease and asks for its lists.
+    /// Polls a worker for its running and ended runs, and renews its lease if the poll says so.
     async fn hold(&self, to: &Endpoint, fence: u64, look: WorkerPoll) -> HoldReply;
 
-    /// Starts a run.
+    /// Starts a run on a worker.
     async fn start(&self, to: &Endpoint, fence: u64, order: &StartOrder) -> StartReply;
 
-    /// Stops a run.
+    /// Stops a run on a worker.
     async fn stop(&self, to: &Endpoint, fence: u64, task: TaskKey, run: u32) -> StopReply;
 
-    /// Asks the adviser which workers may run a step.
+    /// Asks the adviser which workers may run a step, with a timeout of `limit`.
     async fn advise(&self, step: StepKey, workers: &[Arc<str>], limit: Duration) -> AdviceReply;
 
-    /// Reads the platform's settings again; called on a signal and now and then.
+    /// Reloads the platform's settings; called on a signal and periodically.
     fn reload(&self) {}
 }
--- a/crates/control/src/probed.rs
+++ b/crates/control/src/probed.rs
@@ -1,10 +1,10 @@
-//! A store whose return from silence is noticed at once.
+//! A store layer that detects the end of an outage at once.
 //!
-//! A call that was sent while the store was silent may hang until its time
-//! limit, although the store answers again. So after a call without an answer
-//! small reads go out at a short pace, without waiting for one another; once
-//! they are answered, calls that have waited for much longer than they took
-//! are given up, and whoever made them tries again.
+//! A call that was sent during an outage may hang until its timeout although the store
+//! answers again. So after an unanswered call this layer sends small reads (probes) at a
+//! short interval, without waiting for one another. Once probes are answered, calls that
+//! have been open for much longer than a probe took are abandoned, so that their callers
+//! can retry them.
 
 use crate::layered::{CallFailure, LayeredStore, StoreCall, StoreLayer};
 use crate::store::{transfer_time, Store, StoreError};
@@ -15,39 +15,39 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The time between two probes: a tenth of a second of an outage's end is lost
-/// at most, and a cell of forty nodes reads 400 times a second.
+/// The time between two probes. The end of an outage is detected at most 0.1 s late, and
+/// a cell of forty nodes sends 400 probes a second.
 const PROBE_PERIOD: Duration = Duration::from_ms(100);
-/// How long probes go on after the first answer: as long as the longest time
-/// limit of a call, so that each that was sent before is looked at.
+/// How long probes continue after the first answer: as long as the longest timeout of a
+/// call, so that every call that was sent before is checked.
 const PROBE_TAIL_TIME: Duration = Duration::from_ms(500);
-/// How many times as long as a probe a call may take. A transaction is larger
-/// than a probe, and a slow store's answers differ by half.
+/// The factor by which a call may take longer than a probe. A transaction is larger
+/// than a probe, and a slow store's answer times vary by half.
 const OVERDUE_FACTOR: u64 = 3;
-/// What a call may take beyond that.
+/// The time that a call may take beyond that.
 const OVERDUE_SLACK: Duration = Duration::from_ms(120);
 
-/// What is known of the store's silence.
+/// The state of an outage of the store.
 #[derive(Debug, Default)]
 struct OutageState {
     is_probing: Cell<bool>,
-    /// Calls that were sent before this are given up.
+    /// Calls that were sent before this instant are abandoned.
     overdue_before: Cell<Instant>,
     answered: Notify,
 }
 
-/// Probes a store after a call without an answer.
+/// A layer that probes a store after an unanswered call.
 #[derive(Clone, Debug)]
 pub struct ProbingLayer<S> {
     store: S,
     outage: Rc<OutageState>,
 }
 
-/// A store whose return from silence is noticed at once.
+/// A store that is probed after an unanswered call.
 pub type ProbedStore<S> = LayeredStore<S, ProbingLayer<S>>;
 
 impl<S: Store> ProbedStore<S> {
-    /// Creates a store that probes `store` after a call without an answer.
+    /// Creates a store that probes `store` after an unanswered call.
     pub fn new(store: S) -> Self {
         let layer = ProbingLayer {
             store: store.clone(),
@@ -56,7 +56,7 @@
         Self::with_layer(store, layer)
     }
 
-    /// Waits until the store answers a probe after a silence.
+    /// Waits until the store answers a probe after an outage.
     pub async fn answered(&self) {
         self.layer().answered().await;
     }
@@ -67,8 +67,8 @@
         self.outage.answered.notified().await;
     }
 
-    /// Makes a call, and gives it up where probes have outrun it by more than
-    /// what it has to send takes.
+    /// Makes a call, and abandons it if it is overdue compared with a probe. The time for
+    /// sending its data does not count.
     async fn abandon_when_overdue<T, E: CallFailure>(
         &self,
         call: impl Future<Output = Result<T, E>>,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Sends probes until the store has answered them for a while.
+    /// Sends probes until [`PROBE_TAIL_TIME`] after the first answer.
     async fn probe(self) {
         let first_answer_at = Rc::new(Cell::new(None));
         loop {
@@ -122,10 +122,10 @@
         }
     }
 
-    /// Sends one probe; returns when it was answered.
+    /// Sends one probe; returns when it was answered, if it was.
     async fn probe_once(&self) -> Option<Instant> {
         let sent_at = clock::now();
-        // An error says what began the probes: there is no answer yet.
+        // An error means that the outage continues.
         self.store.get(keys::LEADER).await.ok()?;
         let now = clock::now();
         let limit = now.since(sent_at).times(OVERDUE_FACTOR) + OVERDUE_SLACK;
@@ -147,7 +147,7 @@
         future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
         match call {
-            // How long these take is a matter of the size of what they bring.
+            // How long these take depends on the size of their answers.
             StoreCall::Range | StoreCall::Watch => future.await,
             StoreCall::Commit { len_bytes } => {
                 self.abandon_when_overdue(future, transfer_time(len_bytes))
@@ -161,7 +161,7 @@
     }
 
     async fn pause(&self, length: Duration) {
-        // Which of the two ended it makes no difference.
+        // It makes no difference which of the two ended the pause.
         let _ = tokio::time::timeout(length.into(), self.answered()).await;
     }
 }
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading what the store keeps, at the start of a term.
+//! Recovery of the scheduler's state from the store at the start of a term.
 
 use crate::follow::{read_all, Update};
 use crate::keys::{self, IntakeKey};
@@ -12,12 +12,14 @@
 use slog::{warn, Logger};
 use std::rc::Rc;
 
-/// Failed attempts after which another node may try.
+/// Failed attempts after which the leader gives up, so that another node may try.
 const ATTEMPTS_LIMIT_COUNT: usize = 3;
-/// The time between two attempts.
+/// The pause between two attempts.
 const RETRY: Duration = Duration::from_ms(100);
 
-/// Reads what the store keeps; `None` where the term is over before.
+/// Reads the state of all jobs from the store, and returns it with the intake's revision.
+///
+/// Returns `None` if the term ends first or all attempts fail.
 pub async fn recover<P: Platform>(
     node: &Rc<Node<P>>,
     term: &Rc<Term<P>>,
@@ -42,14 +44,14 @@
     term: &Term<P>,
 ) -> Result<(Recovered, Revision), StoreError> {
     let begun_at = clock::now();
-    // All at once: a slow store makes each page long.
+    // Read concurrently, since a slow store delays each page.
     let intake = read_all(&node.store, keys::INTAKE_PREFIX);
     let states = read_all(&node.store, keys::STATE_PREFIX);
     let cordons = read_all(&node.store, node.platform.cordons_prefix());
     let nodes = read_all(&node.store, keys::NODES_PREFIX);
     let (intake, states, cordons, nodes) = tokio::join!(intake, states, cordons, nodes);
     let ((intake, at), (states, _), (cordons, _)) = (intake?, states?, cordons?);
-    // The first looks at the workers go through relays.
+    // The nodes are needed to choose relays for the first polls of the workers.
     cell_follow::handle_nodes_update(node, Update::Snapshot(nodes?.0));
     let mut recovered = assemble(&node.log, intake, &states, clock::wall_ms());
     recovered.cordons = cordons::read_all(node, &cordons);
@@ -57,12 +59,13 @@
     Ok((recovered, at))
 }
 
-/// Puts together what the store keeps of all jobs; what can't be read is logged.
+/// Assembles the recovered state from the stored items; items that can't be parsed are
+/// logged.
 ///
-/// A job whose state can't be read is none that has not begun: its tasks may
-/// run, or may be done. It is kept apart.
+/// A job whose state can't be parsed must not be treated as one that has not started: its
+/// tasks may be running or finished. Such jobs are listed in `unreadable` instead.
 pub fn assemble(log: &Logger, mut intake: Vec<Item>, states: &[Item], wall_ms: u64) -> Recovered {
-    // The order in which jobs were accepted.
+    // By the order in which the jobs were accepted.
     intake.sort_by_key(|item| item.revision);
     let mut recovered = Recovered {
         wall_ms,
@@ -98,20 +101,20 @@
     recovered
 }
 
-/// Reads what the store keeps under a job's key.
+/// Parses the item under a job's key.
 ///
 /// # Errors
 ///
-/// Returns a [`StateError`] where that can't be read.
+/// Returns a [`StateError`] if the item can't be parsed.
 pub fn parse_stored_job(item: &Item) -> Result<StoredJob, StateError> {
     StoredJob::from_bytes(item.bytes().map_err(malformed)?)
 }
 
-/// Reads what the store keeps of a job's progress.
+/// Parses a job's progress.
 ///
 /// # Errors
 ///
-/// Returns a [`StateError`] where that can't be read.
+/// Returns a [`StateError`] if the item can't be parsed.
 pub fn parse_stored_state(item: &Item) -> Result<JobState, StateError> {
     JobState::from_bytes(item.bytes().map_err(malformed)?)
 }
@@ -120,7 +123,7 @@
     StateError::Malformed(error.to_string())
 }
 
-/// Notes a stored item that can't be read.
+/// Logs a stored item that can't be parsed.
 pub fn log_unreadable_item(log: &Logger, key: &str, error: &str) {
     warn!(log, "stored item can't be read"; "key" => key, "error" => error);
 }
--- a/crates/control/src/relay/link.rs
+++ b/crates/control/src/relay/link.rs
@@ -1,4 +1,4 @@
-//! The leader's side of one relay: orders go out in batches, replies come in.
+//! The leader's side of one relay: sends orders in batches and collects the replies.
 
 use crate::leader::Term;
 use crate::node::Node;
@@ -17,29 +17,28 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How long a relay may take to say that it has taken a batch, and to answer the
-/// question for replies beyond the time that it waits: an answer takes some
-/// milliseconds.
+/// The timeout for a relay to acknowledge a batch, and to answer a collect call beyond
+/// its wait. An answer usually takes some milliseconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_ms(400);
-/// The least time between two batches to one relay: starts come in groups, with the
-/// commits.
+/// The minimum time between two batches to one relay. Starts are sent in groups, one
+/// for each commit.
 const BATCH_INTERVAL: Duration = Duration::from_ms(8);
-/// The most orders in a batch: a start has up to 4.5 KB, with the text of its job,
-/// and nodes take bodies of 4 MB from one another.
+/// The most orders in a batch: a start has up to 4.5 KB, including its job's payload,
+/// and nodes accept bodies of 4 MB from one another.
 const BATCH_LIMIT_COUNT: usize = 500;
-/// How long a loop without work sleeps before it looks whether the term is over.
-const IDLE_PERIOD: Duration = Duration::from_ms(500);
-/// How long an order may be open. The longest is a renewal that waits 2 s at its
-/// worker and may then take a second.
+/// How long an idle loop waits before it checks whether the term is over.
+const IDLE_TIMEOUT: Duration = Duration::from_ms(500);
+/// How long an order may be open. The longest is a poll, which waits 2 s at its
+/// worker and may then take another second.
 const ORDER_TIMEOUT: Duration = Duration::from_ms(5000);
 
-/// An order that was handed to a relay.
+/// An order that was queued for a relay and is not answered yet.
 struct OpenEntry {
     order: OpenOrder,
     queued_at: Instant,
 }
 
-/// A relay as its leader uses it.
+/// The leader's session with one relay.
 pub(crate) struct RelayLink {
     pub(crate) name: Arc<str>,
     address: Arc<str>,
@@ -50,7 +49,7 @@
     queued: Notify,
     opened: Notify,
     is_lost: Cell<bool>,
-    /// Whether it gets no further orders.
+    /// Whether it is sent no further orders.
     is_retired: Cell<bool>,
 }
 
@@ -78,7 +77,7 @@
         self.is_retired.set(is_retired);
     }
 
-    /// Puts an order into the next batch.
+    /// Queues an order for the next batch.
     pub(crate) fn send(&self, now: Instant, to: Endpoint, order: Order) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -93,8 +92,8 @@
         self.opened.notify_one();
     }
 
-    /// Returns whether the link is of no more use; a retired one is lost with its
-    /// last reply, so that nobody uses it again.
+    /// Returns whether the link is closed. A retired link is marked as lost once it has no
+    /// open orders, so that it is not used again.
     fn is_over<P: Platform>(&self, term: &Term<P>) -> bool {
         if self.is_retired.get() && self.open.borrow().is_empty() {
             self.is_lost.set(true);
@@ -108,7 +107,7 @@
         queue.drain(..count).collect()
     }
 
-    /// Tells the scheduler of orders that were certainly not given.
+    /// Reports to the scheduler that orders were certainly not sent.
     fn report_not_sent<P: Platform>(&self, term: &Term<P>, numbers: &[u64]) {
         for number in numbers {
             if let Some(entry) = self.open.borrow_mut().remove(number) {
@@ -117,8 +116,8 @@
         }
     }
 
-    /// Takes in that the relay does not answer: nothing is known of what it holds,
-    /// and what it was not sent was not given.
+    /// Closes the link since the relay does not answer: orders that were sent to it count as
+    /// unanswered, queued ones as not sent.
     fn mark_lost<P: Platform>(&self, node: &Node<P>, term: &Term<P>, reason: &str) {
         if self.is_lost.replace(true) {
             return;
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Gives up orders of which nothing was heard for too long.
+    /// Reports orders as unanswered that have been open for too long.
     fn expire_orders<P: Platform>(&self, term: &Term<P>, now: Instant) {
         let is_old = |entry: &OpenEntry| now.since(entry.queued_at) > ORDER_TIMEOUT;
         loop {
@@ -152,7 +151,7 @@
     }
 }
 
-/// Begins to use a relay.
+/// Starts the tasks that send a relay's orders and collect its replies.
 pub(crate) fn open<P: Platform>(node: &Rc<Node<P>>, term: &Rc<Term<P>>, link: &Rc<RelayLink>) {
     info!(node.log, "relay used"; "relay" => link.name.as_ref(),
         "session" => link.session.number, "fence" => link.session.fence);
@@ -160,13 +159,13 @@
     tokio::task::spawn_local(collect_replies(node.clone(), term.clone(), link.clone()));
 }
 
-/// Hands orders over until the relay is of no more use.
+/// Sends queued orders until the link is closed.
 async fn send_orders<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>, link: Rc<RelayLink>) {
     while !link.is_over(&term) {
         let orders = link.take_batch();
         if orders.is_empty() {
-            // Both ends of the wait lead to the same look.
-            let _ = timeout(IDLE_PERIOD.into(), link.queued.notified()).await;
+            // Whether notified or timed out, the queue is checked again.
+            let _ = timeout(IDLE_TIMEOUT.into(), link.queued.notified()).await;
             continue;
         }
         let numbers: Vec<u64> = orders.iter().map(|order| order.number).collect();
@@ -191,14 +190,14 @@
     }
 }
 
-/// Collects replies until the relay is of no more use.
+/// Collects replies until the link is closed.
 async fn collect_replies<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>, link: Rc<RelayLink>) {
     let request = PeerRequest::RelayReplies {
         session: link.session,
     };
     while !link.is_over(&term) {
         if link.open.borrow().is_empty() {
-            let _ = timeout(IDLE_PERIOD.into(), link.opened.notified()).await;
+            let _ = timeout(IDLE_TIMEOUT.into(), link.opened.notified()).await;
             continue;
         }
         let limit = COLLECT_TIMEOUT + ANSWER_TIMEOUT;
--- a/crates/control/src/relay/links.rs
+++ b/crates/control/src/relay/links.rs
@@ -1,4 +1,4 @@
-//! The relays of a leader's term.
+//! The links to all relays of a leader's term, and the choice of relays.
 
 use crate::leader::Term;
 use crate::node::Node;
@@ -16,28 +16,28 @@
 
 /// The time between two choices of relays.
 const CHOICE_PERIOD: Duration = Duration::from_ms(500);
-/// How long a relay that did not answer is not used again.
+/// How long a relay is not used after it did not answer.
 const LOST_RELAY_PAUSE: Duration = Duration::from_ms(3000);
-/// For how long the orders to a worker that did not answer through its relay go
-/// out directly: long enough for its repeats, so that no worker is taken for
-/// silent because of its relay alone.
+/// How long orders to a worker are sent directly after it did not answer through its
+/// relay. It is long enough for the repeated calls, so that no worker is taken to be
+/// unresponsive only because of its relay.
 const BYPASS_TIME: Duration = Duration::from_ms(5000);
 
-/// The relays that a leader uses.
+/// The links to the relays that a leader uses.
 #[derive(Default)]
 pub(crate) struct RelayLinks {
     links: RefCell<Vec<Rc<RelayLink>>>,
     by_worker: RefCell<SecondaryMap<WorkerKey, Option<Rc<RelayLink>>>>,
-    /// Until when the orders to a worker go out directly.
+    /// The instants until which orders to a worker are sent directly.
     bypassed_until: RefCell<HashMap<WorkerKey, Instant>>,
-    /// Until when a node is not used.
+    /// The instants until which a node is not used as a relay.
     paused_until: RefCell<HashMap<Arc<str>, Instant>>,
     sessions_count: Cell<u64>,
     next_choice_at: Cell<Instant>,
 }
 
 impl RelayLinks {
-    /// Returns the relay that carries the orders of a worker, where one does.
+    /// Returns the link for a worker's orders; `None` if they are sent directly.
     pub(crate) fn link_for_worker(&self, now: Instant, worker: WorkerKey) -> Option<Rc<RelayLink>> {
         let link = self.by_worker.borrow()[worker].clone()?;
         let detour = self.bypassed_until.borrow().get(&worker).copied();
@@ -45,8 +45,8 @@
         (!is_detoured && !link.is_lost()).then_some(link)
     }
 
-    /// Gives further orders to these relays alone. Others are kept until their last
-    /// order is answered, since a node has one session at a time.
+    /// Sends further orders through these links only. The others stay until their last
+    /// order is answered, since a node has only one session at a time.
     fn set_active(&self, used: Vec<Rc<RelayLink>>) {
         let mut links = self.links.borrow_mut();
         let is_used = |link: &Rc<RelayLink>| used.iter().any(|other| Rc::ptr_eq(other, link));
@@ -56,14 +56,15 @@
         links.extend(used);
     }
 
-    /// Takes in that a worker did not answer through its relay.
+    /// Has orders to a worker sent directly for a while, since it did not answer through its
+    /// relay.
     pub(crate) fn bypass_relay(&self, now: Instant, worker: WorkerKey) {
         self.bypassed_until
             .borrow_mut()
             .insert(worker, now + BYPASS_TIME);
     }
 
-    /// Takes in that a relay does not answer.
+    /// Excludes a node from the choice of relays for a while, since it did not answer.
     pub(crate) fn pause_relay(&self, name: &Arc<str>) {
         let until = crate::clock::now() + LOST_RELAY_PAUSE;
         self.paused_until.borrow_mut().insert(name.clone(), until);
@@ -76,7 +77,7 @@
     }
 }
 
-/// Chooses the relays anew, where that is due.
+/// Chooses the relays again if the choice period has passed.
 pub(crate) fn choose_if_due<P: Platform>(
     node: &Rc<Node<P>>,
     term: &Rc<Term<P>>,
@@ -88,7 +89,7 @@
     }
 }
 
-/// Chooses the relays anew, by the nodes and workers that there are.
+/// Chooses the relays for the current nodes and workers.
 pub(crate) fn choose_relays<P: Platform>(
     node: &Rc<Node<P>>,
     term: &Rc<Term<P>>,
@@ -107,7 +108,7 @@
         .retain(|_, until| now < *until);
     let workers_counts = count_workers(scheduler);
     let assignment = Assignment::new(
-        candidates(node, relays),
+        relay_candidates(node, relays),
         &workers_counts,
         node.settings.relays_min_workers_count,
     );
@@ -126,7 +127,7 @@
     relays.set_active(links);
 }
 
-/// Returns how many workers each data centre has.
+/// Counts the listed workers of each data centre.
 fn count_workers(scheduler: &Scheduler) -> BTreeMap<Arc<str>, usize> {
     let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for (_, facts) in scheduler.listed_workers() {
@@ -141,22 +142,22 @@
 }
 
 /// Returns the nodes that may be relays.
-fn candidates<P: Platform>(node: &Node<P>, relays: &RelayLinks) -> Vec<RelayCandidate> {
+fn relay_candidates<P: Platform>(node: &Node<P>, relays: &RelayLinks) -> Vec<RelayCandidate> {
     let cell = node.cell.borrow();
     let paused_until = relays.paused_until.borrow();
     let others = cell.nodes.iter().filter(|(name, _)| {
         **name != node.settings.name && !paused_until.contains_key(name.as_str())
     });
-    let candidates = others.map(|(name, record)| RelayCandidate {
+    let relay_candidates = others.map(|(name, record)| RelayCandidate {
         name: Arc::from(name.as_str()),
         address: Arc::from(record.address.as_str()),
         data_centre: Arc::from(record.data_centre.as_str()),
         cores_milli: record.cores_milli,
     });
-    candidates.collect()
+    relay_candidates.collect()
 }
 
-/// Returns the link to a relay, which is made where there is none.
+/// Returns the link to a relay, and opens one if there is none.
 fn get_or_open_link<P: Platform>(
     node: &Rc<Node<P>>,
     term: &Rc<Term<P>>,
--- a/crates/control/src/relay/message.rs
+++ b/crates/control/src/relay/message.rs
@@ -1,10 +1,10 @@
-//! What a leader and its relays say to one another.
+//! The messages between a leader and its relays.
 
 use crate::platform::{Platform, WorkerPoll};
 use ospreywing_scheduler::{Endpoint, HoldReply, StartOrder, StartReply, StopReply, TaskKey};
 use serde::{Deserialize, Serialize};
 
-/// The time in which a leader uses one relay without a fault between them.
+/// Identifies a session: the use of one relay by one leader until a call between them fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RelaySession {
     /// The leader's fencing token.
@@ -16,21 +16,21 @@
 /// An order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// To start a run.
+    /// Starts a run.
     Start(StartOrder),
-    /// To stop a run.
+    /// Stops a run.
     Stop {
         /// The task.
         task: TaskKey,
         /// The run.
         run: u32,
     },
-    /// To renew the worker's lease and tell its lists.
+    /// Polls the worker for its runs, and may renew its lease.
     Hold(WorkerPoll),
 }
 
 impl Order {
-    /// Gives the order to a worker, under the fence of the leader that decided it.
+    /// Sends the order to a worker, with the fencing token of the leader that decided it.
     pub(crate) async fn send_to_worker<P: Platform>(
         self,
         platform: &P,
@@ -45,10 +45,10 @@
     }
 }
 
-/// An order that a relay is to give.
+/// An order that a relay is to send.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedOrder {
-    /// Its number in the session.
+    /// The order's number in the session.
     pub number: u64,
     /// The worker.
     pub to: Endpoint,
@@ -56,22 +56,22 @@
     pub order: Order,
 }
 
-/// What became of an order.
+/// The reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderReply {
-    /// Of a start.
+    /// The reply to a start.
     Start(StartReply),
-    /// Of a stop.
+    /// The reply to a stop.
     Stop(StopReply),
-    /// Of a renewal.
+    /// The reply to a poll.
     Hold(HoldReply),
 }
 
-/// What became of an order that a relay gave.
+/// The reply to an order that a relay sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedReply {
     /// The order's number in the session.
     pub number: u64,
-    /// What became of it.
+    /// The worker's reply.
     pub reply: OrderReply,
 }
