--- a/crates/control/src/relay/mod.rs
+++ b/crates/control/src/relay/mod.rs
@@ -1,15 +1,15 @@
-//! Relays: nodes that carry the leader's orders to workers.
+//! Relays: nodes that forward the leader's orders to workers.
 //!
-//! A leader of a thousand workers makes some thousands of calls a second, and
-//! its own processor is what bounds the cell. So it has other nodes make them: it
-//! hands each a batch of orders at a time, over few connections, and collects the
-//! replies in batches. What is decided, recorded and fenced stays with the leader;
-//! a relay only makes the calls that it is told to make.
+//! A leader of a thousand workers makes some thousands of calls a second, so its
+//! processor limits the size of the cell. To avoid that, other nodes make these
+//! calls: the leader sends each relay batches of orders over few connections, and
+//! collects the replies in batches. Decisions, commits and fencing stay with the
+//! leader; a relay only makes the calls.
 //!
-//! An order through a relay is like a call of the leader's own: it may be carried
-//! out late, or be carried out while its reply is lost. Where a relay does not
-//! answer, all that it holds counts as unanswered, and the next orders to its
-//! workers go out directly.
+//! A relayed order has the same guarantees as a call of the leader itself: it may be
+//! executed late, or executed while its reply is lost. If a relay does not answer, all
+//! its open orders count as unanswered, and further orders to its workers are sent
+//! directly.
 
 pub mod assignment;
 pub(crate) mod link;
--- a/crates/control/src/relay/order.rs
+++ b/crates/control/src/relay/order.rs
@@ -1,4 +1,4 @@
-//! An order that has been given and not been answered.
+//! An order that was sent and is not answered yet.
 
 use crate::relay::message::{Order, OrderReply};
 use ospreywing_scheduler::{
@@ -6,7 +6,7 @@
 };
 use ospreywing_types::Instant;
 
-/// What the scheduler has to be told once an order is answered.
+/// The part of an order that is needed for the event that reports its reply.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum OpenOrder {
     Start {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the event of a reply; one to another kind of order tells nothing.
+    /// Returns the event for a reply; a reply to another kind of order counts as none.
     pub(crate) fn answered(self, reply: OrderReply) -> Event {
         match (self, reply) {
             (Self::Start { worker, task, run }, OrderReply::Start(reply)) => Event::StartAnswered {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the event of an order of which nothing was heard.
+    /// Returns the event for an order that was not answered.
     pub(crate) fn unanswered(self) -> Event {
         self.answered(match self {
             Self::Start { .. } => OrderReply::Start(StartReply::Unanswered),
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Returns the event of an order that was certainly not given.
+    /// Returns the event for an order that was certainly not sent.
     pub(crate) fn not_sent(self) -> Event {
         match self {
             Self::Start { .. } => {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns whether a reply tells nothing of the worker.
+/// Returns whether a reply means that the worker did not answer.
 pub(crate) const fn is_unanswered(reply: &OrderReply) -> bool {
     matches!(
         reply,
--- a/crates/control/src/relay/server.rs
+++ b/crates/control/src/relay/server.rs
@@ -1,5 +1,5 @@
-//! A relay's side: the orders of one leader are given, and the replies kept until
-//! it collects them.
+//! The relay's side: sends the orders of one leader to workers, and keeps the replies
+//! until the leader collects them.
 
 use crate::node::Node;
 use crate::peer::PeerReply;
@@ -12,14 +12,14 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How long the question for replies waits for one.
+/// How long a collect call waits for a first reply.
 pub(crate) const COLLECT_TIMEOUT: Duration = Duration::from_ms(300);
-/// How long it then waits for more, so that one answer brings many. With 5 ms, and
-/// orders each 4 ms in place of 8, worth at 1,100 workers was 0.536 in place of 0.542
-/// (one play each), within the noise.
+/// How long a collect call then waits for further replies, so that one answer holds many.
+/// At 1,100 workers, 5 ms (with batches every 4 ms instead of 8) made no difference beyond
+/// the noise: a score of 0.536 instead of 0.542, in one run each.
 const BATCHING_DELAY: Duration = Duration::from_ms(15);
-/// The most replies that one answer brings: a worker's lists have up to 30 KB, with
-/// 500 ends, and answers have a limit of 8 MB.
+/// The most replies in one answer: a worker's lists have up to 30 KB with 500 ended
+/// runs, and answers are limited to 8 MB.
 const REPLIES_LIMIT_COUNT: usize = 200;
 
 struct Session {
@@ -35,8 +35,8 @@
 }
 
 impl RelayServer {
-    /// Returns a session, which takes the place of earlier ones; `None` where it is
-    /// an earlier one itself.
+    /// Returns the session with this id, which replaces an earlier one; `None` if a later
+    /// one exists.
     fn session(&self, id: RelaySession) -> Option<Rc<Session>> {
         let mut current = self.current.borrow_mut();
         match &*current {
@@ -54,14 +54,14 @@
     }
 }
 
-/// Takes orders and begins to give them.
+/// Accepts orders and sends each to its worker in a spawned task.
 pub(crate) fn accept_orders<P: Platform>(
     node: &Rc<Node<P>>,
     id: RelaySession,
     orders: Vec<RelayedOrder>,
 ) -> PeerReply {
     let Some(session) = node.relay_server.session(id) else {
-        info!(node.log, "orders refused"; "reason" => "a later session",
+        info!(node.log, "relayed orders rejected"; "reason" => "a later session",
             "fence" => id.fence, "orders" => orders.len());
         return PeerReply::Refused;
     };
@@ -79,7 +79,7 @@
     PeerReply::Taken
 }
 
-/// Returns the replies that have come, after a short wait for some.
+/// Returns the replies that have arrived, after a short wait for some.
 pub(crate) async fn collect_replies<P: Platform>(
     node: &Rc<Node<P>>,
     id: RelaySession,
@@ -88,7 +88,7 @@
         return PeerReply::Refused;
     };
     if session.replies.borrow().is_empty() {
-        // Without a reply in time there is nothing to tell.
+        // On a timeout the answer is empty.
         let _ = timeout(COLLECT_TIMEOUT.into(), session.replied.notified()).await;
     }
     tokio::time::sleep(BATCHING_DELAY.into()).await;
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request, from a client or from another node.
+//! Handles requests of clients and of other nodes.
 
 use crate::caller::Caller;
 use crate::cell_view::LeaderRecord;
@@ -22,23 +22,23 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// How long the leader may take for an answer.
+/// The timeout for a call to the leader.
 const LEADER_TIMEOUT: Duration = Duration::from_ms(400);
-/// How long another node may take to say who leads.
+/// The timeout for asking another node which node leads.
 const LEADER_QUERY_TIMEOUT: Duration = Duration::from_ms(150);
-/// How long another node may take to write to the store.
+/// The timeout for another node to write to the store.
 const FORWARD_TIMEOUT: Duration = Duration::from_ms(1500);
-/// How long the store may take to answer a write before another node is asked to make it
-/// too: many times what it takes, and well under the time limit of a call.
+/// How long a write to the store may be unanswered before it is forwarded to another node
+/// as well: many times its usual duration, and well below a call's timeout.
 const FORWARD_AFTER: Duration = Duration::from_ms(120);
-/// When a client that was turned away may come back.
+/// When a client may retry a request that this node could not serve.
 const RETRY_LATER: Retry = Retry {
     after: Duration::from_ms(1000),
 };
-/// How many other nodes are asked to write.
+/// The number of other nodes to which a write may be forwarded.
 pub const FORWARD_TARGETS_COUNT: usize = 2;
 
-/// Does what a client asks for; `configuration` is the one by which the call was read.
+/// Handles a client's call; `configuration` is the one with which it was parsed.
 pub async fn handle_call<P: Platform>(
     node: &Rc<Node<P>>,
     call: Call,
@@ -92,14 +92,14 @@
     reply
 }
 
-/// Returns the first step of a job that its customer's limit never lets run.
+/// Returns the first step of a job that can never run within its customer's limit.
 fn impossible_step(record: &JobRecord, configuration: &Configuration) -> Option<usize> {
     let customer = configuration.customer(record.customer.as_deref()?)?;
     customer.impossible_step(record)
 }
 
-/// Writes a job to the store, through another node where the store does not answer this one
-/// at once: whichever write comes first counts, since an id stays one job.
+/// Writes a job to the store, also through another node if the store does not answer this
+/// one at once. It does not matter which write comes first: both have the same job id.
 async fn write_or_forward<P: Platform>(
     node: &Rc<Node<P>>,
     job: JobId,
@@ -143,33 +143,33 @@
     forward(node, request, Reply::Accepted).await
 }
 
-/// Returns what a client is told of a job that this node and another one tried to write.
+/// Combines the outcomes of a job write by this node and by another one into a reply.
 fn combine_write_outcomes(own: JobWriteOutcome, forwarded: Reply) -> Reply {
     if let Some(reply) = own.reply() {
         return reply;
     }
     match (own, forwarded) {
-        // This node's write may be done yet.
+        // This node's write may still be applied.
         (JobWriteOutcome::Unknown, Reply::Unavailable(_)) => Reply::Unknown,
         (_, forwarded) => forwarded,
     }
 }
 
-/// What became of a job that was to be written.
+/// The outcome of writing a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobWriteOutcome {
-    /// It is in the store.
+    /// The job is in the store.
     Stored,
     /// Another customer's job has its id.
     IdTaken,
-    /// It certainly is not in the store and will not be.
+    /// The job is not in the store and the write will not be applied.
     NotStored,
-    /// It may be, or may come to be.
+    /// The write may have been applied, or may still be.
     Unknown,
 }
 
 impl JobWriteOutcome {
-    /// Returns what a client is told, where another node's write changes nothing about it.
+    /// Returns the client's reply, if it does not depend on another node's write.
     const fn reply(self) -> Option<Reply> {
         match self {
             Self::Stored => Some(Reply::Accepted),
@@ -179,7 +179,7 @@
     }
 }
 
-/// Writes a job to the store and tells the leader.
+/// Writes a job to the store and notifies the leader.
 async fn write_job<P: Platform>(
     node: &Rc<Node<P>>,
     job: JobId,
@@ -206,8 +206,8 @@
     written
 }
 
-/// Returns whether the job that has an id is one of the record's customer. One that can't
-/// be read may be: a node of a later version may have written it.
+/// Returns whether a stored job belongs to the record's customer. A job that can't be parsed
+/// is taken to belong to it: a node of a later version may have written it.
 fn is_same_customer(stored: &[u8], record: &JobRecord) -> bool {
     let stored = StoredJob::from_bytes(stored);
     stored.map_or(true, |stored| stored.is_open_to(record.customer.as_deref()))
@@ -227,7 +227,8 @@
     send_to_leader(node, PeerRequest::JobTaken { job, record });
 }
 
-/// Sends the leader a message; it learns from the store where that is lost.
+/// Sends a message to the leader. If the message is lost, the leader reads the change from
+/// the store.
 fn send_to_leader<P: Platform>(node: &Rc<Node<P>>, request: PeerRequest) {
     let node = node.clone();
     tokio::task::spawn_local(async move {
@@ -246,8 +247,8 @@
     });
 }
 
-/// Returns the leader. A node that the store does not answer may be out of
-/// date and asks others.
+/// Returns the leader. A node without store contact may have an outdated view and asks
+/// other nodes.
 async fn find_leader<P: Platform>(node: &Rc<Node<P>>) -> Option<LeaderRecord> {
     if node.has_store_contact() {
         return node.cell.borrow().leader.clone();
@@ -267,7 +268,7 @@
     node.cell.borrow().leader.clone()
 }
 
-/// Calls the leader; where nothing listens at its address, it is gone.
+/// Calls the leader, and evicts it if its address refuses the connection.
 async fn call_leader<P: Platform>(
     node: &Rc<Node<P>>,
     leader: LeaderRecord,
@@ -284,7 +285,7 @@
     reply
 }
 
-/// Has another node write, where the store does not answer this one.
+/// Forwards a write to other nodes, since the store does not answer this one.
 async fn forward<P: Platform>(node: &Rc<Node<P>>, request: PeerRequest, success: Reply) -> Reply {
     for address in forward_addresses(node) {
         match peer::call(&node.peers, &address, &request, FORWARD_TIMEOUT).await {
@@ -300,8 +301,8 @@
     Reply::Unavailable(RETRY_LATER)
 }
 
-/// Returns a few other nodes, the leader first, then candidates: not the same ones for each
-/// node, so that many that are cut off don't all burden one.
+/// Returns the addresses of a few other nodes: the leader, then candidates. Which candidates
+/// depends on this node's name, so that many partitioned nodes don't all load the same one.
 pub fn forward_addresses<P: Platform>(node: &Rc<Node<P>>) -> Vec<String> {
     let cell = node.cell.borrow();
     let leader = cell.leader.iter().map(|leader| leader.address.clone());
@@ -335,7 +336,7 @@
     reply
 }
 
-/// Writes a cancel to the store and tells the leader.
+/// Writes a cancel to the store and notifies the leader.
 async fn write_cancel<P: Platform>(node: &Rc<Node<P>>, job: JobId, caller: &Caller) -> PeerReply {
     if is_store_unreachable(node) {
         return PeerReply::Refused;
@@ -344,7 +345,7 @@
         Ok(Some(item)) => match access(&item, caller) {
             Access::Open => {}
             Access::Closed => return PeerReply::NoJob,
-            // Another node may be able to read it.
+            // Another node may be able to parse it.
             Access::Unreadable => return PeerReply::Refused,
         },
         Ok(None) => return PeerReply::NoJob,
@@ -377,7 +378,7 @@
         Ok(StoredView::NoJob) => Reply::NoJob,
         Ok(StoredView::Unreadable) => Reply::Unavailable(RETRY_LATER),
         Err(error) => {
-            info!(node.log, "status unknown"; "job" => %job, "error" => error.to_string());
+            info!(node.log, "job status unavailable"; "job" => %job, "error" => error.to_string());
             Reply::Unavailable(RETRY_LATER)
         }
     }
@@ -390,7 +391,7 @@
     }
 }
 
-/// Returns what the leader knows of a job, where it can be asked.
+/// Returns the leader's state of a job, if the leader answers and the caller may see the job.
 async fn query_leader_view<P: Platform>(
     node: &Rc<Node<P>>,
     job: JobId,
@@ -421,7 +422,7 @@
     }
 }
 
-/// Answers another node.
+/// Handles a request of another node.
 pub async fn handle_peer_request<P: Platform>(
     node: &Rc<Node<P>>,
     request: PeerRequest,
@@ -477,8 +478,8 @@
     }
 }
 
-/// Writes a job that another node has read, unless this node's configuration may be outdated
-/// or does not let the job in.
+/// Writes a job that another node has parsed, unless this node's configuration may be
+/// outdated or does not admit the job.
 async fn write_for_peer<P: Platform>(
     node: &Rc<Node<P>>,
     job: JobId,
@@ -486,7 +487,7 @@
     version: u64,
 ) -> PeerReply {
     if !node.is_current() || !is_admissible(node, record, version) {
-        info!(node.log, "job of another node refused";
+        info!(node.log, "job of another node rejected";
             "job" => %job, "version" => version, "known" => node.configuration.version());
         return PeerReply::Refused;
     }
@@ -498,12 +499,13 @@
     }
 }
 
-/// Returns whether a job that was read by a configuration of this version may be let in by
-/// the one that is in force here.
+/// Returns whether this node's configuration admits a job that was parsed with a
+/// configuration of version `version`.
 ///
-/// Versions may follow one another faster than a node that is cut off hears of them, and few
-/// change its queue. Whose key it came with is not told, so that a customer's job needs the
-/// version.
+/// An older version is accepted if it has the same queue for the same service: a partitioned
+/// node may be several versions behind, and few versions change a queue. A customer's job
+/// needs at least this node's version, since the request does not carry the customer's key
+/// and so the key can't be checked again.
 fn is_admissible<P: Platform>(node: &Node<P>, record: &JobRecord, version: u64) -> bool {
     let Some(active) = node.configuration.active() else {
         return false;
@@ -527,7 +529,7 @@
     }
 }
 
-/// Names the leader, as far as this node knows it.
+/// Returns the reply of a node that does not lead, with the leader if it knows it.
 fn not_leader<P: Platform>(node: &Rc<Node<P>>) -> PeerReply {
     let leader = node.cell.borrow().leader.clone();
     PeerReply::NotLeader(leader.filter(|_| node.has_store_contact()))
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -1,27 +1,28 @@
-//! The store as the product needs it: items with revisions, conditional
-//! transactions, leases, watches.
+//! The interface to the store: items with revisions, conditional transactions, leases and
+//! watches.
 
 use ospreywing_types::Duration;
 use thiserror::Error;
 
-/// The bytes of a transaction for which its call is given a millisecond more: 1 Mbit
-/// a second, a tenth of the narrowest link that is planned for.
+/// The bytes of a transaction for which its timeout grows by a millisecond: 1 Mbit/s, a
+/// tenth of the narrowest supported link.
 const SENT_PER_MS_BYTES: usize = 125;
 
-/// Returns the time that a transaction of so many bytes may take on its way.
+/// Returns the time that a transaction of `len_bytes` bytes may take to be sent.
 pub const fn transfer_time(len_bytes: usize) -> Duration {
     Duration::from_ms((len_bytes / SENT_PER_MS_BYTES) as u64)
 }
 
-/// A revision of the store; it rises with every change.
+/// A revision of the store; it increases with every change.
 pub type Revision = u64;
 
-/// A lease's number; 0 stands for none.
+/// The id of a lease; 0 means none.
 pub type LeaseId = u64;
 
-/// A value that the store holds and that did not come whole.
+/// A stored value that was not received whole.
 ///
-/// It is neither an empty value nor a missing one, and the items beside it hold.
+/// It is neither an empty value nor a missing one, and the other items of the answer are
+/// valid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("the value can't be read: {0}")]
 pub struct UnreadableValue(pub String);
@@ -31,7 +32,7 @@
 pub struct Item {
     /// Its key.
     pub key: String,
-    /// Its value, where that can be read.
+    /// Its value, if it could be read.
     pub value: Result<Vec<u8>, UnreadableValue>,
     /// The revision of its last change.
     pub revision: Revision,
@@ -42,12 +43,12 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`UnreadableValue`] where they did not come whole.
+    /// Returns an [`UnreadableValue`] if they were not received whole.
     pub fn bytes(&self) -> Result<&[u8], UnreadableValue> {
         self.value.as_deref().map_err(Clone::clone)
     }
 
-    /// Returns whether the value is this one.
+    /// Returns whether the item has this value.
     pub fn has_value(&self, value: &[u8]) -> bool {
         self.value.as_deref() == Ok(value)
     }
@@ -56,32 +57,32 @@
 /// A page of items.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The items, by key.
+    /// The items, in the order of their keys.
     pub items: Vec<Item>,
-    /// Whether more follow.
+    /// Whether there are more items after these.
     pub has_more: bool,
-    /// The store's revision.
+    /// The store's revision at which the page was read.
     pub at: Revision,
 }
 
-/// One change that a watch brought.
+/// A change that a watch returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchedChange {
     /// An item was written.
     Put(Item),
-    /// An item is gone.
+    /// An item was removed.
     Gone {
         /// Its key.
         key: String,
     },
 }
 
-/// What a watch brought.
+/// The answer of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Watched {
-    /// The changes, oldest first; none where the time was up.
+    /// The changes, oldest first; empty if the watch timed out.
     pub changes: Vec<WatchedChange>,
-    /// Where the next call goes on.
+    /// The revision from which the next watch continues.
     pub at: Revision,
 }
 
@@ -92,11 +93,11 @@
     pub key: String,
     /// Its value.
     pub value: Vec<u8>,
-    /// The lease that it goes with; 0 for none.
+    /// The lease with which it is removed; 0 for none.
     pub lease: LeaseId,
 }
 
-/// A transaction: all or nothing.
+/// A transaction: if all conditions hold, all changes are made, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
     /// Keys and the revisions that they must have; 0 for a key that must not exist.
@@ -124,7 +125,7 @@
         self.with_leased_put(key, value, 0)
     }
 
-    /// Adds an item that goes with a lease.
+    /// Adds an item that is removed with a lease.
     pub fn with_leased_put(
         mut self,
         key: impl Into<String>,
@@ -146,55 +147,55 @@
     }
 }
 
-/// A transaction that was done.
+/// The result of a committed transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Committed {
     /// Its revision.
     pub revision: Revision,
 }
 
-/// A lease.
+/// A granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Its number.
+    /// The lease's id.
     pub id: LeaseId,
-    /// How long it holds from each renewal.
+    /// How long it is valid after each renewal.
     pub ttl: Duration,
 }
 
-/// Why a call of the store brought nothing.
+/// Why a store call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// The store turned the call away: nothing was done.
+    /// The store rejected the call: nothing was done.
     #[error("turned away: {0}")]
     Refused(String),
-    /// There was no answer: the call may have been done, or may be done yet.
+    /// There was no answer: the call may have been applied, or may still be.
     #[error("no answer: {0}")]
     Unknown(String),
-    /// The history that a watch asked for is gone.
-    #[error("the history is gone")]
+    /// The history from a watch's revision was compacted.
+    #[error("the history since the revision was compacted")]
     Compacted,
-    /// The lease is over.
+    /// The lease has expired or was ended.
     #[error("the lease is over")]
     LeaseOver,
 }
 
-/// Why a transaction was not seen to be done.
+/// Why a transaction is not known to be committed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommitError {
-    /// A condition did not hold; the items of the conditions as they are.
+    /// A condition did not hold; contains the current items of the conditions' keys.
     #[error("a condition does not hold")]
     Conflict(Vec<Item>),
-    /// See [`StoreError`].
+    /// The call failed.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// The store.
+/// The platform's key-value store.
 #[allow(async_fn_in_trait, reason = "every node runs on one thread")]
 pub trait Store: Clone + 'static {
-    /// Waits before a call that failed is repeated; ends sooner where a silent
-    /// store is seen to answer again.
+    /// Waits before a failed call is retried; returns earlier if the end of an outage is
+    /// detected.
     async fn pause(&self, length: Duration) {
         tokio::time::sleep(length.into()).await;
     }
@@ -203,22 +204,22 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StoreError`] where there was no answer.
+    /// Returns a [`StoreError`] if there was no answer.
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError>;
 
     /// Reads a page of items whose keys have the prefix and follow `after`.
     ///
     /// # Errors
     ///
-    /// Returns a [`StoreError`] where there was no answer.
+    /// Returns a [`StoreError`] if there was no answer.
     async fn range(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError>;
 
-    /// Waits up to `wait` for changes later than `from` below the prefix.
+    /// Waits up to `wait` for changes after revision `from` to keys with the prefix.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Compacted`] where the history is gone, another
-    /// [`StoreError`] where there was no answer.
+    /// Returns [`StoreError::Compacted`] if the history since `from` was compacted, another
+    /// [`StoreError`] if there was no answer.
     async fn watch(
         &self,
         prefix: &str,
@@ -226,31 +227,32 @@
         wait: Duration,
     ) -> Result<Watched, StoreError>;
 
-    /// Does a transaction.
+    /// Commits a transaction.
     ///
     /// # Errors
     ///
-    /// Returns a [`CommitError`] where it was not seen to be done.
+    /// Returns a [`CommitError`] if it is not known to be committed.
     async fn commit(&self, transaction: &Transaction) -> Result<Committed, CommitError>;
 
-    /// Takes a lease.
+    /// Grants a lease.
     ///
     /// # Errors
     ///
-    /// Returns a [`StoreError`] where there was no answer.
+    /// Returns a [`StoreError`] if there was no answer.
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseGrant, StoreError>;
 
     /// Renews a lease.
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::LeaseOver`] where it is over.
+    /// Returns [`StoreError::LeaseOver`] if the lease has ended, another [`StoreError`] if there
+    /// was no answer.
     async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError>;
 
-    /// Ends a lease, and its items with it.
+    /// Ends a lease and removes its items.
     ///
     /// # Errors
     ///
-    /// Returns a [`StoreError`] where there was no answer.
+    /// Returns a [`StoreError`] if there was no answer.
     async fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError>;
 }
--- a/crates/control/src/stored_view.rs
+++ b/crates/control/src/stored_view.rs
@@ -1,4 +1,4 @@
-//! What the store tells of a job, where the leader can't be asked.
+//! Reads a job's state from the store, for when the leader can't be asked.
 
 use crate::caller::Caller;
 use crate::keys;
@@ -7,29 +7,29 @@
 use ospreywing_scheduler::{JobId, JobState, JobView, Phase, StateError, StoredJob, TaskStatus};
 use slog::Logger;
 
-/// What the store tells of a job.
+/// A job's state as read from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredView {
     /// The job's state.
     Known(JobView),
-    /// There is no such job, or none that is open to the caller.
+    /// The job does not exist, or the caller may not see it.
     NoJob,
-    /// What is stored can't be read.
+    /// The stored items can't be parsed.
     Unreadable,
 }
 
-/// Whether a caller may touch a job that the store keeps.
+/// Whether a caller may access a stored job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// It may.
+    /// The caller may access it.
     Open,
-    /// The job is another customer's.
+    /// The job belongs to another customer.
     Closed,
-    /// Whose job it is can't be read: a node of a later version may have written it.
+    /// The job can't be parsed; a node of a later version may have written it.
     Unreadable,
 }
 
-/// Returns whether a caller may touch the job of a stored item.
+/// Returns whether a caller may access the job of a stored item.
 pub fn access(item: &Item, caller: &Caller) -> Access {
     match parse_stored_job(item) {
         Ok(stored) if stored.is_open_to(caller.customer()) => Access::Open,
@@ -38,15 +38,15 @@
     }
 }
 
-/// Reads what the store keeps of a job.
+/// Reads a job's state from the store.
 ///
-/// The progress is read first: a job's outcome takes its place in one
-/// transaction, so a progress that is gone by then is either that of a job of
-/// which nothing has begun, or followed by the outcome.
+/// The progress is read before the job, since a job's outcome replaces its progress in
+/// one transaction. So if there is no progress, either the job has not started, or the
+/// read that follows finds the outcome.
 ///
 /// # Errors
 ///
-/// Returns a [`StoreError`] where the store does not answer.
+/// Returns a [`StoreError`] if the store does not answer.
 pub async fn read_view<S: Store>(
     store: &S,
     log: &Logger,
--- a/crates/control/src/watches.rs
+++ b/crates/control/src/watches.rs
@@ -1,4 +1,4 @@
-//! What a leader follows in the store: the intake and the list of workers.
+//! The leader's watches of the intake and of the worker list in the store.
 
 use crate::follow::{follow, FollowPolicy, Update, FULL_ANSWER_COUNT};
 use crate::keys::{self, IntakeKey};
@@ -13,8 +13,8 @@
 use slog::warn;
 use std::rc::Rc;
 
-/// How the intake is followed: nodes tell the leader of what they took, so
-/// this finds only what such a message did not bring.
+/// How the intake is followed. Nodes notify the leader of what they accepted, so this
+/// finds only what those messages missed.
 const INTAKE_POLICY: FollowPolicy = FollowPolicy {
     wait: Duration::from_ms(1500),
     reread_after: None,
@@ -23,8 +23,8 @@
     rereads_after_failure: false,
 };
 
-/// How the list of workers is followed. A watch that hangs is noticed, and the
-/// list read, within the 2 s in which a draining worker must be left alone.
+/// How the worker list is followed. A watch that hangs is detected, and the list is read
+/// again, within the 2 s after which no run may start on a draining worker.
 pub const WORKERS_POLICY: FollowPolicy = FollowPolicy {
     wait: Duration::from_ms(1000),
     reread_after: Some(Duration::from_ms(10_000)),
@@ -33,7 +33,7 @@
     rereads_after_failure: false,
 };
 
-/// Tells the scheduler of accepted jobs and cancels until the term is over.
+/// Passes accepted jobs and cancels from the store to the scheduler until the term is over.
 pub async fn follow_intake<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>, at: Revision) {
     let store = node.store.clone();
     follow(
@@ -81,7 +81,7 @@
     }
 }
 
-/// Tells the scheduler of the list of workers until the term is over.
+/// Passes changes of the worker list to the scheduler until the term is over.
 pub async fn follow_workers<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let mut known = WorkerEntries::default();
     let store = node.store.clone();
@@ -112,7 +112,7 @@
         }
         for error in known.take_new_faults() {
             node.metrics.count_unreadable_entry(error.fault);
-            warn!(node.log, "worker's entry names no worker to use";
+            warn!(node.log, "unusable worker entry";
                 "key" => &error.key, "reason" => error.fault.as_str(), "detail" => &error.detail);
         }
         node.record_store_contact();
--- a/crates/control/src/worker_entries.rs
+++ b/crates/control/src/worker_entries.rs
@@ -1,20 +1,19 @@
-//! Workers' entries in the store, as they were read last.
+//! The workers' entries in the store, as last read.
 //!
-//! An entry may come from another writer, or be damaged on its way. One that can't be read
-//! names no worker to use: nothing new is started there until a good one is written. What
-//! runs there is neither given up nor started elsewhere for that reason; leases decide that,
-//! as for an entry that has gone.
+//! An entry may come from another writer, or be damaged in transit. A worker whose entry is
+//! unusable gets no new runs until a valid entry is written. Its runs are not given up or
+//! started elsewhere for that reason; as with a removed entry, their leases decide that.
 
 use crate::platform::WorkerEntryError;
 use crate::store::Revision;
 use ospreywing_scheduler::{WorkerChange, WorkerFacts};
 use std::collections::BTreeMap;
 
-/// The faults that are told of one update at most, so that a writer that changes many
-/// entries all the time fills no log.
+/// The most faults that are reported for one update, so that a writer that keeps changing
+/// many entries does not flood the log.
 const NEW_FAULTS_LIMIT_COUNT: usize = 20;
 
-/// One entry.
+/// A worker's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
     key: String,
@@ -23,7 +22,7 @@
 }
 
 impl WorkerEntry {
-    /// Creates an entry from what was read of it.
+    /// Creates an entry from its parsed value.
     pub const fn new(
         key: String,
         revision: Revision,
@@ -40,13 +39,13 @@
 /// A change of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryChange {
-    /// It was written.
+    /// The entry was written.
     Written(WorkerEntry),
-    /// The entry with this key has gone.
+    /// The entry with this key was removed.
     Gone(String),
 }
 
-/// All entries.
+/// All entries by key, and the faults that are not reported yet.
 #[derive(Debug, Default)]
 pub struct WorkerEntries {
     entries: BTreeMap<String, WorkerEntry>,
@@ -54,13 +53,13 @@
 }
 
 impl WorkerEntries {
-    /// Returns the workers that may be used.
+    /// Returns the workers with usable entries.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerFacts> + '_ {
         let entries = self.entries.values();
         entries.filter_map(|entry| entry.read.as_ref().ok())
     }
 
-    /// Takes in a whole list; returns whether the workers have changed.
+    /// Replaces all entries; returns whether the usable workers have changed.
     pub fn replace(&mut self, entries: impl Iterator<Item = WorkerEntry>) -> bool {
         let before = core::mem::take(&mut self.entries);
         for entry in entries {
@@ -71,8 +70,8 @@
         !old.eq(self.workers())
     }
 
-    /// Takes in changes; returns what has changed of the workers, in its order. Entries are
-    /// rewritten all the time, so that is next to nothing of what comes in.
+    /// Applies changes of entries; returns the resulting changes of workers, in their order.
+    /// There are far fewer of these, since most entries are rewritten unchanged.
     pub fn apply(&mut self, changes: impl Iterator<Item = EntryChange>) -> Vec<WorkerChange> {
         let changed = changes.filter_map(|change| match change {
             EntryChange::Written(entry) => self.write(entry),
@@ -81,8 +80,8 @@
         changed.collect()
     }
 
-    /// Takes in an entry, unless a later page of a list showed what came after it: a
-    /// worker's room may shrink, and an older word must not bring it back.
+    /// Applies an entry that was written, unless a later version is known from a page of a
+    /// list: a worker's capacity may shrink, and an older entry must not restore it.
     fn write(&mut self, entry: WorkerEntry) -> Option<WorkerChange> {
         let known = self.entries.get(&entry.key);
         if known.is_some_and(|known| known.revision >= entry.revision) {
@@ -107,7 +106,7 @@
         Some(WorkerChange::Unlisted(facts.id))
     }
 
-    /// Notes an entry that has become unreadable, or is it for another reason.
+    /// Records the fault of an entry that has become unusable, or is now so for another reason.
     fn record_fault(&mut self, before: Option<&WorkerEntry>, entry: &WorkerEntry) {
         let Err(error) = &entry.read else {
             return;
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Returns the entries that have become unreadable since the last call.
+    /// Returns and clears the faults of entries that have become unusable since the last call.
     pub fn take_new_faults(&mut self) -> Vec<WorkerEntryError> {
         core::mem::take(&mut self.new_faults)
     }
--- a/crates/control/tests/control/freshness.rs
+++ b/crates/control/tests/control/freshness.rs
@@ -15,13 +15,13 @@
 
 #[test]
 fn is_outdated_until_confirmed() {
-    let belief = Freshness::new("workers", Duration::from_ms(1500));
+    let view = Freshness::new("workers", Duration::from_ms(1500));
     let at = Instant::from_ms;
-    assert!(belief.is_outdated(at(10_000)));
-    belief.confirm(at(10_000));
-    assert!(!belief.is_outdated(at(11_500)));
-    assert!(belief.is_outdated(at(11_501)));
+    assert!(view.is_outdated(at(10_000)));
+    view.confirm(at(10_000));
+    assert!(!view.is_outdated(at(11_500)));
+    assert!(view.is_outdated(at(11_501)));
     // An answer that was long on its way tells nothing newer.
-    belief.confirm(at(9_000));
-    assert!(belief.is_outdated(at(11_501)));
+    view.confirm(at(9_000));
+    assert!(view.is_outdated(at(11_501)));
 }
