--- a/crates/control/src/decision_loop.rs
+++ b/crates/control/src/decision_loop.rs
@@ -38,7 +38,7 @@
 struct EventLoop {
     received: mpsc::UnboundedReceiver<Event>,
     actions: Vec<Action>,
-    has_store_trouble: bool,
+    is_store_degraded: bool,
     lateness: Lateness,
     nodes: Vec<Arc<str>>,
     next_status_at: Instant,
@@ -57,7 +57,7 @@
     let mut state = EventLoop {
         received,
         actions: Vec::new(),
-        has_store_trouble: false,
+        is_store_degraded: false,
         lateness: Lateness::new(clock::now(), TICK),
         nodes: Vec::new(),
         next_status_at: clock::now() + STATUS_PERIOD,
@@ -143,13 +143,13 @@
 ) {
     let now = clock::now();
     state.lateness.record_tick(now);
-    let has_store_trouble = has_store_trouble(now, term, state.lateness.current());
-    if has_store_trouble != state.has_store_trouble {
-        state.has_store_trouble = has_store_trouble;
-        info!(node.log, "store health changed"; "has_trouble" => has_store_trouble);
+    let is_store_degraded = is_store_degraded(now, term, state.lateness.current());
+    if is_store_degraded != state.is_store_degraded {
+        state.is_store_degraded = is_store_degraded;
+        info!(node.log, "store health changed"; "has_trouble" => is_store_degraded);
         scheduler.handle(
             now,
-            Event::StoreTrouble(has_store_trouble),
+            Event::StoreTrouble(is_store_degraded),
             &mut state.actions,
         );
     }
@@ -175,7 +175,7 @@
 
 /// Returns whether the store has left a renewal unanswered for longer than this node's
 /// own lateness explains.
-fn has_store_trouble<P: Platform>(now: Instant, term: &Term<P>, lateness: Duration) -> bool {
+fn is_store_degraded<P: Platform>(now: Instant, term: &Term<P>, lateness: Duration) -> bool {
     let limit = RENEWAL_TROUBLE_AFTER + lateness.times(LATENESS_FACTOR);
     let unanswered = term.renewal_open_since.get();
     unanswered.is_some_and(|since| now.since(since) > limit)
--- a/crates/control/src/peer.rs
+++ b/crates/control/src/peer.rs
@@ -113,7 +113,7 @@
     Accepted,
     /// The job does not exist.
     NoJob,
-    /// The request was rejected; nothing was done.
+    /// The request was refused; nothing was done.
     Refused,
     /// The outcome is unknown.
     Unknown,
@@ -163,14 +163,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdviceAnswer {
     /// The workers that may run the step.
-    pub good: Vec<GoodWorker>,
+    pub good: Vec<SuitableWorker>,
     /// How long the tickets are valid, in milliseconds.
     pub validity_ms: u64,
 }
 
 /// A worker that may run a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GoodWorker {
+pub struct SuitableWorker {
     /// The worker's id.
     pub worker: Arc<str>,
     /// The adviser's ticket for the worker.
--- a/crates/control/src/relay/server.rs
+++ b/crates/control/src/relay/server.rs
@@ -61,7 +61,7 @@
     orders: Vec<RelayedOrder>,
 ) -> PeerReply {
     let Some(session) = node.relay_server.session(id) else {
-        info!(node.log, "relayed orders rejected"; "reason" => "a later session",
+        info!(node.log, "relayed orders refused"; "reason" => "a later session",
             "fence" => id.fence, "orders" => orders.len());
         return PeerReply::Refused;
     };
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -6,7 +6,7 @@
 use crate::handover::LearnedSnapshot;
 use crate::intake::IntakeOutcome;
 use crate::node::Node;
-use crate::peer::{self, AdviceAnswer, GoodWorker, PeerError, PeerReply, PeerRequest};
+use crate::peer::{self, AdviceAnswer, PeerError, PeerReply, PeerRequest, SuitableWorker};
 use crate::platform::{Call, Platform, Reply, Retry};
 use crate::relay::server;
 use crate::stable_hash::stable_hash_below;
@@ -549,7 +549,7 @@
     let AdviceReply::Good { tickets, validity } = reply else {
         return None;
     };
-    let good = tickets.into_iter().map(|ticket| GoodWorker {
+    let good = tickets.into_iter().map(|ticket| SuitableWorker {
         worker: ticket.worker,
         ticket: ticket.text,
     });
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -166,7 +166,7 @@
 /// Why a store call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// The store rejected the call: nothing was done.
+    /// The store refused the call: nothing was done.
     #[error("turned away: {0}")]
     Refused(String),
     /// There was no answer: the call may have been applied, or may still be.
--- a/crates/control/tests/control/admission.rs
+++ b/crates/control/tests/control/admission.rs
@@ -1,4 +1,4 @@
-//! What a node makes of the leader's forecast.
+//! Rejection of jobs by the leader's forecast.
 
 use ospreywing_control::admission::ForecastView;
 use ospreywing_control::metrics::Metrics;
@@ -11,7 +11,7 @@
 
 const QUEUE: &str = "render";
 const LEASE: u64 = 7;
-const ASKED_AT: Instant = Instant::from_ms(50_000);
+const SENT_AT: Instant = Instant::from_ms(50_000);
 
 fn record() -> JobRecord {
     let step = StepSpec {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A forecast by which jobs of the queue would be done long after they are worth anything.
+/// A forecast by which jobs of the queue would finish long after they become worthless.
 fn forecast() -> Forecast {
     Forecast {
         age_ms: 100,
@@ -59,53 +59,53 @@
     }
 }
 
-/// Returns whether the job is refused so long after the leader was asked.
+/// Returns whether the job is rejected `after_ms` after the leader was called.
 fn is_refused(view: &ForecastView, lease: u64, after_ms: u64) -> bool {
-    let now = ASKED_AT + Duration::from_ms(after_ms);
+    let now = SENT_AT + Duration::from_ms(after_ms);
     let refusal = view.refusal(now, lease, &record(), &configuration());
     refusal.is_some()
 }
 
 #[test]
-fn refusal_by_fresh_forecast_alone() {
+fn refusal_outdated_forecast() {
     let view = ForecastView::default();
     assert!(!is_refused(&view, LEASE, 0));
-    view.update(LEASE, ASKED_AT, Some(forecast()));
+    view.update(LEASE, SENT_AT, Some(forecast()));
     assert!(is_refused(&view, LEASE, 900));
     assert!(!is_refused(&view, LEASE, 901));
 }
 
-/// Another leader may have more room, or know of less.
+/// Another leader may have more capacity, or know fewer jobs.
 #[test]
-fn refusal_by_same_leader_alone() {
+fn refusal_forecast_of_other_leader() {
     let view = ForecastView::default();
-    view.update(LEASE, ASKED_AT, Some(forecast()));
+    view.update(LEASE, SENT_AT, Some(forecast()));
     assert!(!is_refused(&view, LEASE + 1, 0));
 }
 
-/// An answer that was asked for earlier and comes later changes nothing.
+/// An answer to an earlier call that arrives later changes nothing.
 #[test]
-fn learn_newest_asked() {
+fn update_answers_out_of_order() {
     let view = ForecastView::default();
-    view.update(LEASE, ASKED_AT, None);
-    let before = Instant::from_ms(ASKED_AT.as_ms() - 50);
+    view.update(LEASE, SENT_AT, None);
+    let before = Instant::from_ms(SENT_AT.as_ms() - 50);
     view.update(LEASE, before, Some(forecast()));
     assert!(!is_refused(&view, LEASE, 0));
-    view.update(LEASE, ASKED_AT, Some(forecast()));
+    view.update(LEASE, SENT_AT, Some(forecast()));
     assert!(is_refused(&view, LEASE, 0));
 }
 
 #[test]
-fn is_in_doubt_for_a_while() {
+fn has_recent_unconfirmed_write_expires() {
     let view = ForecastView::default();
-    assert!(!view.has_recent_unconfirmed_write(ASKED_AT));
-    view.record_unconfirmed_write(ASKED_AT);
-    assert!(view.has_recent_unconfirmed_write(ASKED_AT + Duration::from_ms(9_999)));
-    assert!(!view.has_recent_unconfirmed_write(ASKED_AT + Duration::from_ms(10_000)));
+    assert!(!view.has_recent_unconfirmed_write(SENT_AT));
+    view.record_unconfirmed_write(SENT_AT);
+    assert!(view.has_recent_unconfirmed_write(SENT_AT + Duration::from_ms(9_999)));
+    assert!(!view.has_recent_unconfirmed_write(SENT_AT + Duration::from_ms(10_000)));
 }
 
 #[test]
-fn forecast_passes_between_nodes() {
+fn peer_reply_forecast_round_trip() {
     let reply = PeerReply::TakenInOverload(forecast());
     let bytes = postcard::to_allocvec(&reply).expect("a form");
     let read: PeerReply = postcard::from_bytes(&bytes).expect("the same");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn note_forecast_names_queues_of_now() {
+fn set_forecast_removes_old_queues() {
     let metrics = Metrics::new();
     metrics.set_forecast(Some(&forecast()));
     metrics.count_refused_by_forecast();
--- a/crates/control/tests/control/campaign.rs
+++ b/crates/control/tests/control/campaign.rs
@@ -1,4 +1,4 @@
-//! Who stands first.
+//! Which nodes campaign first, and which candidate shares its configuration.
 
 use ospreywing_control::cell_view::{
     choose_candidates, Candidate, CellView, NodeRecord, CANDIDATES_COUNT,
@@ -24,14 +24,14 @@
     nodes.into()
 }
 
-/// Returns how long a node of the cell waits whose leader has named its candidates.
+/// Returns how long a node of the cell waits if the leader has named the candidates.
 fn delay(name: &str, cores_milli: u32) -> Duration {
     let candidates = choose_candidates(&nodes());
     campaign_delay(name, &record(cores_milli), &candidates, Duration::ZERO)
 }
 
-/// Found on the grown swaramala-ow's scale-2: a node of 0.12 cores was elected
-/// beside nodes of 0.5, and could not read the store's pages in time.
+/// Stronger nodes campaign first. A node with 0.12 cores was elected although there were
+/// nodes with 0.5, and could not read the store's pages in time.
 #[rstest]
 #[case::first_of_equals("a", 500, "b", 500)]
 #[case::stronger("b", 500, "c", 120)]
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn campaign_delay_much_weaker_waits_for_all() {
+fn campaign_delay_much_weaker_node() {
     let strong = delay("b", 500);
     let weak = delay("c", 120);
     assert!(weak.as_ms() >= strong.as_ms() + 300);
@@ -58,13 +58,13 @@
 #[case::strong(500, false)]
 #[case::nearly(300, false)]
 #[case::weak(120, true)]
-fn is_much_weaker_than_the_strongest(#[case] cores_milli: u32, #[case] expected: bool) {
+fn is_much_weaker_than_strongest(#[case] cores_milli: u32, #[case] expected: bool) {
     assert_eq!(is_much_weaker(&record(cores_milli), &nodes()), expected);
 }
 
-/// Found on the grown swaramala-ow's scale-2: every strong node was killed or
-/// cut off at once; a weak one was elected 10 ms before they were back, and
-/// led for 7 s.
+/// A weak leader steps down if a stronger node registers after the election. All strong nodes
+/// had been killed or partitioned at once, a weak one was elected 10 ms before they returned,
+/// and it led for 7 s.
 #[rstest]
 #[case::strong_since("a", 41, true)]
 #[case::strong_before_may_be_gone("a", 39, false)]
@@ -82,10 +82,10 @@
     assert_eq!(has_stronger_joined(&record(120), &view, 40), expected);
 }
 
-/// A node that follows the leader is not told of each node that comes and goes: with as many
-/// nodes that are told, that would grow with the square of the cell.
+/// The prefix that every node follows contains no node items: otherwise each node would
+/// receive each change of a node, and the traffic would grow with the square of the cell.
 #[test]
-fn leader_prefix_without_nodes() {
+fn leader_prefix_excludes_nodes() {
     let node = keys::node("front-a-1");
     assert!(!node.starts_with(keys::LEADER_PREFIX));
     assert!(keys::LEADER.starts_with(keys::LEADER_PREFIX));
@@ -100,12 +100,12 @@
     (0..count).map(node).collect()
 }
 
-/// However large the cell is, few nodes are named, the strongest ones.
+/// Even in a large cell only a few candidates are named, the strongest nodes.
 #[rstest]
 #[case::small(6)]
 #[case::large(585)]
 #[case::larger(2_099)]
-fn candidates_of_cell(#[case] nodes_count: usize) {
+fn choose_candidates_by_cell_size(#[case] nodes_count: usize) {
     let candidates = choose_candidates(&large_cell(nodes_count));
     assert_eq!(candidates.len(), nodes_count.min(CANDIDATES_COUNT));
     if nodes_count > 100 {
@@ -113,10 +113,10 @@
     }
 }
 
-/// Of equally strong nodes those of different data centres go first, so that one that is lost
-/// takes few of them.
+/// Equally strong candidates are spread over the data centres, so that the loss of one
+/// removes only a few.
 #[test]
-fn candidates_of_several_data_centres() {
+fn choose_candidates_several_data_centres() {
     let node = |number: usize| {
         let data_centre = ["a", "b", "c"][number / 100].to_owned();
         let record = NodeRecord {
@@ -133,9 +133,10 @@
     assert_eq!([count_in("a"), count_in("b"), count_in("c")], [3, 3, 2]);
 }
 
-/// A node asks a candidate of its own data centre, and never itself.
+/// A node fetches from a candidate in its own data centre if possible; a candidate itself
+/// uses the store.
 #[test]
-fn source_among_candidates() {
+fn choose_source_among_candidates() {
     let candidate = |name: &str, data_centre: &str| Candidate {
         name: name.to_owned(),
         record: NodeRecord {
@@ -164,9 +165,9 @@
     assert_eq!(chosen("x", "a", &[]), None, "a candidate asks the store");
 }
 
-/// Nodes that are no candidates, a whole cell of them, don't stand at one moment.
+/// In a large cell the campaigns of nodes that are not candidates are spread over time.
 #[test]
-fn campaign_delay_crowd() {
+fn campaign_delay_many_non_candidates() {
     let nodes = large_cell(2_099);
     let candidates = choose_candidates(&nodes);
     let mut at_ms: BTreeMap<u64, usize> = BTreeMap::new();
@@ -175,12 +176,12 @@
         let delay = campaign_delay(name, record, &candidates, draw);
         *at_ms.entry(delay.as_ms()).or_default() += 1;
     }
-    // The rest of two thousand, each in one of two hundred milliseconds.
+    // Some two thousand nodes are spread over 200 ms.
     assert!(at_ms.values().all(|count| *count <= 40), "{at_ms:?}");
     assert_eq!(at_ms.first_key_value(), Some((&0, &1)));
 }
 
-/// At the first start nobody has named candidates: strong nodes go first.
+/// At the first start of a cell there are no candidates: stronger nodes campaign first.
 #[test]
 fn campaign_delay_without_candidates() {
     let of = |cores_milli| campaign_delay("n", &record(cores_milli), &[], Duration::ZERO);
--- a/crates/control/tests/control/cordons.rs
+++ b/crates/control/tests/control/cordons.rs
@@ -1,4 +1,4 @@
-//! The operators' cordons, as they are read.
+//! The list of the operators' cordons.
 
 use ospreywing_control::cordons::CordonList;
 use ospreywing_control::{CordonError, CordonFault};
@@ -26,7 +26,7 @@
         .collect()
 }
 
-/// What can't be read changes nothing: neither a cordon that stands nor one that does not.
+/// An unreadable cordon changes nothing, whether or not it was set before.
 #[test]
 fn replace_unreadable() {
     let mut list = CordonList::default();
--- a/crates/control/tests/control/failure_detector.rs
+++ b/crates/control/tests/control/failure_detector.rs
@@ -1,4 +1,4 @@
-//! When a silent leader is suspected.
+//! When the failure detector suspects the leader.
 
 use ospreywing_control::failure_detector::{
     FailureDetector, NEW_LEADER_GRACE_TIME, PROBE_TIMEOUT, SUSPECT_AFTER, SUSPECT_MISSES_COUNT,
@@ -9,8 +9,8 @@
 const LEADER: u64 = 7;
 const ELECTED_AT: Instant = Instant::from_ms(1000);
 
-/// Returns a detector whose leader answered last at the returned instant, after its first
-/// seconds.
+/// Returns a detector and the instant of the leader's last answer, at the end of the grace
+/// time of a new leader.
 fn settled() -> (FailureDetector, Instant) {
     let mut detector = FailureDetector::new(LEADER, ELECTED_AT);
     let answered_at = ELECTED_AT + NEW_LEADER_GRACE_TIME;
@@ -18,9 +18,9 @@
     (detector, answered_at)
 }
 
-/// What callers need: a leader that is gone is replaced in half of its lease.
+/// A failed leader is suspected within half of its lease.
 #[test]
-fn is_suspect_silent_leader() {
+fn is_suspected_unresponsive_leader() {
     let (mut detector, answered_at) = settled();
     let mut now = answered_at;
     while !detector.is_suspected(now) {
@@ -35,21 +35,21 @@
 #[case::few_misses(SUSPECT_AFTER, SUSPECT_MISSES_COUNT - 1)]
 #[case::short_silence(Duration::from_ms(300), SUSPECT_MISSES_COUNT)]
 #[case::own_standstill(Duration::from_ms(9000), 1)]
-fn is_suspect_too_little(#[case] silence: Duration, #[case] misses_count: u32) {
+fn is_suspected_insufficient_evidence(#[case] silence: Duration, #[case] misses_count: u32) {
     let (mut detector, answered_at) = settled();
     (0..misses_count).for_each(|_| detector.record_miss());
     assert!(!detector.is_suspected(answered_at + silence));
 }
 
 #[test]
-fn is_suspect_new_leader() {
+fn is_suspected_new_leader() {
     let mut detector = FailureDetector::new(LEADER, ELECTED_AT);
     (0..9).for_each(|_| detector.record_miss());
     assert!(!detector.is_suspected(ELECTED_AT + Duration::from_ms(2900)));
 }
 
 #[test]
-fn is_suspect_after_answer() {
+fn is_suspected_after_answer() {
     let (mut detector, answered_at) = settled();
     (0..2).for_each(|_| detector.record_miss());
     detector.record_answer(answered_at + Duration::from_ms(400));
--- a/crates/control/tests/control/following.rs
+++ b/crates/control/tests/control/follow.rs
@@ -1,4 +1,4 @@
-//! Following a part of the store.
+//! Following a prefix of the store.
 
 use crate::support::{run_local, MemoryStore, Read};
 use ospreywing_control::follow::{follow, read_all, Flow, FollowPolicy, Update};
@@ -31,8 +31,8 @@
     });
 }
 
-/// Follows until every wanted key was seen; `compact_after` keys are written
-/// before the history is dropped.
+/// Writes the wanted keys while following, until all were seen, and returns the number of
+/// snapshots. The history is compacted after `compact_after` keys.
 async fn follow_keys(store: MemoryStore, wanted: &[&str], compact_after: usize) -> usize {
     let writer = store.clone();
     let keys: Vec<String> = wanted.iter().map(ToString::to_string).collect();
@@ -86,17 +86,17 @@
 }
 
 #[test]
-fn follow_history_dropped() {
+fn follow_compacted_history() {
     run_local(async {
         follow_keys(MemoryStore::new(), &["p/1", "p/2", "p/3"], 2).await;
     });
 }
 
-/// Found on swaramala-ow trouble-3 937447387656: a watch that was begun while
-/// the store was silent hung on after it was back, and a cancel that only the
-/// store knew of came too late.
+/// After a failed watch the next ones must not wait. A watch that was sent during an outage
+/// kept hanging after the store had recovered, so a cancel that was only in the store was
+/// handled too late.
 #[test]
-fn follow_store_was_silent() {
+fn follow_after_failed_watches() {
     run_local(async {
         let store = MemoryStore::new();
         put(&store, "p/0").await;
@@ -108,11 +108,11 @@
     });
 }
 
-/// Found on the grown gallery's scale-1: after a failed watch every node read
-/// all pages again, with the time limit of a large page, while the store was
-/// silent; so nobody learned for 3.5 s that it was back and stood for leader.
+/// A failed watch must not cause a new read of all pages. During an outage every node sent
+/// such a read, with the long timeout of a large page; so for 3.5 s no node noticed that the
+/// store had recovered, and none campaigned.
 #[test]
-fn follow_goes_on_after_a_failed_watch() {
+fn follow_continues_without_snapshot() {
     run_local(async {
         let store = MemoryStore::new();
         put(&store, "p/0").await;
@@ -122,7 +122,7 @@
     });
 }
 
-/// A page is asked for only once a small call was answered.
+/// After a failure a page is read only once a small call was answered.
 #[test]
 fn follow_first_read_fails() {
     run_local(async {
@@ -133,15 +133,15 @@
         let reads = store.reads();
         assert_eq!(reads[..3], [Read::Page, Read::Item, Read::Item]);
         assert_eq!(reads[3], Read::Page);
-        // What is followed may be large.
+        // The small call reads the leader item, since the followed items may be large.
         assert_eq!(store.item_keys(), [keys::LEADER, keys::LEADER]);
     });
 }
 
-/// A watch can end while the store is behind with its changes, and still name
-/// the newest revision.
+/// A watch that ends without a change may still name a newer revision than that change, if
+/// the store delivers changes late. Continuing from there would skip the change.
 #[test]
-fn follow_watch_that_passed_a_change_over() {
+fn follow_watch_skips_change() {
     run_local(async {
         let store = MemoryStore::new();
         put(&store, "p/0").await;
@@ -153,10 +153,10 @@
     });
 }
 
-/// A watch whose answer can never be taken in (more than `ANSWER_LIMIT_BYTES` of
-/// changes since) must not be asked for again for ever: what stands is smaller.
+/// If a watch's answer is too large to be received (more than `ANSWER_LIMIT_BYTES` of
+/// changes), the watch must not be repeated forever: the current items are smaller.
 #[test]
-fn follow_watch_that_is_never_answered() {
+fn follow_unanswerable_watch() {
     run_local(async {
         let store = MemoryStore::new();
         put(&store, "p/0").await;
--- a/crates/control/tests/control/handing_on.rs
+++ b/crates/control/tests/control/handover.rs
@@ -1,4 +1,4 @@
-//! What a leader has learned, as the next one finds it.
+//! Learned statistics, as handed over to the next leader.
 
 use ospreywing_control::handover::LearnedSnapshot;
 use ospreywing_control::peer::{self, PeerRequest};
@@ -21,18 +21,18 @@
     }
 }
 
-/// What was kept has aged; what is too old, or empty, is none.
+/// Kept statistics are aged; too old or empty ones are discarded.
 #[rstest]
 #[case::fresh(learned(20), 100, Some(learned(120)))]
 #[case::old(learned(20), 299_000, Some(learned(299_020)))]
 #[case::too_old(learned(20), 301_000, None)]
 #[case::empty(Learned::default(), 100, None)]
 fn into_learned_by_age(
-    #[case] told: Learned,
+    #[case] received: Learned,
     #[case] kept_ms: u64,
     #[case] expected: Option<Learned>,
 ) {
-    let kept = LearnedSnapshot::new(AT, told);
+    let kept = LearnedSnapshot::new(AT, received);
     let now = AT + Duration::from_ms(kept_ms);
     assert_eq!(kept.into_learned(now), expected);
 }
--- a/crates/control/tests/control/lateness.rs
+++ b/crates/control/tests/control/lateness.rs
@@ -1,4 +1,4 @@
-//! How late a node's own loop is.
+//! The lateness of a node's event loop.
 
 use ospreywing_control::lateness::Lateness;
 use ospreywing_types::{Duration, Instant};
@@ -12,7 +12,7 @@
 #[case::remembered(&[180, 20, 20], 122)]
 #[case::later_still(&[60, 220], 200)]
 #[case::once(&[60], 40)]
-fn note_tick_after_gaps(#[case] gaps_ms: &[u64], #[case] expected_ms: u64) {
+fn record_tick_after_gaps(#[case] gaps_ms: &[u64], #[case] expected_ms: u64) {
     let mut now = Instant::from_ms(1000);
     let mut lateness = Lateness::new(now, PERIOD);
     for gap_ms in gaps_ms {
--- a/crates/control/tests/control/logging.rs
+++ b/crates/control/tests/control/logging.rs
@@ -1,10 +1,10 @@
-//! The log's buffer.
+//! The log buffer.
 
 use ospreywing_control::log::{logger, LogBuffer};
 use slog::info;
 use std::io::Write;
 
-/// Keeps what is written, piece by piece.
+/// Records each write separately.
 #[derive(Default)]
 struct Pieces(Vec<Vec<u8>>);
 
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn log_nobody_reads() {
+fn log_unread_output() {
     let buffer = LogBuffer::new();
     let log = logger(&buffer, "n1");
-    // Far more than the buffer takes; none of it may block.
+    // Far more lines than the buffer holds; no call may block.
     for number in 0..20_000 {
         info!(log, "placed"; "task" => number);
     }
--- a/crates/control/tests/control/main.rs
+++ b/crates/control/tests/control/main.rs
@@ -1,20 +1,20 @@
-//! Tests of a node's parts against a store in memory.
+//! Tests of a node's parts, mostly against an in-memory store.
 
 mod admission;
 mod campaign;
 mod cordons;
 mod failure_detector;
-mod following;
+mod follow;
 mod freshness;
-mod handing_on;
+mod handover;
 mod lateness;
 mod logging;
-mod measuring;
-mod recovering;
+mod metrics;
+mod recovery;
 mod relays;
-mod silence;
+mod store_outage;
 mod store_writes;
+mod stored_view;
 mod support;
 mod suspension;
-mod viewing;
 mod worker_list;
--- a/crates/control/tests/control/measuring.rs
+++ b/crates/control/tests/control/metrics.rs
@@ -1,4 +1,4 @@
-//! What a node counts.
+//! A node's metrics.
 
 use crate::support::{run_local, MemoryStore, Treatment};
 use ospreywing_control::metered::MeteredStore;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn note_term_over_clears_sizes() {
+fn set_leading_false_clears_gauges() {
     let metrics = Metrics::new();
     metrics.set_leading(true);
     metrics.set_status(&SchedulerStatus {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn note_configuration_tells_version_and_age() {
+fn set_configuration_version_and_age() {
     let metrics = Metrics::new();
     metrics.set_configuration(16, Duration::from_ms(750));
     let text = metrics.to_text();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn commit_is_counted_by_outcome() {
+fn commit_counted_by_outcome() {
     run_local(async {
         let metrics = Rc::new(Metrics::new());
         let inner = MemoryStore::new();
@@ -73,7 +73,7 @@
         let new = Transaction::new()
             .with_expect("k", 0)
             .with_put("k", vec![1]);
-        // The last finds the key there.
+        // The last commit finds that the key exists.
         for _ in 0..4 {
             let _ = store.commit(&new).await;
         }
--- a/crates/control/tests/control/recovering.rs
+++ b/crates/control/tests/control/recovery.rs
@@ -1,4 +1,4 @@
-//! What a new leader makes of what the store keeps.
+//! The state that a new leader recovers from the stored items.
 
 use ospreywing_control::recovery::assemble;
 use ospreywing_control::{keys, Item};
@@ -6,7 +6,7 @@
 use slog::{o, Discard, Logger};
 
 const WALL_MS: u64 = 1_000;
-/// The first byte of a form that this version does not know.
+/// The first byte of an encoding of a later version.
 const LATER_FORM: u8 = 99;
 
 fn id(number: u64) -> JobId {
@@ -49,8 +49,8 @@
     assert_eq!(recovered.states.len(), 1);
 }
 
-/// A state that can't be read, as one of a later version, may hold ends: a job
-/// without it would begin from the start.
+/// A state that can't be parsed, such as one of a later version, may contain finished tasks.
+/// The job must not be recovered without it, since it would start from the beginning.
 #[test]
 fn assemble_unreadable_state() {
     let unreadable = item(keys::job(id(3)), vec![LATER_FORM, 1], 5);
--- a/crates/control/tests/control/relays.rs
+++ b/crates/control/tests/control/relays.rs
@@ -1,4 +1,4 @@
-//! Which nodes are relays, and for which workers.
+//! The choice of relays and their assignment to workers.
 
 use ospreywing_control::cell_view::NodeRecord;
 use ospreywing_control::relay::assignment::{Assignment, RelayCandidate};
@@ -35,7 +35,7 @@
 #[case::more_in_one(&[("a", 801), ("b", 1)], &["a1", "b0", "a0", "a2"])]
 #[case::more_than_nodes(&[("b", 4000)], &["b0"])]
 #[case::nowhere_near(&[("c", 700)], &[])]
-fn new_by_workers(#[case] workers: &[(&str, usize)], #[case] expected: &[&str]) {
+fn new_by_worker_counts(#[case] workers: &[(&str, usize)], #[case] expected: &[&str]) {
     let candidates = vec![
         candidate("a0", "a", 120),
         candidate("a1", "a", 500),
@@ -46,9 +46,9 @@
     assert_eq!(names(&assignment), expected);
 }
 
-/// Where a relay goes, the workers of the others stay with them.
+/// If a relay is lost, the workers of the other relays keep theirs.
 #[test]
-fn relay_of_after_one_has_gone() {
+fn relay_for_worker_after_relay_loss() {
     let all = ["a0", "a1", "a2"].map(|name| candidate(name, "a", 120));
     let workers = counts(&[("a", 1200)]);
     let before = Assignment::new(all.to_vec(), &workers, MIN_WORKERS_COUNT);
@@ -74,7 +74,7 @@
     assert_eq!(before.relay_for_worker("w0", "b"), None);
 }
 
-/// Nodes of the version before tell no data centre.
+/// Nodes of an earlier version wrote records without a data centre.
 #[test]
 fn from_bytes_without_data_centre() {
     let record = NodeRecord {
--- a/crates/control/tests/control/store_writes.rs
+++ b/crates/control/tests/control/store_writes.rs
@@ -1,4 +1,4 @@
-//! Intake and commits against a store that loses, refuses and delays.
+//! Intake and commits against a store that loses, refuses or delays transactions.
 
 use crate::support::{run_local, MemoryStore, Treatment};
 use ospreywing_control::commit::{lane_value, CommitLane, CommitOutcome};
@@ -20,7 +20,7 @@
     &[&[Treatment::Delay][..], &[Treatment::Refuse; 60][..]].concat(),
     IntakeOutcome::Unknown
 )]
-fn write_store_in_trouble(#[case] treatments: &[Treatment], #[case] expected: IntakeOutcome) {
+fn write_to_failing_store(#[case] treatments: &[Treatment], #[case] expected: IntakeOutcome) {
     run_local(async {
         let store = MemoryStore::new();
         store.set_treatments(treatments);
@@ -30,7 +30,7 @@
         let outcome = intake.write("k".to_owned(), b"first".to_vec()).await;
         assert_eq!(outcome, expected);
         store.apply_delayed();
-        // Nothing that is done late takes the place of what is there.
+        // A delayed write must not replace the stored value.
         let again = intake.write("k".to_owned(), b"second".to_vec()).await;
         if expected == IntakeOutcome::Stored {
             assert_eq!(again, IntakeOutcome::Exists(b"first".to_vec()));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn write_one_of_a_group_exists() {
+fn write_group_with_existing_key() {
     run_local(async {
         let store = MemoryStore::new();
         let known = Transaction::new().with_put("b", b"known".to_vec());
@@ -84,7 +84,7 @@
 #[case::answer_lost(&[Treatment::Lose])]
 #[case::refused(&[Treatment::Refuse, Treatment::Refuse])]
 #[case::delayed(&[Treatment::Delay, Treatment::Delay])]
-fn commit_store_in_trouble(#[case] treatments: &[Treatment]) {
+fn commit_to_failing_store(#[case] treatments: &[Treatment]) {
     run_local(async {
         let store = MemoryStore::new();
         let lane = lane_of(&store, FENCE).await;
@@ -92,7 +92,7 @@
         let first = lane.commit(change("first"), || false).await;
         let second = lane.commit(change("second"), || false).await;
         assert_eq!((first, second), (CommitOutcome::Done, CommitOutcome::Done));
-        // A commit that is done late must not bring an earlier state back.
+        // A delayed commit must not restore an earlier state.
         store.apply_delayed();
         assert_eq!(
             store.value(&keys::state(JobId::new(1))),
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn commit_another_leader() {
+fn commit_after_other_leader() {
     run_local(async {
         let store = MemoryStore::new();
         let lane = lane_of(&store, FENCE).await;
@@ -143,10 +143,11 @@
     });
 }
 
-/// Found on the grown swaramala-ow: a new leader on a narrow link read what
-/// had been accepted of 2,069 jobs, most of them ended, for 2.7 s.
+/// The outcome of a job replaces the accepted job, which is much larger. While
+/// accepted jobs were kept, a new leader on a narrow link took 2.7 s to read 2,069 of them,
+/// most of which had ended.
 #[test]
-fn commit_outcome_of_job() {
+fn commit_outcome_replaces_job() {
     run_local(async {
         let store = MemoryStore::new();
         let lane = lane_of(&store, FENCE).await;
--- a/crates/control/tests/control/viewing.rs
+++ b/crates/control/tests/control/stored_view.rs
@@ -1,4 +1,4 @@
-//! What a node tells of a job from the store alone.
+//! A job's state as read from the store alone.
 
 use crate::support::{run_local, MemoryStore};
 use ospreywing_control::stored_view::{access, read_view, Access, StoredView};
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use slog::{o, Discard, Logger};
 
-/// The first byte of a form that this version does not know.
+/// The first byte of an encoding of a later version.
 const LATER_FORM: u8 = 99;
 
 async fn view(store: &MemoryStore) -> StoredView {
@@ -47,12 +47,12 @@
     });
 }
 
-/// Found by the soak, seed 5007: a job that had been shown as cancelled was shown
-/// as queued. Its outcome took the place of its state between the two reads.
+/// The outcome may replace the progress between the two reads. Because of that, a job that
+/// had been shown as cancelled was then shown as queued.
 #[rstest]
 #[case::canceled(Phase::Canceled)]
 #[case::complete(Phase::Complete)]
-fn read_view_outcome_written_meanwhile(#[case] phase: Phase) {
+fn read_view_outcome_written_between_reads(#[case] phase: Phase) {
     run_local(async move {
         let store = MemoryStore::new();
         let job = JobId::new(1);
@@ -64,12 +64,12 @@
         let outcome = Transaction::new()
             .with_put(keys::job(job), JobOutcome::new(phase).to_bytes())
             .with_remove(keys::state(job));
-        store.do_after_read(outcome);
+        store.commit_after_read(outcome);
         assert_eq!(phase_of(view(&store).await), Some(phase));
     });
 }
 
-/// A job that can't be read is not said to be none: a node of a later version may have
+/// A job that can't be parsed is not reported as missing: a node of a later version may have
 /// written it.
 #[rstest]
 #[case::own(Some("one"), Some("one"), Access::Open)]
--- a/crates/control/tests/control/support.rs
+++ b/crates/control/tests/control/support.rs
@@ -1,4 +1,4 @@
-//! A store in memory that loses, refuses and delays on demand.
+//! An in-memory store that loses, refuses or delays calls as a test requests.
 
 use ospreywing_control::{
     CommitError, Committed, Item, LeaseGrant, LeaseId, Page, Revision, Store, StoreError,
@@ -9,16 +9,16 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// How the store treats a transaction.
+/// How the store handles a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Treatment {
-    /// As it should.
+    /// Applies it and answers.
     Answer,
-    /// It is done and not answered.
+    /// Applies it, but does not answer.
     Lose,
-    /// It is not answered and done later, by [`MemoryStore::apply_delayed`].
+    /// Does not answer, and applies it later, in [`MemoryStore::apply_delayed`].
     Delay,
-    /// It is turned away.
+    /// Refuses it.
     Refuse,
 }
 
@@ -27,25 +27,25 @@
     items: BTreeMap<String, Item>,
     revision: Revision,
     history: Vec<(Revision, WatchedChange)>,
-    compacted: Revision,
+    compacted_revision: Revision,
     treatments: VecDeque<Treatment>,
-    late: Vec<Transaction>,
+    delayed: Vec<Transaction>,
     failing_watches_count: usize,
     blind_watches_count: usize,
     watch_waits: Vec<Duration>,
-    silent_reads_count: usize,
+    failing_reads_count: usize,
     reads: Vec<Read>,
     item_keys: Vec<String>,
     after_read: Option<Transaction>,
-    is_silent: bool,
+    is_unresponsive: bool,
     commit_time: Duration,
 }
 
-/// How long the renewal of a lease hangs at a silent store. Other calls hang for
-/// ever, also once the store answers again.
-const RENEWAL_TIMEOUT: Duration = Duration::from_ms(300);
+/// How long a lease renewal hangs while the store is unresponsive before it fails. Other
+/// calls hang forever, also after the store has recovered.
+const HANGING_RENEWAL_TIMEOUT: Duration = Duration::from_ms(300);
 
-/// A kind of reading call.
+/// A kind of read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Read {
     /// One item.
@@ -54,7 +54,7 @@
     Page,
 }
 
-/// A store in memory.
+/// An in-memory store.
 #[derive(Clone, Default)]
 pub struct MemoryStore(Rc<RefCell<Inner>>);
 
@@ -63,7 +63,7 @@
         Self::default()
     }
 
-    /// Sets how the next transactions are treated; later ones are answered.
+    /// Sets how the next transactions are handled; later ones are applied and answered.
     pub fn set_treatments(&self, treatments: &[Treatment]) {
         self.0
             .borrow_mut()
@@ -71,28 +71,28 @@
             .extend(treatments.iter().copied());
     }
 
-    /// Does the transactions that were delayed, as far as their conditions hold.
+    /// Applies the delayed transactions whose conditions still hold.
     pub fn apply_delayed(&self) {
-        let late = core::mem::take(&mut self.0.borrow_mut().late);
-        for transaction in late {
+        let delayed = core::mem::take(&mut self.0.borrow_mut().delayed);
+        for transaction in delayed {
             let _ = self.0.borrow_mut().apply(&transaction);
         }
     }
 
-    /// Lets the next watches fail.
+    /// Makes the next `count` watches fail.
     pub fn fail_watches(&self, count: usize) {
         self.0.borrow_mut().failing_watches_count = count;
     }
 
-    /// Lets the next watches that have changes to tell of end as if there were
-    /// none.
+    /// Makes the next `count` watches that would return changes return none, but the
+    /// newest revision.
     pub fn hide_changes_from_watches(&self, count: usize) {
         self.0.borrow_mut().blind_watches_count = count;
     }
 
-    /// Lets the next reads of items and pages go without an answer.
+    /// Makes the next `count` reads of items and pages fail without an answer.
     pub fn fail_reads(&self, count: usize) {
-        self.0.borrow_mut().silent_reads_count = count;
+        self.0.borrow_mut().failing_reads_count = count;
     }
 
     /// Returns the reads of items and pages so far.
@@ -100,42 +100,42 @@
         self.0.borrow().reads.clone()
     }
 
-    /// Has a transaction done right after the next read of an item.
-    pub fn do_after_read(&self, transaction: Transaction) {
+    /// Commits a transaction right after the next read of an item.
+    pub fn commit_after_read(&self, transaction: Transaction) {
         self.0.borrow_mut().after_read = Some(transaction);
     }
 
-    /// Returns the keys of the items that were asked for.
+    /// Returns the keys of the items that were read so far.
     pub fn item_keys(&self) -> Vec<String> {
         self.0.borrow().item_keys.clone()
     }
 
-    /// Returns how long each watch so far was to wait.
+    /// Returns the wait time of each watch so far.
     pub fn watch_waits(&self) -> Vec<Duration> {
         self.0.borrow().watch_waits.clone()
     }
 
-    /// Lets calls that are sent from now on hang, or be answered again.
-    pub fn set_silent(&self, is_silent: bool) {
-        self.0.borrow_mut().is_silent = is_silent;
+    /// Sets whether calls that are sent from now on hang.
+    pub fn set_unresponsive(&self, is_unresponsive: bool) {
+        self.0.borrow_mut().is_unresponsive = is_unresponsive;
     }
 
-    /// Lets each transaction take so long.
+    /// Sets the duration of each transaction.
     pub fn set_commit_time(&self, time: Duration) {
         self.0.borrow_mut().commit_time = time;
     }
 
-    /// Never returns where the store is silent.
-    async fn hang_while_silent(&self) {
-        if self.0.borrow().is_silent {
+    /// Never returns if the store is unresponsive now.
+    async fn hang_while_unresponsive(&self) {
+        if self.0.borrow().is_unresponsive {
             std::future::pending().await
         }
     }
 
-    /// Forgets the history.
+    /// Compacts the history: watches from earlier revisions fail.
     pub fn compact(&self) {
         let mut inner = self.0.borrow_mut();
-        inner.compacted = inner.revision;
+        inner.compacted_revision = inner.revision;
         inner.history.clear();
     }
 
@@ -151,10 +151,10 @@
 impl Inner {
     fn record_read(&mut self, read: Read) -> Result<(), StoreError> {
         self.reads.push(read);
-        if self.silent_reads_count == 0 {
+        if self.failing_reads_count == 0 {
             return Ok(());
         }
-        self.silent_reads_count -= 1;
+        self.failing_reads_count -= 1;
         Err(no_answer())
     }
 
@@ -197,7 +197,7 @@
 
 impl Store for MemoryStore {
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
-        self.hang_while_silent().await;
+        self.hang_while_unresponsive().await;
         self.0.borrow_mut().item_keys.push(key.to_owned());
         self.0.borrow_mut().record_read(Read::Item)?;
         let found = self.0.borrow().items.get(key).cloned();
@@ -242,7 +242,7 @@
             inner.failing_watches_count -= 1;
             return Err(no_answer());
         }
-        if from < inner.compacted {
+        if from < inner.compacted_revision {
             return Err(StoreError::Compacted);
         }
         let later = inner
@@ -267,7 +267,7 @@
 
     async fn commit(&self, transaction: &Transaction) -> Result<Committed, CommitError> {
         tokio::task::yield_now().await;
-        self.hang_while_silent().await;
+        self.hang_while_unresponsive().await;
         let commit_time = self.0.borrow().commit_time;
         if commit_time != Duration::ZERO {
             tokio::time::sleep(commit_time.into()).await;
@@ -280,7 +280,7 @@
                 Err(no_answer().into())
             }
             Treatment::Delay => {
-                inner.late.push(transaction.clone());
+                inner.delayed.push(transaction.clone());
                 Err(no_answer().into())
             }
             Treatment::Refuse => Err(StoreError::Refused("busy".to_owned()).into()),
@@ -292,8 +292,8 @@
     }
 
     async fn renew_lease(&self, _lease: LeaseId) -> Result<(), StoreError> {
-        if self.0.borrow().is_silent {
-            tokio::time::sleep(RENEWAL_TIMEOUT.into()).await;
+        if self.0.borrow().is_unresponsive {
+            tokio::time::sleep(HANGING_RENEWAL_TIMEOUT.into()).await;
             return Err(no_answer());
         }
         Ok(())
@@ -304,7 +304,7 @@
     }
 }
 
-/// Runs a test on one thread, as a node runs.
+/// Runs a test on a single thread, as a node runs.
 pub fn run_local(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/control/tests/control/suspension.rs
+++ b/crates/control/tests/control/suspension.rs
@@ -1,9 +1,8 @@
-//! A leader whose machine is suspended: its clocks move on while it stands still, and
-//! another node leads meanwhile.
+//! A leader whose machine is suspended, while time passes and another node is elected.
 //!
-//! A node that counts its lease by a clock which stands still in a suspend would wake up
-//! and give orders until its next renewal is refused. Such a suspend is brought about at
-//! one call after the other that the node makes.
+//! If a node measured its lease by a clock that stops during a suspend, it would resume and
+//! send orders until its next renewal fails. The test suspends the machine at each of
+//! several calls that the node makes.
 
 use crate::support::{run_local, MemoryStore};
 use http_body_util::Full;
@@ -30,29 +29,28 @@
 const SERVICE: &str = "gallery";
 const QUEUE: &str = "render";
 const WORKERS_PREFIX: &str = "workers/";
-/// How long a node plays after it was suspended.
+/// How long the node runs after it was suspended.
 const RUN_TIME: std::time::Duration = std::time::Duration::from_millis(600);
-/// The longest that a node takes to make so many calls.
+/// The timeout for the node to make its calls and run on after the suspend.
 const RUN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
-/// The leader's lease; in a shorter suspend nobody else is elected.
+/// The leader lease; during a shorter suspend no other node is elected.
 const LEADER_LEASE: Duration = Duration::from_ms(1500);
 
-/// What surrounds the node: calls are counted, and one of them is when the machine is
-/// suspended.
+/// The node's environment: counts calls, and suspends the machine at one of them.
 #[derive(Default)]
 struct Environment {
     calls_count: Cell<usize>,
     suspend_at_call: Cell<usize>,
     length: Cell<Duration>,
-    /// The orders that were given after another node was elected.
+    /// The orders that were sent after another node was elected.
     late_orders: RefCell<Vec<&'static str>>,
     has_other_leader: Cell<bool>,
     running: RefCell<Vec<RunningRun>>,
 }
 
 impl Environment {
-    /// Counts a call; at one of them the machine is suspended, and another node leads
-    /// from then on where the leader's lease runs out meanwhile.
+    /// Counts a call. At the chosen one, suspends the machine; if the leader lease expires
+    /// during that time, another node is elected.
     async fn handle_call(&self, store: &MemoryStore) {
         self.calls_count.set(self.calls_count.get() + 1);
         if self.calls_count.get() != self.suspend_at_call.get() {
@@ -67,16 +65,16 @@
                 lease: 2,
             };
             let value = postcard::to_allocvec(&record).expect("a record");
-            let mut taken = Transaction::new().with_put(keys::LEADER.to_owned(), value);
+            let mut takeover = Transaction::new().with_put(keys::LEADER.to_owned(), value);
             for lane in 0..ospreywing_scheduler::LANES_COUNT {
-                taken = taken.with_put(keys::lane(lane), vec![9]);
+                takeover = takeover.with_put(keys::lane(lane), vec![9]);
             }
-            store.commit(&taken).await.expect("no condition");
+            store.commit(&takeover).await.expect("no condition");
         }
     }
 
-    /// Notes an order; one after another leader's election must not be given. What was
-    /// on its way when the machine was suspended is late and no new order.
+    /// Records an order if another leader was elected before, since then none may be sent.
+    /// An order in flight when the machine was suspended is only late, and is not recorded.
     fn record_order(&self, kind: &'static str) {
         if self.has_other_leader.get() {
             self.late_orders.borrow_mut().push(kind);
@@ -84,29 +82,29 @@
     }
 }
 
-/// Counts the calls of a store.
+/// A store layer that counts calls.
 #[derive(Clone)]
-struct Counting {
+struct CountingLayer {
     store: MemoryStore,
     environment: Rc<Environment>,
 }
 
-type CountingStore = LayeredStore<MemoryStore, Counting>;
+type CountingStore = LayeredStore<MemoryStore, CountingLayer>;
 
-impl StoreLayer for Counting {
+impl StoreLayer for CountingLayer {
     async fn wrap_call<T, E: CallFailure>(
         &self,
         call: StoreCall,
         future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
         if call == StoreCall::Watch {
-            // The store in memory answers at once.
+            // The in-memory store would answer at once.
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             return future.await;
         }
         self.environment.handle_call(&self.store).await;
         if call == StoreCall::RenewLease {
-            // An answer takes its time, in which a node that knows nothing acts on.
+            // Until the answer arrives, the node does not know that its lease is over.
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             if self.environment.has_other_leader.get() {
                 return Err(StoreError::LeaseOver.into());
@@ -116,7 +114,7 @@
     }
 }
 
-/// A platform with one worker, on which whatever is started runs on.
+/// A platform with one worker, on which started runs never end.
 #[derive(Clone)]
 struct OneWorker {
     memory: MemoryStore,
@@ -129,7 +127,7 @@
     type Admission = ();
 
     fn store(&self) -> CountingStore {
-        let layer = Counting {
+        let layer = CountingLayer {
             store: self.memory.clone(),
             environment: self.environment.clone(),
         };
@@ -275,9 +273,9 @@
     }
 }
 
-/// Writes what the node finds: a configuration, a worker and jobs.
-async fn fill(store: &MemoryStore) {
-    let mut filled = Transaction::new()
+/// Writes the initial content of the store: a configuration, a worker and jobs.
+async fn write_initial_items(store: &MemoryStore) {
+    let mut initial_items = Transaction::new()
         .with_put("configuration".to_owned(), vec![1])
         .with_put(format!("{WORKERS_PREFIX}w0"), vec![1]);
     for number in 1..=8 {
@@ -298,15 +296,15 @@
             },
             customer: None,
         };
-        filled = filled.with_put(keys::job(JobId::new(number)), record.to_bytes());
+        initial_items = initial_items.with_put(keys::job(JobId::new(number)), record.to_bytes());
     }
-    store.commit(&filled).await.expect("no condition");
+    store.commit(&initial_items).await.expect("no condition");
 }
 
-/// After a suspend in which its lease ran out, a leader gives no order, whatever it was
-/// waiting for; after a shorter one it goes on.
+/// After a suspend during which its lease expired, a leader sends no order, whichever call it
+/// was waiting for; after a shorter one it continues.
 #[rstest]
-fn may_order_after_suspend(
+fn may_send_orders_after_suspend(
     #[values(8, 13, 17, 22, 26, 31, 37, 44, 52, 61)] call: usize,
     #[values(500, 2_000, 30_000)] length_ms: u64,
 ) {
@@ -315,7 +313,7 @@
         environment.suspend_at_call.set(call);
         environment.length.set(Duration::from_ms(length_ms));
         let memory = MemoryStore::new();
-        fill(&memory).await;
+        write_initial_items(&memory).await;
         let platform = OneWorker {
             memory,
             environment: environment.clone(),
