--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -25,28 +25,31 @@
     forecast: Option<Forecast>,
     /// The lease of the leader that sent it.
     leader: LeaseId,
-    asked_at: Instant,
+    sent_at: Instant,
 }
 
 /// A node's view of the leader's forecast.
 #[derive(Debug, Default)]
 pub struct ForecastView {
-    kept: RefCell<Option<ReceivedForecast>>,
+    received: RefCell<Option<ReceivedForecast>>,
     unconfirmed_at: Cell<Option<Instant>>,
 }
 
 impl ForecastView {
-    /// Stores the forecast in a leader's answer to a call that was sent at `asked_at`, unless
+    /// Stores the forecast in a leader's answer to a call that was sent at `sent_at`, unless
     /// there is one of a later call.
-    pub fn update(&self, leader: LeaseId, asked_at: Instant, forecast: Option<Forecast>) {
-        let mut kept = self.kept.borrow_mut();
-        if kept.as_ref().is_some_and(|kept| kept.asked_at > asked_at) {
+    pub fn update(&self, leader: LeaseId, sent_at: Instant, forecast: Option<Forecast>) {
+        let mut received = self.received.borrow_mut();
+        if received
+            .as_ref()
+            .is_some_and(|received| received.sent_at > sent_at)
+        {
             return;
         }
-        *kept = Some(ReceivedForecast {
+        *received = Some(ReceivedForecast {
             forecast,
             leader,
-            asked_at,
+            sent_at,
         });
     }
 
@@ -69,10 +72,13 @@
         record: &JobRecord,
         configuration: &Configuration,
     ) -> Option<Refusal> {
-        let kept = self.kept.borrow();
-        let kept = kept.as_ref().filter(|kept| kept.leader == leader)?;
-        let since = now.since(kept.asked_at);
-        kept.forecast
+        let received = self.received.borrow();
+        let received = received
+            .as_ref()
+            .filter(|received| received.leader == leader)?;
+        let since = now.since(received.sent_at);
+        received
+            .forecast
             .as_ref()?
             .refusal(record, configuration, since)
     }
--- a/crates/control/src/commit.rs
+++ b/crates/control/src/commit.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// The pause before a failed commit is retried.
-const RETRY: Duration = Duration::from_ms(60);
+const RETRY_PAUSE: Duration = Duration::from_ms(60);
 
 /// The outcome of a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
                     if is_over() {
                         return CommitOutcome::Lost;
                     }
-                    self.store.pause(RETRY).await;
+                    self.store.pause(RETRY_PAUSE).await;
                 }
             }
         }
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -20,7 +20,7 @@
 const CONFIRMATIONS_COUNT: u64 = 2;
 /// How long a request waits for the configuration to be confirmed: long enough for one
 /// failed call and its retry.
-const CONFIRMATION_WAIT: Duration = Duration::from_ms(700);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_ms(700);
 
 /// The configuration that is in force.
 pub struct ActiveConfiguration<P: Platform> {
@@ -157,7 +157,7 @@
         let confirmed = self.configuration.confirmed.notified();
         if !self.is_current() {
             // Whether it was confirmed is checked below.
-            let _ = tokio::time::timeout(CONFIRMATION_WAIT.into(), confirmed).await;
+            let _ = tokio::time::timeout(CONFIRMATION_TIMEOUT.into(), confirmed).await;
         }
         let active = self.configuration.active();
         active.filter(|_| self.is_current())
--- a/crates/control/src/configuration_sharing.rs
+++ b/crates/control/src/configuration_sharing.rs
@@ -24,7 +24,7 @@
 /// The default number of nodes from which configurations are shared between nodes.
 pub const SHARING_MIN_NODES_COUNT: usize = 100;
 /// The fetches that fit into the time within which a change must be in force.
-const QUERIES_COUNT: u64 = 4;
+const FETCHES_COUNT: u64 = 4;
 /// The timeout of a fetch beyond the time that it waits for a change.
 const ANSWER_TIMEOUT: Duration = Duration::from_ms(300);
 /// How long a node that did not answer is not asked again.
@@ -120,12 +120,12 @@
     node: &Rc<Node<P>>,
     source: &Candidate,
 ) -> Result<(), SharingError> {
-    let wait = Duration::from_ms(node.settings.apply_limit.as_ms() / QUERIES_COUNT);
+    let wait = Duration::from_ms(node.settings.apply_limit.as_ms() / FETCHES_COUNT);
     let request = PeerRequest::Configuration {
         known: node.configuration.revision(),
         wait_ms: wait.as_ms(),
     };
-    let asked_at = clock::now();
+    let sent_at = clock::now();
     let address = &source.record.address;
     let reply = peer::call(&node.peers, address, &request, wait + ANSWER_TIMEOUT).await?;
     let PeerReply::Configuration(shared) = reply else {
@@ -137,7 +137,7 @@
     }
     // The nodes' clocks differ, but the time for which the request was held has also passed
     // on this node's clock.
-    let answered_at = asked_at + Duration::from_ms(shared.held_ms);
+    let answered_at = sent_at + Duration::from_ms(shared.held_ms);
     let item = shared.item.map(|item| Item {
         key: node.platform.configuration_key().to_owned(),
         value: Ok(item.value),
@@ -154,12 +154,12 @@
     known: Revision,
     wait: Duration,
 ) -> PeerReply {
-    let begun_at = clock::now();
+    let started_at = clock::now();
     let wait = wait.min(WAIT_LIMIT);
     let view = &node.configuration;
     loop {
         let changed = view.changed();
-        let held = clock::now().since(begun_at);
+        let held = clock::now().since(started_at);
         let is_newer = view.revision() > known;
         if is_newer || held >= wait {
             break;
@@ -179,6 +179,6 @@
     PeerReply::Configuration(SharedConfiguration {
         item,
         age_ms: view.age(now).as_ms(),
-        held_ms: now.since(begun_at).as_ms(),
+        held_ms: now.since(started_at).as_ms(),
     })
 }
--- a/crates/control/src/decision_loop.rs
+++ b/crates/control/src/decision_loop.rs
@@ -195,13 +195,13 @@
             wait,
             patience,
         } => {
-            let look = WorkerPoll {
+            let poll = WorkerPoll {
                 until_ms,
                 last_seen,
                 wait,
                 patience,
             };
-            orders::send_order(node, term, to, Order::Hold(look));
+            orders::send_order(node, term, to, Order::Hold(poll));
         }
         Action::Advise {
             step,
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -38,7 +38,7 @@
 /// The factor between the processor shares of two nodes from which one is much stronger.
 const STRONGER_FACTOR: u32 = 2;
 /// The pause before a failed step is retried.
-const RETRY: Duration = Duration::from_ms(200);
+const RETRY_PAUSE: Duration = Duration::from_ms(200);
 
 /// Campaigns whenever there is no leader.
 pub async fn campaign<P: Platform>(node: Rc<Node<P>>) {
@@ -46,7 +46,7 @@
         let changed = node.cell_changed.notified();
         if !may_campaign(&node) {
             // The view may become outdated without a notification.
-            let _ = tokio::time::timeout(RETRY.into(), changed).await;
+            let _ = tokio::time::timeout(RETRY_PAUSE.into(), changed).await;
             continue;
         }
         tokio::time::sleep(own_campaign_delay(&node).into()).await;
@@ -55,7 +55,7 @@
         }
         if let Err(error) = run_campaign(&node).await {
             info!(node.log, "campaign failed"; "error" => error.to_string());
-            tokio::time::sleep(RETRY.into()).await;
+            tokio::time::sleep(RETRY_PAUSE.into()).await;
         }
     }
 }
@@ -81,9 +81,9 @@
 
 /// Returns how long a node waits before it campaigns.
 ///
-/// Candidates campaign first, in their order. Other nodes follow, each after a further delay
-/// of `non_candidate_delay`. A node that is much weaker than another candidate waits until all candidates
-/// have campaigned, since the leader's speed limits that of the whole cell.
+/// Candidates campaign first, in their order. Other nodes follow, each after a further
+/// `non_candidate_delay`. A node that is much weaker than another candidate waits until all
+/// candidates have campaigned, since the leader's speed limits that of the whole cell.
 pub fn campaign_delay(
     name: &str,
     own: &NodeRecord,
@@ -135,13 +135,13 @@
 
 /// Campaigns once and, if elected, leads until the term is over.
 async fn run_campaign<P: Platform>(node: &Rc<Node<P>>) -> Result<(), CommitError> {
-    let asked_at = clock::now();
+    let sent_at = clock::now();
     let grant = node.store.grant_lease(LEADER_LEASE).await?;
     node.own_lease.set(grant.id);
     let record = own_leader_record(node);
     let fence = elect(node, &record, grant.id).await?;
     info!(node.log, "elected"; "fence" => fence, "lease" => grant.id);
-    let valid_until = asked_at + grant.ttl;
+    let valid_until = sent_at + grant.ttl;
     let was_resigned = leader::run_term(node, grant, fence, valid_until).await;
     info!(node.log, "term over"; "fence" => fence, "was_resigned" => was_resigned);
     Ok(())
@@ -170,7 +170,7 @@
         // The fencing token is not known yet, so the lease id identifies the term.
         transaction = transaction.with_put(keys::lane(lane), lane_value(lease, 0));
     }
-    let begun = clock::now();
+    let started_at = clock::now();
     loop {
         match node.store.commit(&transaction).await {
             Ok(committed) => return Ok(committed.revision),
@@ -184,10 +184,10 @@
                     .ok_or(CommitError::Conflict(items.clone()));
             }
             Err(error) => {
-                if clock::now().since(begun) >= LEADER_LEASE {
+                if clock::now().since(started_at) >= LEADER_LEASE {
                     return Err(error);
                 }
-                tokio::time::sleep(RETRY.into()).await;
+                tokio::time::sleep(RETRY_PAUSE.into()).await;
             }
         }
     }
--- a/crates/control/src/failure_detector.rs
+++ b/crates/control/src/failure_detector.rs
@@ -15,8 +15,8 @@
 /// How long a leader is unresponsive before it is suspected: several times its lateness
 /// under load, and a third of its lease.
 pub const SUSPECT_AFTER: Duration = Duration::from_ms(500);
-/// The probes in a row that must also have failed. One is not enough: a node that was itself
-/// suspended has missed one probe, and reads the pending answers with the next.
+/// The probes in a row that must also have failed. A node that was itself suspended does not
+/// reach this count: it reads the pending answers with its first probe after the suspend.
 pub const SUSPECT_MISSES_COUNT: u32 = 3;
 /// The failed probes for an observer that confirms another one's suspicion: its probes
 /// started at another time, so fewer have failed.
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -5,7 +5,7 @@
 use ospreywing_types::{Duration, Instant};
 
 /// The pause before a failed call is retried.
-const RETRY: Duration = Duration::from_ms(150);
+const RETRY_PAUSE: Duration = Duration::from_ms(150);
 
 /// The number of changes in an answer from which the next watch follows without a pause. An
 /// answer with fewer changes is complete, since the store's pages hold more.
@@ -181,9 +181,9 @@
 
 /// Follows a prefix until `on_update` returns [`Flow::Stop`].
 ///
-/// `on_update` is called with each update and an instant at which, or after which, the
-/// store's answer was current. That is the start of the call: when the last byte of an
-/// answer arrives depends on its size and on the node's link.
+/// `on_update` is called with each update and an instant as of which it is valid. If there are
+/// changes, this is the start of the call, not the arrival of the answer, which depends on the
+/// answer's size and on the node's link.
 ///
 /// `from` is the revision up to which the caller knows all changes; without it
 /// everything is read first.
@@ -200,7 +200,7 @@
     // The caller's state may be outdated.
     let mut is_unconfirmed = policy.confirms_changes && from.is_some();
     loop {
-        let asked_at = clock::now();
+        let sent_at = clock::now();
         // A watch that waits might keep hanging after the store has recovered.
         let wait = if is_failing || is_unconfirmed {
             Duration::ZERO
@@ -217,8 +217,8 @@
         is_unconfirmed = policy.confirms_changes && matches!(update, Update::Changes(_));
         let as_of = match &update {
             // The store answered this at the end of its wait.
-            Update::Unchanged => clock::now().min(asked_at + wait),
-            Update::Snapshot(_) | Update::Changes(_) | Update::Failed(_) => asked_at,
+            Update::Unchanged => clock::now().min(sent_at + wait),
+            Update::Snapshot(_) | Update::Changes(_) | Update::Failed(_) => sent_at,
         };
         if matches!(update, Update::Snapshot(_)) {
             read_at = clock::now();
@@ -229,7 +229,7 @@
             position.restart();
         }
         let pause = match &update {
-            Update::Failed(_) => RETRY,
+            Update::Failed(_) => RETRY_PAUSE,
             Update::Changes(changes) => policy.pause_after(changes.len()),
             Update::Snapshot(_) | Update::Unchanged => Duration::ZERO,
         };
--- a/crates/control/src/front.rs
+++ b/crates/control/src/front.rs
@@ -247,9 +247,9 @@
 }
 
 async fn respond_client<P: Platform>(node: &Rc<Node<P>>, request: Request<IncomingBody>) -> Reply {
-    let begun_at = clock::now();
+    let started_at = clock::now();
     let reply = reply_to(node, request).await;
-    node.metrics.count_reply(&reply, begun_at);
+    node.metrics.count_reply(&reply, started_at);
     reply
 }
 
--- a/crates/control/src/handover.rs
+++ b/crates/control/src/handover.rs
@@ -39,11 +39,11 @@
 
     /// Returns the statistics aged to `now`; `None` if they are too old or empty.
     pub fn into_learned(mut self, now: Instant) -> Option<Learned> {
-        let kept = now.since(self.at);
-        if kept > MAX_AGE || self.learned.is_empty() {
+        let age = now.since(self.at);
+        if age > MAX_AGE || self.learned.is_empty() {
             return None;
         }
-        self.learned.age(kept);
+        self.learned.age(age);
         Some(self.learned)
     }
 }
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -22,7 +22,7 @@
 /// write it.
 const NOT_STORED_TIMEOUT: Duration = Duration::from_ms(120);
 /// The pause before a failed commit is retried.
-const RETRY: Duration = Duration::from_ms(40);
+const RETRY_PAUSE: Duration = Duration::from_ms(40);
 /// Failed commits in a row after which the store is taken to be unreachable.
 const FAILING_COUNT: u32 = 2;
 
@@ -187,7 +187,7 @@
             entry.answer(outcome);
         }
         self.requeue(rest);
-        self.store.pause(RETRY).await;
+        self.store.pause(RETRY_PAUSE).await;
     }
 
     fn requeue(&self, rest: Vec<Entry>) {
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -27,7 +27,7 @@
 /// flight.
 pub(crate) const LEASE_MARGIN: Duration = Duration::from_ms(150);
 /// How long a resigning leader waits for its open commits.
-const RESIGN_LIMIT: Duration = Duration::from_ms(400);
+const RESIGN_TIMEOUT: Duration = Duration::from_ms(400);
 
 /// The state of one term of this node as leader.
 pub struct Term<P: Platform> {
@@ -105,8 +105,8 @@
     /// Ends the term after waiting for the open commits.
     pub async fn resign(&self) {
         self.is_resigned.set(true);
-        let begun = clock::now();
-        while self.open_commits_count.get() > 0 && clock::now().since(begun) < RESIGN_LIMIT {
+        let started_at = clock::now();
+        while self.open_commits_count.get() > 0 && clock::now().since(started_at) < RESIGN_TIMEOUT {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
         self.end();
@@ -198,8 +198,8 @@
         let newest = node.configuration.active().unwrap_or(active);
         let configuration = newest.configuration.clone();
         let mut scheduler = Scheduler::new(config, configuration, clock::now(), recovered);
-        let kept = node.learned.take();
-        if let Some(learned) = kept.into_learned(clock::now()) {
+        let snapshot = node.learned.take();
+        if let Some(learned) = snapshot.into_learned(clock::now()) {
             info!(node.log, "learned statistics restored";
                 "sizes" => learned.sizes.len(), "speeds" => learned.speeds.len());
             scheduler.take_learned(clock::now(), &learned);
--- a/crates/control/src/leader_lease.rs
+++ b/crates/control/src/leader_lease.rs
@@ -21,7 +21,7 @@
 /// The timeout for another node to end the lease.
 const END_THROUGH_PEER_TIMEOUT: Duration = Duration::from_ms(300);
 /// The pause before a failed renewal is retried.
-const RETRY: Duration = Duration::from_ms(100);
+const RETRY_PAUSE: Duration = Duration::from_ms(100);
 
 /// Renews the leader lease until the term is over.
 pub(crate) async fn renew_lease<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
@@ -30,7 +30,7 @@
         if failures_count == 0 {
             tokio::time::sleep(RENEWAL.into()).await;
         } else {
-            node.store.pause(RETRY).await;
+            node.store.pause(RETRY_PAUSE).await;
         }
         let sent_at = clock::now();
         let open_since = &term.renewal_open_since;
@@ -67,7 +67,8 @@
     for address in requests::forward_addresses(node) {
         let reply = peer::call(&node.peers, &address, &request, END_THROUGH_PEER_TIMEOUT).await;
         if matches!(reply, Ok(PeerReply::Ended)) {
-            info!(node.log, "leader lease ended through another node"; "fence" => term.fence, "through" => address);
+            info!(node.log, "leader lease ended through another node";
+                "fence" => term.fence, "through" => address);
             term.end();
             return;
         }
--- a/crates/control/src/leader_probe.rs
+++ b/crates/control/src/leader_probe.rs
@@ -28,7 +28,7 @@
         let Some(leader) = observed_leader(&node) else {
             continue;
         };
-        follow_leader(&node, leader.lease);
+        reset_if_new_leader(&node, leader.lease);
         if !node.detector.get().is_probe_due(clock::now()) {
             continue;
         }
@@ -61,7 +61,7 @@
 }
 
 /// Resets the failure detector if there is a new leader.
-fn follow_leader<P: Platform>(node: &Node<P>, lease: LeaseId) {
+fn reset_if_new_leader<P: Platform>(node: &Node<P>, lease: LeaseId) {
     if node.detector.get().leader() != lease {
         node.detector.set(FailureDetector::new(lease, clock::now()));
     }
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -13,19 +13,19 @@
 /// The time between two renewals of a node's lease.
 const NODE_RENEWAL: Duration = Duration::from_ms(900);
 /// The pause before a failed call is retried.
-const RETRY: Duration = Duration::from_ms(200);
+const RETRY_PAUSE: Duration = Duration::from_ms(200);
 
 /// Registers the node and renews its lease until it drains.
 pub async fn maintain_membership<P: Platform>(node: Rc<Node<P>>) {
     let mut lease = None;
     while !node.is_draining.get() {
-        let kept = match lease {
+        let renewed = match lease {
             None => register(&node).await,
             Some(lease) => node.store.renew_lease(lease).await.map(|()| lease),
         };
-        let pause = match kept {
-            Ok(kept) => {
-                lease = Some(kept);
+        let pause = match renewed {
+            Ok(renewed) => {
+                lease = Some(renewed);
                 node.record_store_contact();
                 NODE_RENEWAL
             }
@@ -33,7 +33,7 @@
                 lease = None;
                 Duration::ZERO
             }
-            Err(_) => RETRY,
+            Err(_) => RETRY_PAUSE,
         };
         tokio::time::sleep(pause.into()).await;
     }
@@ -53,7 +53,7 @@
 }
 
 /// Removes the node's item, so that other nodes stop calling it.
-pub async fn leave<P: Platform>(node: &Rc<Node<P>>) {
+pub async fn deregister<P: Platform>(node: &Rc<Node<P>>) {
     let key = keys::node(&node.settings.name);
     let transaction = Transaction::new().with_remove(key);
     // If the call fails, the item is removed when its lease expires.
--- a/crates/control/src/metered.rs
+++ b/crates/control/src/metered.rs
@@ -27,12 +27,12 @@
         call: StoreCall,
         future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
-        let begun_at = clock::now();
+        let started_at = clock::now();
         let result = future.await;
         // A watch waits for changes, so its duration says nothing about the store.
         if call != StoreCall::Watch {
             let outcome = result.as_ref().err().map_or("ok", outcome_of);
-            self.0.count_store_call(call.as_str(), outcome, begun_at);
+            self.0.count_store_call(call.as_str(), outcome, started_at);
         }
         result
     }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -424,11 +424,11 @@
         }
     }
 
-    /// Counts a reply to a request whose head was read at `begun_at`.
-    pub fn count_reply(&self, reply: &Reply, begun_at: Instant) {
+    /// Counts a reply to a request whose head was read at `started_at`.
+    pub fn count_reply(&self, reply: &Reply, started_at: Instant) {
         let outcome = outcome_of(reply);
         self.replies.get_or_create(&ReplyLabels { outcome }).inc();
-        self.reply_s.observe(seconds_since(begun_at));
+        self.reply_s.observe(seconds_since(started_at));
     }
 
     /// Counts a decision.
@@ -464,12 +464,12 @@
         self.unusable_cordons.get_or_create(&labels).inc();
     }
 
-    /// Counts a store call that began at `begun_at`.
-    pub fn count_store_call(&self, call: &'static str, outcome: &'static str, begun_at: Instant) {
+    /// Counts a store call that began at `started_at`.
+    pub fn count_store_call(&self, call: &'static str, outcome: &'static str, started_at: Instant) {
         self.store_calls
             .get_or_create(&StoreLabels { call, outcome })
             .inc();
-        self.store_call_s.observe(seconds_since(begun_at));
+        self.store_call_s.observe(seconds_since(started_at));
     }
 
     /// Counts a job that was rejected by a forecast.
@@ -585,8 +585,8 @@
     Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS_COUNT))
 }
 
-fn seconds_since(begun_at: Instant) -> f64 {
-    let took: Duration = clock::now().since(begun_at);
+fn seconds_since(started_at: Instant) -> f64 {
+    let took: Duration = clock::now().since(started_at);
     took.as_ms() as f64 / 1000.0
 }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -85,12 +85,12 @@
     /// The time after which keys that the store has not confirmed are no longer accepted,
     /// if it is set separately.
     pub revoke_limit: Option<Duration>,
-    /// The optional scheduler features that are enabled.
+    /// The optional features that are enabled.
     pub features: Features,
 }
 
 impl NodeSettings {
-    /// Sets which optional scheduler features are enabled.
+    /// Sets which optional features are enabled.
     pub const fn with_features(mut self, features: Features) -> Self {
         self.features = features;
         self
@@ -111,7 +111,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         error: std::io::Error,
     },
     /// Signals can't be received.
@@ -277,8 +277,8 @@
         is_draining: Cell::new(false),
         settings,
     });
-    let term = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
-    let hup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
+    let sigterm = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
+    let sighup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
     let (stop, stopped) = watch::channel(false);
     let front = Front::new(node.clone(), stopped);
     front.serve(sockets.ready, front::Role::Ready);
@@ -291,8 +291,8 @@
         "ready" => node.settings.ready_address.to_string(),
         "peer" => node.settings.peer_address.to_string());
     spawn_loops(&node);
-    tokio::task::spawn_local(reload_on_signal(node.clone(), hup));
-    wait_for_stop(term).await;
+    tokio::task::spawn_local(reload_on_signal(node.clone(), sighup));
+    wait_for_stop(sigterm).await;
     drain(&node, &front, &stop).await;
     info!(node.log, "stopped"; "open" => front.open_count());
     buffer.flush_to(&mut std::io::stdout());
@@ -331,28 +331,28 @@
     }
 }
 
-async fn reload_on_signal<P: Platform>(node: Rc<Node<P>>, mut hup: tokio::signal::unix::Signal) {
+async fn reload_on_signal<P: Platform>(node: Rc<Node<P>>, mut sighup: tokio::signal::unix::Signal) {
     let mut period = tokio::time::interval(SETTINGS_RELOAD_PERIOD.into());
     loop {
         tokio::select! {
-            _ = hup.recv() => info!(node.log, "settings reloaded"; "reason" => "signal"),
+            _ = sighup.recv() => info!(node.log, "settings reloaded"; "reason" => "signal"),
             _ = period.tick() => {}
         }
         node.platform.reload();
     }
 }
 
-async fn wait_for_stop(mut term: tokio::signal::unix::Signal) {
+async fn wait_for_stop(mut sigterm: tokio::signal::unix::Signal) {
     let interrupt = signal(SignalKind::interrupt());
     match interrupt {
         Ok(mut interrupt) => {
             tokio::select! {
-                _ = term.recv() => {}
+                _ = sigterm.recv() => {}
                 _ = interrupt.recv() => {}
             }
         }
         Err(_) => {
-            term.recv().await;
+            sigterm.recv().await;
         }
     }
 }
@@ -362,17 +362,17 @@
 async fn drain<P: Platform>(node: &Rc<Node<P>>, front: &Front<P>, stop: &watch::Sender<bool>) {
     info!(node.log, "stopping"; "open" => front.open_count());
     node.is_draining.set(true);
-    let begun = clock::now();
+    let started_at = clock::now();
     if let Some(term) = node.term() {
         term.resign().await;
     }
-    membership::leave(node).await;
+    membership::deregister(node).await;
     let grace_ms = node.settings.grace.as_ms();
     let grace = Duration::from_ms(grace_ms.saturating_sub(DRAIN_MARGIN.as_ms()));
     tokio::time::sleep(DRAIN_ACCEPT_TIME.into()).await;
     // Without a receiver there are no open connections.
     let _ = stop.send(true);
-    while front.open_count() > 0 && clock::now().since(begun) < grace {
+    while front.open_count() > 0 && clock::now().since(started_at) < grace {
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
 }
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -306,7 +306,7 @@
     fn is_readiness_probe(&self, method: &http::Method, path: &str) -> bool;
 
     /// Polls a worker for its running and ended runs, and renews its lease if the poll says so.
-    async fn hold(&self, to: &Endpoint, fence: u64, look: WorkerPoll) -> HoldReply;
+    async fn hold(&self, to: &Endpoint, fence: u64, poll: WorkerPoll) -> HoldReply;
 
     /// Starts a run on a worker.
     async fn start(&self, to: &Endpoint, fence: u64, order: &StartOrder) -> StartReply;
--- a/crates/control/src/probed.rs
+++ b/crates/control/src/probed.rs
@@ -87,7 +87,7 @@
                 }
                 () = answered => {
                     if sent_at < self.outage.overdue_before.get() {
-                        let reason = "sent in a silence that is over".to_owned();
+                        let reason = "sent during an outage that is over".to_owned();
                         return Err(StoreError::Unknown(reason).into());
                     }
                 }
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -15,7 +15,7 @@
 /// Failed attempts after which the leader gives up, so that another node may try.
 const ATTEMPTS_LIMIT_COUNT: usize = 3;
 /// The pause between two attempts.
-const RETRY: Duration = Duration::from_ms(100);
+const RETRY_PAUSE: Duration = Duration::from_ms(100);
 
 /// Reads the state of all jobs from the store, and returns it with the intake's revision.
 ///
@@ -32,7 +32,7 @@
             Ok(found) => return Some(found),
             Err(error) => {
                 warn!(node.log, "recovery failed"; "error" => error.to_string());
-                tokio::time::sleep(RETRY.into()).await;
+                tokio::time::sleep(RETRY_PAUSE.into()).await;
             }
         }
     }
@@ -43,7 +43,7 @@
     node: &Rc<Node<P>>,
     term: &Term<P>,
 ) -> Result<(Recovered, Revision), StoreError> {
-    let begun_at = clock::now();
+    let started_at = clock::now();
     // Read concurrently, since a slow store delays each page.
     let intake = read_all(&node.store, keys::INTAKE_PREFIX);
     let states = read_all(&node.store, keys::STATE_PREFIX);
@@ -55,7 +55,7 @@
     cell_follow::handle_nodes_update(node, Update::Snapshot(nodes?.0));
     let mut recovered = assemble(&node.log, intake, &states, clock::wall_ms());
     recovered.cordons = cordons::read_all(node, &cordons);
-    term.store_views.cordons.confirm(begun_at);
+    term.store_views.cordons.confirm(started_at);
     Ok((recovered, at))
 }
 
--- a/crates/control/src/relay/links.rs
+++ b/crates/control/src/relay/links.rs
@@ -40,9 +40,9 @@
     /// Returns the link for a worker's orders; `None` if they are sent directly.
     pub(crate) fn link_for_worker(&self, now: Instant, worker: WorkerKey) -> Option<Rc<RelayLink>> {
         let link = self.by_worker.borrow()[worker].clone()?;
-        let detour = self.bypassed_until.borrow().get(&worker).copied();
-        let is_detoured = detour.is_some_and(|until| now < until);
-        (!is_detoured && !link.is_lost()).then_some(link)
+        let bypass_until = self.bypassed_until.borrow().get(&worker).copied();
+        let is_bypassed = bypass_until.is_some_and(|until| now < until);
+        (!is_bypassed && !link.is_lost()).then_some(link)
     }
 
     /// Sends further orders through these links only. The others stay until their last
--- a/crates/control/src/relay/message.rs
+++ b/crates/control/src/relay/message.rs
@@ -40,7 +40,7 @@
         match self {
             Self::Start(order) => OrderReply::Start(platform.start(to, fence, &order).await),
             Self::Stop { task, run } => OrderReply::Stop(platform.stop(to, fence, task, run).await),
-            Self::Hold(look) => OrderReply::Hold(platform.hold(to, fence, look).await),
+            Self::Hold(poll) => OrderReply::Hold(platform.hold(to, fence, poll).await),
         }
     }
 }
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -81,14 +81,14 @@
             None => write_or_forward(node, job, record, configuration.version).await,
         },
     };
-    let word = match reply {
+    let outcome = match reply {
         Reply::Accepted => "accepted",
         Reply::Unknown => "unknown",
         Reply::BeyondLimit { .. } => "beyond the customer's limit",
         Reply::IdTaken => "id of another customer",
         _ => "refused",
     };
-    info!(node.log, "job answered"; "job" => %job, "outcome" => word, "customer" => customer);
+    info!(node.log, "job answered"; "job" => %job, "outcome" => outcome, "customer" => customer);
     reply
 }
 
@@ -236,11 +236,11 @@
             return;
         };
         let lease = leader.lease;
-        let asked_at = clock::now();
+        let sent_at = clock::now();
         match call_leader(&node, leader, &request).await {
-            Ok(PeerReply::Taken) => node.forecasts.update(lease, asked_at, None),
+            Ok(PeerReply::Taken) => node.forecasts.update(lease, sent_at, None),
             Ok(PeerReply::TakenInOverload(forecast)) => {
-                node.forecasts.update(lease, asked_at, Some(forecast));
+                node.forecasts.update(lease, sent_at, Some(forecast));
             }
             _ => {}
         }
--- a/crates/control/tests/control/suspension.rs
+++ b/crates/control/tests/control/suspension.rs
@@ -1,7 +1,7 @@
-//! A leader whose machine is suspended, while time passes and another node is elected.
+//! A leader whose box is suspended, while time passes and another node is elected.
 //!
 //! If a node measured its lease by a clock that stops during a suspend, it would resume and
-//! send orders until its next renewal fails. The test suspends the machine at each of
+//! send orders until its next renewal fails. The test suspends the box at each of
 //! several calls that the node makes.
 
 use crate::support::{run_local, MemoryStore};
@@ -36,7 +36,7 @@
 /// The leader lease; during a shorter suspend no other node is elected.
 const LEADER_LEASE: Duration = Duration::from_ms(1500);
 
-/// The node's environment: counts calls, and suspends the machine at one of them.
+/// The node's environment: counts calls, and suspends the box at one of them.
 #[derive(Default)]
 struct Environment {
     calls_count: Cell<usize>,
@@ -49,7 +49,7 @@
 }
 
 impl Environment {
-    /// Counts a call. At the chosen one, suspends the machine; if the leader lease expires
+    /// Counts a call. At the chosen one, suspends the box; if the leader lease expires
     /// during that time, another node is elected.
     async fn handle_call(&self, store: &MemoryStore) {
         self.calls_count.set(self.calls_count.get() + 1);
@@ -74,7 +74,7 @@
     }
 
     /// Records an order if another leader was elected before, since then none may be sent.
-    /// An order in flight when the machine was suspended is only late, and is not recorded.
+    /// An order in flight when the box was suspended is only late, and is not recorded.
     fn record_order(&self, kind: &'static str) {
         if self.has_other_leader.get() {
             self.late_orders.borrow_mut().push(kind);
@@ -212,10 +212,10 @@
         false
     }
 
-    async fn hold(&self, _to: &Endpoint, _fence: u64, look: WorkerPoll) -> HoldReply {
+    async fn hold(&self, _to: &Endpoint, _fence: u64, poll: WorkerPoll) -> HoldReply {
         self.environment.record_order("hold");
         self.environment.handle_call(&self.memory).await;
-        let wait = look.wait.as_ms().min(20);
+        let wait = poll.wait.as_ms().min(20);
         tokio::time::sleep(std::time::Duration::from_millis(wait)).await;
         HoldReply::Listed {
             life_start: None,
