--- a/crates/control/src/cell_follow.rs
+++ b/crates/control/src/cell_follow.rs
@@ -20,7 +20,7 @@
 /// How long a watch of the leader item waits for changes in a large cell.
 const LARGE_CELL_WATCH_TIMEOUT: Duration = Duration::from_ms(6000);
 /// The time after which the whole view of the cell is read again.
-const CELL_REFRESH: Duration = Duration::from_ms(10_000);
+const CELL_REREAD_AFTER: Duration = Duration::from_ms(10_000);
 /// The minimum time between two changes of the candidate list, since each is sent to every
 /// node.
 const CANDIDATES_PERIOD: Duration = Duration::from_ms(500);
@@ -28,7 +28,7 @@
 /// How the parts of the cell are followed.
 const CELL_POLICY: FollowPolicy = FollowPolicy {
     wait: WATCH_TIMEOUT,
-    reread_after: Some(CELL_REFRESH),
+    reread_after: Some(CELL_REREAD_AFTER),
     max_pause: Duration::ZERO,
     confirms_changes: false,
     rereads_after_failure: false,
--- a/crates/control/src/cell_view.rs
+++ b/crates/control/src/cell_view.rs
@@ -140,7 +140,7 @@
     let mut ranked: Vec<(&String, &NodeRecord)> = nodes.iter().collect();
     ranked.sort_by_key(|(name, record)| (Reverse(record.cores_milli), *name));
     let mut counts: HashMap<(u32, &str), usize> = HashMap::new();
-    let mut by_turns: Vec<_> = ranked
+    let mut ranked_by_turn: Vec<_> = ranked
         .into_iter()
         .map(|(name, record)| {
             let count = counts
@@ -150,8 +150,8 @@
             ((Reverse(record.cores_milli), *count, name), record)
         })
         .collect();
-    by_turns.sort_by_key(|(turn, _)| *turn);
-    let first = by_turns.into_iter().take(CANDIDATES_COUNT);
+    ranked_by_turn.sort_by_key(|(turn, _)| *turn);
+    let first = ranked_by_turn.into_iter().take(CANDIDATES_COUNT);
     let candidates = first.map(|((_, _, name), record)| Candidate {
         name: name.clone(),
         record: record.clone(),
--- a/crates/control/src/cordons.rs
+++ b/crates/control/src/cordons.rs
@@ -31,8 +31,8 @@
     ) -> Vec<CordonError> {
         let before = core::mem::take(&mut self.by_key);
         let mut errors = Vec::new();
-        for (key, read) in items {
-            match read {
+        for (key, parsed) in items {
+            match parsed {
                 Ok(data_centre) => {
                     self.by_key.insert(key, data_centre);
                 }
@@ -56,9 +56,9 @@
     pub fn write(
         &mut self,
         key: String,
-        read: Result<Arc<str>, CordonError>,
+        parsed: Result<Arc<str>, CordonError>,
     ) -> Result<(), CordonError> {
-        self.by_key.insert(key, read?);
+        self.by_key.insert(key, parsed?);
         Ok(())
     }
 
@@ -74,7 +74,10 @@
 }
 
 /// Parses a stored cordon.
-pub(crate) fn read<P: Platform>(node: &Node<P>, item: &Item) -> Result<Arc<str>, CordonError> {
+pub(crate) fn parse_item<P: Platform>(
+    node: &Node<P>,
+    item: &Item,
+) -> Result<Arc<str>, CordonError> {
     let value = item.bytes().map_err(|error| CordonError {
         key: item.key.clone(),
         fault: CordonFault::Form,
@@ -84,12 +87,12 @@
 }
 
 /// Parses the cordons that are set at the start of a term.
-pub(crate) fn read_all<P: Platform>(node: &Node<P>, items: &[Item]) -> BTreeSet<Arc<str>> {
+pub(crate) fn parse_all<P: Platform>(node: &Node<P>, items: &[Item]) -> BTreeSet<Arc<str>> {
     let mut list = CordonList::default();
-    let read = items
+    let parsed = items
         .iter()
-        .map(|item| (item.key.clone(), read(node, item)));
-    for error in list.replace(read) {
+        .map(|item| (item.key.clone(), parse_item(node, item)));
+    for error in list.replace(parsed) {
         log_cordon_error(node, &error);
     }
     list.data_centres()
@@ -122,10 +125,10 @@
     follow(store, prefix, policy, None, |update, as_of| {
         let errors = match update {
             Update::Snapshot(items) => {
-                let read = items
+                let parsed = items
                     .iter()
-                    .map(|item| (item.key.clone(), read(&node, item)));
-                list.replace(read)
+                    .map(|item| (item.key.clone(), parse_item(&node, item)));
+                list.replace(parsed)
             }
             Update::Changes(changes) => apply_changes(&node, &mut list, changes),
             Update::Unchanged => Vec::new(),
@@ -158,8 +161,8 @@
     for change in changes {
         match change {
             WatchedChange::Put(item) => {
-                let read = read(node, &item);
-                errors.extend(list.write(item.key, read).err());
+                let parsed = parse_item(node, &item);
+                errors.extend(list.write(item.key, parsed).err());
             }
             WatchedChange::Gone { key } => list.lift(&key),
         }
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -108,8 +108,8 @@
 /// Returns the delay of a node that knows no candidates: the weaker the node, the longer.
 fn weak_delay(own: &NodeRecord) -> Duration {
     let missing_milli = NO_DELAY_CORES_MILLI.saturating_sub(own.cores_milli);
-    let part_ms = WEAK_DELAY.as_ms() * u64::from(missing_milli) / u64::from(NO_DELAY_CORES_MILLI);
-    Duration::from_ms(part_ms)
+    let delay_ms = WEAK_DELAY.as_ms() * u64::from(missing_milli) / u64::from(NO_DELAY_CORES_MILLI);
+    Duration::from_ms(delay_ms)
 }
 
 /// Returns whether a live node is much stronger than this one.
--- a/crates/control/src/front.rs
+++ b/crates/control/src/front.rs
@@ -209,10 +209,10 @@
     node: &Rc<Node<P>>,
     request: &Request<IncomingBody>,
 ) -> Response<Full<Bytes>> {
-    let is_asked = node
+    let is_probe = node
         .platform
         .is_readiness_probe(request.method(), request.uri().path());
-    let status = match (is_asked, node.is_ready()) {
+    let status = match (is_probe, node.is_ready()) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -248,13 +248,16 @@
 
 async fn respond_client<P: Platform>(node: &Rc<Node<P>>, request: Request<IncomingBody>) -> Reply {
     let started_at = clock::now();
-    let reply = reply_to(node, request).await;
+    let reply = handle_client_request(node, request).await;
     node.metrics.count_reply(&reply, started_at);
     reply
 }
 
 /// Handles a client request with the configuration that is active when its head is read.
-async fn reply_to<P: Platform>(node: &Rc<Node<P>>, request: Request<IncomingBody>) -> Reply {
+async fn handle_client_request<P: Platform>(
+    node: &Rc<Node<P>>,
+    request: Request<IncomingBody>,
+) -> Reply {
     let (parts, body) = request.into_parts();
     let Some(active) = node.current_configuration().await else {
         discard_body(body).await;
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -50,7 +50,7 @@
 
 impl Entry {
     /// Returns the outcome for an entry whose key exists as `item`.
-    fn found(&self, item: Item) -> IntakeOutcome {
+    fn existing_outcome(&self, item: Item) -> IntakeOutcome {
         if item.has_value(&self.value) {
             return IntakeOutcome::Stored;
         }
@@ -150,7 +150,8 @@
                 }
                 for entry in found {
                     let item = existing.remove(&entry.key);
-                    let outcome = item.map_or(IntakeOutcome::Unknown, |item| entry.found(item));
+                    let outcome =
+                        item.map_or(IntakeOutcome::Unknown, |item| entry.existing_outcome(item));
                     entry.answer(outcome);
                 }
                 self.requeue(rest);
@@ -169,7 +170,7 @@
 
     async fn retry_or_give_up(&self, group: Vec<Entry>) {
         let now = clock::now();
-        let is_over = |entry: &Entry| {
+        let has_timed_out = |entry: &Entry| {
             let limit = if entry.is_unconfirmed {
                 UNCONFIRMED_TIMEOUT
             } else {
@@ -177,8 +178,8 @@
             };
             now.since(entry.queued_at) >= limit
         };
-        let (over, rest): (Vec<_>, Vec<_>) = group.into_iter().partition(is_over);
-        for entry in over {
+        let (timed_out, rest): (Vec<_>, Vec<_>) = group.into_iter().partition(has_timed_out);
+        for entry in timed_out {
             let outcome = if entry.is_unconfirmed {
                 IntakeOutcome::Unknown
             } else {
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -53,8 +53,8 @@
     let ((intake, at), (states, _), (cordons, _)) = (intake?, states?, cordons?);
     // The nodes are needed to choose relays for the first polls of the workers.
     cell_follow::handle_nodes_update(node, Update::Snapshot(nodes?.0));
-    let mut recovered = assemble(&node.log, intake, &states, clock::wall_ms());
-    recovered.cordons = cordons::read_all(node, &cordons);
+    let mut recovered = assemble_recovered(&node.log, intake, &states, clock::wall_ms());
+    recovered.cordons = cordons::parse_all(node, &cordons);
     term.store_views.cordons.confirm(started_at);
     Ok((recovered, at))
 }
@@ -64,7 +64,12 @@
 ///
 /// A job whose state can't be parsed must not be treated as one that has not started: its
 /// tasks may be running or finished. Such jobs are listed in `unreadable` instead.
-pub fn assemble(log: &Logger, mut intake: Vec<Item>, states: &[Item], wall_ms: u64) -> Recovered {
+pub fn assemble_recovered(
+    log: &Logger,
+    mut intake: Vec<Item>,
+    states: &[Item],
+    wall_ms: u64,
+) -> Recovered {
     // By the order in which the jobs were accepted.
     intake.sort_by_key(|item| item.revision);
     let mut recovered = Recovered {
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -308,8 +308,8 @@
     let leader = cell.leader.iter().map(|leader| leader.address.clone());
     let count = cell.list.candidates.len();
     let first = stable_hash_below(&node.settings.name, count as u64) as usize;
-    let ring = cell.list.candidates.iter().cycle().skip(first).take(count);
-    let candidates = ring.map(|candidate| candidate.record.address.clone());
+    let rotated = cell.list.candidates.iter().cycle().skip(first).take(count);
+    let candidates = rotated.map(|candidate| candidate.record.address.clone());
     let own = node.settings.peer_address.to_string();
     let mut addresses: Vec<String> = Vec::new();
     for address in leader.chain(candidates) {
@@ -430,11 +430,11 @@
     match request {
         PeerRequest::Status { job, caller } => match node.valid_term() {
             Some(term) => PeerReply::Status(term.job_for(&caller, job)),
-            None => not_leader(node),
+            None => not_leader_reply(node),
         },
         PeerRequest::Pending(queue) => match node.valid_term() {
             Some(term) => PeerReply::Pending(term.pending_count(&queue)),
-            None => not_leader(node),
+            None => not_leader_reply(node),
         },
         PeerRequest::JobTaken { job, record } => {
             let record = Box::new(record);
@@ -449,7 +449,7 @@
         PeerRequest::Cancel { job, caller } => write_cancel(node, job, &caller).await,
         PeerRequest::Leader => match node.valid_term() {
             Some(_) => PeerReply::NotLeader(Some(election::own_leader_record(node))),
-            None => not_leader(node),
+            None => not_leader_reply(node),
         },
         PeerRequest::Configuration { known, wait_ms } => {
             configuration_sharing::handle_request(node, known, Duration::from_ms(wait_ms)).await
@@ -525,12 +525,12 @@
             let forecast = term.forecast(clock::now());
             forecast.map_or(PeerReply::Taken, PeerReply::TakenInOverload)
         }
-        None => not_leader(node),
+        None => not_leader_reply(node),
     }
 }
 
 /// Returns the reply of a node that does not lead, with the leader if it knows it.
-fn not_leader<P: Platform>(node: &Rc<Node<P>>) -> PeerReply {
+fn not_leader_reply<P: Platform>(node: &Rc<Node<P>>) -> PeerReply {
     let leader = node.cell.borrow().leader.clone();
     PeerReply::NotLeader(leader.filter(|_| node.has_store_contact()))
 }
--- a/crates/control/src/watches.rs
+++ b/crates/control/src/watches.rs
@@ -83,22 +83,22 @@
 
 /// Passes changes of the worker list to the scheduler until the term is over.
 pub async fn follow_workers<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
-    let mut known = WorkerEntries::default();
+    let mut entries = WorkerEntries::default();
     let store = node.store.clone();
     let prefix = node.platform.workers_prefix();
     follow(store, prefix, WORKERS_POLICY, None, |update, as_of| {
         let mut is_newest = true;
         match update {
             Update::Snapshot(items) => {
-                if known.replace(items.iter().map(|item| read(&node, item))) {
-                    let workers = known.workers().cloned().collect();
+                if entries.replace(items.iter().map(|item| parse_entry(&node, item))) {
+                    let workers = entries.workers().cloned().collect();
                     term.send_event(Event::WorkersListed(workers));
                 }
             }
             Update::Changes(changes) => {
                 is_newest = changes.len() < FULL_ANSWER_COUNT;
                 node.metrics.count_worker_entries(changes.len());
-                let changed = known.apply(changes.into_iter().map(|it| entry_change(&node, it)));
+                let changed = entries.apply(changes.into_iter().map(|it| entry_change(&node, it)));
                 if !changed.is_empty() {
                     term.send_event(Event::WorkersChanged(changed));
                 }
@@ -110,7 +110,7 @@
                 return term.flow();
             }
         }
-        for error in known.take_new_faults() {
+        for error in entries.take_new_faults() {
             node.metrics.count_unreadable_entry(error.fault);
             warn!(node.log, "unusable worker entry";
                 "key" => &error.key, "reason" => error.fault.as_str(), "detail" => &error.detail);
@@ -126,13 +126,13 @@
 
 fn entry_change<P: Platform>(node: &Node<P>, change: WatchedChange) -> EntryChange {
     match change {
-        WatchedChange::Put(item) => EntryChange::Written(read(node, &item)),
+        WatchedChange::Put(item) => EntryChange::Written(parse_entry(node, &item)),
         WatchedChange::Gone { key } => EntryChange::Gone(key),
     }
 }
 
-fn read<P: Platform>(node: &Node<P>, item: &Item) -> WorkerEntry {
-    let read = match item.bytes() {
+fn parse_entry<P: Platform>(node: &Node<P>, item: &Item) -> WorkerEntry {
+    let parsed = match item.bytes() {
         Ok(value) => node.platform.parse_worker(&item.key, value),
         Err(error) => Err(WorkerEntryError {
             key: item.key.clone(),
@@ -140,5 +140,5 @@
             detail: error.to_string(),
         }),
     };
-    WorkerEntry::new(item.key.clone(), item.revision, read)
+    WorkerEntry::new(item.key.clone(), item.revision, parsed)
 }
--- a/crates/control/src/worker_entries.rs
+++ b/crates/control/src/worker_entries.rs
@@ -18,7 +18,7 @@
 pub struct WorkerEntry {
     key: String,
     revision: Revision,
-    read: Result<WorkerFacts, WorkerEntryError>,
+    parsed: Result<WorkerFacts, WorkerEntryError>,
 }
 
 impl WorkerEntry {
@@ -26,12 +26,12 @@
     pub const fn new(
         key: String,
         revision: Revision,
-        read: Result<WorkerFacts, WorkerEntryError>,
+        parsed: Result<WorkerFacts, WorkerEntryError>,
     ) -> Self {
         Self {
             key,
             revision,
-            read,
+            parsed,
         }
     }
 }
@@ -56,7 +56,7 @@
     /// Returns the workers with usable entries.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerFacts> + '_ {
         let entries = self.entries.values();
-        entries.filter_map(|entry| entry.read.as_ref().ok())
+        entries.filter_map(|entry| entry.parsed.as_ref().ok())
     }
 
     /// Replaces all entries; returns whether the usable workers have changed.
@@ -66,7 +66,9 @@
             self.record_fault(before.get(&entry.key), &entry);
             self.entries.insert(entry.key.clone(), entry);
         }
-        let old = before.values().filter_map(|entry| entry.read.as_ref().ok());
+        let old = before
+            .values()
+            .filter_map(|entry| entry.parsed.as_ref().ok());
         !old.eq(self.workers())
     }
 
@@ -87,11 +89,11 @@
         if known.is_some_and(|known| known.revision >= entry.revision) {
             return None;
         }
-        let facts = entry.read.as_ref().ok().cloned();
+        let facts = entry.parsed.as_ref().ok().cloned();
         let known = self.entries.remove(&entry.key);
         self.record_fault(known.as_ref(), &entry);
         self.entries.insert(entry.key.clone(), entry);
-        let facts_before = known.and_then(|known| known.read.ok());
+        let facts_before = known.and_then(|known| known.parsed.ok());
         if facts == facts_before {
             return None;
         }
@@ -102,16 +104,16 @@
     }
 
     fn remove(&mut self, key: &str) -> Option<WorkerChange> {
-        let facts = self.entries.remove(key)?.read.ok()?;
+        let facts = self.entries.remove(key)?.parsed.ok()?;
         Some(WorkerChange::Unlisted(facts.id))
     }
 
     /// Records the fault of an entry that has become unusable, or is now so for another reason.
     fn record_fault(&mut self, before: Option<&WorkerEntry>, entry: &WorkerEntry) {
-        let Err(error) = &entry.read else {
+        let Err(error) = &entry.parsed else {
             return;
         };
-        let fault_before = before.and_then(|before| before.read.as_ref().err());
+        let fault_before = before.and_then(|before| before.parsed.as_ref().err());
         let is_known = fault_before.is_some_and(|before| before.fault == error.fault);
         if !is_known && self.new_faults.len() < NEW_FAULTS_LIMIT_COUNT {
             self.new_faults.push(error.clone());
--- a/crates/control/tests/control/recovery.rs
+++ b/crates/control/tests/control/recovery.rs
@@ -1,6 +1,6 @@
 //! The state that a new leader recovers from the stored items.
 
-use ospreywing_control::recovery::assemble;
+use ospreywing_control::recovery::assemble_recovered;
 use ospreywing_control::{keys, Item};
 use ospreywing_scheduler::{JobId, JobOutcome, JobRecord, JobState, Phase};
 use slog::{o, Discard, Logger};
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn assemble_in_order_of_acceptance() {
+fn assemble_recovered_in_acceptance_order() {
     let outcome = JobOutcome::new(Phase::Complete).to_bytes();
     let intake = vec![
         accepted(1, 9),
@@ -41,7 +41,7 @@
     ];
     let state = JobState::default().to_bytes();
     let states = [item(keys::state(id(1)), state, 11)];
-    let recovered = assemble(&log(), intake, &states, WALL_MS);
+    let recovered = assemble_recovered(&log(), intake, &states, WALL_MS);
     let jobs: Vec<JobId> = recovered.jobs.iter().map(|(id, _)| *id).collect();
     assert_eq!(jobs, [id(2), id(1)]);
     assert_eq!(recovered.ended, [(id(3), JobOutcome::new(Phase::Complete))]);
@@ -52,11 +52,11 @@
 /// A state that can't be parsed, such as one of a later version, may contain finished tasks.
 /// The job must not be recovered without it, since it would start from the beginning.
 #[test]
-fn assemble_unreadable_state() {
+fn assemble_recovered_unreadable_state() {
     let unreadable = item(keys::job(id(3)), vec![LATER_FORM, 1], 5);
     let intake = vec![accepted(1, 3), accepted(2, 4), unreadable];
     let states = [item(keys::state(id(2)), vec![LATER_FORM, 1], 5)];
-    let recovered = assemble(&log(), intake, &states, WALL_MS);
+    let recovered = assemble_recovered(&log(), intake, &states, WALL_MS);
     let jobs: Vec<JobId> = recovered.jobs.iter().map(|(id, _)| *id).collect();
     assert_eq!(jobs, [id(1)]);
     assert_eq!(recovered.unreadable, [id(3), id(2)]);
