--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -102,7 +102,7 @@
         "done_after_ms" => refusal.done_after.as_ms(),
         "worthless_after_ms" => refusal.worthless_after.as_ms(),
         "forecast_age_ms" => refusal.age.as_ms(), "come_back_ms" => after.as_ms());
-    node.metrics.count_refused_by_forecast();
+    node.metrics.count_rejected_by_forecast();
     Some(Retry { after })
 }
 
--- a/crates/control/src/decision_loop.rs
+++ b/crates/control/src/decision_loop.rs
@@ -103,7 +103,7 @@
         events.push(event);
     }
     let have_workers_joined = events.iter().any(may_list_new_workers);
-    if let Some(is_outdated) = term.store_views.update_starts_held(now, &node.log) {
+    if let Some(is_outdated) = term.store_views.update_starts_paused(now, &node.log) {
         events.push(Event::StartsHeld(is_outdated));
     }
     scheduler.handle_all(now, events, &mut state.actions);
--- a/crates/control/src/freshness.rs
+++ b/crates/control/src/freshness.rs
@@ -9,7 +9,7 @@
 
 /// How long an order may take to arrive after it was decided: it waits for a batch, and its
 /// relay may have to connect to the worker first.
-const ORDER_TIME: Duration = Duration::from_ms(1500);
+const ORDER_DELIVERY_TIME: Duration = Duration::from_ms(1500);
 
 /// Returns how old a view may be when an order is decided, if no order may still be executed
 /// `bound` after a change that forbids it.
@@ -17,7 +17,7 @@
 /// Of a short bound, half is left for the order.
 pub fn max_view_age(bound: Duration) -> Duration {
     let half_ms = bound.as_ms() / 2;
-    let left_ms = bound.as_ms().saturating_sub(ORDER_TIME.as_ms());
+    let left_ms = bound.as_ms().saturating_sub(ORDER_DELIVERY_TIME.as_ms());
     Duration::from_ms(left_ms.max(half_ms))
 }
 
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether starts must be paused, if that has changed since the last call.
-    pub(crate) fn update_starts_held(&self, now: Instant, log: &Logger) -> Option<bool> {
+    pub(crate) fn update_starts_paused(&self, now: Instant, log: &Logger) -> Option<bool> {
         let mut store_views = [&self.cordons, &self.workers].into_iter();
         let outdated_view = store_views.find(|view| view.is_outdated(now));
         let was_outdated = self.is_outdated.replace(outdated_view.is_some());
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -473,7 +473,7 @@
     }
 
     /// Counts a job that was rejected by a forecast.
-    pub fn count_refused_by_forecast(&self) {
+    pub fn count_rejected_by_forecast(&self) {
         self.refused_by_forecast.inc();
     }
 
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -162,24 +162,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum WorkerEntryFault {
     /// A field is missing or has the wrong type, or the bytes can't be parsed.
-    #[error("a field is missing or can't be read")]
+    #[error("a field is missing or can't be parsed")]
     Form,
     /// The id is invalid.
-    #[error("the id can't be used")]
+    #[error("the id is invalid")]
     Id,
     /// The address is not `IP:port`.
     #[error("the address is not IP:port")]
     Address,
     /// The state is unknown.
-    #[error("the state is not known")]
+    #[error("the state is unknown")]
     State,
     /// The service is missing.
-    #[error("there is no service")]
+    #[error("the service is missing")]
     Service,
 }
 
 impl WorkerEntryFault {
-    /// Returns the word for metrics.
+    /// Returns the label for metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Form => "form",
@@ -215,7 +215,7 @@
 }
 
 impl CordonFault {
-    /// Returns the word for metrics.
+    /// Returns the label for metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Form => "form",
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -176,7 +176,7 @@
     #[error("the history since the revision was compacted")]
     Compacted,
     /// The lease has expired or was ended.
-    #[error("the lease is over")]
+    #[error("the lease has ended")]
     LeaseOver,
 }
 
--- a/crates/control/tests/control/admission.rs
+++ b/crates/control/tests/control/admission.rs
@@ -60,27 +60,27 @@
 }
 
 /// Returns whether the job is rejected `after_ms` after the leader was called.
-fn is_refused(view: &ForecastView, lease: u64, after_ms: u64) -> bool {
+fn is_rejected(view: &ForecastView, lease: u64, after_ms: u64) -> bool {
     let now = SENT_AT + Duration::from_ms(after_ms);
     let refusal = view.refusal(now, lease, &record(), &configuration());
     refusal.is_some()
 }
 
 #[test]
-fn refusal_outdated_forecast() {
+fn rejection_outdated_forecast() {
     let view = ForecastView::default();
-    assert!(!is_refused(&view, LEASE, 0));
+    assert!(!is_rejected(&view, LEASE, 0));
     view.update(LEASE, SENT_AT, Some(forecast()));
-    assert!(is_refused(&view, LEASE, 900));
-    assert!(!is_refused(&view, LEASE, 901));
+    assert!(is_rejected(&view, LEASE, 900));
+    assert!(!is_rejected(&view, LEASE, 901));
 }
 
 /// Another leader may have more capacity, or know fewer jobs.
 #[test]
-fn refusal_forecast_of_other_leader() {
+fn rejection_forecast_of_other_leader() {
     let view = ForecastView::default();
     view.update(LEASE, SENT_AT, Some(forecast()));
-    assert!(!is_refused(&view, LEASE + 1, 0));
+    assert!(!is_rejected(&view, LEASE + 1, 0));
 }
 
 /// An answer to an earlier call that arrives later changes nothing.
@@ -90,9 +90,9 @@
     view.update(LEASE, SENT_AT, None);
     let before = Instant::from_ms(SENT_AT.as_ms() - 50);
     view.update(LEASE, before, Some(forecast()));
-    assert!(!is_refused(&view, LEASE, 0));
+    assert!(!is_rejected(&view, LEASE, 0));
     view.update(LEASE, SENT_AT, Some(forecast()));
-    assert!(is_refused(&view, LEASE, 0));
+    assert!(is_rejected(&view, LEASE, 0));
 }
 
 #[test]
@@ -116,7 +116,7 @@
 fn set_forecast_removes_old_queues() {
     let metrics = Metrics::new();
     metrics.set_forecast(Some(&forecast()));
-    metrics.count_refused_by_forecast();
+    metrics.count_rejected_by_forecast();
     let text = metrics.to_text();
     assert!(text.contains(r#"ospreywing_forecast_milliseconds{queue="render"} 60000"#));
     assert!(text.contains("ospreywing_refused_by_forecast_total 1"));
--- a/crates/control/tests/control/support.rs
+++ b/crates/control/tests/control/support.rs
@@ -31,7 +31,7 @@
     treatments: VecDeque<Treatment>,
     delayed: Vec<Transaction>,
     failing_watches_count: usize,
-    blind_watches_count: usize,
+    empty_watches_count: usize,
     watch_waits: Vec<Duration>,
     failing_reads_count: usize,
     reads: Vec<Read>,
@@ -87,7 +87,7 @@
     /// Makes the next `count` watches that would return changes return none, but the
     /// newest revision.
     pub fn hide_changes_from_watches(&self, count: usize) {
-        self.0.borrow_mut().blind_watches_count = count;
+        self.0.borrow_mut().empty_watches_count = count;
     }
 
     /// Makes the next `count` reads of items and pages fail without an answer.
@@ -255,8 +255,8 @@
         };
         let changes = later.map(|(_, change)| change.clone()).filter(is_ours);
         let mut changes: Vec<WatchedChange> = changes.collect();
-        if inner.blind_watches_count > 0 && !changes.is_empty() {
-            inner.blind_watches_count -= 1;
+        if inner.empty_watches_count > 0 && !changes.is_empty() {
+            inner.empty_watches_count -= 1;
             changes.clear();
         }
         Ok(Watched {
