--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -183,7 +183,7 @@
         );
         registry.register(
             "reply_seconds",
-            "Time from reading a request's head to its reply",
+            "Time from a whole request to its reply",
             self.reply_s.clone(),
         );
         registry.register(
@@ -193,57 +193,53 @@
         );
         registry.register(
             "unreadable_entries",
-            "Unusable worker entries, by reason",
+            "Workers' entries that name no worker to use, by reason",
             self.unreadable_entries.clone(),
         );
         registry.register(
             "worker_entries",
-            "Changes of worker entries that the store reported",
+            "Entries of workers that the store told as written or gone",
             self.worker_entries.clone(),
         );
         registry.register(
             "unusable_cordons",
-            "Unusable cordons, by reason",
+            "Cordons that are not followed, by reason",
             self.unusable_cordons.clone(),
         );
         registry.register(
             "refused_by_forecast",
-            "Jobs rejected since they would finish too late to be of use",
+            "Jobs that were refused since they would be worth nothing when they are done",
             self.refused_by_forecast.clone(),
         );
         registry.register(
             "forecast_milliseconds",
-            "Earliest completion of a job submitted now, by queue",
+            "When a job would be done at the best that is handed in now, by queue",
             self.forecast_ms.clone(),
         );
         registry.register(
             "waiting_steps",
-            "Steps waiting to start, by reason",
+            "Steps that wait to start, by reason",
             self.waiting_steps.clone(),
         );
         registry.register(
             "oldest_wait_milliseconds",
-            "Longest wait of these steps, by reason",
+            "How long the first of them has waited",
             self.oldest_wait_ms.clone(),
         );
         registry.register(
             "store_calls",
-            "Calls to the platform's store, by call and outcome",
+            "Calls of the platform's store",
             self.store_calls.clone(),
         );
         registry.register(
             "store_call_seconds",
-            "Duration of store calls, except watches",
+            "Time of the store's calls, but for watches",
             self.store_call_s.clone(),
         );
-        registry.register(
-            "terms",
-            "Terms in which this node has led",
-            self.terms.clone(),
-        );
+        registry.register("terms", "Terms that this node has led", self.terms.clone());
         registry.register(
             "relayed_orders",
-            "Orders sent through relays",
+            "Orders that were handed to relays",
             self.relayed_orders.clone(),
         );
         registry.register(
@@ -258,56 +254,56 @@
             ("is_leader", "1 while this node leads", &self.is_leader),
             ("active_jobs", "Jobs with work left", &self.active_jobs),
             ("runs", "Runs that occupy workers", &self.runs),
-            ("workers", "Listed workers", &self.workers),
-            ("cordons", "Cordoned data centres", &self.cordons),
+            ("workers", "Workers that are listed", &self.workers),
+            ("cordons", "Data centres that are cordoned", &self.cordons),
             (
                 "unanswered_refusals",
-                "Unanswered stops of starts that were meant for an earlier incarnation of a worker",
+                "Stops of starts meant for an earlier life of a worker, not answered yet",
                 &self.unanswered_refusals,
             ),
             (
                 "worker_list_age_milliseconds",
-                "Time since the worker list was confirmed to be the newest",
+                "Time since the list of workers was known to be the newest",
                 &self.worker_list_age_ms,
             ),
             (
                 "placeable_workers",
-                "Workers on which runs may start",
+                "Workers that may take a run",
                 &self.placeable_workers,
             ),
             (
                 "capacity_millicores",
-                "Capacity of these workers, in thousandths of a core",
+                "What these hold, in thousandths of a core",
                 &self.capacity_millicores,
             ),
             (
                 "used_millicores",
-                "Part of this capacity that runs occupy",
+                "What of it runs occupy",
                 &self.used_millicores,
             ),
             (
                 "overloaded_services",
-                "Services that are short of capacity",
+                "Services that are short of room",
                 &self.overloaded_services,
             ),
             (
                 "waiting_gangs",
-                "Gangs for which workers are reserved",
+                "Gangs that workers are kept free for",
                 &self.waiting_gangs,
             ),
             (
                 "limit_reservations",
-                "Steps for which part of their customer's limit is reserved",
+                "Steps for which a part of their customer's limit is reserved",
                 &self.limit_reservations,
             ),
             (
                 "awaited_workers",
-                "Workers that are reserved for gangs",
+                "Workers that are kept free",
                 &self.awaited_workers,
             ),
             (
                 "slow_workers",
-                "Workers known to be slower than others of their service",
+                "Workers that are known to be slower than others of their service",
                 &self.slow_workers,
             ),
             (
@@ -317,52 +313,52 @@
             ),
             (
                 "learned_sizes",
-                "Step sizes with learned durations",
+                "Sizes of steps whose lengths are learned",
                 &self.learned_sizes,
             ),
             (
                 "forecast_error_percent",
-                "Error of learned durations, as a mean factor minus 1",
+                "How far off learned lengths were, as a mean factor less 1",
                 &self.forecast_error_percent,
             ),
             (
                 "estimate_error_percent",
-                "Error of clients' estimates for the same tasks, as a mean factor minus 1",
+                "How far off clients' estimates of the same tasks were",
                 &self.estimate_error_percent,
             ),
             (
                 "beyond_share_customers",
-                "Customers over their fair share, summed over services",
+                "Customers whose further work comes later, by service",
                 &self.beyond_share_customers,
             ),
             (
                 "largest_share_lag_milliseconds",
-                "Largest lead of a customer over its fair share",
+                "How far a customer is ahead of its share at most",
                 &self.largest_share_lag_ms,
             ),
             (
                 "configuration_version",
-                "Version of the active operators' configuration",
+                "The version of the operators' configuration that is in force",
                 &self.configuration_version,
             ),
             (
                 "configuration_age_milliseconds",
-                "Time since the store last confirmed this configuration",
+                "Time since the store last confirmed it",
                 &self.configuration_age_ms,
             ),
             (
                 "relays",
-                "Nodes that relay this leader's orders",
+                "Nodes that carry this leader's orders",
                 &self.relays,
             ),
             (
                 "loop_lateness_milliseconds",
-                "Recent lateness of the leader's event loop",
+                "How late the leader's own loop was lately",
                 &self.loop_lateness_ms,
             ),
             (
                 "resident_bytes",
-                "Resident memory of the process",
+                "The process's resident memory",
                 &self.resident_bytes,
             ),
         ];
@@ -375,7 +371,7 @@
         let registry = &mut self.registry;
         registry.register(
             "fitting_millicores",
-            "Cores of the largest recent task that fits now, in thousandths, by service",
+            "Thousandths of a core of the largest recent task that fits now, by service",
             self.fitting_cores.clone(),
         );
         registry.register(
@@ -385,12 +381,12 @@
         );
         registry.register(
             "fitting_tasks",
-            "Number of such tasks that fit now, by service",
+            "How many such tasks fit now, by service",
             self.fitting_tasks.clone(),
         );
         registry.register(
             "whole_room_percent",
-            "Share of the free capacity in which the largest recent task fits, by service",
+            "The part of the free room in which the largest recent task fits, by service",
             self.usable_capacity_percent.clone(),
         );
     }
