--- a/crates/control/src/front.rs
+++ b/crates/control/src/front.rs
@@ -1,7 +1,7 @@
-//! Listening: clients, the balancer's question, other nodes.
+//! The HTTP servers for clients, readiness probes, other nodes and metrics.
 
 use crate::node::{Node, NodeError};
-use crate::platform::{FrontLimits, Platform, Reply, RequestHead, Retry};
+use crate::platform::{Platform, Reply, RequestHead, RequestLimits, Retry};
 use crate::{clock, metrics, peer, requests};
 use http::header::{HeaderValue, CONNECTION, CONTENT_TYPE};
 use http::{Request, Response, StatusCode};
@@ -18,46 +18,46 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The least room that the HTTP library needs for a head.
-const HEAD_FLOOR_BYTES: usize = 8192;
-/// The largest body of another node.
+/// The smallest head buffer that the HTTP library accepts.
+const MIN_HEAD_BUFFER_BYTES: usize = 8192;
+/// The largest request body of another node.
 const PEER_BODY_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 /// The pause after a connection could not be accepted.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
-/// The longest body that is read past, and for how long. A judgement: bodies of a few
-/// kilobytes come with the head or some milliseconds later.
-const SKIPPED_BODY_LIMIT_BYTES: usize = 16 * 1024;
-const SKIPPED_BODY_TIME: Duration = Duration::from_ms(50);
-/// Limits before the operators have set any.
-const FIRST_LIMITS: FrontLimits = FrontLimits {
-    head_bytes: 16 * 1024,
-    body_bytes: 256 * 1024,
-    head_time: Duration::from_ms(3000),
-    idle_time: Duration::from_ms(15_000),
+const ACCEPT_RETRY_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
+/// The longest body that is read and discarded, and the time within which it must arrive.
+/// Bodies of a few kilobytes arrive with the head or some milliseconds later.
+const DISCARDED_BODY_LIMIT_BYTES: usize = 16 * 1024;
+const DISCARD_BODY_TIMEOUT: Duration = Duration::from_ms(50);
+/// The limits before there is a configuration.
+const DEFAULT_LIMITS: RequestLimits = RequestLimits {
+    head_limit_bytes: 16 * 1024,
+    body_limit_bytes: 256 * 1024,
+    read_timeout: Duration::from_ms(3000),
+    idle_timeout: Duration::from_ms(15_000),
 };
-/// When a client may come back that came before there was a configuration, or
-/// while it was not known whether there is a newer one.
-const COME_BACK: Retry = Retry {
+/// When a client may retry a request that arrived before there was a configuration, or
+/// while the configuration might be outdated.
+const RETRY_LATER: Retry = Retry {
     after: Duration::from_ms(1000),
 };
 
-/// Whom a listener serves.
+/// The kind of requests that a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Clients.
+    /// Client requests.
     Clients,
-    /// The balancer, which asks whether the node is ready.
+    /// The load balancer's readiness probes.
     Ready,
-    /// Other nodes.
+    /// Calls of other nodes.
     Peer,
-    /// Whoever watches the node.
+    /// Requests for metrics.
     Metrics,
 }
 
-/// A socket that listens.
+/// A listening socket.
 pub struct Listener {
     listener: TcpListener,
-    /// Its address, with the port that it was given where any would do.
+    /// The socket's address, with the port that was assigned if it was 0.
     pub address: SocketAddr,
 }
 
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] where the address can't be listened on.
+    /// Returns a [`NodeError`] if the address can't be listened on.
     pub async fn bind(address: SocketAddr) -> Result<Self, NodeError> {
         let failed = |error| NodeError::Listen { address, error };
         let listener = TcpListener::bind(address).await.map_err(failed)?;
@@ -82,24 +82,24 @@
     open_count: Rc<Cell<usize>>,
 }
 
-/// Counts something for as long as it lives.
-struct Counted(Rc<Cell<usize>>);
+/// Counts an open connection until it is dropped.
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl ConnectionGuard {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl<P: Platform> Front<P> {
-    /// Creates a front without listeners, which ends when `stopped` says so.
+    /// Creates a front without listeners, which shuts down when `stopped` becomes true.
     pub fn new(node: Rc<Node<P>>, stopped: watch::Receiver<bool>) -> Self {
         Self {
             node,
@@ -108,12 +108,12 @@
         }
     }
 
-    /// Returns how many client connections are open.
+    /// Returns the number of open client connections.
     pub fn open_count(&self) -> usize {
         self.open_count.get()
     }
 
-    /// Serves whoever connects to a listener until the front ends.
+    /// Serves a listener's connections until the front shuts down.
     pub fn serve(&self, listener: Listener, role: Role) {
         let accept = accept(
             listener.listener,
@@ -139,14 +139,14 @@
             _ = stopped.wait_for(|stopped| *stopped) => return,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        let counted = (role == Role::Clients).then(|| Counted::new(&open_count));
+        let connection_guard = (role == Role::Clients).then(|| ConnectionGuard::new(&open_count));
         let connection = serve(stream, node.clone(), stopped.clone(), role);
         tokio::task::spawn_local(async move {
             connection.await;
-            drop(counted);
+            drop(connection_guard);
         });
     }
 }
@@ -157,7 +157,7 @@
     mut stopped: watch::Receiver<bool>,
     role: Role,
 ) {
-    // A stream without it is only slower.
+    // A failure only makes the connection slower.
     let _ = stream.set_nodelay(true);
     let limits = limits(&node);
     let service = service_fn(|request| {
@@ -166,8 +166,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(core::time::Duration::from(limits.idle_time))
-        .max_buf_size(limits.head_bytes.max(HEAD_FLOOR_BYTES))
+        .header_read_timeout(core::time::Duration::from(limits.idle_timeout))
+        .max_buf_size(limits.head_limit_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -175,13 +175,13 @@
         _ = stopped.wait_for(|stopped| *stopped) => {}
     }
     connection.as_mut().graceful_shutdown();
-    // How a connection ends concerns nobody.
+    // The connection is closed either way.
     let _ = connection.await;
 }
 
-fn limits<P: Platform>(node: &Rc<Node<P>>) -> FrontLimits {
-    let in_force = node.configuration.in_force();
-    in_force.map_or(FIRST_LIMITS, |in_force| P::limits(&in_force.routes))
+fn limits<P: Platform>(node: &Rc<Node<P>>) -> RequestLimits {
+    let active = node.configuration.active();
+    active.map_or(DEFAULT_LIMITS, |active| P::limits(&active.routes))
 }
 
 async fn respond<P: Platform>(
@@ -209,10 +209,10 @@
     node: &Rc<Node<P>>,
     request: &Request<IncomingBody>,
 ) -> Response<Full<Bytes>> {
-    let is_asked = node
+    let is_probe = node
         .platform
-        .is_ready_question(request.method(), request.uri().path());
-    let status = match (is_asked, node.is_ready()) {
+        .is_readiness_probe(request.method(), request.uri().path());
+    let status = match (is_probe, node.is_ready()) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -223,7 +223,7 @@
 }
 
 fn respond_metrics<P: Platform>(node: &Rc<Node<P>>) -> Response<Full<Bytes>> {
-    node.note_configuration_age();
+    node.update_configuration_metrics();
     let text = node.metrics.to_text();
     let mut response = Response::new(Full::new(Bytes::from(text)));
     let content_type = HeaderValue::from_static(metrics::CONTENT_TYPE);
@@ -243,52 +243,55 @@
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    peer::encode(&requests::answer_peer(node, request).await)
+    peer::encode(&requests::handle_peer_request(node, request).await)
 }
 
 async fn respond_client<P: Platform>(node: &Rc<Node<P>>, request: Request<IncomingBody>) -> Reply {
-    let begun_at = clock::now();
-    let reply = reply_to(node, request).await;
-    node.metrics.note_reply(&reply, begun_at);
+    let started_at = clock::now();
+    let reply = handle_client_request(node, request).await;
+    node.metrics.count_reply(&reply, started_at);
     reply
 }
 
-/// Answers a request by the configuration that is in force when its head is read.
-async fn reply_to<P: Platform>(node: &Rc<Node<P>>, request: Request<IncomingBody>) -> Reply {
+/// Handles a client request with the configuration that is active when its head is read.
+async fn handle_client_request<P: Platform>(
+    node: &Rc<Node<P>>,
+    request: Request<IncomingBody>,
+) -> Reply {
     let (parts, body) = request.into_parts();
-    let Some(in_force) = node.current_configuration().await else {
-        skip_body(body).await;
-        return Reply::Unavailable(COME_BACK);
+    let Some(active) = node.current_configuration().await else {
+        discard_body(body).await;
+        return Reply::Unavailable(RETRY_LATER);
     };
     let head = RequestHead {
         method: &parts.method,
         path: parts.uri.path(),
         headers: &parts.headers,
     };
-    let admission = match node.platform.admit(&in_force.routes, head) {
+    let admission = match node.platform.admit(&active.routes, head) {
         Ok(admission) => admission,
         Err(reply) => {
-            skip_body(body).await;
+            discard_body(body).await;
             return reply;
         }
     };
-    let limits = P::limits(&in_force.routes);
+    let limits = P::limits(&active.routes);
     let body = match read_body(body, limits).await {
         Ok(body) => body,
         Err(reply) => return reply,
     };
-    match node.platform.read_call(admission, &body) {
-        Ok(call) => requests::execute(node, call, &in_force.configuration).await,
+    match node.platform.parse_call(admission, &body) {
+        Ok(call) => requests::handle_call(node, call, &active.configuration).await,
         Err(reply) => reply,
     }
 }
 
-async fn read_body(body: IncomingBody, limits: FrontLimits) -> Result<Bytes, Reply> {
-    let body = Limited::new(body, limits.body_bytes).collect();
-    match tokio::time::timeout(limits.head_time.into(), body).await {
+async fn read_body(body: IncomingBody, limits: RequestLimits) -> Result<Bytes, Reply> {
+    let body = Limited::new(body, limits.body_limit_bytes).collect();
+    match tokio::time::timeout(limits.read_timeout.into(), body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
-            let limit_bytes = limits.body_bytes;
+            let limit_bytes = limits.body_limit_bytes;
             Err(Reply::TooLarge { limit_bytes })
         }
         Ok(Err(error)) => Err(Reply::Invalid {
@@ -299,10 +302,11 @@
     }
 }
 
-/// Reads past the body of a request that is answered by its head, where it is short and
-/// there already: the connection would be reset otherwise, and the answer lost with it.
-async fn skip_body(body: IncomingBody) {
-    let body = Limited::new(body, SKIPPED_BODY_LIMIT_BYTES).collect();
-    // What is longer or slower ends with its connection.
-    let _ = tokio::time::timeout(SKIPPED_BODY_TIME.into(), body).await;
+/// Reads and discards the body of a request that is answered by its head alone, if the body
+/// is short and arrives soon. Otherwise closing the connection would reset it, and the
+/// answer would be lost.
+async fn discard_body(body: IncomingBody) {
+    let body = Limited::new(body, DISCARDED_BODY_LIMIT_BYTES).collect();
+    // A longer or slower body is dropped with its connection.
+    let _ = tokio::time::timeout(DISCARD_BODY_TIMEOUT.into(), body).await;
 }
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -1,8 +1,8 @@
-//! Group commits of what clients hand in: accepted jobs and cancels.
+//! Group commits of accepted jobs and cancels to the store.
 //!
-//! Every entry is written on the condition that its key does not exist, so a
-//! repeated id stays one job whichever node takes it, and a write that is done
-//! late can do no harm.
+//! Every entry is written on the condition that its key does not exist. So a
+//! repeated id stays one job whichever node accepts it, and a write that is
+//! applied late overwrites nothing.
 
 use crate::clock;
 use crate::store::{CommitError, Item, Store, StoreError, Transaction};
@@ -12,44 +12,45 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// Entries of one transaction; each takes a condition and a write.
+/// The most entries of one transaction; each needs a condition and a write.
 const GROUP_LIMIT_COUNT: usize = 15;
-/// Entries that may wait.
+/// The most entries that may be queued.
 const QUEUE_LIMIT_COUNT: usize = 400;
-/// How long an entry is tried for that may be in the store.
-const DOUBT_LIMIT: Duration = Duration::from_ms(1200);
-/// How long an entry is tried for that certainly is not: others can take it.
-const TRY_LIMIT: Duration = Duration::from_ms(120);
-/// The time until a call that failed is made again.
-const RETRY: Duration = Duration::from_ms(40);
-/// Failed calls in a row after which the store is taken not to answer.
+/// How long an entry is retried that may already be in the store.
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_ms(1200);
+/// How long an entry is retried that certainly is not in the store: other nodes can
+/// write it.
+const NOT_STORED_TIMEOUT: Duration = Duration::from_ms(120);
+/// The pause before a failed commit is retried.
+const RETRY_PAUSE: Duration = Duration::from_ms(40);
+/// Failed commits in a row after which the store is taken to be unreachable.
 const FAILING_COUNT: u32 = 2;
 
-/// What became of an entry.
+/// The outcome of writing an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IntakeOutcome {
-    /// It is in the store.
+    /// The entry is in the store.
     Stored,
-    /// The store has its key already, with this other value.
+    /// The key already exists, with this other value.
     Exists(Vec<u8>),
-    /// It certainly is not and will not be.
+    /// The entry is not in the store and the write will not be applied.
     NotStored,
-    /// It may be, or may come to be.
+    /// The write may have been applied, or may still be.
     Unknown,
 }
 
 struct Entry {
     key: String,
     value: Vec<u8>,
-    since: ospreywing_types::Instant,
-    /// Whether a call that carried it had no answer.
-    is_doubtful: bool,
+    queued_at: ospreywing_types::Instant,
+    /// Whether a commit with this entry had no answer, so that it may have been applied.
+    is_unconfirmed: bool,
     reply: oneshot::Sender<IntakeOutcome>,
 }
 
 impl Entry {
-    /// Returns what became of the entry where the store has its key.
-    fn found(&self, item: Item) -> IntakeOutcome {
+    /// Returns the outcome for an entry whose key exists as `item`.
+    fn existing_outcome(&self, item: Item) -> IntakeOutcome {
         if item.has_value(&self.value) {
             return IntakeOutcome::Stored;
         }
@@ -58,12 +59,12 @@
     }
 
     fn answer(self, outcome: IntakeOutcome) {
-        // Who asked may have gone.
+        // The caller may have been dropped.
         let _ = self.reply.send(outcome);
     }
 }
 
-/// The queue before the store.
+/// The queue of entries to be written to the store.
 pub struct Intake<S> {
     store: S,
     queue: RefCell<VecDeque<Entry>>,
@@ -82,7 +83,7 @@
         })
     }
 
-    /// Writes an entry, once, and waits for what becomes of it.
+    /// Writes an entry if its key does not exist, and waits for the outcome.
     pub async fn write(&self, key: String, value: Vec<u8>) -> IntakeOutcome {
         let (reply, outcome) = oneshot::channel();
         if self.queue.borrow().len() >= QUEUE_LIMIT_COUNT {
@@ -91,26 +92,26 @@
         self.queue.borrow_mut().push_back(Entry {
             key,
             value,
-            since: clock::now(),
-            is_doubtful: false,
+            queued_at: clock::now(),
+            is_unconfirmed: false,
             reply,
         });
         self.arrived.notify_one();
         outcome.await.unwrap_or(IntakeOutcome::Unknown)
     }
 
-    /// Returns whether the last calls have failed and no other call of the
-    /// node has been answered since.
+    /// Returns whether the last commits have failed and the store has answered no
+    /// other call of this node since.
     pub fn is_failing(&self) -> bool {
         self.failures_count.get() >= FAILING_COUNT
     }
 
-    /// Notes that the store has answered some other call.
-    pub fn note_answer(&self) {
+    /// Records that the store has answered a call.
+    pub fn record_answer(&self) {
         self.failures_count.set(0);
     }
 
-    /// Writes groups for ever.
+    /// Writes queued entries in groups; never returns.
     pub async fn run(&self) {
         loop {
             if self.queue.borrow().is_empty() {
@@ -137,27 +138,30 @@
             }
             Err(CommitError::Conflict(items)) => {
                 self.failures_count.set(0);
-                let there = items.into_iter().filter(|item| item.revision > 0);
-                let mut there: HashMap<String, Item> =
-                    there.map(|item| (item.key.clone(), item)).collect();
+                let existing = items.into_iter().filter(|item| item.revision > 0);
+                let mut existing: HashMap<String, Item> =
+                    existing.map(|item| (item.key.clone(), item)).collect();
                 let (found, rest): (Vec<Entry>, Vec<Entry>) = group
                     .into_iter()
-                    .partition(|entry| there.contains_key(&entry.key));
+                    .partition(|entry| existing.contains_key(&entry.key));
                 if found.is_empty() {
-                    // A conflict that names no entry can't be told apart from none.
+                    // The conflict does not show which entries exist.
                     return answer_all(rest, &IntakeOutcome::Unknown);
                 }
                 for entry in found {
-                    let item = there.remove(&entry.key);
-                    let outcome = item.map_or(IntakeOutcome::Unknown, |item| entry.found(item));
+                    let item = existing.remove(&entry.key);
+                    let outcome =
+                        item.map_or(IntakeOutcome::Unknown, |item| entry.existing_outcome(item));
                     entry.answer(outcome);
                 }
-                self.put_back(rest);
+                self.requeue(rest);
             }
             Err(CommitError::Store(error)) => {
                 self.failures_count.set(self.failures_count.get() + 1);
                 if !matches!(error, StoreError::Refused(_)) {
-                    group.iter_mut().for_each(|entry| entry.is_doubtful = true);
+                    group
+                        .iter_mut()
+                        .for_each(|entry| entry.is_unconfirmed = true);
                 }
                 self.retry_or_give_up(group).await;
             }
@@ -166,28 +170,28 @@
 
     async fn retry_or_give_up(&self, group: Vec<Entry>) {
         let now = clock::now();
-        let is_over = |entry: &Entry| {
-            let limit = if entry.is_doubtful {
-                DOUBT_LIMIT
+        let has_timed_out = |entry: &Entry| {
+            let limit = if entry.is_unconfirmed {
+                UNCONFIRMED_TIMEOUT
             } else {
-                TRY_LIMIT
+                NOT_STORED_TIMEOUT
             };
-            now.since(entry.since) >= limit
+            now.since(entry.queued_at) >= limit
         };
-        let (over, rest): (Vec<_>, Vec<_>) = group.into_iter().partition(is_over);
-        for entry in over {
-            let outcome = if entry.is_doubtful {
+        let (timed_out, rest): (Vec<_>, Vec<_>) = group.into_iter().partition(has_timed_out);
+        for entry in timed_out {
+            let outcome = if entry.is_unconfirmed {
                 IntakeOutcome::Unknown
             } else {
                 IntakeOutcome::NotStored
             };
             entry.answer(outcome);
         }
-        self.put_back(rest);
-        self.store.pause(RETRY).await;
+        self.requeue(rest);
+        self.store.pause(RETRY_PAUSE).await;
     }
 
-    fn put_back(&self, rest: Vec<Entry>) {
+    fn requeue(&self, rest: Vec<Entry>) {
         let mut queue = self.queue.borrow_mut();
         for entry in rest.into_iter().rev() {
             queue.push_front(entry);
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -5,7 +5,7 @@
 use crate::cordons;
 use crate::election::LEADER_LEASE;
 use crate::follow::Flow;
-use crate::freshness::{belief_limit, Beliefs, Freshness};
+use crate::freshness::{max_view_age, Freshness, StoreViews};
 use crate::node::{Node, NodeStore};
 use crate::platform::Platform;
 use crate::relay::RelayLinks;
@@ -23,20 +23,22 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
-/// What is taken off the leader's lease for calls on their way.
+/// The margin before the lease's end within which the leader sends nothing, for calls in
+/// flight.
 pub(crate) const LEASE_MARGIN: Duration = Duration::from_ms(150);
 /// How long a resigning leader waits for its open commits.
-const RESIGN_LIMIT: Duration = Duration::from_ms(400);
+const RESIGN_TIMEOUT: Duration = Duration::from_ms(400);
 
-/// A term.
-pub struct Leading<P: Platform> {
+/// The state of one term of this node as leader.
+pub struct Term<P: Platform> {
     /// The fencing token.
     pub fence: u64,
-    pub(crate) begun_at: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) lease: LeaseId,
-    /// Until when the lease certainly holds, on this node's clock.
+    /// The instant until which the lease certainly holds, on this node's clock.
     pub(crate) valid_until: Cell<Instant>,
-    /// Since when renewals of the lease are sent without an answer.
+    /// When the first renewal was sent that has had no successful answer since; `None` if the
+    /// last one succeeded.
     pub(crate) renewal_open_since: Cell<Option<Instant>>,
     pub(crate) is_over: Cell<bool>,
     pub(crate) is_resigned: Cell<bool>,
@@ -44,25 +46,25 @@
     pub(crate) scheduler: RefCell<Scheduler>,
     pub(crate) events: mpsc::UnboundedSender<Event>,
     pub(crate) relays: RelayLinks,
-    pub(crate) beliefs: Beliefs,
+    pub(crate) store_views: StoreViews,
     pub(crate) lanes: Vec<Rc<CommitLane<NodeStore<P>>>>,
     pub(crate) open_commits_count: Cell<usize>,
 }
 
-impl<P: Platform> Leading<P> {
-    /// Tells the scheduler of something that happened.
-    pub fn tell(&self, event: Event) {
-        // A term that is over needs to know nothing.
+impl<P: Platform> Term<P> {
+    /// Sends an event to the scheduler.
+    pub fn send_event(&self, event: Event) {
+        // Events after the term's end are dropped.
         let _ = self.events.send(event);
     }
 
-    /// Brings a configuration into force.
+    /// Sends a new configuration to the scheduler.
     pub fn configure(&self, configuration: Configuration) {
-        self.tell(Event::Configured(configuration));
+        self.send_event(Event::Configured(configuration));
     }
 
-    /// Returns whether orders may be given now.
-    pub fn may_order(&self) -> bool {
+    /// Returns whether the leader may send orders now: its lease certainly still holds.
+    pub fn may_send_orders(&self) -> bool {
         !self.is_over.get() && clock::now() < self.valid_until.get()
     }
 
@@ -71,7 +73,7 @@
         self.is_over.get()
     }
 
-    /// Returns whether to go on following what the store tells.
+    /// Returns whether the term's followers of the store should continue.
     pub(crate) fn flow(&self) -> Flow {
         if self.is_over() {
             Flow::Stop
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Returns the state of a job that a client is shown, where it is open to the client.
+    /// Returns the state of a job, if the caller may see the job.
     pub fn job_for(&self, caller: &Caller, job: JobId) -> Option<JobView> {
         self.scheduler.borrow().job_for(caller.customer(), job)
     }
@@ -90,21 +92,21 @@
         self.scheduler.borrow().job(job)
     }
 
-    /// Returns how many of a queue's jobs have not begun.
+    /// Returns how many of a queue's jobs have not started.
     pub fn pending_count(&self, queue: &str) -> u64 {
         self.scheduler.borrow().pending_count(queue) as u64
     }
 
-    /// Returns what is forecast for jobs that are handed in now.
+    /// Returns the forecast for jobs that are submitted now, if services are overloaded.
     pub fn forecast(&self, now: Instant) -> Option<Forecast> {
         self.scheduler.borrow().forecast(now)
     }
 
-    /// Gives up the lead after the commits that are open.
+    /// Ends the term after waiting for the open commits.
     pub async fn resign(&self) {
         self.is_resigned.set(true);
-        let begun = clock::now();
-        while self.open_commits_count.get() > 0 && clock::now().since(begun) < RESIGN_LIMIT {
+        let started_at = clock::now();
+        while self.open_commits_count.get() > 0 && clock::now().since(started_at) < RESIGN_TIMEOUT {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
         self.end();
@@ -118,30 +120,30 @@
     }
 }
 
-/// Returns the ages of a new leader's beliefs, none of which is confirmed.
-fn new_beliefs<P: Platform>(node: &Node<P>) -> Beliefs {
-    let cordons_limit = belief_limit(node.settings.cordon_limit);
-    // A slow store's answers must not hold back what is started.
-    let workers_limit = belief_limit(node.settings.drain_limit).max(LEADER_LEASE);
-    Beliefs::new(
+/// Creates a new leader's store views, none of which is confirmed yet.
+fn new_store_views<P: Platform>(node: &Node<P>) -> StoreViews {
+    let cordons_limit = max_view_age(node.settings.cordon_limit);
+    // The limit is at least the leader lease: a slow store's answers must not pause starts.
+    let workers_limit = max_view_age(node.settings.drain_limit).max(LEADER_LEASE);
+    StoreViews::new(
         Freshness::new("cordons", cordons_limit),
         Freshness::new("workers", workers_limit),
     )
 }
 
-/// Leads until the term is over; returns whether the node gave it up itself.
-pub async fn lead<P: Platform>(
+/// Leads until the term is over; returns whether the node resigned.
+pub async fn run_term<P: Platform>(
     node: &Rc<Node<P>>,
     grant: LeaseGrant,
     fence: u64,
     valid_until: Instant,
 ) -> bool {
-    let Some(in_force) = node
+    let Some(active) = node
         .configuration
-        .in_force()
+        .active()
         .filter(|_| !node.is_draining.get())
     else {
-        // The lease runs out by itself otherwise.
+        // If the call fails, the lease expires by itself.
         let _ = node.store.end_lease(grant.id).await;
         return true;
     };
@@ -156,13 +158,13 @@
         .collect();
     let empty = Scheduler::new(
         config,
-        in_force.configuration.clone(),
+        active.configuration.clone(),
         clock::now(),
         Recovered::default(),
     );
-    let leading = Rc::new(Leading::<P> {
+    let term = Rc::new(Term::<P> {
         fence,
-        begun_at: clock::now(),
+        started_at: clock::now(),
         lease: grant.id,
         valid_until: Cell::new(valid_until - LEASE_MARGIN),
         renewal_open_since: Cell::new(None),
@@ -172,21 +174,18 @@
         scheduler: RefCell::new(empty),
         events,
         relays: RelayLinks::default(),
-        beliefs: new_beliefs(node),
+        store_views: new_store_views(node),
         lanes,
         open_commits_count: Cell::new(0),
     });
-    tokio::task::spawn_local(leader_lease::keep_lease(node.clone(), leading.clone()));
-    tokio::task::spawn_local(cell_follow::follow_nodes(node.clone(), leading.clone()));
-    tokio::task::spawn_local(cell_follow::publish_candidates(
-        node.clone(),
-        leading.clone(),
-    ));
+    tokio::task::spawn_local(leader_lease::renew_lease(node.clone(), term.clone()));
+    tokio::task::spawn_local(cell_follow::follow_nodes(node.clone(), term.clone()));
+    tokio::task::spawn_local(cell_follow::publish_candidates(node.clone(), term.clone()));
     let recovered = tokio::select! {
-        recovered = recovery::recover(node, &leading) => recovered,
-        () = step_down::wait_to_step_down(node, &leading) => {
+        recovered = recovery::recover(node, &term) => recovered,
+        () = step_down::wait_to_step_down(node, &term) => {
             step_down::log_stepped_down(node, fence, "recovering");
-            leading.is_resigned.set(true);
+            term.is_resigned.set(true);
             None
         }
     };
@@ -196,31 +195,31 @@
         for data_centre in &recovered.cordons {
             info!(node.log, "cordon"; "data_centre" => data_centre.as_ref(), "reason" => "stands");
         }
-        let newest = node.configuration.in_force().unwrap_or(in_force);
+        let newest = node.configuration.active().unwrap_or(active);
         let configuration = newest.configuration.clone();
         let mut scheduler = Scheduler::new(config, configuration, clock::now(), recovered);
-        let kept = node.learned.take();
-        if let Some(learned) = kept.into_learned(clock::now()) {
-            info!(node.log, "learned taken over";
+        let snapshot = node.learned.take();
+        if let Some(learned) = snapshot.into_learned(clock::now()) {
+            info!(node.log, "learned statistics restored";
                 "sizes" => learned.sizes.len(), "speeds" => learned.speeds.len());
             scheduler.take_learned(clock::now(), &learned);
         }
-        *leading.scheduler.borrow_mut() = scheduler;
-        *node.leading.borrow_mut() = Some(leading.clone());
-        node.metrics.note_term(true);
+        *term.scheduler.borrow_mut() = scheduler;
+        *node.term.borrow_mut() = Some(term.clone());
+        node.metrics.set_leading(true);
         if node.is_draining.get() {
-            leading.resign().await;
+            term.resign().await;
         }
-        tokio::task::spawn_local(watches::follow_intake(node.clone(), leading.clone(), at));
-        tokio::task::spawn_local(watches::follow_workers(node.clone(), leading.clone()));
-        tokio::task::spawn_local(cordons::follow_cordons(node.clone(), leading.clone()));
-        tokio::task::spawn_local(handover::hand_on(node.clone(), leading.clone()));
-        decision_loop::run(node, &leading, received).await;
-        *node.leading.borrow_mut() = None;
-        node.metrics.note_term(false);
+        tokio::task::spawn_local(watches::follow_intake(node.clone(), term.clone(), at));
+        tokio::task::spawn_local(watches::follow_workers(node.clone(), term.clone()));
+        tokio::task::spawn_local(cordons::follow_cordons(node.clone(), term.clone()));
+        tokio::task::spawn_local(handover::send_learned(node.clone(), term.clone()));
+        decision_loop::run(node, &term, received).await;
+        *node.term.borrow_mut() = None;
+        node.metrics.set_leading(false);
     }
-    leading.is_over.set(true);
-    // The lease runs out by itself otherwise.
+    term.is_over.set(true);
+    // If the call fails, the lease expires by itself.
     let _ = node.store.end_lease(grant.id).await;
-    leading.is_resigned.get()
+    term.is_resigned.get()
 }
--- a/crates/control/src/leader_probe.rs
+++ b/crates/control/src/leader_probe.rs
@@ -1,8 +1,8 @@
-//! Probing the leader: the first candidates call it, and evict it once two of them agree
-//! that it is silent while the store answers.
+//! Probes the leader: the first candidates call it periodically, and evict it once two of
+//! them agree that it is unresponsive while the store answers.
 
 use crate::cell_view::{CellView, LeaderRecord};
-use crate::failure_detector::{FailureDetector, PROBE_LIMIT, PROBE_PERIOD};
+use crate::failure_detector::{FailureDetector, PROBE_PERIOD, PROBE_TIMEOUT};
 use crate::node::Node;
 use crate::peer::{self, PeerReply, PeerRequest};
 use crate::platform::Platform;
@@ -13,7 +13,7 @@
 use slog::info;
 use std::rc::Rc;
 
-/// How many candidates probe the leader: the second one confirms what the first suspects.
+/// The number of candidates that probe the leader: one suspects it, another confirms that.
 const OBSERVERS_COUNT: usize = 2;
 
 /// Probes the leader for as long as the node runs.
@@ -28,26 +28,26 @@
         let Some(leader) = observed_leader(&node) else {
             continue;
         };
-        follow_leader(&node, leader.lease);
+        reset_if_new_leader(&node, leader.lease);
         if !node.detector.get().is_probe_due(clock::now()) {
             continue;
         }
         probe(&node, &leader).await;
-        if node.detector.get().is_suspect(clock::now()) {
+        if node.detector.get().is_suspected(clock::now()) {
             evict_if_confirmed(&node, leader).await;
         }
     }
 }
 
-/// Returns the leader, where this node is one of those that probe it.
+/// Returns the leader if this node is to probe it.
 ///
-/// In a large cell a leader may be busy for longer than a detector waits; there its lease
-/// alone tells.
+/// In a large cell nobody probes it: there a leader may be busy for longer than the detector
+/// waits, so only its lease counts.
 fn observed_leader<P: Platform>(node: &Node<P>) -> Option<LeaderRecord> {
     let cell = node.cell.borrow();
     let leader = cell.leader.clone()?;
     let is_observer = observers(&cell).any(|name| name == node.settings.name);
-    let is_able = !cell.list.shares_configuration && node.has_contact();
+    let is_able = !cell.list.shares_configuration && node.has_store_contact();
     (is_observer && is_able && !node.is_draining.get()).then_some(leader)
 }
 
@@ -60,18 +60,18 @@
         .take(OBSERVERS_COUNT)
 }
 
-/// Begins anew where another leader is known than before.
-fn follow_leader<P: Platform>(node: &Node<P>, lease: LeaseId) {
+/// Resets the failure detector if there is a new leader.
+fn reset_if_new_leader<P: Platform>(node: &Node<P>, lease: LeaseId) {
     if node.detector.get().leader() != lease {
         node.detector.set(FailureDetector::new(lease, clock::now()));
     }
 }
 
-/// Notes that the leader with this lease has answered a call.
-pub(crate) fn note_answer<P: Platform>(node: &Node<P>, lease: LeaseId, sent_at: Instant) {
+/// Records that the leader with this lease has answered a call.
+pub(crate) fn record_answer<P: Platform>(node: &Node<P>, lease: LeaseId, sent_at: Instant) {
     let mut detector = node.detector.get();
     if detector.leader() == lease {
-        detector.note_answer(sent_at);
+        detector.record_answer(sent_at);
         node.detector.set(detector);
     }
 }
@@ -82,42 +82,42 @@
         &node.peers,
         &leader.address,
         &PeerRequest::Leader,
-        PROBE_LIMIT,
+        PROBE_TIMEOUT,
     )
     .await;
     if reply.is_ok() {
-        note_answer(node, leader.lease, sent_at);
+        record_answer(node, leader.lease, sent_at);
         return;
     }
     let mut detector = node.detector.get();
-    detector.note_miss();
+    detector.record_miss();
     node.detector.set(detector);
     if reply.is_err_and(|error| error.is_not_sent()) {
-        election::suspect_leader(node, leader.clone());
+        election::evict_unreachable_leader(node, leader.clone());
     }
 }
 
-/// Evicts the leader where another observer finds it silent too.
+/// Evicts the leader if another observer confirms that it is unresponsive.
 async fn evict_if_confirmed<P: Platform>(node: &Rc<Node<P>>, leader: LeaderRecord) {
     let Some(address) = confirming_observer(node, &leader).await else {
         return;
     };
-    let silence = node.detector.get().silence(clock::now());
+    let unresponsive_time = node.detector.get().unresponsive_time(clock::now());
     let name = leader.name.clone();
-    if election::evict_silent(node, leader) {
-        info!(node.log, "leader silent";
-            "leader" => name, "silence_ms" => silence.as_ms(), "confirmed_by" => address);
+    if election::evict_unresponsive_leader(node, leader) {
+        info!(node.log, "leader unresponsive";
+            "leader" => name, "silence_ms" => unresponsive_time.as_ms(), "confirmed_by" => address);
     }
 }
 
-/// Returns where another observer is called that finds the leader silent too.
+/// Returns the address of another observer that also finds the leader unresponsive.
 async fn confirming_observer<P: Platform>(
     node: &Rc<Node<P>>,
     leader: &LeaderRecord,
 ) -> Option<String> {
     for address in other_observers(node) {
         let request = PeerRequest::IsLeaderSilent(leader.lease);
-        let reply = peer::call(&node.peers, &address, &request, PROBE_LIMIT).await;
+        let reply = peer::call(&node.peers, &address, &request, PROBE_TIMEOUT).await;
         if matches!(reply, Ok(PeerReply::LeaderSilent(true))) {
             return Some(address);
         }
@@ -134,8 +134,8 @@
     others.map(|it| it.record.address.clone()).collect()
 }
 
-/// Returns whether this node, as an observer, finds the leader with this lease silent.
-pub(crate) fn is_silent<P: Platform>(node: &Node<P>, lease: LeaseId) -> bool {
+/// Returns whether this node, as an observer, finds the leader with this lease unresponsive.
+pub(crate) fn is_unresponsive<P: Platform>(node: &Node<P>, lease: LeaseId) -> bool {
     let detector = node.detector.get();
-    detector.leader() == lease && detector.is_missed()
+    detector.leader() == lease && detector.has_missed_probes()
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,11 @@
 //! A node of the cell.
 //!
-//! All nodes are alike. Each takes requests from clients and writes accepted
-//! jobs and cancels to the store itself. One of them holds the leader's lease
-//! and runs the [`ospreywing_scheduler::Scheduler`]; the others pass questions
-//! to it and ask the adviser on its behalf. The crate is the shell around the
-//! decisions: it owns sockets, clocks and the store's calls, and speaks to the
-//! outside through the [`Platform`] trait alone.
+//! All nodes run the same code. Each accepts client requests and writes accepted
+//! jobs and cancels to the store itself. One node holds the leader lease and runs
+//! the [`ospreywing_scheduler::Scheduler`]; the others forward queries to it and
+//! call the adviser on its behalf. This crate does the I/O around the scheduler's
+//! decisions: sockets, clocks and store calls. It reaches external systems only
+//! through the [`Platform`] and [`Store`] traits.
 
 pub mod admission;
 mod caller;
@@ -43,7 +43,7 @@
 pub mod recovery;
 pub mod relay;
 pub mod requests;
-pub mod spread;
+pub mod stable_hash;
 mod step_down;
 pub mod store;
 pub mod stored_view;
@@ -56,10 +56,10 @@
 pub use credentials::{Credentials, KeyHasher};
 pub use node::{run, NodeError, NodeSettings};
 pub use platform::{
-    Call, CallError, CordonError, CordonFault, EntryError, EntryFault, FrontLimits, Look, Platform,
-    Reply, RequestHead, Retry,
+    Call, CallError, CordonError, CordonFault, Platform, Reply, RequestHead, RequestLimits, Retry,
+    WorkerEntryError, WorkerEntryFault, WorkerPoll,
 };
 pub use store::{
-    sending_time, CommitError, Committed, Item, LeaseGrant, LeaseId, Page, Revision, Store,
+    transfer_time, CommitError, Committed, Item, LeaseGrant, LeaseId, Page, Revision, Store,
     StoreError, Transaction, UnreadableValue, Watched, WatchedChange, Write,
 };
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,7 +1,7 @@
-//! A node's counters, gauges and histograms, as text for whoever asks.
+//! A node's counters, gauges and histograms, exported in the OpenMetrics text format.
 
 use crate::clock;
-use crate::platform::{CordonFault, EntryFault, Reply};
+use crate::platform::{CordonFault, Reply, WorkerEntryFault};
 use ospreywing_scheduler::{Decision, Forecast, SchedulerStatus, ServiceFragmentation, WaitReason};
 use ospreywing_types::{Duration, Instant};
 use prometheus_client::encoding::text::encode;
@@ -13,9 +13,9 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicI64;
 
-/// The type of the text, as its format asks for.
+/// The content type of the OpenMetrics text format.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// The first bound of histograms, in seconds; each further one is twice as high.
+/// The first bucket's bound in histograms; each further bound is twice as high.
 const FIRST_BUCKET_S: f64 = 0.002;
 const BUCKETS_COUNT: u16 = 13;
 /// A page of memory, in bytes.
@@ -58,9 +58,9 @@
     service: String,
 }
 
-type Amount = Gauge<i64, AtomicI64>;
+type IntGauge = Gauge<i64, AtomicI64>;
 
-/// What a node counts.
+/// The metrics of a node.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -69,46 +69,46 @@
     decisions: Family<DecisionLabels, Counter>,
     unreadable_entries: Family<EntryLabels, Counter>,
     unusable_cordons: Family<EntryLabels, Counter>,
-    cordons: Amount,
-    unanswered_refusals: Amount,
+    cordons: IntGauge,
+    unanswered_refusals: IntGauge,
     worker_entries: Counter,
-    worker_list_age_ms: Amount,
-    waiting_steps: Family<WaitLabels, Amount>,
-    oldest_wait_ms: Family<WaitLabels, Amount>,
+    worker_list_age_ms: IntGauge,
+    waiting_steps: Family<WaitLabels, IntGauge>,
+    oldest_wait_ms: Family<WaitLabels, IntGauge>,
     refused_by_forecast: Counter,
-    forecast_ms: Family<QueueLabels, Amount>,
-    fitting_cores: Family<ServiceLabels, Amount>,
-    fitting_accelerators: Family<ServiceLabels, Amount>,
-    fitting_tasks: Family<ServiceLabels, Amount>,
-    whole_room_percent: Family<ServiceLabels, Amount>,
+    forecast_ms: Family<QueueLabels, IntGauge>,
+    fitting_cores: Family<ServiceLabels, IntGauge>,
+    fitting_accelerators: Family<ServiceLabels, IntGauge>,
+    fitting_tasks: Family<ServiceLabels, IntGauge>,
+    usable_capacity_percent: Family<ServiceLabels, IntGauge>,
     store_calls: Family<StoreLabels, Counter>,
     store_call_s: Histogram,
     terms: Counter,
-    relays: Amount,
+    relays: IntGauge,
     relayed_orders: Counter,
     relays_lost: Counter,
-    loop_lateness_ms: Amount,
-    is_leader: Amount,
-    active_jobs: Amount,
-    runs: Amount,
-    workers: Amount,
-    placeable_workers: Amount,
-    capacity_millicores: Amount,
-    used_millicores: Amount,
-    overloaded_services: Amount,
-    waiting_gangs: Amount,
-    limit_reservations: Amount,
-    awaited_workers: Amount,
-    slow_workers: Amount,
-    ejected_workers: Amount,
-    learned_sizes: Amount,
-    forecast_error_percent: Amount,
-    estimate_error_percent: Amount,
-    beyond_share_customers: Amount,
-    largest_share_lag_ms: Amount,
-    configuration_version: Amount,
-    configuration_age_ms: Amount,
-    resident_bytes: Amount,
+    loop_lateness_ms: IntGauge,
+    is_leader: IntGauge,
+    active_jobs: IntGauge,
+    runs: IntGauge,
+    workers: IntGauge,
+    placeable_workers: IntGauge,
+    capacity_millicores: IntGauge,
+    used_millicores: IntGauge,
+    overloaded_services: IntGauge,
+    waiting_gangs: IntGauge,
+    limit_reservations: IntGauge,
+    awaited_workers: IntGauge,
+    slow_workers: IntGauge,
+    ejected_workers: IntGauge,
+    learned_sizes: IntGauge,
+    forecast_error_percent: IntGauge,
+    estimate_error_percent: IntGauge,
+    beyond_share_customers: IntGauge,
+    largest_share_lag_ms: IntGauge,
+    configuration_version: IntGauge,
+    configuration_age_ms: IntGauge,
+    resident_bytes: IntGauge,
 }
 
 impl Default for Metrics {
@@ -118,7 +118,7 @@
 }
 
 impl Metrics {
-    /// Creates metrics that stand at zero.
+    /// Creates metrics that are all zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("ospreywing"),
@@ -127,10 +127,10 @@
             decisions: Family::default(),
             unreadable_entries: Family::default(),
             unusable_cordons: Family::default(),
-            cordons: Amount::default(),
-            unanswered_refusals: Amount::default(),
+            cordons: IntGauge::default(),
+            unanswered_refusals: IntGauge::default(),
             worker_entries: Counter::default(),
-            worker_list_age_ms: Amount::default(),
+            worker_list_age_ms: IntGauge::default(),
             waiting_steps: Family::default(),
             oldest_wait_ms: Family::default(),
             refused_by_forecast: Counter::default(),
@@ -138,39 +138,39 @@
             fitting_cores: Family::default(),
             fitting_accelerators: Family::default(),
             fitting_tasks: Family::default(),
-            whole_room_percent: Family::default(),
+            usable_capacity_percent: Family::default(),
             store_calls: Family::default(),
             store_call_s: new_histogram(),
             terms: Counter::default(),
-            relays: Amount::default(),
+            relays: IntGauge::default(),
             relayed_orders: Counter::default(),
             relays_lost: Counter::default(),
-            loop_lateness_ms: Amount::default(),
-            is_leader: Amount::default(),
-            active_jobs: Amount::default(),
-            runs: Amount::default(),
-            workers: Amount::default(),
-            placeable_workers: Amount::default(),
-            capacity_millicores: Amount::default(),
-            used_millicores: Amount::default(),
-            overloaded_services: Amount::default(),
-            waiting_gangs: Amount::default(),
-            limit_reservations: Amount::default(),
-            awaited_workers: Amount::default(),
-            slow_workers: Amount::default(),
-            ejected_workers: Amount::default(),
-            learned_sizes: Amount::default(),
-            forecast_error_percent: Amount::default(),
-            estimate_error_percent: Amount::default(),
-            beyond_share_customers: Amount::default(),
-            largest_share_lag_ms: Amount::default(),
-            configuration_version: Amount::default(),
-            configuration_age_ms: Amount::default(),
-            resident_bytes: Amount::default(),
+            loop_lateness_ms: IntGauge::default(),
+            is_leader: IntGauge::default(),
+            active_jobs: IntGauge::default(),
+            runs: IntGauge::default(),
+            workers: IntGauge::default(),
+            placeable_workers: IntGauge::default(),
+            capacity_millicores: IntGauge::default(),
+            used_millicores: IntGauge::default(),
+            overloaded_services: IntGauge::default(),
+            waiting_gangs: IntGauge::default(),
+            limit_reservations: IntGauge::default(),
+            awaited_workers: IntGauge::default(),
+            slow_workers: IntGauge::default(),
+            ejected_workers: IntGauge::default(),
+            learned_sizes: IntGauge::default(),
+            forecast_error_percent: IntGauge::default(),
+            estimate_error_percent: IntGauge::default(),
+            beyond_share_customers: IntGauge::default(),
+            largest_share_lag_ms: IntGauge::default(),
+            configuration_version: IntGauge::default(),
+            configuration_age_ms: IntGauge::default(),
+            resident_bytes: IntGauge::default(),
         };
         metrics.register_counters();
-        metrics.register_amounts();
-        metrics.register_rooms();
+        metrics.register_gauges();
+        metrics.register_fragmentation();
         metrics
     }
 
@@ -249,7 +249,7 @@
         );
     }
 
-    fn register_amounts(&mut self) {
+    fn register_gauges(&mut self) {
         let amounts = [
             ("is_leader", "1 while this node leads", &self.is_leader),
             ("active_jobs", "Jobs with work left", &self.active_jobs),
@@ -367,7 +367,7 @@
         }
     }
 
-    fn register_rooms(&mut self) {
+    fn register_fragmentation(&mut self) {
         let registry = &mut self.registry;
         registry.register(
             "fitting_millicores",
@@ -387,23 +387,23 @@
         registry.register(
             "whole_room_percent",
             "The part of the free room in which the largest recent task fits, by service",
-            self.whole_room_percent.clone(),
+            self.usable_capacity_percent.clone(),
         );
     }
 
-    /// Notes how broken up the free room of each service is; forgets services without room.
-    fn note_rooms(&self, rooms: &[ServiceFragmentation]) {
+    /// Sets how fragmented each service's free capacity is; removes services without any.
+    fn set_fragmentation(&self, fragmentations: &[ServiceFragmentation]) {
         self.fitting_cores.clear();
         self.fitting_accelerators.clear();
         self.fitting_tasks.clear();
-        self.whole_room_percent.clear();
-        for room in rooms {
-            let service = room.service.to_string();
+        self.usable_capacity_percent.clear();
+        for fragmentation in fragmentations {
+            let service = fragmentation.service.to_string();
             let labels = ServiceLabels { service };
-            let set = |family: &Family<ServiceLabels, Amount>, value: i64| {
+            let set = |family: &Family<ServiceLabels, IntGauge>, value: i64| {
                 family.get_or_create(&labels).set(value);
             };
-            let fit = &room.largest_fit;
+            let fit = &fragmentation.largest_fit;
             set(&self.fitting_cores, i64::from(fit.cores_milli));
             set(
                 &self.fitting_accelerators,
@@ -411,21 +411,24 @@
             );
             set(
                 &self.fitting_tasks,
-                room.fit_count.min(i64::MAX as u64) as i64,
+                fragmentation.fit_count.min(i64::MAX as u64) as i64,
+            );
+            set(
+                &self.usable_capacity_percent,
+                i64::from(fragmentation.whole_percent),
             );
-            set(&self.whole_room_percent, i64::from(room.whole_percent));
         }
     }
 
-    /// Counts a reply to a request that was read whole at `begun_at`.
-    pub fn note_reply(&self, reply: &Reply, begun_at: Instant) {
+    /// Counts a reply to a request whose head was read at `started_at`.
+    pub fn count_reply(&self, reply: &Reply, started_at: Instant) {
         let outcome = outcome_of(reply);
         self.replies.get_or_create(&ReplyLabels { outcome }).inc();
-        self.reply_s.observe(seconds_since(begun_at));
+        self.reply_s.observe(seconds_since(started_at));
     }
 
     /// Counts a decision.
-    pub fn note_decision(&self, decision: &Decision) {
+    pub fn count_decision(&self, decision: &Decision) {
         let labels = DecisionLabels {
             kind: decision.kind.as_str(),
             reason: decision.reason,
@@ -433,45 +436,45 @@
         self.decisions.get_or_create(&labels).inc();
     }
 
-    /// Counts a worker's entry that names no worker to use.
-    pub fn note_unreadable_entry(&self, fault: EntryFault) {
+    /// Counts an unusable worker entry.
+    pub fn count_unreadable_entry(&self, fault: WorkerEntryFault) {
         let reason = fault.as_str();
         let labels = EntryLabels { reason };
         self.unreadable_entries.get_or_create(&labels).inc();
     }
 
-    /// Counts entries of workers that the store told as written or gone.
-    pub fn note_worker_entries(&self, count: usize) {
+    /// Counts changes of worker entries that the store reported.
+    pub fn count_worker_entries(&self, count: usize) {
         self.worker_entries.inc_by(count as u64);
     }
 
-    /// Notes how old the list of workers is.
-    pub fn note_worker_list_age(&self, age: Duration) {
+    /// Sets the age of the worker list.
+    pub fn set_worker_list_age(&self, age: Duration) {
         self.worker_list_age_ms.set(age.as_ms() as i64);
     }
 
-    /// Counts a cordon that is not followed.
-    pub fn note_unusable_cordon(&self, fault: CordonFault) {
+    /// Counts an unusable cordon.
+    pub fn count_unusable_cordon(&self, fault: CordonFault) {
         let reason = fault.as_str();
         let labels = EntryLabels { reason };
         self.unusable_cordons.get_or_create(&labels).inc();
     }
 
-    /// Counts a call of the store that began at `begun_at`.
-    pub fn note_store_call(&self, call: &'static str, outcome: &'static str, begun_at: Instant) {
+    /// Counts a store call that began at `started_at`.
+    pub fn count_store_call(&self, call: &'static str, outcome: &'static str, started_at: Instant) {
         self.store_calls
             .get_or_create(&StoreLabels { call, outcome })
             .inc();
-        self.store_call_s.observe(seconds_since(begun_at));
+        self.store_call_s.observe(seconds_since(started_at));
     }
 
-    /// Counts a job that was refused by a forecast.
-    pub fn note_refused_by_forecast(&self) {
+    /// Counts a job that was rejected by a forecast.
+    pub fn count_rejected_by_forecast(&self) {
         self.refused_by_forecast.inc();
     }
 
-    /// Notes the forecasts, which name few queues.
-    pub fn note_forecast(&self, forecast: Option<&Forecast>) {
+    /// Sets the forecasts by queue; removes queues without one.
+    pub fn set_forecast(&self, forecast: Option<&Forecast>) {
         self.forecast_ms.clear();
         for queue in forecast.iter().flat_map(|forecast| &forecast.queues) {
             let labels = QueueLabels {
@@ -482,42 +485,42 @@
         }
     }
 
-    /// Notes how many relays the leader uses.
-    pub fn note_relays(&self, count: usize) {
+    /// Sets the number of relays that the leader uses.
+    pub fn set_relays_count(&self, count: usize) {
         self.relays.set(count as i64);
     }
 
-    /// Counts orders that were handed to a relay.
-    pub fn note_relayed(&self, count: usize) {
+    /// Counts orders that are sent to a relay.
+    pub fn count_relayed_orders(&self, count: usize) {
         self.relayed_orders.inc_by(count as u64);
     }
 
     /// Counts a relay that did not answer.
-    pub fn note_relay_lost(&self) {
+    pub fn count_lost_relay(&self) {
         self.relays_lost.inc();
     }
 
-    /// Notes how late the leader's own loop was lately.
-    pub fn note_lateness(&self, lateness: Duration) {
+    /// Sets the recent lateness of the leader's event loop.
+    pub fn set_lateness(&self, lateness: Duration) {
         self.loop_lateness_ms.set(lateness.as_ms() as i64);
     }
 
-    /// Notes that a term has begun or is over.
-    pub fn note_term(&self, is_leader: bool) {
+    /// Sets whether this node leads; counts a new term, and clears the leader's gauges after one.
+    pub fn set_leading(&self, is_leader: bool) {
         self.is_leader.set(i64::from(is_leader));
         if is_leader {
             self.terms.inc();
         } else {
-            self.note_status(&SchedulerStatus::default());
-            self.note_forecast(None);
-            self.note_relays(0);
-            self.note_lateness(Duration::ZERO);
+            self.set_status(&SchedulerStatus::default());
+            self.set_forecast(None);
+            self.set_relays_count(0);
+            self.set_lateness(Duration::ZERO);
         }
     }
 
-    /// Notes the sizes of what the leader decides on.
-    pub fn note_status(&self, status: &SchedulerStatus) {
-        let set = |amount: &Amount, count: usize| {
+    /// Sets the gauges of the scheduler's status.
+    pub fn set_status(&self, status: &SchedulerStatus) {
+        let set = |amount: &IntGauge, count: usize| {
             amount.set(count as i64);
         };
         set(&self.active_jobs, status.active_jobs_count);
@@ -543,7 +546,7 @@
         self.largest_share_lag_ms.set(lag_ms as i64);
         self.capacity_millicores.set(status.capacity_milli as i64);
         self.used_millicores.set(status.used_milli as i64);
-        self.note_rooms(&status.service_rooms);
+        self.set_fragmentation(&status.service_rooms);
         for (reason, wait) in WaitReason::ALL.iter().zip(&status.waits) {
             let labels = WaitLabels {
                 reason: reason.as_str(),
@@ -555,14 +558,14 @@
         }
     }
 
-    /// Notes which configuration is in force, and how long ago the store
-    /// confirmed that there is no newer one.
-    pub fn note_configuration(&self, version: u64, age: Duration) {
+    /// Sets the version of the active configuration, and how long ago the store confirmed that
+    /// there is no newer one.
+    pub fn set_configuration(&self, version: u64, age: Duration) {
         self.configuration_version.set(version as i64);
         self.configuration_age_ms.set(age.as_ms() as i64);
     }
 
-    /// Returns everything as text.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn to_text(&self) -> String {
         if let Some(bytes) = resident_bytes() {
             self.resident_bytes.set(bytes);
@@ -578,8 +581,8 @@
     Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS_COUNT))
 }
 
-fn seconds_since(begun_at: Instant) -> f64 {
-    let took: Duration = clock::now().since(begun_at);
+fn seconds_since(started_at: Instant) -> f64 {
+    let took: Duration = clock::now().since(started_at);
     took.as_ms() as f64 / 1000.0
 }
 
@@ -603,7 +606,7 @@
     }
 }
 
-/// Returns the process's resident memory, where the system tells.
+/// Returns the process's resident memory in bytes, if the system reports it.
 fn resident_bytes() -> Option<i64> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: i64 = text.split_whitespace().nth(1)?.parse().ok()?;
--- a/crates/control/tests/control/recovering.rs
+++ b/crates/control/tests/control/recovery.rs
@@ -1,12 +1,12 @@
-//! What a new leader makes of what the store keeps.
+//! The state that a new leader recovers from the stored items.
 
-use ospreywing_control::recovery::assemble;
+use ospreywing_control::recovery::assemble_recovered;
 use ospreywing_control::{keys, Item};
 use ospreywing_scheduler::{JobId, JobOutcome, JobRecord, JobState, Phase};
 use slog::{o, Discard, Logger};
 
 const WALL_MS: u64 = 1_000;
-/// The first byte of a form that this version does not know.
+/// The first byte of an encoding of a later version.
 const LATER_FORM: u8 = 99;
 
 fn id(number: u64) -> JobId {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn assemble_in_order_of_acceptance() {
+fn assemble_recovered_in_acceptance_order() {
     let outcome = JobOutcome::new(Phase::Complete).to_bytes();
     let intake = vec![
         accepted(1, 9),
@@ -41,7 +41,7 @@
     ];
     let state = JobState::default().to_bytes();
     let states = [item(keys::state(id(1)), state, 11)];
-    let recovered = assemble(&log(), intake, &states, WALL_MS);
+    let recovered = assemble_recovered(&log(), intake, &states, WALL_MS);
     let jobs: Vec<JobId> = recovered.jobs.iter().map(|(id, _)| *id).collect();
     assert_eq!(jobs, [id(2), id(1)]);
     assert_eq!(recovered.ended, [(id(3), JobOutcome::new(Phase::Complete))]);
@@ -49,14 +49,14 @@
     assert_eq!(recovered.states.len(), 1);
 }
 
-/// A state that can't be read, as one of a later version, may hold ends: a job
-/// without it would begin from the start.
+/// A state that can't be parsed, such as one of a later version, may contain finished tasks.
+/// The job must not be recovered without it, since it would start from the beginning.
 #[test]
-fn assemble_unreadable_state() {
+fn assemble_recovered_unreadable_state() {
     let unreadable = item(keys::job(id(3)), vec![LATER_FORM, 1], 5);
     let intake = vec![accepted(1, 3), accepted(2, 4), unreadable];
     let states = [item(keys::state(id(2)), vec![LATER_FORM, 1], 5)];
-    let recovered = assemble(&log(), intake, &states, WALL_MS);
+    let recovered = assemble_recovered(&log(), intake, &states, WALL_MS);
     let jobs: Vec<JobId> = recovered.jobs.iter().map(|(id, _)| *id).collect();
     assert_eq!(jobs, [id(1)]);
     assert_eq!(recovered.unreadable, [id(3), id(2)]);
--- a/crates/control/tests/control/suspension.rs
+++ b/crates/control/tests/control/suspension.rs
@@ -1,9 +1,8 @@
-//! A leader whose machine is suspended: its clocks move on while it stands still, and
-//! another node leads meanwhile.
+//! A leader whose box is suspended, while time passes and another node is elected.
 //!
-//! A node that counts its lease by a clock which stands still in a suspend would wake up
-//! and give orders until its next renewal is refused. Such a suspend is brought about at
-//! one call after the other that the node makes.
+//! If a node measured its lease by a clock that stops during a suspend, it would resume and
+//! send orders until its next renewal fails. The test suspends the box at each of
+//! several calls that the node makes.
 
 use crate::support::{run_local, MemoryStore};
 use http_body_util::Full;
@@ -11,8 +10,8 @@
 use ospreywing_control::cell_view::LeaderRecord;
 use ospreywing_control::layered::{CallFailure, LayeredStore, StoreCall, StoreLayer};
 use ospreywing_control::{
-    clock, keys, Call, CallError, CordonError, EntryError, FrontLimits, Look, NodeSettings,
-    Platform, Reply, RequestHead, Store, StoreError, Transaction,
+    clock, keys, Call, CallError, CordonError, NodeSettings, Platform, Reply, RequestHead,
+    RequestLimits, Store, StoreError, Transaction, WorkerEntryError, WorkerPoll,
 };
 use ospreywing_scheduler::{
     AdviceReply, Configuration, Endpoint, Features, HoldReply, JobId, JobRecord, JobSpec, Queue,
@@ -30,30 +29,29 @@
 const SERVICE: &str = "gallery";
 const QUEUE: &str = "render";
 const WORKERS_PREFIX: &str = "workers/";
-/// How long a node plays after it was suspended.
-const PLAY: std::time::Duration = std::time::Duration::from_millis(600);
-/// The longest that a node takes to make so many calls.
-const PLAY_LIMIT: std::time::Duration = std::time::Duration::from_secs(10);
-/// The leader's lease; in a shorter suspend nobody else is elected.
+/// How long the node runs after it was suspended.
+const RUN_TIME: std::time::Duration = std::time::Duration::from_millis(600);
+/// The timeout for the node to make its calls and run on after the suspend.
+const RUN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
+/// The leader lease; during a shorter suspend no other node is elected.
 const LEADER_LEASE: Duration = Duration::from_ms(1500);
 
-/// What surrounds the node: calls are counted, and one of them is when the machine is
-/// suspended.
+/// The node's environment: counts calls, and suspends the box at one of them.
 #[derive(Default)]
-struct Surroundings {
+struct Environment {
     calls_count: Cell<usize>,
     suspend_at_call: Cell<usize>,
     length: Cell<Duration>,
-    /// The orders that were given after another node was elected.
+    /// The orders that were sent after another node was elected.
     late_orders: RefCell<Vec<&'static str>>,
     has_other_leader: Cell<bool>,
     running: RefCell<Vec<RunningRun>>,
 }
 
-impl Surroundings {
-    /// Counts a call; at one of them the machine is suspended, and another node leads
-    /// from then on where the leader's lease runs out meanwhile.
-    async fn note_call(&self, store: &MemoryStore) {
+impl Environment {
+    /// Counts a call. At the chosen one, suspends the box; if the leader lease expires
+    /// during that time, another node is elected.
+    async fn handle_call(&self, store: &MemoryStore) {
         self.calls_count.set(self.calls_count.get() + 1);
         if self.calls_count.get() != self.suspend_at_call.get() {
             return;
@@ -67,60 +65,60 @@
                 lease: 2,
             };
             let value = postcard::to_allocvec(&record).expect("a record");
-            let mut taken = Transaction::new().with_put(keys::LEADER.to_owned(), value);
+            let mut takeover = Transaction::new().with_put(keys::LEADER.to_owned(), value);
             for lane in 0..ospreywing_scheduler::LANES_COUNT {
-                taken = taken.with_put(keys::lane(lane), vec![9]);
+                takeover = takeover.with_put(keys::lane(lane), vec![9]);
             }
-            store.commit(&taken).await.expect("no condition");
+            store.commit(&takeover).await.expect("no condition");
         }
     }
 
-    /// Notes an order; one after another leader's election must not be given. What was
-    /// on its way when the machine was suspended is late and no new order.
-    fn note_order(&self, kind: &'static str) {
+    /// Records an order if another leader was elected before, since then none may be sent.
+    /// An order in flight when the box was suspended is only late, and is not recorded.
+    fn record_order(&self, kind: &'static str) {
         if self.has_other_leader.get() {
             self.late_orders.borrow_mut().push(kind);
         }
     }
 }
 
-/// Counts the calls of a store.
+/// A store layer that counts calls.
 #[derive(Clone)]
-struct Counting {
+struct CountingLayer {
     store: MemoryStore,
-    around: Rc<Surroundings>,
+    environment: Rc<Environment>,
 }
 
-type CountingStore = LayeredStore<MemoryStore, Counting>;
+type CountingStore = LayeredStore<MemoryStore, CountingLayer>;
 
-impl StoreLayer for Counting {
-    async fn around<T, E: CallFailure>(
+impl StoreLayer for CountingLayer {
+    async fn wrap_call<T, E: CallFailure>(
         &self,
         call: StoreCall,
-        made: impl Future<Output = Result<T, E>>,
+        future: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
         if call == StoreCall::Watch {
-            // The store in memory answers at once.
+            // The in-memory store would answer at once.
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
-            return made.await;
+            return future.await;
         }
-        self.around.note_call(&self.store).await;
-        if call == StoreCall::KeepLease {
-            // An answer takes its time, in which a node that knows nothing acts on.
+        self.environment.handle_call(&self.store).await;
+        if call == StoreCall::RenewLease {
+            // Until the answer arrives, the node does not know that its lease is over.
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-            if self.around.has_other_leader.get() {
+            if self.environment.has_other_leader.get() {
                 return Err(StoreError::LeaseOver.into());
             }
         }
-        made.await
+        future.await
     }
 }
 
-/// A platform with one worker, on which whatever is started runs on.
+/// A platform with one worker, on which started runs never end.
 #[derive(Clone)]
 struct OneWorker {
     memory: MemoryStore,
-    around: Rc<Surroundings>,
+    environment: Rc<Environment>,
 }
 
 impl Platform for OneWorker {
@@ -129,9 +127,9 @@
     type Admission = ();
 
     fn store(&self) -> CountingStore {
-        let layer = Counting {
+        let layer = CountingLayer {
             store: self.memory.clone(),
-            around: self.around.clone(),
+            environment: self.environment.clone(),
         };
         LayeredStore::with_layer(self.memory.clone(), layer)
     }
@@ -173,7 +171,7 @@
         Ok(Arc::from(key))
     }
 
-    fn parse_worker(&self, _key: &str, _value: &[u8]) -> Result<WorkerFacts, EntryError> {
+    fn parse_worker(&self, _key: &str, _value: &[u8]) -> Result<WorkerFacts, WorkerEntryError> {
         Ok(WorkerFacts {
             id: Arc::from("w0"),
             life_start: None,
@@ -189,12 +187,12 @@
         })
     }
 
-    fn limits(_routes: &()) -> FrontLimits {
-        FrontLimits {
-            head_bytes: 4096,
-            body_bytes: 4096,
-            head_time: Duration::from_s(1),
-            idle_time: Duration::from_s(1),
+    fn limits(_routes: &()) -> RequestLimits {
+        RequestLimits {
+            head_limit_bytes: 4096,
+            body_limit_bytes: 4096,
+            read_timeout: Duration::from_s(1),
+            idle_timeout: Duration::from_s(1),
         }
     }
 
@@ -202,7 +200,7 @@
         Err(Reply::NoMethod)
     }
 
-    fn read_call(&self, _admission: (), _body: &[u8]) -> Result<Call, Reply> {
+    fn parse_call(&self, _admission: (), _body: &[u8]) -> Result<Call, Reply> {
         Err(Reply::NoMethod)
     }
 
@@ -210,27 +208,27 @@
         http::Response::new(Full::default())
     }
 
-    fn is_ready_question(&self, _method: &http::Method, _path: &str) -> bool {
+    fn is_readiness_probe(&self, _method: &http::Method, _path: &str) -> bool {
         false
     }
 
-    async fn hold(&self, _to: &Endpoint, _fence: u64, look: Look) -> HoldReply {
-        self.around.note_order("hold");
-        self.around.note_call(&self.memory).await;
-        let wait = look.wait.as_ms().min(20);
+    async fn hold(&self, _to: &Endpoint, _fence: u64, poll: WorkerPoll) -> HoldReply {
+        self.environment.record_order("hold");
+        self.environment.handle_call(&self.memory).await;
+        let wait = poll.wait.as_ms().min(20);
         tokio::time::sleep(std::time::Duration::from_millis(wait)).await;
         HoldReply::Listed {
             life_start: None,
             clock_ms: clock::now().as_ms(),
-            running: self.around.running.borrow().clone(),
+            running: self.environment.running.borrow().clone(),
             ended: Vec::new(),
         }
     }
 
     async fn start(&self, _to: &Endpoint, _fence: u64, order: &StartOrder) -> StartReply {
-        self.around.note_order("start");
-        self.around.note_call(&self.memory).await;
-        self.around.running.borrow_mut().push(RunningRun {
+        self.environment.record_order("start");
+        self.environment.handle_call(&self.memory).await;
+        self.environment.running.borrow_mut().push(RunningRun {
             task: order.task,
             run: order.run,
             checkpoint: None,
@@ -241,7 +239,7 @@
     }
 
     async fn stop(&self, _to: &Endpoint, _fence: u64, _task: TaskKey, _run: u32) -> StopReply {
-        self.around.note_order("stop");
+        self.environment.record_order("stop");
         StopReply::Stopping
     }
 
@@ -260,8 +258,8 @@
         metrics_address: None,
         data_centre: String::new(),
         cores_milli: 1000,
-        relayed_workers_count: 600,
-        sharing_nodes_count: 100,
+        relays_min_workers_count: 600,
+        sharing_min_nodes_count: 100,
         grant_limit: Duration::from_s(6),
         grace: Duration::from_s(6),
         retention: Duration::from_s(120),
@@ -275,9 +273,9 @@
     }
 }
 
-/// Writes what the node finds: a configuration, a worker and jobs.
-async fn fill(store: &MemoryStore) {
-    let mut filled = Transaction::new()
+/// Writes the initial content of the store: a configuration, a worker and jobs.
+async fn write_initial_items(store: &MemoryStore) {
+    let mut initial_items = Transaction::new()
         .with_put("configuration".to_owned(), vec![1])
         .with_put(format!("{WORKERS_PREFIX}w0"), vec![1]);
     for number in 1..=8 {
@@ -298,47 +296,50 @@
             },
             customer: None,
         };
-        filled = filled.with_put(keys::job(JobId::new(number)), record.to_bytes());
+        initial_items = initial_items.with_put(keys::job(JobId::new(number)), record.to_bytes());
     }
-    store.commit(&filled).await.expect("no condition");
+    store.commit(&initial_items).await.expect("no condition");
 }
 
-/// After a suspend in which its lease ran out, a leader gives no order, whatever it was
-/// waiting for; after a shorter one it goes on.
+/// After a suspend during which its lease expired, a leader sends no order, whichever call it
+/// was waiting for; after a shorter one it continues.
 #[rstest]
-fn may_order_after_suspend(
+fn may_send_orders_after_suspend(
     #[values(8, 13, 17, 22, 26, 31, 37, 44, 52, 61)] call: usize,
     #[values(500, 2_000, 30_000)] length_ms: u64,
 ) {
     run_local(async move {
-        let around = Rc::new(Surroundings::default());
-        around.suspend_at_call.set(call);
-        around.length.set(Duration::from_ms(length_ms));
+        let environment = Rc::new(Environment::default());
+        environment.suspend_at_call.set(call);
+        environment.length.set(Duration::from_ms(length_ms));
         let memory = MemoryStore::new();
-        fill(&memory).await;
+        write_initial_items(&memory).await;
         let platform = OneWorker {
             memory,
-            around: around.clone(),
+            environment: environment.clone(),
         };
         let log = Logger::root(Discard, o!());
         let buffer = ospreywing_control::log::LogBuffer::new();
         let node = ospreywing_control::run(platform, settings(), log, buffer);
-        let played = async {
-            while around.calls_count.get() < call {
+        let run = async {
+            while environment.calls_count.get() < call {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
-            tokio::time::sleep(PLAY).await;
+            tokio::time::sleep(RUN_TIME).await;
         };
         tokio::select! {
             _ = node => panic!("the node has stopped"),
-            played = tokio::time::timeout(PLAY_LIMIT, played) => {
-                played.expect("the node makes its calls");
+            run = tokio::time::timeout(RUN_TIMEOUT, run) => {
+                run.expect("the node makes its calls");
             }
         }
-        let late = around.late_orders.borrow();
+        let late = environment.late_orders.borrow();
         assert!(late.is_empty(), "orders after the lease was over: {late:?}");
         if length_ms < LEADER_LEASE.as_ms() {
-            assert!(!around.running.borrow().is_empty(), "nothing was started");
+            assert!(
+                !environment.running.borrow().is_empty(),
+                "nothing was started"
+            );
         }
     });
 }
