--- a/crates/control/src/decision_loop.rs
+++ b/crates/control/src/decision_loop.rs
@@ -102,7 +102,7 @@
     }
     let have_workers_joined = events.iter().any(may_tell_new_workers);
     if let Some(is_outdated) = leading.beliefs.take_change(now, &node.log) {
-        events.push(Event::StartsHeld(is_outdated));
+        events.push(Event::StartsPaused(is_outdated));
     }
     scheduler.handle_all(now, events, &mut state.actions);
     if have_workers_joined {
@@ -110,7 +110,7 @@
         links::choose(node, leading, &scheduler, now);
     }
     if leading.may_order() && !leading.is_resigned.get() {
-        scheduler.settle(now, &mut state.actions);
+        scheduler.run_due_work(now, &mut state.actions);
     }
     drop(scheduler);
     for action in state.actions.drain(..) {
@@ -144,7 +144,7 @@
     if has_trouble != state.has_trouble {
         state.has_trouble = has_trouble;
         info!(node.log, "store trouble"; "has_trouble" => has_trouble);
-        scheduler.handle(now, Event::StoreTrouble(has_trouble), &mut state.actions);
+        scheduler.handle(now, Event::StoreDegraded(has_trouble), &mut state.actions);
     }
     if now >= state.next_status_at {
         state.next_status_at = now + STATUS_PERIOD;
--- a/crates/control/src/handover.rs
+++ b/crates/control/src/handover.rs
@@ -41,7 +41,7 @@
         if kept > AGE_LIMIT || self.learned.is_empty() {
             return None;
         }
-        self.learned.age(kept);
+        self.learned.add_age(kept);
         Some(self.learned)
     }
 }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -146,7 +146,7 @@
         return true;
     };
     let (events, received) = mpsc::unbounded_channel();
-    let config = SchedulerConfig::new(fence, node.settings.grant_limit)
+    let config = SchedulerConfig::new(fence, node.settings.lease_limit)
         .with_leader_lease(LEADER_LEASE)
         .with_departures(node.settings.stop_grace, node.settings.drain_limit)
         .with_retention(node.settings.retention)
@@ -203,7 +203,7 @@
         if let Some(learned) = kept.into_learned(clock::now()) {
             info!(node.log, "learned taken over";
                 "sizes" => learned.sizes.len(), "speeds" => learned.speeds.len());
-            scheduler.take_learned(clock::now(), &learned);
+            scheduler.restore_learned(clock::now(), &learned);
         }
         *leading.scheduler.borrow_mut() = scheduler;
         *node.leading.borrow_mut() = Some(leading.clone());
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -67,7 +67,7 @@
     /// From how many nodes on configurations are handed on from node to node.
     pub sharing_nodes_count: usize,
     /// The longest lease that a worker grants.
-    pub grant_limit: Duration,
+    pub lease_limit: Duration,
     /// How long a stop may take.
     pub grace: Duration,
     /// How long a stop may take at a worker.
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -98,7 +98,7 @@
 }
 
 fn advice_of(answer: AdviceAnswer) -> AdviceReply {
-    AdviceReply::Good {
+    AdviceReply::Answered {
         tickets: answer
             .good
             .into_iter()
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -206,7 +206,9 @@
 /// be read may be: a node of a later version may have written it.
 fn is_same_customer(stored: &[u8], record: &JobRecord) -> bool {
     let stored = StoredJob::from_bytes(stored);
-    stored.map_or(true, |stored| stored.is_open_to(record.customer.as_deref()))
+    stored.map_or(true, |stored| {
+        stored.is_visible_to(record.customer.as_deref())
+    })
 }
 
 /// Returns whether the store is known not to answer this node.
@@ -529,7 +531,7 @@
 }
 
 fn answer_of(reply: AdviceReply) -> Option<AdviceAnswer> {
-    let AdviceReply::Good { tickets, validity } = reply else {
+    let AdviceReply::Answered { tickets, validity } = reply else {
         return None;
     };
     let good = tickets.into_iter().map(|ticket| GoodWorker {
--- a/crates/control/src/stored_view.rs
+++ b/crates/control/src/stored_view.rs
@@ -32,7 +32,7 @@
 /// Returns whether a caller may touch the job of a stored item.
 pub fn access(item: &Item, caller: &Caller) -> Access {
     match stored_job(item) {
-        Ok(stored) if stored.is_open_to(caller.customer()) => Access::Open,
+        Ok(stored) if stored.is_visible_to(caller.customer()) => Access::Open,
         Ok(_) => Access::Closed,
         Err(_) => Access::Unreadable,
     }
@@ -58,7 +58,7 @@
         return Ok(StoredView::NoJob);
     };
     let view = match stored_job(&record) {
-        Ok(stored) if !stored.is_open_to(caller.customer()) => return Ok(StoredView::NoJob),
+        Ok(stored) if !stored.is_visible_to(caller.customer()) => return Ok(StoredView::NoJob),
         Ok(StoredJob::Ended(outcome)) => Ok(ended(outcome.phase)),
         Ok(StoredJob::Accepted(_)) => read_progress(state.as_ref()),
         Err(error) => Err((&record, error)),
--- a/crates/control/tests/control/suspension.rs
+++ b/crates/control/tests/control/suspension.rs
@@ -176,7 +176,7 @@
     fn parse_worker(&self, _key: &str, _value: &[u8]) -> Result<WorkerFacts, EntryError> {
         Ok(WorkerFacts {
             id: Arc::from("w0"),
-            life_start: None,
+            incarnation: None,
             address: Arc::from("127.0.0.1:9"),
             service: Arc::from(SERVICE),
             machine: None,
@@ -185,7 +185,7 @@
             labels: Vec::new(),
             capacity: Resources::new(64_000, 64_000, 0),
             is_draining: false,
-            leaves_clock_ms: None,
+            departs_at_clock_ms: None,
         })
     }
 
@@ -220,7 +220,7 @@
         let wait = look.wait.as_ms().min(20);
         tokio::time::sleep(std::time::Duration::from_millis(wait)).await;
         HoldReply::Listed {
-            life_start: None,
+            incarnation: None,
             clock_ms: clock::now().as_ms(),
             running: self.around.running.borrow().clone(),
             ended: Vec::new(),
@@ -262,7 +262,7 @@
         cores_milli: 1000,
         relayed_workers_count: 600,
         sharing_nodes_count: 100,
-        grant_limit: Duration::from_s(6),
+        lease_limit: Duration::from_s(6),
         grace: Duration::from_s(6),
         retention: Duration::from_s(120),
         apply_limit: Duration::from_s(2),
--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -148,7 +148,7 @@
         let allocated = ALLOCATIONS_COUNT.load(Ordering::Relaxed);
         let begun_ns = busy_ns();
         self.scheduler.handle(now, event, &mut self.actions);
-        self.scheduler.settle(now, &mut self.actions);
+        self.scheduler.run_due_work(now, &mut self.actions);
         self.cost.busy_ns += busy_ns() - begun_ns;
         self.cost.allocations_count += ALLOCATIONS_COUNT.load(Ordering::Relaxed) - allocated;
         for action in core::mem::take(&mut self.actions) {
@@ -214,7 +214,7 @@
                     worker: to.id.clone(),
                     text: Arc::from("ticket"),
                 });
-                let reply = AdviceReply::Good {
+                let reply = AdviceReply::Answered {
                     tickets: tickets.collect(),
                     validity: Duration::from_ms(2500),
                 };
@@ -253,7 +253,7 @@
             usage_figure: 0,
         });
         let reply = HoldReply::Listed {
-            life_start: None,
+            incarnation: None,
             clock_ms: now_ms,
             running: running.collect(),
             ended: worker.ended.clone(),
@@ -315,7 +315,7 @@
 fn worker_facts(number: usize) -> WorkerFacts {
     WorkerFacts {
         id: Arc::from(format!("i-{number:06}")),
-        life_start: None,
+        incarnation: None,
         address: Arc::from(format!("10.0.{}.{}:80", number / 250, number % 250)),
         service: Arc::from(SERVICE),
         machine: None,
@@ -324,7 +324,7 @@
         labels: Vec::new(),
         capacity: Resources::new(64_000, 256_000, 0),
         is_draining: false,
-        leaves_clock_ms: None,
+        departs_at_clock_ms: None,
     }
 }
 
--- a/crates/scheduler/src/advisers.rs
+++ b/crates/scheduler/src/advisers.rs
@@ -157,7 +157,7 @@
     }
 
     /// Passes over a node that did not answer, for a while.
-    pub(crate) fn note_failure(&mut self, now: Instant, name: &Arc<str>) {
+    pub(crate) fn record_failure(&mut self, now: Instant, name: &Arc<str>) {
         let found = self.nodes.binary_search_by(|node| node.name.cmp(name));
         if let Ok(index) = found {
             self.nodes[index].paused_until = now + PAUSE;
--- a/crates/scheduler/src/asking.rs
+++ b/crates/scheduler/src/asking.rs
@@ -156,7 +156,7 @@
             .filter(|key| !advice.is_known(*key));
         let able = unknown.filter_map(|key| {
             let mut candidate = self.candidate(pending, key, &self.workers[key])?;
-            candidate.free -= cycle.kept_room(key) + self.workers[key].claimed();
+            candidate.free -= cycle.kept_room(key) + self.workers[key].soft_reserved();
             if leaves_whole {
                 candidate.free -= cycle.whole_room(key);
             }
@@ -170,7 +170,7 @@
     /// Returns how many tasks fit beside what other steps count on.
     fn unclaimed_fit(&self, candidate: &Candidate, pending: &PendingStep) -> u32 {
         let mut candidate = candidate.clone();
-        candidate.free -= self.workers[candidate.worker].claimed();
+        candidate.free -= self.workers[candidate.worker].soft_reserved();
         candidate.fit_count(&pending.demand)
     }
 
@@ -182,7 +182,7 @@
             let fit_count = fit_in(&self.workers[key].free(), &pending.demand);
             let count = fit_count.min(left_count);
             if count > 0 {
-                self.workers[key].claim(pending.key, &pending.demand, count);
+                self.workers[key].add_soft_reservation(pending.key, &pending.demand, count);
             }
             left_count -= count;
         }
@@ -256,7 +256,7 @@
         let Some(advice) = self.advice.get_mut(&pending.key) else {
             return false;
         };
-        self.retries.advice.note_first();
+        self.retries.advice.record_first_call();
         advice.open.push(OpenPart {
             asked_at: now,
             node: assignment.node.clone(),
@@ -285,7 +285,7 @@
         };
         let named = advice.open.iter().flat_map(|part| part.named.iter());
         for worker in named {
-            self.workers[*worker].drop_claim(step);
+            self.workers[*worker].drop_soft_reservation(step);
         }
     }
 
@@ -303,9 +303,9 @@
         reply: AdviceReply,
         out: &mut Vec<Action>,
     ) {
-        self.is_place_due = true;
+        self.is_cycle_due = true;
         for &worker in named {
-            self.workers[worker].drop_claim(step);
+            self.workers[worker].drop_soft_reservation(step);
         }
         let Some(advice) = self.advice.get_mut(&step) else {
             return;
@@ -314,7 +314,7 @@
             return;
         };
         let waited_ms = now.since(open.asked_at).as_ms();
-        let AdviceReply::Good { tickets, validity } = reply else {
+        let AdviceReply::Answered { tickets, validity } = reply else {
             let is_retried = self.retries.advice.spend();
             let wait = if is_retried {
                 ADVICE_RETRY
@@ -323,7 +323,7 @@
             };
             advice.retry_at = now + wait;
             self.release_room(step);
-            self.advisers.note_failure(now, &open.node);
+            self.advisers.record_failure(now, &open.node);
             let line = Decision::new(DecisionKind::AdviceAnswered, "no answer");
             out.push(Action::Log(line.with_job(step.job).with_figure(waited_ms)));
             return;
--- a/crates/scheduler/src/backfill.rs
+++ b/crates/scheduler/src/backfill.rs
@@ -463,7 +463,7 @@
         if reservation.step == pending.key {
             self.limit_reservations.end(now, customer);
             // What it held back may go on.
-            self.is_place_due = true;
+            self.is_cycle_due = true;
             return;
         }
         if self.surplus_for(now, pending.key, charge, cycle).is_none() {
--- a/crates/scheduler/src/commits.rs
+++ b/crates/scheduler/src/commits.rs
@@ -34,7 +34,7 @@
     /// The worker may forget an end.
     AckEnd { worker: WorkerKey, number: u64 },
     /// Clients may be told of the phase.
-    Show(Phase),
+    PublishPhase(Phase),
     /// The job is forgotten.
     Forget,
 }
@@ -70,7 +70,7 @@
 
 impl Scheduler {
     /// Notes that a job's state has changed, and what waits for its commit.
-    pub(crate) fn touch(&mut self, id: JobId, effect: Option<Effect>) {
+    pub(crate) fn queue_commit(&mut self, id: JobId, effect: Option<Effect>) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -96,16 +96,16 @@
         let Some(lane) = self.commits.lanes.iter().position(Option::is_none) else {
             return;
         };
-        let ids = self.next_group();
+        let ids = self.next_batch();
         if !ids.is_empty() {
-            self.commits.next_at = now + self.config.commit_pace;
+            self.commits.next_at = now + self.config.commit_interval;
             self.commit(lane, ids, out);
         }
     }
 
     /// Takes as many changed jobs off the list as one transaction holds; those
     /// that are on their way have to wait.
-    fn next_group(&mut self) -> Vec<JobId> {
+    fn next_batch(&mut self) -> Vec<JobId> {
         let mut left_count = self.config.commit_limit_count;
         let mut ids = Vec::new();
         let mut passed = Vec::new();
@@ -173,17 +173,17 @@
             let due_count = due.count();
             let due: Vec<_> = job.effects.drain(..due_count).collect();
             for (_, effect) in due {
-                self.take_effect(now, id, effect, out);
+                self.apply_effect(now, id, effect, out);
             }
         }
-        self.is_place_due = true;
+        self.is_cycle_due = true;
     }
 
-    fn take_effect(&mut self, now: Instant, id: JobId, effect: Effect, out: &mut Vec<Action>) {
+    fn apply_effect(&mut self, now: Instant, id: JobId, effect: Effect, out: &mut Vec<Action>) {
         match effect {
             Effect::Start { worker, task, run } => self.send_start(now, worker, task, run, out),
             Effect::AckEnd { worker, number } => self.ack_end(worker, number),
-            Effect::Show(phase) => {
+            Effect::PublishPhase(phase) => {
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.shown = phase;
                 }
@@ -198,7 +198,7 @@
 
     /// Has the outcomes written of jobs whose last run is over, unless they wait
     /// to be written or are on their way already.
-    pub(crate) fn settle_ended_jobs(&mut self) {
+    pub(crate) fn queue_outcomes(&mut self) {
         let is_idle = |id: &&JobId| {
             let job = self.jobs.get(id);
             job.is_some_and(|job| !job.is_dirty && !job.is_on_its_way)
@@ -206,7 +206,7 @@
         let ended: Vec<JobId> = self.unsettled.iter().filter(is_idle).copied().collect();
         for id in ended {
             if !self.has_runs(id) {
-                self.touch(id, None);
+                self.queue_commit(id, None);
             }
         }
     }
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -89,7 +89,7 @@
 
 /// Where a task is tried that may have crashed a worker by starting there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TrialRule {
+pub enum ProbationRule {
     /// Wherever there is room; nothing joins it there until it has outlived its start, so
     /// that each suspect has a worker of its own before long.
     Anywhere,
@@ -113,11 +113,11 @@
     /// starts more after three crashes of one task.
     pub crashes_limit_count: usize,
     /// Where a suspect is tried.
-    pub trial_rule: TrialRule,
+    pub probation_rule: ProbationRule,
     /// For how long a suspect waits for such a worker; then it goes anywhere. A
     /// judgement: less than the 3 s in which a task must be started where there is room,
     /// and more than a small task takes to leave a worker.
-    pub trial_wait: Duration,
+    pub probation_wait: Duration,
 }
 
 impl Default for CrashPolicy {
@@ -127,8 +127,8 @@
             bystander_points: 1,
             points_limit: 6,
             crashes_limit_count: 5,
-            trial_rule: TrialRule::Alone,
-            trial_wait: Duration::from_ms(1000),
+            probation_rule: ProbationRule::Alone,
+            probation_wait: Duration::from_ms(1000),
         }
     }
 }
@@ -141,42 +141,42 @@
     /// The entries that one commit may have.
     pub commit_limit_count: usize,
     /// The time between the starts of two commits.
-    pub commit_pace: Duration,
+    pub commit_interval: Duration,
     /// The least time between two passes over the waiting steps.
-    pub place_pace: Duration,
+    pub cycle_interval: Duration,
     /// How many steps passes may look at in a millisecond, so that passes take a part
     /// of the leader's time that is bounded however many steps wait. A judgement; with
     /// four times as many, worth at 1,100 workers did not change (0.565 and 0.566,
     /// without processor cost).
-    pub place_steps_per_ms: u64,
+    pub cycle_steps_per_ms: u64,
     /// The least time between two looks for renewals that are due: each goes
     /// over all workers, and a leader of 1,100 takes in a thousand events a second.
-    pub renewal_pace: Duration,
+    pub renewal_interval: Duration,
     /// How long a renewal keeps a worker's runs alive.
-    pub grant: Duration,
+    pub lease: Duration,
     /// The same while the store is in trouble.
-    pub long_grant: Duration,
+    pub extended_lease: Duration,
     /// The longest that a worker's runs can outlive a grant by any leader.
-    pub grant_limit: Duration,
+    pub lease_limit: Duration,
     /// The longest that an earlier leader can have leased a worker, from the
     /// start of this term. A leader whose lease was taken away may grant leases
     /// until it learns of it.
-    pub inherited_limit: Duration,
+    pub recovered_lease_limit: Duration,
     /// The most ends that a worker lists at once: a list with as many may not
     /// hold them all.
     pub listed_ends_limit_count: usize,
     /// How long a renewal waits at the worker for an end, at least.
-    pub hold_wait: Duration,
+    pub poll_wait: Duration,
     /// How long it waits at most, where many workers are busy: the workers' own
     /// limit is 2 s, and a lease of 4 s must outlast a renewal that is lost and
     /// the next.
-    pub hold_wait_limit: Duration,
+    pub poll_wait_limit: Duration,
     /// The time between an answered renewal and the next.
-    pub hold_pace: Duration,
+    pub poll_interval: Duration,
     /// The time between two renewals while an end waits for its commit: the
     /// worker lists it until it is acknowledged, so renewals would not wait for
     /// the next one, and must still come well before a lease is over.
-    pub hold_pace_beside_commit: Duration,
+    pub poll_interval_during_commit: Duration,
     /// The time until a stop that was not answered is sent again.
     pub stop_retry: Duration,
     /// How long a stop may take at a worker.
@@ -198,25 +198,25 @@
 
 impl SchedulerConfig {
     /// Creates the constants for a term, where workers keep leases of
-    /// `grant_limit` at most.
-    pub fn new(fence: u64, grant_limit: Duration) -> Self {
-        let limit_ms = grant_limit.as_ms();
+    /// `lease_limit` at most.
+    pub fn new(fence: u64, lease_limit: Duration) -> Self {
+        let limit_ms = lease_limit.as_ms();
         Self {
             fence,
             commit_limit_count: 30,
-            commit_pace: Duration::from_ms(22),
-            place_pace: Duration::from_ms(8),
-            place_steps_per_ms: 10,
-            renewal_pace: Duration::from_ms(5),
-            grant: Duration::from_ms(limit_ms.min(4000)),
-            long_grant: Duration::from_ms(limit_ms.min(LONG_GRANT_LIMIT.as_ms())),
-            grant_limit,
-            inherited_limit: grant_limit,
+            commit_interval: Duration::from_ms(22),
+            cycle_interval: Duration::from_ms(8),
+            cycle_steps_per_ms: 10,
+            renewal_interval: Duration::from_ms(5),
+            lease: Duration::from_ms(limit_ms.min(4000)),
+            extended_lease: Duration::from_ms(limit_ms.min(LONG_GRANT_LIMIT.as_ms())),
+            lease_limit,
+            recovered_lease_limit: lease_limit,
             listed_ends_limit_count: 500,
-            hold_wait: Duration::from_ms(800),
-            hold_wait_limit: Duration::from_ms((limit_ms.min(4000) * 9 / 20).max(800)),
-            hold_pace: Duration::from_ms(80),
-            hold_pace_beside_commit: Duration::from_ms(limit_ms.min(4000) / 4),
+            poll_wait: Duration::from_ms(800),
+            poll_wait_limit: Duration::from_ms((limit_ms.min(4000) * 9 / 20).max(800)),
+            poll_interval: Duration::from_ms(80),
+            poll_interval_during_commit: Duration::from_ms(limit_ms.min(4000) / 4),
             stop_retry: Duration::from_ms(400),
             stop_grace: Duration::from_ms(200),
             drain_time: Duration::from_ms(2000),
@@ -229,7 +229,7 @@
     /// Adds the time for which an earlier leader may not know that it is none
     /// any more.
     pub fn with_leader_lease(mut self, leader_lease: Duration) -> Self {
-        self.inherited_limit = self.grant_limit + leader_lease;
+        self.recovered_lease_limit = self.lease_limit + leader_lease;
         self
     }
 
--- a/crates/scheduler/src/cordons.rs
+++ b/crates/scheduler/src/cordons.rs
@@ -45,24 +45,24 @@
         };
         after.difference(&before).for_each(|it| tell(it, "set"));
         before.difference(after).for_each(|it| tell(it, "lifted"));
-        self.note_cordons();
-        self.is_place_due = true;
+        self.update_cordoned_workers();
+        self.is_cycle_due = true;
     }
 
     /// Holds starts back, or lets them go on.
-    pub(crate) fn hold_starts(&mut self, are_held: bool) {
-        self.are_starts_held = are_held;
-        self.is_place_due = true;
+    pub(crate) fn set_starts_paused(&mut self, are_paused: bool) {
+        self.are_starts_paused = are_paused;
+        self.is_cycle_due = true;
     }
 
     /// Returns whether nothing new may be sent to a worker on which a run was placed.
-    pub(crate) const fn is_closed(&self, worker: &Worker) -> bool {
+    pub(crate) const fn is_closed_to_starts(&self, worker: &Worker) -> bool {
         let is_leaving = worker.facts.is_draining || !worker.is_listed;
-        self.are_starts_held || worker.is_cordoned || is_leaving
+        self.are_starts_paused || worker.is_cordoned || is_leaving
     }
 
     /// Notes which workers are in a cordoned data centre.
-    pub(crate) fn note_cordons(&mut self) {
+    pub(crate) fn update_cordoned_workers(&mut self) {
         for worker in self.workers.values_mut() {
             worker.is_cordoned = self.cordons.contains(&worker.facts.data_centre);
         }
--- a/crates/scheduler/src/evidence.rs
+++ b/crates/scheduler/src/crash_records.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns whether so many workers have crashed under a task that it is given up.
-    pub fn is_condemned(&self, task: TaskKey, policy: &CrashPolicy) -> bool {
+    pub fn exceeds_crash_limits(&self, task: TaskKey, policy: &CrashPolicy) -> bool {
         let confirmed = self.crashes_of(task).filter(|crash| crash.is_confirmed);
         let is_certain = confirmed.count() >= CONFIRMED_LEAST_COUNT;
         let is_proved = is_certain && self.points_of(task, policy) >= policy.points_limit;
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -162,8 +162,8 @@
 
     /// Returns what of a customer's limit steps wait to start.
     pub(crate) fn claimed_limit(&self, customer: CustomerKey) -> Resources {
-        let claimed = self.claimed_limits.get(&customer);
-        claimed.copied().unwrap_or_default()
+        let soft_reserved = self.claimed_limits.get(&customer);
+        soft_reserved.copied().unwrap_or_default()
     }
 
     /// Brings a customer's reservation into force for the rest of the cycle.
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -41,7 +41,7 @@
     /// A worker's list of runs was taken over.
     WorkerSynced,
     /// A worker did not answer.
-    WorkerSilent,
+    WorkerUnresponsive,
     /// A worker's life is over.
     WorkerGone,
     /// A worker is heard of under its id with another start than before.
@@ -86,7 +86,7 @@
             Self::WorkerDraining => "worker draining",
             Self::WorkerUnlisted => "worker unlisted",
             Self::WorkerSynced => "worker synced",
-            Self::WorkerSilent => "worker silent",
+            Self::WorkerUnresponsive => "worker silent",
             Self::WorkerGone => "worker gone",
             Self::WorkerRestarted => "worker restarted",
             Self::WorkerCrashed => "worker crashed under run",
--- a/crates/scheduler/src/departures.rs
+++ b/crates/scheduler/src/departures.rs
@@ -24,21 +24,21 @@
 
 impl Worker {
     /// Notes when the worker goes at the earliest, as its entry tells now.
-    pub(crate) fn note_departure(&mut self, now: Instant, drain_time: Duration) {
+    pub(crate) fn update_departure(&mut self, now: Instant, drain_time: Duration) {
         if !self.facts.is_draining {
-            self.leaves_at = None;
+            self.departs_at = None;
             return;
         }
-        let told = self.told_departure();
+        let told = self.reported_departure();
         // Without a word on it, the time counts from when the leaving was told first.
-        let known = self.leaves_at.unwrap_or(now + drain_time);
-        self.leaves_at = Some(told.unwrap_or(known));
+        let known = self.departs_at.unwrap_or(now + drain_time);
+        self.departs_at = Some(told.unwrap_or(known));
     }
 
     /// Returns when the worker goes at the earliest, where it tells and its clock is known.
-    fn told_departure(&self) -> Option<Instant> {
+    fn reported_departure(&self) -> Option<Instant> {
         let clock = self.clock?;
-        let left_ms = self.facts.leaves_clock_ms?.checked_sub(clock.clock_ms);
+        let left_ms = self.facts.departs_at_clock_ms?.checked_sub(clock.clock_ms);
         Some(clock.read_at + Duration::from_ms(left_ms.unwrap_or(0)))
     }
 }
@@ -47,16 +47,16 @@
     /// Stops the runs that would be lost with workers that are leaving.
     pub(crate) fn stop_before_departures(&mut self, now: Instant, out: &mut Vec<Action>) {
         let leaving = self.workers.values().filter(|worker| !worker.is_gone);
-        let leaving = leaving.filter_map(|worker| Some((worker, worker.leaves_at?)));
-        let mut doomed: BTreeSet<TaskKey> = BTreeSet::new();
-        for (worker, leaves_at) in leaving {
+        let leaving = leaving.filter_map(|worker| Some((worker, worker.departs_at?)));
+        let mut to_stop: BTreeSet<TaskKey> = BTreeSet::new();
+        for (worker, departs_at) in leaving {
             let runs = worker.runs.iter();
-            let lost = runs.filter(|(task, run)| self.must_stop(now, leaves_at, **task, run));
-            doomed.extend(lost.map(|(task, _)| *task));
+            let lost = runs.filter(|(task, run)| self.is_stop_due(now, departs_at, **task, run));
+            to_stop.extend(lost.map(|(task, _)| *task));
         }
-        for task in doomed {
+        for task in to_stop {
             if self.is_gang(task.step) {
-                self.note_gang_stop(task);
+                self.record_gang_stop(task);
                 for member in self.members(task.step) {
                     self.stop_task(now, member, REASON, out);
                 }
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Returns whether a run on a worker that goes at `leaves_at` is to be stopped now.
-    fn must_stop(&self, now: Instant, leaves_at: Instant, task: TaskKey, run: &Run) -> bool {
+    /// Returns whether a run on a worker that goes at `departs_at` is to be stopped now.
+    fn is_stop_due(&self, now: Instant, departs_at: Instant, task: TaskKey, run: &Run) -> bool {
         if !matches!(run.phase, RunPhase::Running { .. }) {
             return false;
         }
@@ -77,14 +77,14 @@
             return false;
         };
         let ends_in_time =
-            !spec.is_perpetual && self.expected_end(task, spec, run) + END_MARGIN <= leaves_at;
-        let is_last_moment = now + STOP_MARGIN + self.config.stop_grace >= leaves_at;
+            !spec.is_perpetual && self.expected_end(task, spec, run) + END_MARGIN <= departs_at;
+        let is_last_moment = now + STOP_MARGIN + self.config.stop_grace >= departs_at;
         let loses_all = !spec.saves_progress && !spec.is_perpetual;
         !ends_in_time && (loses_all || is_last_moment)
     }
 
     /// Notes that a gang's run is being stopped for a checkpoint.
-    fn note_gang_stop(&mut self, task: TaskKey) {
+    fn record_gang_stop(&mut self, task: TaskKey) {
         let worker = self.placements.get(&task);
         let run = worker.and_then(|worker| self.workers[*worker].runs.get(&task));
         let Some(run) = run.map(|run| run.run) else {
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -248,9 +248,9 @@
 
     fn from_learned(now: Instant, learned: &LearnedSize) -> Option<Self> {
         let ratios = learned.ratios.unwrap_or(learned.lengths);
-        let is_possible = learned.lengths.is_possible() && ratios.is_possible();
+        let is_ordered = learned.lengths.is_ordered() && ratios.is_ordered();
         let age = Duration::from_ms(learned.age_ms);
-        if !is_possible || age > AGE_LIMIT {
+        if !is_ordered || age > AGE_LIMIT {
             return None;
         }
         let mut class = Self::new(now)?;
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -18,7 +18,7 @@
 
 impl Scheduler {
     /// Takes in an end that a worker lists.
-    pub(crate) fn take_end(
+    pub(crate) fn handle_end(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -26,10 +26,10 @@
         out: &mut Vec<Action>,
     ) {
         let worker = &mut self.workers[key];
-        if end.number <= worker.seen_end {
+        if end.number <= worker.last_seen_end {
             return;
         }
-        worker.seen_end = end.number;
+        worker.last_seen_end = end.number;
         self.note_begun(end.task.step.job);
         let worker = &mut self.workers[key];
         let line = Decision::new(DecisionKind::Ended, end.kind.as_str())
@@ -45,14 +45,14 @@
                 self.placements.remove(&end.task);
             }
         }
-        self.note_health(now, key, end.kind, out);
-        self.is_place_due = true;
+        self.record_health(now, key, end.kind, out);
+        self.is_cycle_due = true;
         let changed = self.record_end(&end, is_current);
         if let Some(finished) = finished {
             self.learn(now, finished);
         }
         if changed {
-            self.touch(end.task.step.job, None);
+            self.queue_commit(end.task.step.job, None);
         }
         self.ack_once_recorded(key, &end);
         if changed {
@@ -67,7 +67,7 @@
         let number = end.number;
         let id = end.task.step.job;
         if self.unreadable.contains(&id) {
-            let kept = &mut self.workers[key].kept_end;
+            let kept = &mut self.workers[key].first_unreadable_end;
             *kept = Some(kept.map_or(number, |first| first.min(number)));
             return;
         }
@@ -206,7 +206,7 @@
     }
 
     /// Takes back a run of which nothing was sent.
-    pub(crate) fn take_back(&mut self, task: TaskKey) {
+    pub(crate) fn unplace(&mut self, task: TaskKey) {
         let Some(key) = self.placements.remove(&task) else {
             return;
         };
@@ -216,12 +216,12 @@
                 state.status = TaskStatus::Waiting;
             }
         }
-        self.touch(task.step.job, None);
-        self.is_place_due = true;
+        self.queue_commit(task.step.job, None);
+        self.is_cycle_due = true;
     }
 
     /// Takes back a run that can't be alive any more, and the gang with it.
-    pub(crate) fn release(
+    pub(crate) fn release_run(
         &mut self,
         now: Instant,
         task: TaskKey,
@@ -238,20 +238,26 @@
             .with_run(task, run)
             .with_worker(&worker.facts.id);
         out.push(Action::Log(line));
-        self.take_back(task);
+        self.unplace(task);
         self.break_gang(now, task.step);
     }
 
-    fn note_health(&mut self, now: Instant, key: WorkerKey, kind: EndKind, out: &mut Vec<Action>) {
+    fn record_health(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        kind: EndKind,
+        out: &mut Vec<Action>,
+    ) {
         match kind {
             EndKind::Done => self.workers[key].failures_count = 0,
-            EndKind::Failed => self.note_failure(now, key, "runs fail", out),
+            EndKind::Failed => self.record_failure(now, key, "runs fail", out),
             _ => {}
         }
     }
 
     /// Counts a failure against a worker; after a few in a row it is avoided.
-    pub(crate) fn note_failure(
+    pub(crate) fn record_failure(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -273,7 +279,7 @@
     }
 
     /// Takes back all runs of a worker whose life, or whose leases, are over.
-    pub(crate) fn release_all(
+    pub(crate) fn release_all_runs(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -283,7 +289,7 @@
         let tasks: Vec<TaskKey> = self.workers[key].runs.keys().copied().collect();
         for task in tasks {
             if self.placements.get(&task) == Some(&key) {
-                self.release(now, task, DecisionKind::RunLost, reason, out);
+                self.release_run(now, task, DecisionKind::RunLost, reason, out);
             } else {
                 self.remove_run(key, task);
             }
@@ -291,7 +297,12 @@
     }
 
     /// Takes in that a worker's life is over: another one has answered at its address.
-    pub(crate) fn mark_gone(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
+    pub(crate) fn on_incarnation_over(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        out: &mut Vec<Action>,
+    ) {
         if self.workers[key].is_gone {
             return;
         }
@@ -300,12 +311,12 @@
         let figure = self.workers[key].runs.len() as u64;
         let line = line.with_worker(&self.workers[key].facts.id);
         out.push(Action::Log(line.with_figure(figure)));
-        self.note_gone(now, key, out);
-        self.release_all(now, key, reason, out);
+        self.mark_gone(now, key, out);
+        self.release_all_runs(now, key, reason, out);
     }
 
     /// Notes that a life is over, and puts its crash on record for what ran there.
-    pub(crate) fn note_gone(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
+    pub(crate) fn mark_gone(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
         self.workers[key].is_gone = true;
         self.record_crash(now, key, out);
         self.workers[key].gone_at = Some(now);
@@ -322,7 +333,7 @@
             for (task, run) in &mut worker.runs {
                 let RunPhase::Stopping {
                     sent_at,
-                    taken_at: None,
+                    accepted_at: None,
                 } = run.phase
                 else {
                     continue;
@@ -332,13 +343,13 @@
                 }
                 run.phase = RunPhase::Stopping {
                     sent_at: now,
-                    taken_at: None,
+                    accepted_at: None,
                 };
                 out.push(Action::Stop {
                     to: Endpoint {
                         worker: key,
                         id: id.clone(),
-                        life_start: worker.life_start,
+                        incarnation: worker.incarnation,
                         address: address.clone(),
                     },
                     task: *task,
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -2,8 +2,8 @@
 
 use crate::config::Configuration;
 use crate::decision::Decision;
+use crate::incarnation::Incarnation;
 use crate::job::{JobId, JobRecord, StepKey, TaskKey};
-use crate::life::LifeStart;
 use crate::worker::{WorkerFacts, WorkerKey};
 use ospreywing_types::{Duration, Instant};
 use serde::{Deserialize, Serialize};
@@ -78,7 +78,8 @@
     /// The worker's lists.
     Listed {
         /// When the life that answers started, where the platform tells.
-        life_start: Option<LifeStart>,
+        #[serde(rename = "life_start")]
+        incarnation: Option<Incarnation>,
         /// The worker's clock, in milliseconds.
         clock_ms: u64,
         /// What is alive.
@@ -89,7 +90,8 @@
     /// A newer leader has been there.
     Fenced,
     /// Another life answers at the address.
-    OtherLife,
+    #[serde(rename = "OtherLife")]
+    OtherIncarnation,
     /// There was no usable answer.
     Unanswered,
 }
@@ -139,7 +141,8 @@
     /// The run is not there.
     Refused(RefusedStart),
     /// Another life answers at the address.
-    OtherLife,
+    #[serde(rename = "OtherLife")]
+    OtherIncarnation,
     /// Nothing is known; it may start yet.
     Unanswered,
 }
@@ -152,7 +155,8 @@
     /// A newer leader has been there.
     Fenced,
     /// Another life answers at the address.
-    OtherLife,
+    #[serde(rename = "OtherLife")]
+    OtherIncarnation,
     /// Nothing is known.
     Unanswered,
 }
@@ -170,7 +174,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdviceReply {
     /// The workers that may run the step.
-    Good {
+    Answered {
         /// Their tickets.
         tickets: Vec<Ticket>,
         /// How long they hold.
@@ -189,7 +193,8 @@
     pub id: Arc<str>,
     /// When the life started that is meant, where that is known: it alone may be told to
     /// forget ends.
-    pub life_start: Option<LifeStart>,
+    #[serde(rename = "life_start")]
+    pub incarnation: Option<Incarnation>,
     /// Its address.
     pub address: Arc<str>,
 }
@@ -224,7 +229,7 @@
     CordonsListed(BTreeSet<Arc<str>>),
     /// Whether nothing new may be started: what was told last of cordons or workers may be
     /// outdated.
-    StartsHeld(bool),
+    StartsPaused(bool),
     /// The list of live workers, whole.
     WorkersListed(Vec<WorkerFacts>),
     /// What has changed of the list of live workers, in its order.
@@ -277,7 +282,7 @@
         lane: u32,
     },
     /// Whether the store answers as it should.
-    StoreTrouble(bool),
+    StoreDegraded(bool),
     /// The wall clock, for jobs with a schedule, in milliseconds since 1970.
     WallClock(u64),
     /// Time has passed.
@@ -289,7 +294,7 @@
     pub(crate) const fn is_set_by_operators(&self) -> bool {
         matches!(
             self,
-            Self::Configured(_) | Self::CordonsListed(_) | Self::StartsHeld(_)
+            Self::Configured(_) | Self::CordonsListed(_) | Self::StartsPaused(_)
         )
     }
 }
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -3,7 +3,7 @@
 use crate::event::Action;
 use crate::job::{JobId, StepKey, TaskKey};
 use crate::scheduler::Scheduler;
-use crate::worker::{Claim, RunPhase, WorkerKey};
+use crate::worker::{CapacityReservation, RunPhase, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
 
 /// How long the members of a gang that has lost one are given to end by
@@ -31,7 +31,9 @@
         self.release_room(step);
         let mut workers = Vec::with_capacity(reservations.len());
         for Reservation { worker, room } in reservations {
-            self.workers[worker].reservations.push(Claim { step, room });
+            self.workers[worker]
+                .reservations
+                .push(CapacityReservation { step, room });
             workers.push(worker);
         }
         self.reservations.insert(step, workers);
@@ -65,7 +67,7 @@
         for task in &members {
             let phase = self.run_phase(*task);
             if phase == Some(RunPhase::Recording) {
-                self.take_back(*task);
+                self.unplace(*task);
             }
         }
         self.broken_gangs.entry(step).or_insert(now);
--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -24,7 +24,7 @@
 
 impl LearnedQuantiles {
     /// Returns whether they are in their order.
-    pub(crate) const fn is_possible(&self) -> bool {
+    pub(crate) const fn is_ordered(&self) -> bool {
         self.sure > 0 && self.sure <= self.likely && self.likely <= self.late
     }
 }
@@ -77,7 +77,7 @@
     }
 
     /// Adds the time for which it was kept.
-    pub fn age(&mut self, kept: Duration) {
+    pub fn add_age(&mut self, kept: Duration) {
         let sizes = self.sizes.iter_mut().map(|it| &mut it.age_ms);
         let speeds = self.speeds.iter_mut().map(|it| &mut it.age_ms);
         for age_ms in sizes.chain(speeds) {
@@ -96,7 +96,7 @@
     }
 
     /// Takes in what an earlier leader has learned; what this one learns takes its place.
-    pub fn take_learned(&mut self, now: Instant, learned: &Learned) {
+    pub fn restore_learned(&mut self, now: Instant, learned: &Learned) {
         if !self.is_learning() {
             return;
         }
--- a/crates/scheduler/src/life.rs
+++ b/crates/scheduler/src/incarnation.rs
@@ -8,9 +8,9 @@
 /// its clock and the numbers of its ends begin anew. Two starts that differ are two lives;
 /// which one is the later they don't tell, since the time of day is set back and ahead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LifeStart(u64);
+pub struct Incarnation(u64);
 
-impl LifeStart {
+impl Incarnation {
     /// Creates a start from milliseconds since 1970.
     pub const fn from_ms(wall_ms: u64) -> Self {
         Self(wall_ms)
--- a/crates/scheduler/src/lives.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -8,8 +8,8 @@
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, Endpoint};
+use crate::incarnation::Incarnation;
 use crate::job::TaskKey;
-use crate::life::LifeStart;
 use crate::scheduler::Scheduler;
 use crate::worker::{lease_bound, Run, RunPhase, Worker, WorkerFacts, WorkerKey};
 use ospreywing_types::Instant;
@@ -20,7 +20,7 @@
 
 /// What becomes of a run when another life answers under its worker's id.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Disposition {
     /// It is there, or the answer to its start will tell.
     Kept,
     /// It was lost with the life before, but a start of it that was never answered may
@@ -32,37 +32,37 @@
 
 impl Worker {
     /// Returns whether an answer comes from another life than the one that answered before.
-    pub(crate) fn is_other_life(&self, life_start: Option<LifeStart>) -> bool {
-        matches!((self.life_start, life_start), (Some(known), Some(told)) if known != told)
+    pub(crate) fn is_other_incarnation(&self, incarnation: Option<Incarnation>) -> bool {
+        matches!((self.incarnation, incarnation), (Some(known), Some(told)) if known != told)
     }
 
     /// Returns whether an entry may be that of the life that answers.
-    pub(crate) fn is_own_entry(&self, facts: &WorkerFacts) -> bool {
-        !self.is_other_life(facts.life_start)
+    pub(crate) fn may_be_own_entry(&self, facts: &WorkerFacts) -> bool {
+        !self.is_other_incarnation(facts.incarnation)
     }
 
     /// Notes which life answers. An entry of another one is of no use from then on: its
     /// room may be another.
-    pub(crate) fn note_life(&mut self, life_start: Option<LifeStart>) {
-        self.life_start = self.life_start.or(life_start);
-        self.is_listed &= !self.is_other_life(self.facts.life_start);
+    pub(crate) fn set_incarnation(&mut self, incarnation: Option<Incarnation>) {
+        self.incarnation = self.incarnation.or(incarnation);
+        self.is_listed &= !self.is_other_incarnation(self.facts.incarnation);
     }
 }
 
 impl Scheduler {
     /// Takes in an entry that names another life than the one that answers: nothing new
     /// is started there, and the worker is asked at once.
-    pub(crate) fn doubt_life(&mut self, now: Instant, key: WorkerKey, facts: WorkerFacts) {
+    pub(crate) fn on_other_entry(&mut self, now: Instant, key: WorkerKey, facts: WorkerFacts) {
         let worker = &mut self.workers[key];
         worker.is_listed = false;
-        let is_news = worker
+        let is_new = worker
             .other_entry
             .as_ref()
-            .is_none_or(|known| known.life_start != facts.life_start);
+            .is_none_or(|known| known.incarnation != facts.incarnation);
         worker.other_entry = Some(facts);
-        if is_news {
-            worker.doubted_at = Some(now);
-            worker.next_hold_at = now;
+        if is_new {
+            worker.unconfirmed_since = Some(now);
+            worker.next_poll_at = now;
             self.next_renewal_at = now;
         }
     }
@@ -72,11 +72,11 @@
     ///
     /// Starts that were meant for the life before may have been carried out in the new
     /// one, so runs that may be there go over to it.
-    pub(crate) fn begin_next_life(
+    pub(crate) fn begin_next_incarnation(
         &mut self,
         now: Instant,
         key: WorkerKey,
-        life_start: Option<LifeStart>,
+        incarnation: Option<Incarnation>,
         sent_at: Instant,
         listed: &ListedRuns,
         out: &mut Vec<Action>,
@@ -85,44 +85,44 @@
         let line = Decision::new(DecisionKind::WorkerRestarted, "another start answers");
         let line = line.with_worker(&self.workers[key].facts.id);
         out.push(Action::Log(line.with_figure(runs_count)));
-        let next = self.add_next_life(now, key, life_start);
-        let kept = self.runs_of_fate(key, Fate::Kept, sent_at, listed);
+        let next = self.add_next_incarnation(now, key, incarnation);
+        let kept = self.runs_with_disposition(key, Disposition::Kept, sent_at, listed);
         self.move_runs(key, next, kept);
-        self.note_gone(now, key, out);
-        let open = self.runs_of_fate(key, Fate::Open, sent_at, listed);
+        self.mark_gone(now, key, out);
+        let open = self.runs_with_disposition(key, Disposition::Open, sent_at, listed);
         self.move_runs(key, next, open.clone());
-        self.release_all(now, key, "another start answers", out);
-        self.stop_again(now, next, &open, out);
-        self.refuse_open_starts(now, key, next, out);
+        self.release_all_runs(now, key, "another start answers", out);
+        self.stop_in_next_incarnation(now, next, &open, out);
+        self.stop_open_starts(now, key, next, out);
         next
     }
 
-    fn add_next_life(
+    fn add_next_incarnation(
         &mut self,
         now: Instant,
         key: WorkerKey,
-        life_start: Option<LifeStart>,
+        incarnation: Option<Incarnation>,
     ) -> WorkerKey {
         let before = &mut self.workers[key];
         let entry = before.other_entry.take();
-        let entry = entry.filter(|entry| entry.life_start == life_start);
-        let is_listed = entry.is_some() || before.facts.life_start.is_none() && before.is_listed;
+        let entry = entry.filter(|entry| entry.incarnation == incarnation);
+        let is_listed = entry.is_some() || before.facts.incarnation.is_none() && before.is_listed;
         before.is_listed = false;
         let facts = entry.unwrap_or_else(|| before.facts.clone());
         let id = facts.id.clone();
         // What was granted by the clock of the life before is cut to the limit there.
-        let mut next = self.new_worker(facts, lease_bound(now, self.config.grant_limit));
+        let mut next = self.new_worker(facts, lease_bound(now, self.config.lease_limit));
         next.is_listed = is_listed;
-        next.life_start = life_start;
+        next.incarnation = incarnation;
         let next = self.workers.push(next);
         self.workers_by_id.insert(id, next);
         next
     }
 
-    fn runs_of_fate(
+    fn runs_with_disposition(
         &self,
         key: WorkerKey,
-        fate: Fate,
+        disposition: Disposition,
         sent_at: Instant,
         listed: &ListedRuns,
     ) -> Vec<TaskKey> {
@@ -130,7 +130,7 @@
         let placed = runs.filter(|(task, _)| self.placements.get(task) == Some(&key));
         let found = placed.filter(|(task, run)| {
             let is_listed = listed.contains(&(**task, run.run));
-            fate_of(run, is_listed, sent_at) == fate
+            disposition_of(run, is_listed, sent_at) == disposition
         });
         found.map(|(task, _)| *task).collect()
     }
@@ -146,7 +146,7 @@
 
     /// Has a new life refuse the starts that were meant for the one before and may still
     /// come, though their runs have ended or were given up.
-    fn refuse_open_starts(
+    fn stop_open_starts(
         &mut self,
         now: Instant,
         from: WorkerKey,
@@ -154,25 +154,25 @@
         out: &mut Vec<Action>,
     ) {
         let mut open_starts = core::mem::take(&mut self.workers[from].open_starts);
-        let refused = open_starts.begin_life(now);
+        let stops = open_starts.begin_incarnation(now);
         self.workers[to].open_starts = open_starts;
-        send_refusals(self.workers[to].endpoint(to), refused, out);
+        send_open_start_stops(self.workers[to].endpoint(to), stops, out);
     }
 
     /// Repeats the stops of such starts that were not answered.
-    pub(crate) fn repeat_refusals(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(crate) fn repeat_open_start_stops(&mut self, now: Instant, out: &mut Vec<Action>) {
         let retry = self.config.stop_retry;
         for (key, worker) in self.workers.iter_mut().filter(|(_, it)| !it.is_gone) {
-            let refused = worker.open_starts.refusals_to_repeat(now, retry);
-            if !refused.is_empty() {
-                send_refusals(worker.endpoint(key), refused, out);
+            let stops = worker.open_starts.stops_to_repeat(now, retry);
+            if !stops.is_empty() {
+                send_open_start_stops(worker.endpoint(key), stops, out);
             }
         }
     }
 
     /// Stops in a new life what was being stopped in the one before, and what may still
     /// begin there: a run that was stopped before it came is refused.
-    fn stop_again(
+    fn stop_in_next_incarnation(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -184,7 +184,7 @@
             if matches!(run.phase, RunPhase::Stopping { .. }) || open.contains(task) {
                 run.phase = RunPhase::Stopping {
                     sent_at: now,
-                    taken_at: None,
+                    accepted_at: None,
                 };
                 out.push(Action::Stop {
                     to: to.clone(),
@@ -196,7 +196,7 @@
     }
 
     /// Returns which life of a worker has a task's run now, where it was begun for `key`.
-    pub(crate) fn life_with(&self, key: WorkerKey, task: TaskKey) -> WorkerKey {
+    pub(crate) fn incarnation_with(&self, key: WorkerKey, task: TaskKey) -> WorkerKey {
         let placed = self.placements.get(&task).copied();
         let is_next =
             |other: &WorkerKey| self.workers[*other].facts.id == self.workers[key].facts.id;
@@ -204,8 +204,8 @@
     }
 }
 
-fn send_refusals(to: Endpoint, refused: Vec<(TaskKey, u32)>, out: &mut Vec<Action>) {
-    for (task, run) in refused {
+fn send_open_start_stops(to: Endpoint, stops: Vec<(TaskKey, u32)>, out: &mut Vec<Action>) {
+    for (task, run) in stops {
         let line = Decision::new(
             DecisionKind::StopSent,
             "start of an earlier life unanswered",
@@ -217,15 +217,17 @@
     }
 }
 
-fn fate_of(run: &Run, is_listed: bool, sent_at: Instant) -> Fate {
+fn disposition_of(run: &Run, is_listed: bool, sent_at: Instant) -> Disposition {
     if is_listed {
-        return Fate::Kept;
+        return Disposition::Kept;
     }
     match run.phase {
-        RunPhase::Recording | RunPhase::Inherited => Fate::Lost,
-        RunPhase::Starting => Fate::Kept,
-        RunPhase::Running { since } if since >= sent_at => Fate::Kept,
-        RunPhase::Running { .. } | RunPhase::Stopping { .. } if run.has_open_start() => Fate::Open,
-        RunPhase::Running { .. } | RunPhase::Stopping { .. } => Fate::Lost,
+        RunPhase::Recording | RunPhase::Recovered => Disposition::Lost,
+        RunPhase::Starting => Disposition::Kept,
+        RunPhase::Running { since } if since >= sent_at => Disposition::Kept,
+        RunPhase::Running { .. } | RunPhase::Stopping { .. } if run.has_open_start() => {
+            Disposition::Open
+        }
+        RunPhase::Running { .. } | RunPhase::Stopping { .. } => Disposition::Lost,
     }
 }
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -169,8 +169,8 @@
 
 impl JobRecord {
     /// Returns whether whoever calls as `caller` may see and cancel the job.
-    pub fn is_open_to(&self, caller: Option<&str>) -> bool {
-        is_open_to(self.customer.as_deref(), caller)
+    pub fn is_visible_to(&self, caller: Option<&str>) -> bool {
+        is_visible_to(self.customer.as_deref(), caller)
     }
 }
 
@@ -178,6 +178,6 @@
 ///
 /// A job that is nobody's was handed in on a queue that is open to everybody, or before
 /// customers were kept with jobs.
-pub(crate) fn is_open_to(owner: Option<&str>, caller: Option<&str>) -> bool {
+pub(crate) fn is_visible_to(owner: Option<&str>, caller: Option<&str>) -> bool {
     owner.is_none_or(|owner| caller == Some(owner))
 }
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -255,7 +255,7 @@
             job.customer = Some(customer);
             job.is_beyond_rate = self.accounts.note_job(customer, job.accepted_at);
         }
-        job.trial_until = now + self.config.crash_policy.trial_wait;
+        job.trial_until = now + self.config.crash_policy.probation_wait;
         if job.state.phase == Phase::Active {
             self.active.insert(rank, id);
             if job.record.spec.schedule.is_some() {
@@ -271,7 +271,7 @@
         if is_active {
             self.open_share(id);
         }
-        self.is_place_due = true;
+        self.is_cycle_due = true;
         let wall_ms = self.wall_ms;
         self.begin_due_rounds(wall_ms);
     }
@@ -306,7 +306,7 @@
             job.state.next_round += 1;
             job.forget_derived();
             self.stale_asks.insert(id);
-            self.is_place_due = true;
+            self.is_cycle_due = true;
         }
         job.state.next_round < schedule.rounds_count
     }
@@ -339,7 +339,7 @@
         let line = Decision::new(DecisionKind::JobEnded, reason).with_job(id);
         out.push(Action::Log(line));
         self.unsettled.insert(id);
-        self.touch(id, Some(Effect::Show(phase)));
+        self.queue_commit(id, Some(Effect::PublishPhase(phase)));
         if phase != Phase::Complete {
             // The other members of a gang that is done end by themselves.
             self.stop_job(now, id, out);
@@ -350,7 +350,7 @@
         self.waits.forget_job(id);
         self.release_room_of(id);
         // What it took or kept may be room for others now.
-        self.is_place_due = true;
+        self.is_cycle_due = true;
     }
 
     /// Returns the steps of a job's rounds that have begun.
@@ -450,7 +450,7 @@
             .collect();
         for id in old {
             if !self.has_runs(id) {
-                self.touch(id, Some(Effect::Forget));
+                self.queue_commit(id, Some(Effect::Forget));
             }
         }
     }
@@ -479,14 +479,14 @@
             return;
         };
         match run.phase {
-            RunPhase::Recording => self.take_back(task),
+            RunPhase::Recording => self.unplace(task),
             RunPhase::Stopping { .. } => {}
             // Whether it is there is not known: it is stopped once it is listed.
-            RunPhase::Inherited => {}
+            RunPhase::Recovered => {}
             RunPhase::Starting | RunPhase::Running { .. } => {
                 run.phase = RunPhase::Stopping {
                     sent_at: now,
-                    taken_at: None,
+                    accepted_at: None,
                 };
                 let number = run.run;
                 let line = Decision::new(DecisionKind::StopSent, reason)
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -2,9 +2,9 @@
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, EndedRun, HoldReply, RunningRun};
+use crate::incarnation::Incarnation;
+use crate::incarnations::ListedRuns;
 use crate::job::TaskKey;
-use crate::life::LifeStart;
-use crate::lives::ListedRuns;
 use crate::scheduler::Scheduler;
 use crate::sharing::RunRole;
 use crate::state::{Phase, TaskStatus};
@@ -13,19 +13,19 @@
 
 /// Renewals in a row without an answer after which a worker is taken for silent.
 /// A single answer may be lost while the worker is well.
-const SILENT_AFTER_COUNT: u32 = 2;
+const UNRESPONSIVE_AFTER_COUNT: u32 = 2;
 /// How long the answer to a look may take beyond the time that it waits: an
 /// answer takes some milliseconds, and a look that is sent twice does no harm.
-const LOOK_PATIENCE: Duration = Duration::from_ms(250);
+const POLL_TIMEOUT: Duration = Duration::from_ms(250);
 /// How often that is doubled, once for each further look at a silent worker:
 /// where this node or a link is slow, each answer would come too late for a
 /// limit that stays the same.
-const PATIENCE_DOUBLINGS_COUNT: u32 = 2;
+const TIMEOUT_DOUBLINGS_COUNT: u32 = 2;
 /// For how long after a lost answer renewals wait less: about as long as a few
 /// rounds of looks at all workers take.
 const LOSSY_PERIOD: Duration = Duration::from_ms(3000);
 /// How long a renewal then waits at the worker.
-const LOSSY_HOLD_WAIT: Duration = Duration::from_ms(250);
+const LOSSY_POLL_WAIT: Duration = Duration::from_ms(250);
 /// The renewals that a leader sends in a second, besides those that ends cut
 /// short: with more busy workers each renewal waits longer. A judgement: 1,100
 /// workers that are asked each 0.9 s are 1,200 calls a second of a leader on half a
@@ -34,12 +34,12 @@
 /// The same while answers are lost.
 const LOSSY_RENEWALS_PER_S: u64 = 1000;
 /// The time until a worker that did not answer is asked again.
-const SILENT_RETRY: Duration = Duration::from_ms(250);
+const UNRESPONSIVE_RETRY: Duration = Duration::from_ms(250);
 
 impl Worker {
     /// Notes which runs a look did not find that was sent after their starts had gone
     /// unanswered.
-    fn note_absent_runs(&mut self, sent_at: Instant, listed: &ListedRuns) {
+    fn mark_absent_runs(&mut self, sent_at: Instant, listed: &ListedRuns) {
         for (task, run) in &mut self.runs {
             if run.was_unknown_at(sent_at) && !listed.contains(&(*task, run.run)) {
                 run.was_absent = true;
@@ -50,39 +50,39 @@
 
 impl Scheduler {
     /// Returns how long leases are granted now.
-    pub(crate) fn grant_length(&self) -> Duration {
-        if self.has_store_trouble {
-            self.config.long_grant
+    pub(crate) fn lease_duration(&self) -> Duration {
+        if self.is_store_degraded {
+            self.config.extended_lease
         } else {
-            self.config.grant
+            self.config.lease
         }
     }
 
     /// Sends the renewals that are due.
     pub(crate) fn renew_leases(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let length = self.grant_length();
+        let length = self.lease_duration();
         let busy = self.workers.values().filter(|w| !w.runs.is_empty());
-        let wait = self.hold_wait(now, busy.count());
-        let pace_beside_commit = self.config.hold_pace_beside_commit;
+        let wait = self.poll_wait(now, busy.count());
+        let interval_during_commit = self.config.poll_interval_during_commit;
         for (key, worker) in self.workers.iter_mut() {
-            if !is_hold_due(worker, now, pace_beside_commit) {
+            if !is_poll_due(worker, now, interval_during_commit) {
                 continue;
             }
-            worker.is_hold_open = true;
-            if worker.unanswered_holds_count == 0 {
-                self.retries.looks.note_first();
+            worker.is_poll_open = true;
+            if worker.unanswered_polls_count == 0 {
+                self.retries.polls.record_first_call();
             }
             // A silent worker is only asked: a grant that it may have received
             // would keep its runs from ever being given up.
-            let is_granted = worker.is_synced && worker.unanswered_holds_count == 0;
+            let is_granted = worker.is_synced && worker.unanswered_polls_count == 0;
             // A renewal would not wait while an end is listed.
             let has_listed_end = !worker.uncommitted_ends.is_empty();
             let is_quick = !is_granted
                 || worker.runs.is_empty()
                 || has_listed_end
-                || worker.doubted_at.is_some();
+                || worker.unconfirmed_since.is_some();
             let until_ms = if is_granted {
-                worker.grant(now, length)
+                worker.grant_lease(now, length)
             } else {
                 None
             };
@@ -91,7 +91,7 @@
                 until_ms,
                 last_seen: worker.acked_end,
                 wait: if is_quick { Duration::ZERO } else { wait },
-                patience: look_patience(worker.unanswered_holds_count),
+                patience: poll_timeout(worker.unanswered_polls_count),
             });
         }
     }
@@ -99,20 +99,20 @@
     /// Returns how long a renewal waits for an end. What a worker lists is not
     /// learned while an answer is missing, so where answers were lost lately
     /// the waits are short. They are longer where many workers are busy.
-    fn hold_wait(&self, now: Instant, busy_count: usize) -> Duration {
+    fn poll_wait(&self, now: Instant, busy_count: usize) -> Duration {
         let is_lossy = self
-            .last_lost_hold_at
+            .last_lost_poll_at
             .is_some_and(|at| now.since(at) < LOSSY_PERIOD);
         let (least, per_s) = if is_lossy {
-            (LOSSY_HOLD_WAIT, LOSSY_RENEWALS_PER_S)
+            (LOSSY_POLL_WAIT, LOSSY_RENEWALS_PER_S)
         } else {
-            (self.config.hold_wait, RENEWALS_PER_S)
+            (self.config.poll_wait, RENEWALS_PER_S)
         };
         let affordable = Duration::from_ms(busy_count as u64 * 1000 / per_s);
-        affordable.clamp(least, self.config.hold_wait_limit)
+        affordable.clamp(least, self.config.poll_wait_limit)
     }
 
-    pub(crate) fn on_hold_answered(
+    pub(crate) fn on_poll_answered(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -121,82 +121,86 @@
         out: &mut Vec<Action>,
     ) {
         let worker = &mut self.workers[key];
-        worker.is_hold_open = false;
-        worker.next_hold_at = now + self.config.hold_pace;
+        worker.is_poll_open = false;
+        worker.next_poll_at = now + self.config.poll_interval;
         match reply {
             HoldReply::Listed {
-                life_start,
+                incarnation,
                 clock_ms,
                 running,
                 ended,
             } => {
-                let is_other = worker.is_other_life(life_start);
+                let is_other = worker.is_other_incarnation(incarnation);
                 if is_other && worker.is_gone {
                     return;
                 }
                 let key = if is_other {
                     let listed = listed_runs(&running, &ended);
-                    self.begin_next_life(now, key, life_start, sent_at, &listed, out)
+                    self.begin_next_incarnation(now, key, incarnation, sent_at, &listed, out)
                 } else {
-                    self.retract_silence(now, key, life_start, out);
+                    self.retract_unresponsive(now, key, incarnation, out);
                     key
                 };
-                self.note_answer(now, key, sent_at, life_start, clock_ms);
-                self.take_lists(now, key, sent_at, running, ended, out);
+                self.record_answer(now, key, sent_at, incarnation, clock_ms);
+                self.handle_lists(now, key, sent_at, running, ended, out);
             }
             HoldReply::Fenced => out.push(Action::StepDown),
-            HoldReply::OtherLife => self.mark_gone(now, key, out),
-            HoldReply::Unanswered => self.note_unanswered_hold(now, key, out),
+            HoldReply::OtherIncarnation => self.on_incarnation_over(now, key, out),
+            HoldReply::Unanswered => self.on_poll_unanswered(now, key, out),
         }
     }
 
-    fn note_answer(
+    fn record_answer(
         &mut self,
         now: Instant,
         key: WorkerKey,
         sent_at: Instant,
-        life_start: Option<LifeStart>,
+        incarnation: Option<Incarnation>,
         clock_ms: u64,
     ) {
         let worker = &mut self.workers[key];
-        worker.note_life(life_start);
+        worker.set_incarnation(incarnation);
         worker.clock = Some(ClockReading {
             clock_ms,
             read_at: now,
         });
-        worker.unanswered_holds_count = 0;
+        worker.unanswered_polls_count = 0;
         worker.answered_at = now;
         worker.end_lag = sent_at.since(worker.lists_at);
         worker.lists_at = now;
         // A look that was on its way before tells nothing of what came since.
-        worker.doubted_at = worker.doubted_at.filter(|since| sent_at < *since);
+        worker.unconfirmed_since = worker.unconfirmed_since.filter(|since| sent_at < *since);
         if !core::mem::replace(&mut worker.is_reachable, true) {
-            worker.next_hold_at = now;
+            worker.next_poll_at = now;
         }
     }
 
     /// Asks again at once after the first renewal without an answer, as far as the budget
     /// allows; after a further one the worker is silent.
-    fn note_unanswered_hold(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
+    fn on_poll_unanswered(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
         let worker = &mut self.workers[key];
-        worker.unanswered_holds_count += 1;
-        if worker.unanswered_holds_count < SILENT_AFTER_COUNT {
-            let is_retried = self.retries.looks.spend();
-            worker.next_hold_at = if is_retried { now } else { now + SILENT_RETRY };
+        worker.unanswered_polls_count += 1;
+        if worker.unanswered_polls_count < UNRESPONSIVE_AFTER_COUNT {
+            let is_retried = self.retries.polls.spend();
+            worker.next_poll_at = if is_retried {
+                now
+            } else {
+                now + UNRESPONSIVE_RETRY
+            };
             self.next_renewal_at = now;
-            self.last_lost_hold_at = Some(now);
+            self.last_lost_poll_at = Some(now);
             return;
         }
-        worker.next_hold_at = now + SILENT_RETRY;
+        worker.next_poll_at = now + UNRESPONSIVE_RETRY;
         if core::mem::replace(&mut worker.is_reachable, false) {
-            let line = Decision::new(DecisionKind::WorkerSilent, "renewal unanswered")
+            let line = Decision::new(DecisionKind::WorkerUnresponsive, "renewal unanswered")
                 .with_worker(&worker.facts.id)
                 .with_figure(worker.runs.len() as u64);
             out.push(Action::Log(line));
         }
     }
 
-    fn take_lists(
+    fn handle_lists(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -211,37 +215,37 @@
                 .with_worker(&self.workers[key].facts.id)
                 .with_figure(running.len() as u64);
             out.push(Action::Log(line));
-            self.is_place_due = true;
-            self.bound_inherited_lease(now, key);
+            self.is_cycle_due = true;
+            self.bound_recovered_lease(now, key);
         }
         let is_whole = ended.len() < self.config.listed_ends_limit_count;
         let listed = listed_runs(&running, &ended);
         // What a worker may forget is told by number.
         ended.sort_by_key(|end| end.number);
         for end in ended {
-            self.take_end(now, key, end, out);
+            self.handle_end(now, key, end, out);
         }
-        self.record_lost_lives(now, key, &listed, out);
+        self.record_lost_incarnations(now, key, &listed, out);
         self.workers[key].has_unknown_run = false;
         for run in running {
-            self.take_running(now, key, run, out);
+            self.handle_running(now, key, run, out);
         }
         if is_whole {
-            self.workers[key].note_absent_runs(sent_at, &listed);
+            self.workers[key].mark_absent_runs(sent_at, &listed);
             self.release_unlisted(now, key, sent_at, &listed, out);
         }
     }
 
     /// Bounds what earlier leaders granted to a worker that has answered under
     /// this term's fence: it takes nothing from them any more.
-    fn bound_inherited_lease(&mut self, now: Instant, key: WorkerKey) {
-        let bound = lease_bound(now, self.config.grant_limit);
+    fn bound_recovered_lease(&mut self, now: Instant, key: WorkerKey) {
+        let bound = lease_bound(now, self.config.lease_limit);
         let worker = &mut self.workers[key];
         worker.leased_until = worker.leased_until.min(bound);
     }
 
     /// Takes in a run that a worker lists as alive.
-    fn take_running(
+    fn handle_running(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -259,15 +263,15 @@
         let to = worker.endpoint(key);
         if let Some(run) = worker.runs.get_mut(&task) {
             if run.run == listed.run {
-                run.note_progress(now, listed.progress_percent);
-                if matches!(run.phase, RunPhase::Inherited) {
+                run.record_progress(now, listed.progress_percent);
+                if matches!(run.phase, RunPhase::Recovered) {
                     run.phase = RunPhase::Running { since: now };
                 }
                 run.note_begun(now);
                 let begun_at = run.begun_at.unwrap_or(now);
                 self.clear_suspect(now, task, begun_at);
-                self.take_checkpoint(task, listed.checkpoint);
-                if self.is_unwanted(task) {
+                self.update_checkpoint(task, listed.checkpoint);
+                if self.is_obsolete(task) {
                     // An earlier leader may not have lived to send the stop.
                     self.stop_task(now, task, "job ended", out);
                 }
@@ -281,7 +285,7 @@
                 let run = Run {
                     phase: RunPhase::Stopping {
                         sent_at: now,
-                        taken_at: None,
+                        accepted_at: None,
                     },
                     progress_percent: listed.progress_percent,
                     charge: self.charge_of(task.step),
@@ -305,7 +309,7 @@
 
     /// Returns whether a task's runs serve nobody: its job was cancelled or has
     /// failed, or the task is done. Members of a gang that is done end by themselves.
-    fn is_unwanted(&self, task: TaskKey) -> bool {
+    fn is_obsolete(&self, task: TaskKey) -> bool {
         let Some(job) = self.jobs.get(&task.step.job) else {
             return false;
         };
@@ -319,7 +323,7 @@
 
     /// Keeps a run's newest checkpoint; it goes to the store with the job's
     /// next change.
-    fn take_checkpoint(&mut self, task: TaskKey, checkpoint: Option<String>) {
+    fn update_checkpoint(&mut self, task: TaskKey, checkpoint: Option<String>) {
         if checkpoint.is_none() {
             return;
         }
@@ -352,9 +356,10 @@
                 continue;
             }
             match run.phase {
-                RunPhase::Inherited => released.push((*task, "never begun")),
+                RunPhase::Recovered => released.push((*task, "never begun")),
                 RunPhase::Stopping {
-                    taken_at: Some(at), ..
+                    accepted_at: Some(at),
+                    ..
                 } if at < sent_at => released.push((*task, "stopped before it began")),
                 RunPhase::Running { since } if since < sent_at => vanished.push(*task),
                 _ => {}
@@ -362,7 +367,7 @@
         }
         for (task, reason) in released {
             if self.placements.get(&task) == Some(&key) {
-                self.release(now, task, DecisionKind::NotStarted, reason, out);
+                self.release_run(now, task, DecisionKind::NotStarted, reason, out);
             } else {
                 self.remove_run(key, task);
             }
@@ -373,7 +378,7 @@
     }
 
     /// Gives up the runs of silent workers whose leases are certainly over.
-    pub(crate) fn give_up_lapsed(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(crate) fn give_up_expired(&mut self, now: Instant, out: &mut Vec<Action>) {
         let lapsed: Vec<WorkerKey> = self
             .workers
             .iter()
@@ -387,8 +392,8 @@
             .map(|(key, _)| key)
             .collect();
         for key in lapsed {
-            self.record_silence(now, key, out);
-            self.release_all(now, key, "lease over", out);
+            self.record_unresponsive(now, key, out);
+            self.release_all_runs(now, key, "lease over", out);
             self.workers[key].is_synced = false;
         }
     }
@@ -416,21 +421,21 @@
 
 /// Returns how long the next answer may take, after so many looks in a row
 /// without one.
-pub fn look_patience(unanswered_holds_count: u32) -> Duration {
-    let doublings = unanswered_holds_count.saturating_sub(SILENT_AFTER_COUNT - 1);
-    LOOK_PATIENCE.times(1 << doublings.min(PATIENCE_DOUBLINGS_COUNT))
+pub fn poll_timeout(unanswered_polls_count: u32) -> Duration {
+    let doublings = unanswered_polls_count.saturating_sub(UNRESPONSIVE_AFTER_COUNT - 1);
+    POLL_TIMEOUT.times(1 << doublings.min(TIMEOUT_DOUBLINGS_COUNT))
 }
 
-/// Returns whether a worker is to be asked; `pace_beside_commit` is the time
+/// Returns whether a worker is to be asked; `interval_during_commit` is the time
 /// between two renewals while an end waits for its commit.
-fn is_hold_due(worker: &Worker, now: Instant, pace_beside_commit: Duration) -> bool {
-    if worker.is_gone || worker.is_hold_open || worker.facts.address.is_empty() {
+fn is_poll_due(worker: &Worker, now: Instant, interval_during_commit: Duration) -> bool {
+    if worker.is_gone || worker.is_poll_open || worker.facts.address.is_empty() {
         return false;
     }
-    if now < worker.next_hold_at {
+    if now < worker.next_poll_at {
         return false;
     }
-    if worker.doubted_at.is_some() {
+    if worker.unconfirmed_since.is_some() {
         return true;
     }
     let has_runs = worker
@@ -438,7 +443,7 @@
         .values()
         .any(|run| run.phase != RunPhase::Recording);
     if !worker.uncommitted_ends.is_empty() {
-        return has_runs && now.since(worker.granted_at) >= pace_beside_commit;
+        return has_runs && now.since(worker.lease_granted_at) >= interval_during_commit;
     }
     let has_news = worker.ackable_end() > worker.acked_end;
     has_runs
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -24,6 +24,7 @@
 mod commits;
 mod config;
 mod cordons;
+mod crash_records;
 mod crashes;
 mod customers;
 mod cycle;
@@ -34,29 +35,28 @@
 mod ends;
 mod estimates;
 mod event;
-mod evidence;
 mod features;
 mod forecast;
 mod fragmentation;
 mod gang_search;
 mod gangs;
 mod handover;
+mod incarnation;
+mod incarnations;
 mod job;
 mod job_rate;
 mod jobs;
 mod learning;
 mod leases;
-mod life;
 mod limits;
-mod lives;
-mod names;
+mod name_interner;
 mod open_starts;
 mod order;
 mod orders;
 pub mod overload;
 mod overloads;
 mod packing;
-mod placed_lives;
+mod placed_incarnations;
 mod placing;
 mod preemption;
 mod recovery;
@@ -79,9 +79,10 @@
 
 pub use admission::{Forecast, QueueForecast, Refusal, FORECAST_AGE_LIMIT};
 pub use config::{
-    AdvicePolicy, Configuration, CrashPolicy, Queue, SchedulerConfig, ServicePolicy, TrialRule,
+    AdvicePolicy, Configuration, CrashPolicy, ProbationRule, Queue, SchedulerConfig, ServicePolicy,
     LANES_COUNT,
 };
+pub use crash_records::{CrashRecord, Suspicion};
 pub use customers::{Customer, CustomerUse};
 pub use decision::{Decision, DecisionKind, ReservedLimit};
 pub use durations::{Durations, ForecastError, LengthForecast, LengthKind};
@@ -89,13 +90,12 @@
     Action, AdviceReply, Change, ChangeKind, EndKind, EndedRun, Endpoint, Event, HoldReply,
     RefusedStart, RunningRun, StartOrder, StartReply, StopReply, Ticket, WorkerChange,
 };
-pub use evidence::{CrashRecord, Suspicion};
 pub use features::{Feature, Features, UnknownFeature};
 pub use fragmentation::ServiceFragmentation;
 pub use handover::{Learned, LearnedQuantiles, LearnedSize, LearnedSpeed};
+pub use incarnation::Incarnation;
 pub use job::{JobId, JobIdError, JobRecord, JobSpec, Schedule, StepKey, StepSpec, TaskKey};
-pub use leases::look_patience;
-pub use life::LifeStart;
+pub use leases::poll_timeout;
 pub use recovery::Recovered;
 pub use scheduler::{JobView, Scheduler, SchedulerStatus};
 pub use shares::ShareView;
--- a/crates/scheduler/src/open_starts.rs
+++ b/crates/scheduler/src/open_starts.rs
@@ -12,15 +12,15 @@
 const LATE_LIMIT: Duration = Duration::from_s(15);
 /// The most starts that are remembered for a worker, the latest ones. A worker holds some
 /// tens of runs, and a start is sent three times at most.
-const REMEMBERED_LIMIT_COUNT: usize = 64;
+const STARTS_LIMIT_COUNT: usize = 64;
 
 /// Whether the worker's current life refuses a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Refusal {
+enum StopState {
     /// It does: its run ended there, or the stop was answered.
-    Sure,
+    Confirmed,
     /// A stop was sent at this instant and is not answered.
-    Asked(Instant),
+    SentAt(Instant),
 }
 
 /// An unanswered start whose run has ended or was given up.
@@ -29,7 +29,7 @@
     task: TaskKey,
     run: u32,
     sent_at: Instant,
-    refusal: Refusal,
+    stop_state: StopState,
 }
 
 /// The starts sent to one worker that may still be carried out, though their runs have
@@ -41,61 +41,59 @@
 
 impl OpenStarts {
     /// Remembers a start.
-    pub(crate) fn remember(&mut self, sent_at: Instant, task: TaskKey, run: u32) {
-        if self.starts.len() == REMEMBERED_LIMIT_COUNT {
+    pub(crate) fn add(&mut self, sent_at: Instant, task: TaskKey, run: u32) {
+        if self.starts.len() == STARTS_LIMIT_COUNT {
             self.starts.pop_front();
         }
         self.starts.push_back(OpenStart {
             task,
             run,
             sent_at,
-            refusal: Refusal::Sure,
+            stop_state: StopState::Confirmed,
         });
     }
 
     /// Notes that another life has begun, which refuses none of the starts yet; returns
     /// those that it is to be told to refuse.
-    pub(crate) fn begin_life(&mut self, now: Instant) -> Vec<(TaskKey, u32)> {
+    pub(crate) fn begin_incarnation(&mut self, now: Instant) -> Vec<(TaskKey, u32)> {
         self.starts
             .retain(|start| now.since(start.sent_at) < LATE_LIMIT);
         for start in &mut self.starts {
-            start.refusal = Refusal::Asked(now);
+            start.stop_state = StopState::SentAt(now);
         }
         self.starts.iter().map(OpenStart::run).collect()
     }
 
     /// Returns the starts whose stops were not answered within `retry`, and notes that these
     /// are sent again.
-    pub(crate) fn refusals_to_repeat(
-        &mut self,
-        now: Instant,
-        retry: Duration,
-    ) -> Vec<(TaskKey, u32)> {
-        let is_due = |start: &OpenStart| match start.refusal {
-            Refusal::Sure => false,
-            Refusal::Asked(at) => now.since(at) >= retry && now.since(start.sent_at) < LATE_LIMIT,
+    pub(crate) fn stops_to_repeat(&mut self, now: Instant, retry: Duration) -> Vec<(TaskKey, u32)> {
+        let is_due = |start: &OpenStart| match start.stop_state {
+            StopState::Confirmed => false,
+            StopState::SentAt(at) => {
+                now.since(at) >= retry && now.since(start.sent_at) < LATE_LIMIT
+            }
         };
         let mut due = Vec::new();
         for start in self.starts.iter_mut().filter(|start| is_due(start)) {
-            start.refusal = Refusal::Asked(now);
+            start.stop_state = StopState::SentAt(now);
             due.push(start.run());
         }
         due
     }
 
     /// Notes that the current life has answered the stop of a run.
-    pub(crate) fn note_refused(&mut self, task: TaskKey, run: u32) {
+    pub(crate) fn confirm_stop(&mut self, task: TaskKey, run: u32) {
         for start in &mut self.starts {
             if start.run() == (task, run) {
-                start.refusal = Refusal::Sure;
+                start.stop_state = StopState::Confirmed;
             }
         }
     }
 
     /// Returns how many stops are not answered.
-    pub(crate) fn unanswered_count(&self) -> usize {
+    pub(crate) fn unanswered_stops_count(&self) -> usize {
         let asked = self.starts.iter();
-        let asked = asked.filter(|start| start.refusal != Refusal::Sure);
+        let asked = asked.filter(|start| start.stop_state != StopState::Confirmed);
         asked.count()
     }
 }
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -27,9 +27,9 @@
         let fresh = self.advice.get(&task.step);
         let fresh = fresh.and_then(|advice| advice.ticket(now, key));
         let is_within_limit = self.is_within_limit(task.step.job);
-        let is_closed = self.is_closed(&self.workers[key]);
+        let is_closed_to_starts = self.is_closed_to_starts(&self.workers[key]);
         let worker = &mut self.workers[key];
-        let has_room = worker.has_room_to_send(task);
+        let has_room = worker.has_capacity_to_send(task);
         let Some(run) = worker.runs.get_mut(&task) else {
             return;
         };
@@ -37,22 +37,22 @@
             return;
         }
         if needs_ticket && fresh.is_none() {
-            self.release(now, task, DecisionKind::NotStarted, "ticket over", out);
+            self.release_run(now, task, DecisionKind::NotStarted, "ticket over", out);
             return;
         }
         if !has_room {
             // It has shrunk since the start was placed.
-            self.release(now, task, DecisionKind::NotStarted, "room shrank", out);
+            self.release_run(now, task, DecisionKind::NotStarted, "room shrank", out);
             return;
         }
-        if is_closed {
+        if is_closed_to_starts {
             // It was open when the start was placed.
-            self.release(now, task, DecisionKind::NotStarted, "worker closed", out);
+            self.release_run(now, task, DecisionKind::NotStarted, "worker closed", out);
             return;
         }
         if !is_within_limit {
             // It was lowered since the start was placed.
-            self.release(now, task, DecisionKind::NotStarted, "limit lowered", out);
+            self.release_run(now, task, DecisionKind::NotStarted, "limit lowered", out);
             return;
         }
         run.ticket = fresh;
@@ -64,10 +64,10 @@
             .with_worker(&worker.facts.id)
             .with_figure(waited_ms);
         if self.send_order(now, key, task, out) {
-            self.retries.starts.note_first();
+            self.retries.starts.record_first_call();
             out.push(Action::Log(line));
         } else {
-            self.release(now, task, DecisionKind::NotStarted, "worker lost", out);
+            self.release_run(now, task, DecisionKind::NotStarted, "worker lost", out);
         }
     }
 
@@ -80,7 +80,7 @@
         task: TaskKey,
         out: &mut Vec<Action>,
     ) -> bool {
-        let length = self.grant_length();
+        let length = self.lease_duration();
         let Some(job) = self.jobs.get(&task.step.job) else {
             return false;
         };
@@ -90,7 +90,7 @@
         if !is_able {
             return false;
         }
-        let Some(until_ms) = worker.grant(now, length) else {
+        let Some(until_ms) = worker.grant_lease(now, length) else {
             return false;
         };
         let to = worker.endpoint(key);
@@ -127,8 +127,9 @@
         };
         // The first one may not have arrived, and its room may be gone, its customer's limit
         // be lower, or its data centre be cordoned.
-        let is_closed = self.is_closed(worker);
-        if is_closed || worker.is_overfull() || !self.is_within_limit(task.step.job) {
+        let is_closed_to_starts = self.is_closed_to_starts(worker);
+        if is_closed_to_starts || worker.is_overcommitted() || !self.is_within_limit(task.step.job)
+        {
             return false;
         }
         let is_open = run.phase == RunPhase::Starting && run.sends_count < START_SENDS_LIMIT_COUNT;
@@ -155,12 +156,12 @@
         reply: StartReply,
         out: &mut Vec<Action>,
     ) {
-        if reply == StartReply::OtherLife {
-            self.mark_gone(now, key, out);
+        if reply == StartReply::OtherIncarnation {
+            self.on_incarnation_over(now, key, out);
             return;
         }
         // The run may have gone over to a life that has answered meanwhile.
-        let key = self.life_with(key, task);
+        let key = self.incarnation_with(key, task);
         let worker = &mut self.workers[key];
         let Some(run) = worker.runs.get_mut(&task) else {
             return;
@@ -171,7 +172,7 @@
         run.answers_count += u32::from(reply != StartReply::Unanswered);
         let is_refused = reply == StartReply::Refused(RefusedStart::NotSent);
         run.was_cut_off |= is_refused && run.sends_count > 1;
-        let reply = told_by_repeat(reply, run.sends_count);
+        let reply = interpret_repeat(reply, run.sends_count);
         let id = worker.facts.id.clone();
         let line = |kind, reason| {
             let line = Decision::new(kind, reason);
@@ -193,7 +194,7 @@
                     return;
                 }
                 out.push(line(DecisionKind::StartUnknown, "no answer"));
-                self.note_failure(now, key, "starts unanswered", out);
+                self.record_failure(now, key, "starts unanswered", out);
                 self.stop_task(now, task, "start unknown", out);
             }
             StartReply::Refused(why) => {
@@ -203,7 +204,7 @@
                 }
                 self.on_refused(now, key, task, why, out);
             }
-            StartReply::OtherLife => {}
+            StartReply::OtherIncarnation => {}
         }
     }
 
@@ -222,11 +223,11 @@
                 }
             }
             RefusedStart::Unhealthy | RefusedStart::NotSent | RefusedStart::Room => {
-                self.note_failure(now, key, "starts refused", out);
+                self.record_failure(now, key, "starts refused", out);
             }
             _ => {}
         }
-        self.release(now, task, DecisionKind::NotStarted, why.as_str(), out);
+        self.release_run(now, task, DecisionKind::NotStarted, why.as_str(), out);
     }
 
     pub(crate) fn on_stop_answered(
@@ -239,13 +240,13 @@
         out: &mut Vec<Action>,
     ) {
         match reply {
-            StopReply::OtherLife => self.mark_gone(now, key, out),
+            StopReply::OtherIncarnation => self.on_incarnation_over(now, key, out),
             StopReply::Fenced => out.push(Action::StepDown),
             StopReply::Unanswered => {}
             StopReply::Stopping => {
                 let worker = &mut self.workers[key];
                 worker.answered_at = now;
-                worker.open_starts.note_refused(task, number);
+                worker.open_starts.confirm_stop(task, number);
                 let Some(run) = worker.runs.get_mut(&task) else {
                     return;
                 };
@@ -253,7 +254,7 @@
                     if run.run == number {
                         run.phase = RunPhase::Stopping {
                             sent_at,
-                            taken_at: Some(now),
+                            accepted_at: Some(now),
                         };
                     }
                 }
@@ -264,7 +265,7 @@
 
 /// Returns what the answer to a start tells where the start may have been sent
 /// before: an earlier one may have been carried out, or may still be.
-fn told_by_repeat(reply: StartReply, sends_count: u32) -> StartReply {
+fn interpret_repeat(reply: StartReply, sends_count: u32) -> StartReply {
     match reply {
         StartReply::Refused(_) if sends_count < 2 => reply,
         // The run is or was there, or has been stopped: the worker's lists tell.
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -136,7 +136,7 @@
     ) -> OverloadRanks {
         let mut ranks = OverloadRanks::new();
         let has_admission = self.config.features.has(Feature::Admission);
-        let is_sure = !self.has_store_trouble;
+        let is_sure = !self.is_store_degraded;
         let is_forecast_due = has_admission && is_sure && self.forecasts.are_due(now);
         let mut forecasts = Vec::new();
         for jobs in self.jobs_of_full_services(now, cycle, out) {
--- a/crates/scheduler/src/placing.rs
+++ b/crates/scheduler/src/placing.rs
@@ -59,7 +59,7 @@
     /// Places what can be placed; returns how many steps were looked at.
     pub(crate) fn place(&mut self, now: Instant, out: &mut Vec<Action>) -> usize {
         self.waits.begin_cycle();
-        if self.are_starts_held {
+        if self.are_starts_paused {
             self.shares.rest(now);
             self.last_cycle = CycleSummary::default();
             self.end_overloads(now, out);
@@ -295,7 +295,7 @@
     /// Returns whether a step that holds tickets only waits for a worker on which a suspect
     /// may be tried: further tickets would not bring one.
     fn awaits_trial(&self, now: Instant, pending: &PendingStep, ticketed: &[WorkerKey]) -> bool {
-        !ticketed.is_empty() && self.is_kept_for_trial(now, pending.key.job)
+        !ticketed.is_empty() && self.is_awaiting_probation(now, pending.key.job)
     }
 
     /// Returns whether a step leaves room to gangs that wait for it: a gang needs
@@ -331,7 +331,7 @@
         let queue = self.configuration.queue(&job.record.queue);
         let service = queue.map_or(&job.record.service, |queue| &queue.service);
         Some(PendingStep {
-            service: self.names.keep(service),
+            service: self.name_interner.intern(service),
             key,
             waiting,
             demand: counted_demand(spec),
@@ -364,13 +364,13 @@
                 return 0;
             }
         }
-        let is_kept = self.is_kept_for_trial(now, pending.key.job);
+        let is_kept = self.is_awaiting_probation(now, pending.key.job);
         let mut chosen = Vec::new();
         for &index in &pending.waiting {
             let task = pending.key.task(index);
             let fitting = candidates.iter_mut().find(|c| {
                 let has_room = c.left_count > 0 && pending.demand.fits_in(&c.free);
-                has_room && (!is_kept || self.is_trial_site(task, c.worker))
+                has_room && (!is_kept || self.is_probation_worker(task, c.worker))
             });
             match fitting {
                 Some(candidate) => {
@@ -420,8 +420,8 @@
         out: &mut Vec<Action>,
     ) {
         let id = self.workers[key].facts.id.clone();
-        let life_start = self.workers[key].life_start;
-        let is_on_trial = self.is_suspect(task);
+        let incarnation = self.workers[key].incarnation;
+        let is_on_probation = self.is_suspect(task);
         let Some(state) = self.task_state_mut(task) else {
             return;
         };
@@ -429,11 +429,11 @@
         state.last_run = number;
         state.status = TaskStatus::Placed {
             worker: id.to_string(),
-            life_start,
+            incarnation,
         };
         let run = Run {
             role: RunRole::of(pending.spec()),
-            is_on_trial,
+            is_on_probation,
             charge: self.charge_of(pending.key),
             ..Run::new(number, pending.demand, now)
         };
@@ -443,7 +443,7 @@
             job.is_held = false;
         }
         let free = self.workers[key].free().cores_milli;
-        let reason = if is_on_trial {
+        let reason = if is_on_probation {
             "on trial after a crash"
         } else {
             "fullest that fits"
@@ -458,7 +458,7 @@
             task,
             run: number,
         };
-        self.touch(task.step.job, Some(effect));
+        self.queue_commit(task.step.job, Some(effect));
     }
 }
 
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -270,7 +270,7 @@
         for site in &mut sites {
             // What is being stopped already is as good as free.
             let worker = &self.workers[site.candidate.worker];
-            site.candidate.free = worker.room_without_stopping() - worker.reserved(pending.key);
+            site.candidate.free = worker.free_after_stops() - worker.reserved(pending.key);
             site.members_count = site.candidate.fit_count(&pending.demand);
         }
         let possible_count = sites.iter().map(|site| site.most_members(&pending.demand));
@@ -309,7 +309,7 @@
             let Some(mut candidate) = self.candidate(pending, key, worker) else {
                 continue;
             };
-            candidate.free = worker.room_without_stopping() - worker.reserved(pending.key);
+            candidate.free = worker.free_after_stops() - worker.reserved(pending.key);
             members_count += candidate.fit_count(&pending.demand);
         }
         members_count as usize >= pending.waiting.len()
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -3,9 +3,9 @@
 use crate::config::{Configuration, SchedulerConfig};
 use crate::cordons::Cordons;
 use crate::forecast::Forecasts;
+use crate::incarnation::Incarnation;
 use crate::job::{JobId, JobRecord, StepKey, TaskKey};
 use crate::jobs::Job;
-use crate::life::LifeStart;
 use crate::scheduler::Scheduler;
 use crate::state::{JobOutcome, JobState, Phase, TaskStatus};
 use crate::worker::{lease_bound, Run, RunPhase, Worker, WorkerFacts, WorkerKey};
@@ -33,11 +33,11 @@
 }
 
 /// A run that an earlier leader recorded.
-struct InheritedRun {
+struct RecoveredRun {
     task: TaskKey,
     run: u32,
     worker: String,
-    life_start: Option<LifeStart>,
+    incarnation: Option<Incarnation>,
 }
 
 impl Scheduler {
@@ -53,7 +53,7 @@
         recovered: Recovered,
     ) -> Self {
         let mut scheduler = Self::empty(config, configuration);
-        scheduler.inherited_until = lease_bound(now, config.inherited_limit);
+        scheduler.recovered_leases_until = lease_bound(now, config.recovered_lease_limit);
         scheduler.forecasts = Forecasts::new(now);
         scheduler.wall_ms = recovered.wall_ms;
         scheduler.cordons = Cordons::new(recovered.cordons);
@@ -62,10 +62,10 @@
         let cancelled: HashSet<JobId> = recovered.cancels.into_iter().collect();
         for (id, record) in recovered.jobs {
             let state = states.remove(&id).unwrap_or_default();
-            scheduler.inherit_job(now, id, record, state);
+            scheduler.recover_job(now, id, record, state);
         }
         for (id, outcome) in recovered.ended {
-            scheduler.inherit_outcome(now, id, outcome);
+            scheduler.recover_outcome(now, id, outcome);
         }
         let mut ignored = Vec::new();
         for id in cancelled {
@@ -74,7 +74,7 @@
         scheduler
     }
 
-    fn inherit_outcome(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
+    fn recover_outcome(&mut self, now: Instant, id: JobId, outcome: JobOutcome) {
         let state = JobState {
             phase: outcome.phase,
             ..JobState::default()
@@ -88,8 +88,8 @@
         self.jobs.insert(id, job);
     }
 
-    fn inherit_job(&mut self, now: Instant, id: JobId, record: JobRecord, state: JobState) {
-        let runs = inherited_runs(id, &state);
+    fn recover_job(&mut self, now: Instant, id: JobId, record: JobRecord, state: JobState) {
+        let runs = recovered_runs(id, &state);
         let phase = state.phase;
         self.insert_job(now, id, record, state);
         if phase != Phase::Active {
@@ -99,23 +99,23 @@
             self.unsettled.insert(id);
         }
         for run in runs {
-            self.inherit_run(now, run);
+            self.recover_run(now, run);
         }
     }
 
-    fn inherit_run(&mut self, now: Instant, inherited: InheritedRun) {
-        let key = self.placeholder(&inherited.worker);
-        let demand = self.demand_of(inherited.task).unwrap_or_default();
+    fn recover_run(&mut self, now: Instant, recovered: RecoveredRun) {
+        let key = self.placeholder(&recovered.worker);
+        let demand = self.demand_of(recovered.task).unwrap_or_default();
         let run = Run {
-            phase: RunPhase::Inherited,
-            recorded_life: inherited.life_start,
-            role: self.role_of(inherited.task),
-            is_on_trial: self.is_suspect(inherited.task),
-            charge: self.charge_of(inherited.task.step),
-            ..Run::new(inherited.run, demand, now)
+            phase: RunPhase::Recovered,
+            recorded_incarnation: recovered.incarnation,
+            role: self.role_of(recovered.task),
+            is_on_probation: self.is_suspect(recovered.task),
+            charge: self.charge_of(recovered.task.step),
+            ..Run::new(recovered.run, demand, now)
         };
-        self.add_run(key, inherited.task, run);
-        self.placements.insert(inherited.task, key);
+        self.add_run(key, recovered.task, run);
+        self.placements.insert(recovered.task, key);
     }
 
     /// Returns the worker with this id, of which nothing else may be known.
@@ -126,7 +126,7 @@
         let id: Arc<str> = Arc::from(id);
         let facts = WorkerFacts {
             id: id.clone(),
-            life_start: None,
+            incarnation: None,
             address: Arc::from(""),
             service: Arc::from(""),
             machine: None,
@@ -135,9 +135,9 @@
             labels: Vec::new(),
             capacity: Resources::ZERO,
             is_draining: false,
-            leaves_clock_ms: None,
+            departs_at_clock_ms: None,
         };
-        let mut worker = Worker::new(facts, self.inherited_until);
+        let mut worker = Worker::new(facts, self.recovered_leases_until);
         worker.is_listed = false;
         let key = self.workers.push(worker);
         self.workers_by_id.insert(id, key);
@@ -145,7 +145,7 @@
     }
 }
 
-fn inherited_runs(id: JobId, state: &JobState) -> Vec<InheritedRun> {
+fn recovered_runs(id: JobId, state: &JobState) -> Vec<RecoveredRun> {
     let mut runs = Vec::new();
     for round in &state.rounds {
         for (number, step) in round.steps.iter().enumerate() {
@@ -155,12 +155,16 @@
                 step: number as u32,
             };
             for (index, task) in step.tasks.iter().enumerate() {
-                if let TaskStatus::Placed { worker, life_start } = &task.status {
-                    runs.push(InheritedRun {
+                if let TaskStatus::Placed {
+                    worker,
+                    incarnation,
+                } = &task.status
+                {
+                    runs.push(RecoveredRun {
                         task: key.task(index as u32),
                         run: task.last_run,
                         worker: worker.clone(),
-                        life_start: *life_start,
+                        incarnation: *incarnation,
                     });
                 }
             }
--- a/crates/scheduler/src/retries.rs
+++ b/crates/scheduler/src/retries.rs
@@ -21,7 +21,7 @@
 
 impl Retries {
     /// Notes a first call.
-    pub(crate) fn note_first(&mut self) {
+    pub(crate) fn record_first_call(&mut self) {
         self.0.earn(EARNED_PERCENT);
     }
 
@@ -36,6 +36,6 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RetryBudgets {
     pub(crate) starts: Retries,
-    pub(crate) looks: Retries,
+    pub(crate) polls: Retries,
     pub(crate) advice: Retries,
 }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -26,7 +26,7 @@
             self.shares.give_back(&run);
             if run.has_open_start() {
                 let open_starts = &mut self.workers[worker].open_starts;
-                open_starts.remember(run.sent_at, task, run.run);
+                open_starts.add(run.sent_at, task, run.run);
             }
         }
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -16,7 +16,7 @@
 use crate::job::{JobId, StepKey, TaskKey};
 use crate::jobs::Job;
 use crate::learning::{Learning, SpeedClass};
-use crate::names::Names;
+use crate::name_interner::NameInterner;
 use crate::overloads::Overloads;
 use crate::retries::RetryBudgets;
 use crate::shapes::Shapes;
@@ -110,10 +110,10 @@
     pub(crate) stale_asks: HashSet<JobId>,
     pub(crate) cordons: Cordons,
     /// Whether nothing new may be started anywhere.
-    pub(crate) are_starts_held: bool,
+    pub(crate) are_starts_paused: bool,
     pub(crate) workers: PrimaryMap<WorkerKey, Worker>,
     pub(crate) workers_by_id: HashMap<Arc<str>, WorkerKey>,
-    pub(crate) names: Names,
+    pub(crate) name_interner: NameInterner,
     pub(crate) jobs: HashMap<JobId, Job>,
     /// Jobs with work left, in the order in which they are served.
     pub(crate) active: BTreeMap<(u32, u64), JobId>,
@@ -148,18 +148,18 @@
     /// When the queues of these could do another job.
     pub(crate) forecasts: Forecasts,
     pub(crate) commits: CommitQueue,
-    pub(crate) has_store_trouble: bool,
+    pub(crate) is_store_degraded: bool,
     /// When every lease that an earlier leader granted is certainly over. A lease
     /// never shortens and holds for all that runs on a worker, also for what only
     /// this leader starts there.
-    pub(crate) inherited_until: Instant,
+    pub(crate) recovered_leases_until: Instant,
     /// What may be sent again.
     pub(crate) retries: RetryBudgets,
     /// When a worker last left a renewal unanswered that answered before.
-    pub(crate) last_lost_hold_at: Option<Instant>,
+    pub(crate) last_lost_poll_at: Option<Instant>,
     /// Whether something has changed that may let a task be placed.
-    pub(crate) is_place_due: bool,
-    next_place_at: Instant,
+    pub(crate) is_cycle_due: bool,
+    next_cycle_at: Instant,
     next_housekeeping_at: Instant,
     next_forget_at: Instant,
     /// When renewals that are due are looked for next.
@@ -179,10 +179,10 @@
             shares: Shares::default(),
             stale_asks: HashSet::new(),
             cordons: Cordons::default(),
-            are_starts_held: false,
+            are_starts_paused: false,
             workers: PrimaryMap::new(),
             workers_by_id: HashMap::new(),
-            names: Names::default(),
+            name_interner: NameInterner::default(),
             jobs: HashMap::new(),
             active: BTreeMap::new(),
             scheduled: Vec::new(),
@@ -202,12 +202,12 @@
             overloads: Overloads::default(),
             forecasts: Forecasts::default(),
             commits: CommitQueue::default(),
-            has_store_trouble: false,
-            inherited_until: Instant::default(),
+            is_store_degraded: false,
+            recovered_leases_until: Instant::default(),
             retries: RetryBudgets::default(),
-            last_lost_hold_at: None,
-            is_place_due: true,
-            next_place_at: Instant::default(),
+            last_lost_poll_at: None,
+            is_cycle_due: true,
+            next_cycle_at: Instant::default(),
             next_housekeeping_at: Instant::default(),
             next_forget_at: Instant::default(),
             next_renewal_at: Instant::default(),
@@ -222,14 +222,14 @@
             Event::CancelAccepted { job } => self.cancel_job(now, job, out),
             Event::Configured(configuration) => self.configure(configuration, out),
             Event::CordonsListed(data_centres) => self.set_cordons(data_centres, out),
-            Event::StartsHeld(are_held) => self.hold_starts(are_held),
+            Event::StartsPaused(are_paused) => self.set_starts_paused(are_paused),
             Event::WorkersListed(list) => self.list_workers(now, list, out),
             Event::WorkersChanged(changes) => self.change_workers(now, changes, out),
             Event::HoldAnswered {
                 worker,
                 sent_at,
                 reply,
-            } => self.on_hold_answered(now, worker, sent_at, reply, out),
+            } => self.on_poll_answered(now, worker, sent_at, reply, out),
             Event::StartAnswered {
                 worker,
                 task,
@@ -247,8 +247,8 @@
                 self.on_advice_answered(now, step, &named, reply, out);
             }
             Event::Committed { lane } => self.on_committed(now, lane as usize, out),
-            Event::StoreTrouble(has_trouble) => {
-                self.has_store_trouble = has_trouble;
+            Event::StoreDegraded(has_trouble) => {
+                self.is_store_degraded = has_trouble;
                 self.forecasts.note_unsure(now);
             }
             Event::WallClock(wall_ms) => self.begin_due_rounds(wall_ms),
@@ -270,16 +270,16 @@
 
     /// Does what is due: places, commits, renews. Called after each batch of
     /// events, so that one cycle serves them all.
-    pub fn settle(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.is_place_due && now >= self.next_place_at {
-            self.is_place_due = false;
+    pub fn run_due_work(&mut self, now: Instant, out: &mut Vec<Action>) {
+        if self.is_cycle_due && now >= self.next_cycle_at {
+            self.is_cycle_due = false;
             let examined_count = self.place(now, out);
-            let pace = self.config.place_pace;
-            let rest_ms = examined_count as u64 / self.config.place_steps_per_ms;
-            self.next_place_at = now + pace.max(Duration::from_ms(rest_ms));
+            let pace = self.config.cycle_interval;
+            let rest_ms = examined_count as u64 / self.config.cycle_steps_per_ms;
+            self.next_cycle_at = now + pace.max(Duration::from_ms(rest_ms));
         }
         if now >= self.next_renewal_at {
-            self.next_renewal_at = now + self.config.renewal_pace;
+            self.next_renewal_at = now + self.config.renewal_interval;
             self.renew_leases(now, out);
         }
         self.flush_commits(now, out);
@@ -289,7 +289,7 @@
     /// to the caller.
     pub fn job_for(&self, caller: Option<&str>, job: JobId) -> Option<JobView> {
         let record = &self.jobs.get(&job)?.record;
-        self.job(job).filter(|_| record.is_open_to(caller))
+        self.job(job).filter(|_| record.is_visible_to(caller))
     }
 
     /// Returns the state of a job that clients are shown, where the job is known.
@@ -353,7 +353,7 @@
                 .workers
                 .values()
                 .filter(|worker| !worker.is_gone)
-                .map(|worker| worker.open_starts.unanswered_count())
+                .map(|worker| worker.open_starts.unanswered_stops_count())
                 .sum(),
             placeable_workers_count: placeable().count(),
             listed_workers_count: self
@@ -365,15 +365,15 @@
     }
 
     fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.give_up_lapsed(now, out);
+        self.give_up_expired(now, out);
         self.stop_broken_gangs(now, out);
         self.evict_fillers(now, out);
         self.repeat_stops(now, out);
-        self.repeat_refusals(now, out);
+        self.repeat_open_start_stops(now, out);
         self.refresh_speeds(now, out);
         if now >= self.next_housekeeping_at {
             self.next_housekeeping_at = now + HOUSEKEEPING_PERIOD;
-            self.settle_ended_jobs();
+            self.queue_outcomes();
             self.stop_before_departures(now, out);
             self.tell_waits(now, out);
         }
@@ -381,10 +381,10 @@
             self.next_forget_at = now + FORGET_PERIOD;
             self.waits.forget_old(now);
             self.shapes.forget_old(now);
-            self.names.forget_unused();
+            self.name_interner.remove_unused();
             self.forget_old_jobs(now);
         }
-        self.is_place_due = true;
+        self.is_cycle_due = true;
     }
 
     fn configure(&mut self, configuration: Configuration, out: &mut Vec<Action>) {
@@ -396,7 +396,7 @@
         self.accounts.configure(configuration.customers.values());
         self.configuration = configuration;
         self.move_shares();
-        self.note_services();
-        self.is_place_due = true;
+        self.update_has_service();
+        self.is_cycle_due = true;
     }
 }
--- a/crates/scheduler/src/shapes.rs
+++ b/crates/scheduler/src/shapes.rs
@@ -158,7 +158,7 @@
     pub(crate) fn note_shapes(&mut self, now: Instant, record: &JobRecord) {
         let queue = self.configuration.queue(&record.queue);
         let service = queue.map_or(&record.service, |queue| &queue.service);
-        let service = self.names.keep(service);
+        let service = self.name_interner.intern(service);
         for step in record.spec.steps.iter().filter(|step| !step.is_filler) {
             let service = service.clone();
             self.shapes
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,28 +1,28 @@
 //! What the store keeps of a job's progress.
 
-use crate::evidence::CrashRecord;
-use crate::job::{is_open_to, JobRecord, JobSpec};
-use crate::life::LifeStart;
-use crate::placed_lives::PlacedLife;
+use crate::crash_records::CrashRecord;
+use crate::incarnation::Incarnation;
+use crate::job::{is_visible_to, JobRecord, JobSpec};
+use crate::placed_incarnations::PlacedIncarnation;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 /// The version of the stored form, its first byte.
-const FORM_VERSION: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 /// The first byte of what stands for a job that has its outcome.
-const OUTCOME_FORM: u8 = 2;
+const OUTCOME_FORMAT: u8 = 2;
 /// The first byte of progress with crash records behind it. Progress without any is
 /// written as before, so that nodes of the version before read it.
-const CRASHES_FORM: u8 = 3;
+const CRASHES_FORMAT: u8 = 3;
 /// The first byte of an accepted job of a customer. One that is nobody's is written as
 /// before; nodes of the version before keep what they can't read apart and leave it alone.
-const CUSTOMERS_JOB_FORM: u8 = 4;
+const CUSTOMERS_JOB_FORMAT: u8 = 4;
 /// The same of an outcome.
-const CUSTOMERS_OUTCOME_FORM: u8 = 5;
+const CUSTOMERS_OUTCOME_FORMAT: u8 = 5;
 /// The first byte of progress with crash records and the lives of workers behind it. Where
 /// workers tell no starts it is written as before; nodes of the version before leave a job
 /// alone whose progress they can't read.
-const LIVES_FORM: u8 = 6;
+const INCARNATIONS_FORMAT: u8 = 6;
 
 /// The phase of a job's life that clients are shown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
         worker: String,
         /// The start of the life that was meant, where it is known; stored behind the rest.
         #[serde(skip)]
-        life_start: Option<LifeStart>,
+        incarnation: Option<Incarnation>,
     },
     /// A run has ended well.
     Done,
@@ -174,16 +174,16 @@
 
     /// Returns the stored form.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let lives = self.placed_lives();
-        if !lives.is_empty() {
-            let parts = (self, &self.crashes, lives);
-            return to_form(LIVES_FORM, &parts);
+        let incarnations = self.placed_incarnations();
+        if !incarnations.is_empty() {
+            let parts = (self, &self.crashes, incarnations);
+            return encode(INCARNATIONS_FORMAT, &parts);
         }
         if self.crashes.is_empty() {
-            return to_form(FORM_VERSION, self);
+            return encode(FORMAT_VERSION, self);
         }
         let parts = (self, &self.crashes);
-        to_form(CRASHES_FORM, &parts)
+        encode(CRASHES_FORMAT, &parts)
     }
 
     /// Reads the stored form.
@@ -193,18 +193,21 @@
     /// Returns a [`StateError`] where the bytes are of another version or damaged.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, StateError> {
         match bytes.split_first() {
-            Some((&CRASHES_FORM, rest)) => {
-                let (state, crashes): (Self, Vec<CrashRecord>) = read_postcard(rest)?;
+            Some((&CRASHES_FORMAT, rest)) => {
+                let (state, crashes): (Self, Vec<CrashRecord>) = decode_postcard(rest)?;
                 Ok(Self { crashes, ..state })
             }
-            Some((&LIVES_FORM, rest)) => {
-                let (state, crashes, lives): (Self, Vec<CrashRecord>, Vec<PlacedLife>) =
-                    read_postcard(rest)?;
+            Some((&INCARNATIONS_FORMAT, rest)) => {
+                let (state, crashes, incarnations): (
+                    Self,
+                    Vec<CrashRecord>,
+                    Vec<PlacedIncarnation>,
+                ) = decode_postcard(rest)?;
                 let mut state = Self { crashes, ..state };
-                state.set_placed_lives(&lives);
+                state.set_placed_incarnations(&incarnations);
                 Ok(state)
             }
-            _ => from_stored(bytes),
+            _ => decode(bytes),
         }
     }
 }
@@ -213,10 +216,10 @@
     /// Returns the stored form.
     pub fn to_bytes(&self) -> Vec<u8> {
         if self.customer.is_some() {
-            return to_form(CUSTOMERS_JOB_FORM, self);
+            return encode(CUSTOMERS_JOB_FORMAT, self);
         }
         let parts = (&self.queue, &self.service, self.accepted_ms, &self.spec);
-        to_form(FORM_VERSION, &parts)
+        encode(FORMAT_VERSION, &parts)
     }
 
     fn from_parts((queue, service, accepted_ms, spec): RecordParts) -> Self {
@@ -258,16 +261,16 @@
     }
 
     /// Returns whether whoever calls as `caller` may see the outcome.
-    pub fn is_open_to(&self, caller: Option<&str>) -> bool {
-        is_open_to(self.customer.as_deref(), caller)
+    pub fn is_visible_to(&self, caller: Option<&str>) -> bool {
+        is_visible_to(self.customer.as_deref(), caller)
     }
 
     /// Returns the stored form.
     pub fn to_bytes(&self) -> Vec<u8> {
         if self.customer.is_some() {
-            to_form(CUSTOMERS_OUTCOME_FORM, self)
+            encode(CUSTOMERS_OUTCOME_FORMAT, self)
         } else {
-            to_form(OUTCOME_FORM, &self.phase)
+            encode(OUTCOME_FORMAT, &self.phase)
         }
     }
 }
@@ -287,10 +290,10 @@
 
 impl StoredJob {
     /// Returns whether whoever calls as `caller` may see the job.
-    pub fn is_open_to(&self, caller: Option<&str>) -> bool {
+    pub fn is_visible_to(&self, caller: Option<&str>) -> bool {
         match self {
-            Self::Accepted(record) => record.is_open_to(caller),
-            Self::Ended(outcome) => outcome.is_open_to(caller),
+            Self::Accepted(record) => record.is_visible_to(caller),
+            Self::Ended(outcome) => outcome.is_visible_to(caller),
         }
     }
 
@@ -301,32 +304,32 @@
     /// Returns a [`StateError`] where the bytes are of another version or damaged.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, StateError> {
         match bytes.split_first() {
-            Some((&OUTCOME_FORM, rest)) => {
-                let phase = read_postcard(rest)?;
+            Some((&OUTCOME_FORMAT, rest)) => {
+                let phase = decode_postcard(rest)?;
                 Ok(Self::Ended(JobOutcome::new(phase)))
             }
-            Some((&CUSTOMERS_OUTCOME_FORM, rest)) => read_postcard(rest).map(Self::Ended),
-            Some((&CUSTOMERS_JOB_FORM, rest)) => read_postcard(rest).map(Self::Accepted),
+            Some((&CUSTOMERS_OUTCOME_FORMAT, rest)) => decode_postcard(rest).map(Self::Ended),
+            Some((&CUSTOMERS_JOB_FORMAT, rest)) => decode_postcard(rest).map(Self::Accepted),
             _ => {
-                let record = JobRecord::from_parts(from_stored(bytes)?);
+                let record = JobRecord::from_parts(decode(bytes)?);
                 Ok(Self::Accepted(Box::new(record)))
             }
         }
     }
 }
 
-fn to_form<T: Serialize>(form: u8, value: &T) -> Vec<u8> {
-    postcard::to_extend(value, vec![form]).unwrap_or_default()
+fn encode<T: Serialize>(format: u8, value: &T) -> Vec<u8> {
+    postcard::to_extend(value, vec![format]).unwrap_or_default()
 }
 
-fn from_stored<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, StateError> {
+fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, StateError> {
     match bytes.split_first() {
-        Some((&FORM_VERSION, rest)) => read_postcard(rest),
+        Some((&FORMAT_VERSION, rest)) => decode_postcard(rest),
         Some((&version, _)) => Err(StateError::Version(version)),
         None => Err(StateError::Malformed("it is empty".to_owned())),
     }
 }
 
-fn read_postcard<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, StateError> {
+fn decode_postcard<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, StateError> {
     postcard::from_bytes(bytes).map_err(|error| StateError::Malformed(error.to_string()))
 }
--- a/crates/scheduler/src/verifier.rs
+++ b/crates/scheduler/src/verifier.rs
@@ -114,12 +114,12 @@
             // its lists are known. Nothing is placed there before.
             let mut known = Resources::ZERO;
             for run in worker.runs.values() {
-                if run.phase != RunPhase::Inherited {
+                if run.phase != RunPhase::Recovered {
                     known += run.demand;
                 }
             }
             // A worker whose room has shrunk may hold what it held then.
-            let room = worker.facts.capacity.max(worker.overfull);
+            let room = worker.facts.capacity.max(worker.overcommitted);
             if is_counted && !known.fits_in(&room) {
                 return Err(Violation::Overcommitted(worker.facts.id.to_string()));
             }
@@ -185,7 +185,7 @@
 
     /// Checks the reasons that the last cycle gave, until something changes.
     fn verify_waits(&self) -> Result<(), Violation> {
-        if self.is_place_due {
+        if self.is_cycle_due {
             return Ok(());
         }
         let mut waits = self.waits.of_last_cycle();
@@ -226,7 +226,7 @@
 
     fn verify_claims(&self) -> Result<(), Violation> {
         for (key, worker) in self.workers.iter() {
-            for step in worker.claiming_steps() {
+            for step in worker.soft_reserving_steps() {
                 let advice = self.advice.get(&step);
                 if !advice.is_some_and(|advice| advice.is_asked_about(key)) {
                     return Err(Violation::Claim(step, worker.facts.id.to_string()));
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -1,11 +1,11 @@
 //! Workers and the runs that occupy them.
 
+use crate::crash_records::Suspicion;
 use crate::customers::Charge;
 use crate::event::Endpoint;
-use crate::evidence::Suspicion;
+use crate::incarnation::Incarnation;
 use crate::job::{StepKey, TaskKey};
 use crate::learning::WorkerSpeed;
-use crate::life::LifeStart;
 use crate::open_starts::OpenStarts;
 use crate::sharing::RunRole;
 use cranelift_entity::entity_impl;
@@ -31,7 +31,7 @@
     /// Its id, which it may have had in an earlier life too.
     pub id: Arc<str>,
     /// When this life started, where the platform tells.
-    pub life_start: Option<LifeStart>,
+    pub incarnation: Option<Incarnation>,
     /// The address of its agent.
     pub address: Arc<str>,
     /// The service that it belongs to.
@@ -50,7 +50,7 @@
     pub is_draining: bool,
     /// When it goes at the earliest, on its clock in milliseconds, where it is leaving and
     /// tells.
-    pub leaves_clock_ms: Option<u64>,
+    pub departs_at_clock_ms: Option<u64>,
 }
 
 /// Where a run stands.
@@ -59,7 +59,7 @@
     /// Its record is on the way to the store; nothing was sent.
     Recording,
     /// An earlier leader recorded it; the worker has not been asked yet.
-    Inherited,
+    Recovered,
     /// The start was sent and is not answered.
     Starting,
     /// The worker has it, at least since this instant.
@@ -72,7 +72,7 @@
         /// When the last stop was sent.
         sent_at: Instant,
         /// When the worker took a stop.
-        taken_at: Option<Instant>,
+        accepted_at: Option<Instant>,
     },
 }
 
@@ -96,7 +96,7 @@
     /// The checkpoint that its start brings.
     pub(crate) checkpoint: Option<String>,
     /// The life for which an earlier leader recorded it, where that is known.
-    pub(crate) recorded_life: Option<LifeStart>,
+    pub(crate) recorded_incarnation: Option<Incarnation>,
     /// How often its start was sent, and how many of these were answered.
     pub(crate) sends_count: u32,
     pub(crate) answers_count: u32,
@@ -112,7 +112,7 @@
     /// had gone unanswered.
     pub(crate) was_absent: bool,
     /// Whether its task may have crashed a worker by starting there.
-    pub(crate) is_on_trial: bool,
+    pub(crate) is_on_probation: bool,
     pub(crate) progress_percent: u32,
     /// How often it has told that its machine is slow, by taking far longer than others.
     pub(crate) overdue_count: u32,
@@ -137,7 +137,7 @@
             role: RunRole::Plain,
             ticket: None,
             checkpoint: None,
-            recorded_life: None,
+            recorded_incarnation: None,
             sends_count: 0,
             answers_count: 0,
             sent_at: placed_at,
@@ -145,7 +145,7 @@
             begun_at: None,
             was_cut_off: false,
             was_absent: false,
-            is_on_trial: false,
+            is_on_probation: false,
             progress_percent: 0,
             overdue_count: 0,
             pace_from: None,
@@ -167,7 +167,7 @@
     }
 
     /// Notes how much of its work is done.
-    pub(crate) fn note_progress(&mut self, now: Instant, percent: u32) {
+    pub(crate) fn record_progress(&mut self, now: Instant, percent: u32) {
         self.pace_from.get_or_insert(Progress { percent, at: now });
         self.progress_percent = percent;
         self.listed_at = now;
@@ -191,7 +191,7 @@
     pub(crate) run: u32,
     pub(crate) suspicion: Suspicion,
     /// The life that it was given to, where that is known.
-    pub(crate) life_start: Option<LifeStart>,
+    pub(crate) incarnation: Option<Incarnation>,
     /// Whether it is not known to have outlived its start, and may have begun.
     pub(crate) is_open: bool,
 }
@@ -205,7 +205,7 @@
 
 /// Room that a step counts on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Claim {
+pub(crate) struct CapacityReservation {
     pub(crate) step: StepKey,
     pub(crate) room: Resources,
 }
@@ -221,7 +221,7 @@
     /// Whether its data centre is cordoned.
     pub(crate) is_cordoned: bool,
     /// When it goes at the earliest, where it is leaving.
-    pub(crate) leaves_at: Option<Instant>,
+    pub(crate) departs_at: Option<Instant>,
     /// Whether this life is certainly over.
     pub(crate) is_gone: bool,
     /// Whether its lists have been taken over under this fence.
@@ -230,26 +230,26 @@
     pub(crate) is_reachable: bool,
     /// Since when another life is listed at its place or under its id, where it has not
     /// answered a look that was sent since.
-    pub(crate) doubted_at: Option<Instant>,
+    pub(crate) unconfirmed_since: Option<Instant>,
     /// The entry under its id, where that names another life than the one that answers.
     pub(crate) other_entry: Option<WorkerFacts>,
     /// Whether it runs something that nobody can account for.
     pub(crate) has_unknown_run: bool,
     /// When the life started that answers, where it tells.
-    pub(crate) life_start: Option<LifeStart>,
+    pub(crate) incarnation: Option<Incarnation>,
     pub(crate) clock: Option<ClockReading>,
     /// When every lease granted to its runs is certainly over.
     pub(crate) leased_until: Instant,
     /// When this leader granted a lease last.
-    pub(crate) granted_at: Instant,
+    pub(crate) lease_granted_at: Instant,
     pub(crate) runs: BTreeMap<TaskKey, Run>,
     pub(crate) used: Resources,
     /// What its runs held when its room shrank below them, less what has ended since.
-    pub(crate) overfull: Resources,
+    pub(crate) overcommitted: Resources,
     serving_count: usize,
     fillers_count: usize,
     /// Runs of tasks that may have crashed a worker before.
-    pub(crate) trials_count: usize,
+    pub(crate) probation_runs_count: usize,
     /// Starts whose runs were given up without an answer.
     pub(crate) open_starts: OpenStarts,
     /// Runs that were given up while it was silent; what became of it is not known.
@@ -260,22 +260,22 @@
     pub(crate) answered_at: Instant,
     /// Room that steps count on whose calls for advice name the worker. It
     /// keeps others from naming it too, not from taking the room.
-    claims: Vec<Claim>,
+    soft_reservations: Vec<CapacityReservation>,
     /// Room that is kept for gangs: nobody else may take it.
-    pub(crate) reservations: Vec<Claim>,
+    pub(crate) reservations: Vec<CapacityReservation>,
     /// The last end that it may forget.
     pub(crate) acked_end: u64,
     /// The last end that was taken in.
-    pub(crate) seen_end: u64,
+    pub(crate) last_seen_end: u64,
     /// The first end that this leader may not acknowledge, since it can't read
     /// the job.
-    pub(crate) kept_end: Option<u64>,
+    pub(crate) first_unreadable_end: Option<u64>,
     /// Ends that wait for their commit.
     pub(crate) uncommitted_ends: Vec<u64>,
-    pub(crate) is_hold_open: bool,
+    pub(crate) is_poll_open: bool,
     /// Renewals in a row that were not answered.
-    pub(crate) unanswered_holds_count: u32,
-    pub(crate) next_hold_at: Instant,
+    pub(crate) unanswered_polls_count: u32,
+    pub(crate) next_poll_at: Instant,
     /// Starts that were refused or runs that failed, in a row.
     pub(crate) failures_count: u32,
     pub(crate) avoided_until: Instant,
@@ -295,36 +295,36 @@
             is_listed: true,
             has_service: true,
             is_cordoned: false,
-            leaves_at: None,
+            departs_at: None,
             is_gone: false,
             is_synced: false,
             is_reachable: true,
-            doubted_at: None,
+            unconfirmed_since: None,
             other_entry: None,
             has_unknown_run: false,
-            life_start: None,
+            incarnation: None,
             clock: None,
             leased_until,
-            granted_at: Instant::default(),
+            lease_granted_at: Instant::default(),
             runs: BTreeMap::new(),
             used: Resources::ZERO,
-            overfull: Resources::ZERO,
+            overcommitted: Resources::ZERO,
             serving_count: 0,
             fillers_count: 0,
-            trials_count: 0,
+            probation_runs_count: 0,
             open_starts: OpenStarts::default(),
             lost_runs: Vec::new(),
             gone_at: None,
             answered_at: Instant::default(),
-            claims: Vec::new(),
+            soft_reservations: Vec::new(),
             reservations: Vec::new(),
             acked_end: 0,
-            seen_end: 0,
-            kept_end: None,
+            last_seen_end: 0,
+            first_unreadable_end: None,
             uncommitted_ends: Vec::new(),
-            is_hold_open: false,
-            unanswered_holds_count: 0,
-            next_hold_at: Instant::default(),
+            is_poll_open: false,
+            unanswered_polls_count: 0,
+            next_poll_at: Instant::default(),
             failures_count: 0,
             avoided_until: Instant::default(),
             speed: WorkerSpeed::default(),
@@ -336,23 +336,25 @@
     /// Returns up to which end the worker may forget, once all that wait for
     /// their commit are in the store.
     pub(crate) fn ackable_end(&self) -> u64 {
-        let kept = self.kept_end.map(|number| number.saturating_sub(1));
-        kept.map_or(self.seen_end, |last| last.min(self.seen_end))
+        let kept = self
+            .first_unreadable_end
+            .map(|number| number.saturating_sub(1));
+        kept.map_or(self.last_seen_end, |last| last.min(self.last_seen_end))
     }
 
     /// Takes in what is listed of it now.
     pub(crate) fn set_facts(&mut self, facts: WorkerFacts) {
         self.facts = facts;
-        self.note_overfull();
+        self.update_overcommitted();
     }
 
     /// Returns whether its runs need more than it holds since its room has shrunk.
-    pub(crate) fn is_overfull(&self) -> bool {
+    pub(crate) fn is_overcommitted(&self) -> bool {
         !self.used.fits_in(&self.facts.capacity)
     }
 
-    fn note_overfull(&mut self) {
-        self.overfull = if self.is_overfull() {
+    fn update_overcommitted(&mut self) {
+        self.overcommitted = if self.is_overcommitted() {
             self.used
         } else {
             Resources::ZERO
@@ -360,8 +362,8 @@
     }
 
     /// Returns whether a recorded start still fits beside all whose start was sent.
-    pub(crate) fn has_room_to_send(&self, task: TaskKey) -> bool {
-        if !self.is_overfull() {
+    pub(crate) fn has_capacity_to_send(&self, task: TaskKey) -> bool {
+        if !self.is_overcommitted() {
             return true;
         }
         let mut needed = Resources::ZERO;
@@ -379,24 +381,33 @@
     }
 
     /// Notes that a step counts on room for so many tasks.
-    pub(crate) fn claim(&mut self, step: StepKey, demand: &Resources, tasks_count: u32) {
+    pub(crate) fn add_soft_reservation(
+        &mut self,
+        step: StepKey,
+        demand: &Resources,
+        tasks_count: u32,
+    ) {
         let room = demand.times(tasks_count);
-        self.claims.push(Claim { step, room });
+        self.soft_reservations
+            .push(CapacityReservation { step, room });
     }
 
     /// Drops what a step counted on.
-    pub(crate) fn drop_claim(&mut self, step: StepKey) {
-        self.claims.retain(|claim| claim.step != step);
+    pub(crate) fn drop_soft_reservation(&mut self, step: StepKey) {
+        self.soft_reservations
+            .retain(|add_soft_reservation| add_soft_reservation.step != step);
     }
 
     /// Returns the steps that count on room here.
-    pub(crate) fn claiming_steps(&self) -> impl Iterator<Item = StepKey> + '_ {
-        self.claims.iter().map(|claim| claim.step)
+    pub(crate) fn soft_reserving_steps(&self) -> impl Iterator<Item = StepKey> + '_ {
+        self.soft_reservations
+            .iter()
+            .map(|add_soft_reservation| add_soft_reservation.step)
     }
 
     /// Returns what steps count on whose calls for advice are open.
-    pub(crate) fn claimed(&self) -> Resources {
-        sum_of(self.claims.iter())
+    pub(crate) fn soft_reserved(&self) -> Resources {
+        sum_of(self.soft_reservations.iter())
     }
 
     /// Returns what is kept for gangs other than `step`.
@@ -407,7 +418,7 @@
 
     /// Returns what will not be taken once the runs that are being stopped
     /// have ended.
-    pub(crate) fn room_without_stopping(&self) -> Resources {
+    pub(crate) fn free_after_stops(&self) -> Resources {
         let mut room = self.free();
         for run in self.runs.values() {
             if matches!(run.phase, RunPhase::Stopping { .. }) {
@@ -425,11 +436,11 @@
             && !self.is_gone
             && self.is_synced
             && self.is_reachable
-            && self.doubted_at.is_none()
+            && self.unconfirmed_since.is_none()
             && !self.has_unknown_run
             && !self.facts.is_draining
             // Nothing joins a run that may crash the worker.
-            && !self.has_trial()
+            && !self.has_probation_run()
             && now >= self.avoided_until
     }
 
@@ -437,7 +448,7 @@
         Endpoint {
             worker,
             id: self.facts.id.clone(),
-            life_start: self.life_start,
+            incarnation: self.incarnation,
             address: self.facts.address.clone(),
         }
     }
@@ -447,14 +458,14 @@
         if let Some(count) = self.count_of(run.role) {
             *count += 1;
         }
-        self.trials_count += usize::from(run.is_on_trial);
+        self.probation_runs_count += usize::from(run.is_on_probation);
         self.runs.insert(task, run);
     }
 
     /// Adds a run that an earlier leader started, when the worker may have held more.
     pub(crate) fn insert_foreign_run(&mut self, task: TaskKey, run: Run) {
         self.insert_run(task, run);
-        self.note_overfull();
+        self.update_overcommitted();
     }
 
     const fn count_of(&mut self, role: RunRole) -> Option<&mut usize> {
@@ -478,11 +489,11 @@
     pub(crate) fn remove_run(&mut self, task: TaskKey) -> Option<Run> {
         let run = self.runs.remove(&task)?;
         self.used -= run.demand;
-        self.note_overfull();
+        self.update_overcommitted();
         if let Some(count) = self.count_of(run.role) {
             *count -= 1;
         }
-        self.trials_count -= usize::from(run.is_on_trial);
+        self.probation_runs_count -= usize::from(run.is_on_probation);
         Some(run)
     }
 
@@ -490,13 +501,13 @@
     ///
     /// Returns `None` where the worker's clock is not known. The worker's own
     /// clock may be slow, so the lease may last longer on this node's clock.
-    pub(crate) fn grant(&mut self, now: Instant, length: Duration) -> Option<u64> {
+    pub(crate) fn grant_lease(&mut self, now: Instant, length: Duration) -> Option<u64> {
         let clock = self.clock?;
         let age = now.since(clock.read_at);
         let slack = clock_slack(length + age);
         let bound = now + length + slack + LEASE_MARGIN;
         self.leased_until = self.leased_until.max(bound);
-        self.granted_at = now;
+        self.lease_granted_at = now;
         Some(clock.clock_ms + age.as_ms() + length.as_ms())
     }
 }
@@ -512,10 +523,10 @@
     Duration::from_ms(length.as_ms() * CLOCK_SLACK_PER_MILLE / 1000)
 }
 
-fn sum_of<'a>(claims: impl Iterator<Item = &'a Claim>) -> Resources {
+fn sum_of<'a>(soft_reservations: impl Iterator<Item = &'a CapacityReservation>) -> Resources {
     let mut room = Resources::ZERO;
-    for claim in claims {
-        room += claim.room;
+    for add_soft_reservation in soft_reservations {
+        room += add_soft_reservation.room;
     }
     room
 }
--- a/crates/scheduler/src/worker_list.rs
+++ b/crates/scheduler/src/worker_list.rs
@@ -33,7 +33,7 @@
         changes: Vec<WorkerChange>,
         out: &mut Vec<Action>,
     ) {
-        self.doubt_shared_places(now, &changes);
+        self.recheck_shared_hosts(now, &changes);
         for change in changes {
             match change {
                 WorkerChange::Listed(facts) => self.list_worker(now, facts, out),
@@ -44,17 +44,17 @@
                 }
             }
         }
-        self.is_place_due = true;
+        self.is_cycle_due = true;
     }
 
     fn list_worker(&mut self, now: Instant, mut facts: WorkerFacts, out: &mut Vec<Action>) {
-        self.names.keep_all(&mut facts);
+        self.name_interner.intern_all(&mut facts);
         let Some(&key) = self.workers_by_id.get(&facts.id) else {
             return self.add_worker(facts, out);
         };
         let worker = &mut self.workers[key];
         worker.is_listed = !worker.is_gone;
-        self.take_entry(now, key, facts, out);
+        self.handle_entry(now, key, facts, out);
     }
 
     /// Creates a worker as the operators' settings stand.
@@ -67,7 +67,7 @@
 
     /// Notes which workers belong to a service that the operators have set: an entry that
     /// names another one names no worker to use. What runs there runs on.
-    pub(crate) fn note_services(&mut self) {
+    pub(crate) fn update_has_service(&mut self) {
         for worker in self.workers.values_mut() {
             worker.has_service = self.configuration.has_service(&worker.facts.service);
         }
@@ -79,37 +79,37 @@
     /// The entry alone does not tell which life is the later one: a write of an earlier
     /// life may come to the store late. The address answers for the one that is there, to
     /// a call for any other with its refusal.
-    fn doubt_shared_places(&mut self, now: Instant, changes: &[WorkerChange]) {
-        let mut places = Places::default();
+    fn recheck_shared_hosts(&mut self, now: Instant, changes: &[WorkerChange]) {
+        let mut hosts = Hosts::default();
         for change in changes {
             match change {
-                WorkerChange::Listed(facts) if !self.is_met(&facts.id) => places.add(facts),
+                WorkerChange::Listed(facts) if !self.was_listed(&facts.id) => hosts.add(facts),
                 _ => {}
             }
         }
-        if places.is_empty() {
+        if hosts.is_empty() {
             return;
         }
-        let is_shared = |worker: &&mut Worker| !worker.is_gone && places.has(&worker.facts);
-        let mut is_any = false;
+        let is_shared = |worker: &&mut Worker| !worker.is_gone && hosts.has(&worker.facts);
+        let mut has_shared = false;
         for worker in self.workers.values_mut().filter(is_shared) {
-            worker.doubted_at = Some(now);
-            worker.next_hold_at = now;
-            is_any = true;
+            worker.unconfirmed_since = Some(now);
+            worker.next_poll_at = now;
+            has_shared = true;
         }
-        if is_any {
+        if has_shared {
             self.next_renewal_at = now;
         }
     }
 
     /// Returns whether a worker has been listed in this term.
-    fn is_met(&self, id: &Arc<str>) -> bool {
+    fn was_listed(&self, id: &Arc<str>) -> bool {
         let key = self.workers_by_id.get(id);
         key.is_some_and(|key| !self.workers[*key].facts.address.is_empty())
     }
 
     /// Takes in the entry of a known worker, which may be that of another life.
-    fn take_entry(
+    fn handle_entry(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -117,14 +117,14 @@
         out: &mut Vec<Action>,
     ) {
         let worker = &mut self.workers[key];
-        if worker.is_own_entry(&facts) {
+        if worker.may_be_own_entry(&facts) {
             worker.other_entry = None;
             self.update_facts(now, key, facts, out);
         } else if worker.is_gone {
             // The id is in use again.
             self.add_worker(facts, out);
         } else {
-            self.doubt_life(now, key, facts);
+            self.on_other_entry(now, key, facts);
         }
     }
 
@@ -146,21 +146,21 @@
         let before = worker.facts.capacity;
         let was_draining = worker.facts.is_draining;
         worker.set_facts(facts);
-        worker.note_departure(now, drain_time);
-        if let Some(leaves_at) = worker.leaves_at.filter(|_| !was_draining) {
+        worker.update_departure(now, drain_time);
+        if let Some(departs_at) = worker.departs_at.filter(|_| !was_draining) {
             let line = Decision::new(DecisionKind::WorkerDraining, "listed as leaving");
             let line = line.with_worker(&worker.facts.id);
-            out.push(Action::Log(line.with_figure(leaves_at.since(now).as_ms())));
+            out.push(Action::Log(line.with_figure(departs_at.since(now).as_ms())));
         }
         worker.has_service = has_service;
         worker.is_cordoned = is_cordoned;
         let after = worker.facts.capacity;
         // Of a worker that only the records of an earlier leader name nothing was known.
-        let is_news = before != after && !before.is_zero();
-        if !is_news || worker.runs.is_empty() {
+        let is_change = before != after && !before.is_zero();
+        if !is_change || worker.runs.is_empty() {
             return;
         }
-        let reason = if worker.is_overfull() {
+        let reason = if worker.is_overcommitted() {
             "smaller than what runs there"
         } else {
             "room changed"
@@ -177,7 +177,7 @@
         let id = facts.id.clone();
         let key = self
             .workers
-            .push(self.new_worker(facts, self.inherited_until));
+            .push(self.new_worker(facts, self.recovered_leases_until));
         self.workers_by_id.insert(id, key);
     }
 }
@@ -192,19 +192,19 @@
 
 /// The machines and addresses of workers that were not listed before.
 #[derive(Debug, Default)]
-struct Places<'a> {
+struct Hosts<'a> {
     machines: HashSet<&'a str>,
     addresses: HashSet<&'a str>,
     /// The addresses of those whose machine the platform does not tell.
-    addresses_alone: HashSet<&'a str>,
+    addresses_without_machine: HashSet<&'a str>,
 }
 
-impl<'a> Places<'a> {
+impl<'a> Hosts<'a> {
     fn add(&mut self, facts: &'a WorkerFacts) {
         self.addresses.insert(&facts.address);
         match &facts.machine {
             Some(machine) => self.machines.insert(machine),
-            None => self.addresses_alone.insert(&facts.address),
+            None => self.addresses_without_machine.insert(&facts.address),
         };
     }
 
@@ -219,7 +219,7 @@
         match &known.machine {
             Some(machine) => {
                 self.machines.contains(&**machine)
-                    || is_addressed && self.addresses_alone.contains(&*known.address)
+                    || is_addressed && self.addresses_without_machine.contains(&*known.address)
             }
             None => is_addressed && self.addresses.contains(&*known.address),
         }
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -68,7 +68,7 @@
         match action {
             Action::Advise { step, workers, .. } => {
                 let named = workers.iter().map(|to| to.worker).collect();
-                let reply = AdviceReply::Good {
+                let reply = AdviceReply::Answered {
                     tickets: Vec::new(),
                     validity: Duration::from_ms(1500),
                 };
--- a/crates/scheduler/tests/scheduler/cordons.rs
+++ b/crates/scheduler/tests/scheduler/cordons.rs
@@ -140,10 +140,10 @@
 fn place_starts_held() {
     let mut bench = Bench::new(Recovered::default(), &spread_workers(2));
     bench.submit(1, vec![step(1)]);
-    bench.tell(Event::StartsHeld(true));
+    bench.tell(Event::StartsPaused(true));
     bench.submit(2, vec![step(1)]);
     assert_eq!(starts_after_commit(&mut bench), Vec::new());
-    bench.tell(Event::StartsHeld(false));
+    bench.tell(Event::StartsPaused(false));
     assert_eq!(starts_after_commit(&mut bench).len(), 2);
 }
 
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -7,7 +7,7 @@
 
 use crate::support::world::{Faults, World};
 use crate::support::{job, step};
-use ospreywing_scheduler::{CrashPolicy, JobId, Phase, StepSpec, TrialRule};
+use ospreywing_scheduler::{CrashPolicy, JobId, Phase, ProbationRule, StepSpec};
 use ospreywing_types::{Duration, Resources};
 use rstest::rstest;
 
@@ -146,17 +146,17 @@
         bystander_points: 1,
         points_limit: 2,
         crashes_limit_count: 2,
-        trial_rule: TrialRule::Anywhere,
-        trial_wait: Duration::ZERO,
+        probation_rule: ProbationRule::Anywhere,
+        probation_wait: Duration::ZERO,
     };
-    let with = |trial_rule| CrashPolicy {
-        trial_rule,
+    let with = |probation_rule| CrashPolicy {
+        probation_rule,
         ..product
     };
     [
         ("(a) two crashes of any kind", count_two),
         ("(b) points, tried alone", product),
-        ("(c) points, suspects apart", with(TrialRule::Anywhere)),
+        ("(c) points, suspects apart", with(ProbationRule::Anywhere)),
     ]
 }
 
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -124,7 +124,7 @@
         self.bench.tell(Event::HoldAnswered {
             worker,
             sent_at,
-            reply: HoldReply::OtherLife,
+            reply: HoldReply::OtherIncarnation,
         });
         self.bring_back(worker);
     }
@@ -224,7 +224,7 @@
     bench.tell(Event::HoldAnswered {
         worker,
         sent_at,
-        reply: HoldReply::OtherLife,
+        reply: HoldReply::OtherIncarnation,
     });
 }
 
--- a/crates/scheduler/tests/scheduler/customers.rs
+++ b/crates/scheduler/tests/scheduler/customers.rs
@@ -158,7 +158,7 @@
     task.last_run = 1;
     task.status = TaskStatus::Placed {
         worker: "silent".to_owned(),
-        life_start: None,
+        incarnation: None,
     };
     let state = JobState {
         next_round: 1,
--- a/crates/scheduler/tests/scheduler/departures.rs
+++ b/crates/scheduler/tests/scheduler/departures.rs
@@ -49,7 +49,7 @@
     let mut leaving = FakeWorker::new(&worker.id, 1000);
     leaving.is_draining = true;
     // The workers of these tests tell the time of the bench.
-    leaving.leaves_clock_ms = Some(bench.now.as_ms() + after_ms);
+    leaving.departs_at_clock_ms = Some(bench.now.as_ms() + after_ms);
     let change = WorkerChange::Listed(leaving.facts());
     bench.tell(Event::WorkersChanged(vec![change]));
 }
--- a/crates/scheduler/tests/scheduler/lapses.rs
+++ b/crates/scheduler/tests/scheduler/lapses.rs
@@ -217,7 +217,7 @@
     bench.tell(Event::HoldAnswered {
         worker: dead,
         sent_at: bench.now,
-        reply: HoldReply::OtherLife,
+        reply: HoldReply::OtherIncarnation,
     });
     let task = first_task(id);
     bench.commit_all();
@@ -387,7 +387,7 @@
     bench.tell(Event::HoldAnswered {
         worker: stale,
         sent_at: bench.now,
-        reply: HoldReply::OtherLife,
+        reply: HoldReply::OtherIncarnation,
     });
     bench.list_running(worker, first_task(JobId::new(1)));
     bench.commit_all();
@@ -407,7 +407,7 @@
     bench.tell(Event::HoldAnswered {
         worker,
         sent_at: bench.now,
-        reply: HoldReply::OtherLife,
+        reply: HoldReply::OtherIncarnation,
     });
     let later = bench.scheduler.worker_key("w1").expect("a listed worker");
     bench.list(later, Vec::new());
@@ -426,12 +426,12 @@
     let start = bench.starts()[0];
     let (lost, task, _) = start;
     bench.started(start);
-    bench.tell(Event::StoreTrouble(true));
+    bench.tell(Event::StoreDegraded(true));
     bench.list_running(lost, task);
     bench.now = bench.now + UNANSWERED_AFTER;
     bench.tell(Event::Tick);
     bench.list_running(lost, task);
-    bench.tell(Event::StoreTrouble(false));
+    bench.tell(Event::StoreDegraded(false));
     // The worker has received every renewal, and is lost after the last one.
     let lost_at = bench.now;
     while bench.now.since(lost_at) < LASTING_TASK_AWAY_LIMIT {
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -429,7 +429,7 @@
     }
     for mut worker in leaving {
         worker.is_draining = true;
-        worker.leaves_clock_ms = Some(bench.now.as_ms() + 4_000);
+        worker.departs_at_clock_ms = Some(bench.now.as_ms() + 4_000);
         let change = WorkerChange::Listed(worker.facts());
         bench.tell(Event::WorkersChanged(vec![change]));
     }
@@ -449,7 +449,7 @@
 /// Returns a scheduler that was handed something.
 fn scheduler_with(learned: &Learned) -> Bench {
     let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.scheduler.take_learned(bench.now, learned);
+    bench.scheduler.restore_learned(bench.now, learned);
     bench.scheduler.verify().expect("the invariants hold");
     bench
 }
@@ -524,7 +524,7 @@
         sizes: Vec::new(),
         speeds: speeds.collect(),
     };
-    bench.scheduler.take_learned(bench.now, &learned);
+    bench.scheduler.restore_learned(bench.now, &learned);
     bench.now = bench.now + Duration::from_ms(20);
     bench.tell(Event::Tick);
     bench.submit_job(job);
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -20,7 +20,7 @@
 use crate::support::world::{Faults, World};
 use crate::support::{first_task, job, placed_at_life, placed_state, step};
 use ospreywing_scheduler::{
-    Action, EndKind, EndedRun, Event, HoldReply, JobId, JobState, LifeStart, Phase, Recovered,
+    Action, EndKind, EndedRun, Event, HoldReply, Incarnation, JobId, JobState, Phase, Recovered,
     RunningRun, StartReply, StepSpec, TaskKey, WorkerKey,
 };
 use ospreywing_types::Duration;
@@ -82,7 +82,7 @@
     let sent_at = bench.now;
     bench.now = bench.now + Duration::from_ms(20);
     let reply = HoldReply::Listed {
-        life_start: Some(LifeStart::from_ms(life_start_ms)),
+        incarnation: Some(Incarnation::from_ms(life_start_ms)),
         clock_ms: bench.now.as_ms(),
         running: Vec::new(),
         ended,
@@ -284,7 +284,7 @@
         worker: first,
         sent_at,
         reply: HoldReply::Listed {
-            life_start: Some(LifeStart::from_ms(2)),
+            incarnation: Some(Incarnation::from_ms(2)),
             clock_ms: 0,
             running: vec![RunningRun {
                 task,
@@ -375,7 +375,7 @@
         worker: first,
         sent_at,
         reply: HoldReply::Listed {
-            life_start: Some(LifeStart::from_ms(2)),
+            incarnation: Some(Incarnation::from_ms(2)),
             clock_ms: 0,
             running: Vec::new(),
             ended: Vec::new(),
@@ -413,7 +413,7 @@
         worker: key,
         sent_at,
         reply: HoldReply::Listed {
-            life_start: None,
+            incarnation: None,
             clock_ms: bench.now.as_ms(),
             running: Vec::new(),
             ended: Vec::new(),
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -127,7 +127,7 @@
         task.last_run = *run;
         task.status = TaskStatus::Placed {
             worker: id_of(bench, *worker).to_string(),
-            life_start: None,
+            incarnation: None,
         };
     }
     JobState {
--- a/crates/scheduler/tests/scheduler/support/bench.rs
+++ b/crates/scheduler/tests/scheduler/support/bench.rs
@@ -4,7 +4,7 @@
 use super::{configuration, job};
 use ospreywing_scheduler::{
     Action, AdvicePolicy, AdviceReply, Change, ChangeKind, EndKind, EndedRun, Event, Features,
-    HoldReply, JobId, JobRecord, JobState, LifeStart, Recovered, RunningRun, Scheduler,
+    HoldReply, Incarnation, JobId, JobRecord, JobState, Recovered, RunningRun, Scheduler,
     SchedulerConfig, StartReply, StepSpec, StopReply, StoredJob, TaskKey, Ticket, WorkerFacts,
     WorkerKey,
 };
@@ -89,9 +89,9 @@
 
     /// Lists a worker whose entry names the life with this start.
     pub fn list_restarted(&mut self, worker: &FakeWorker, life_start_ms: u64) {
-        let life_start = Some(LifeStart::from_ms(life_start_ms));
+        let incarnation = Some(Incarnation::from_ms(life_start_ms));
         let facts = WorkerFacts {
-            life_start,
+            incarnation,
             ..worker.facts()
         };
         self.tell(Event::WorkersListed(vec![facts]));
@@ -104,7 +104,7 @@
 
     pub fn tell(&mut self, event: Event) {
         self.scheduler.handle(self.now, event, &mut self.actions);
-        self.scheduler.settle(self.now, &mut self.actions);
+        self.scheduler.run_due_work(self.now, &mut self.actions);
         self.scheduler.verify().expect("the invariants hold");
     }
 
@@ -120,7 +120,7 @@
             worker,
             sent_at,
             reply: HoldReply::Listed {
-                life_start: None,
+                incarnation: None,
                 clock_ms: self.now.as_ms(),
                 running: Vec::new(),
                 ended,
@@ -147,7 +147,7 @@
             worker,
             sent_at,
             reply: HoldReply::Listed {
-                life_start: None,
+                incarnation: None,
                 clock_ms: self.now.as_ms(),
                 running: vec![alive],
                 ended,
@@ -171,7 +171,7 @@
             let sent_at = self.now;
             self.now = self.now + Duration::from_ms(60);
             let reply = HoldReply::Listed {
-                life_start: None,
+                incarnation: None,
                 clock_ms: self.now.as_ms(),
                 running: running.collect(),
                 ended: Vec::new(),
@@ -264,7 +264,7 @@
                 worker: to.id.clone(),
                 text: "ticket".into(),
             });
-            let reply = AdviceReply::Good {
+            let reply = AdviceReply::Answered {
                 tickets: tickets.collect(),
                 validity: Duration::from_ms(1500),
             };
--- a/crates/scheduler/tests/scheduler/support/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/mod.rs
@@ -9,7 +9,7 @@
 pub mod world;
 
 use ospreywing_scheduler::{
-    AdvicePolicy, Configuration, Customer, JobId, JobRecord, JobSpec, JobState, LifeStart, Queue,
+    AdvicePolicy, Configuration, Customer, Incarnation, JobId, JobRecord, JobSpec, JobState, Queue,
     RoundState, ServicePolicy, StepKey, StepSpec, TaskKey, TaskStatus,
 };
 use ospreywing_types::{Duration, Resources};
@@ -119,7 +119,7 @@
     task.last_run = run;
     task.status = TaskStatus::Placed {
         worker: worker.to_owned(),
-        life_start: None,
+        incarnation: None,
     };
     JobState {
         next_round: 1,
@@ -134,7 +134,7 @@
     let status = &mut state.rounds[0].steps[0].tasks[0].status;
     *status = TaskStatus::Placed {
         worker: worker.to_owned(),
-        life_start: Some(LifeStart::from_ms(life_start_ms)),
+        incarnation: Some(Incarnation::from_ms(life_start_ms)),
     };
     state
 }
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -1,7 +1,7 @@
 //! A fake worker: fence, tombstones, leases on its own clock, a list of ends.
 
 use ospreywing_scheduler::{
-    EndKind, EndedRun, HoldReply, LifeStart, RefusedStart, RunningRun, StartOrder, StartReply,
+    EndKind, EndedRun, HoldReply, Incarnation, RefusedStart, RunningRun, StartOrder, StartReply,
     StopReply, TaskKey, WorkerFacts,
 };
 use ospreywing_types::Resources;
@@ -36,8 +36,8 @@
 pub struct FakeWorker {
     pub id: Arc<str>,
     /// When its life started, and what its entry in the store says of that.
-    pub life_start: Option<LifeStart>,
-    entry_life_start: Option<LifeStart>,
+    pub incarnation: Option<Incarnation>,
+    entry_life_start: Option<Incarnation>,
     /// What its clock showed at the begin of the world's.
     clock_base_ms: u64,
     /// Whether it takes no note of an acknowledgement beyond its newest end.
@@ -69,7 +69,7 @@
     /// Until when the platform lists it though its life is over.
     pub listed_until_ms: u64,
     pub is_draining: bool,
-    pub leaves_clock_ms: Option<u64>,
+    pub departs_at_clock_ms: Option<u64>,
     /// The highest run that stopped or ended here, by task.
     pub tombstones: BTreeMap<TaskKey, u32>,
 }
@@ -78,7 +78,7 @@
     pub fn new(id: &str, clock_per_mille: u64) -> Self {
         Self {
             id: Arc::from(id),
-            life_start: None,
+            incarnation: None,
             entry_life_start: None,
             clock_base_ms: CLOCK_BASE_MS,
             ignores_foreign_acks: false,
@@ -102,7 +102,7 @@
             ended_at_ms: BTreeMap::new(),
             listed_until_ms: 0,
             is_draining: false,
-            leaves_clock_ms: None,
+            departs_at_clock_ms: None,
             tombstones: BTreeMap::new(),
         }
     }
@@ -110,7 +110,7 @@
     pub fn facts(&self) -> WorkerFacts {
         WorkerFacts {
             id: self.id.clone(),
-            life_start: self.entry_life_start,
+            incarnation: self.entry_life_start,
             address: self.address.clone(),
             service: self.service.clone(),
             machine: None,
@@ -119,7 +119,7 @@
             labels: Vec::new(),
             capacity: self.capacity,
             is_draining: self.is_draining,
-            leaves_clock_ms: self.leaves_clock_ms,
+            departs_at_clock_ms: self.departs_at_clock_ms,
         }
     }
 
@@ -131,13 +131,13 @@
 
     /// Tells its start from now on, as workers do that may start again under their id.
     pub fn tell_life_start(&mut self, wall_ms: u64) {
-        self.life_start = Some(LifeStart::from_ms(wall_ms));
+        self.incarnation = Some(Incarnation::from_ms(wall_ms));
         self.write_entry();
     }
 
     /// Has its entry say what holds now.
     pub const fn write_entry(&mut self) {
-        self.entry_life_start = self.life_start;
+        self.entry_life_start = self.incarnation;
     }
 
     /// Starts it again under its id: it knows nothing of before, and its clock and the
@@ -152,13 +152,13 @@
         self.set_capacity(before.full_capacity);
         self.entry_life_start = before.entry_life_start;
         self.ignores_foreign_acks = before.ignores_foreign_acks;
-        self.life_start = Some(LifeStart::from_ms(wall_ms));
+        self.incarnation = Some(Incarnation::from_ms(wall_ms));
         self.clock_base_ms = clock_base_ms;
     }
 
     /// Returns the adviser's ticket, which holds for this life only.
     pub fn ticket(&self) -> Arc<str> {
-        Arc::from(format!("ticket for {:?}", self.life_start))
+        Arc::from(format!("ticket for {:?}", self.incarnation))
     }
 
     /// Returns up to which end it forgets what it has been told to forget.
@@ -289,7 +289,7 @@
             usage_figure: 0,
         });
         HoldReply::Listed {
-            life_start: self.life_start,
+            incarnation: self.incarnation,
             clock_ms: self.clock_ms(now_ms),
             running: running.collect(),
             ended: self.ended.clone(),
--- a/crates/scheduler/tests/scheduler/support/world/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/world/delivery.rs
@@ -175,7 +175,7 @@
     }
 
     /// Returns whether a later life of a dead worker's machine answers.
-    fn is_other_life(&self, index: usize) -> bool {
+    fn is_other_incarnation(&self, index: usize) -> bool {
         let dead = &self.workers[index];
         let is_next =
             |other: &FakeWorker| other.is_alive && !other.is_cut && other.address == dead.address;
@@ -190,8 +190,8 @@
         last_seen: u64,
     ) -> HoldReply {
         let index = self.worker_index(to);
-        if self.is_other_life(index) {
-            return HoldReply::OtherLife;
+        if self.is_other_incarnation(index) {
+            return HoldReply::OtherIncarnation;
         }
         if self.is_lost(index) {
             return HoldReply::Unanswered;
@@ -201,7 +201,7 @@
         self.note_done();
         let worker = &mut self.workers[index];
         // Only the life that is meant is told what to forget.
-        let is_meant = to.life_start.is_none() || to.life_start == worker.life_start;
+        let is_meant = to.incarnation.is_none() || to.incarnation == worker.incarnation;
         let last_seen = if is_meant {
             worker.forgotten_end(last_seen)
         } else {
@@ -220,8 +220,8 @@
     fn deliver_start(&mut self, term: u64, to: &Endpoint, order: &StartOrder, is_answered: bool) {
         let index = self.worker_index(to);
         let mut reply = StartReply::Unanswered;
-        if self.is_other_life(index) {
-            reply = StartReply::OtherLife;
+        if self.is_other_incarnation(index) {
+            reply = StartReply::OtherIncarnation;
         } else if !self.is_lost(index) {
             reply = self.start_at(term, index, order, !is_answered);
         }
@@ -326,8 +326,8 @@
     ) {
         let index = self.worker_index(to);
         let mut reply = StopReply::Unanswered;
-        if self.is_other_life(index) {
-            reply = StopReply::OtherLife;
+        if self.is_other_incarnation(index) {
+            reply = StopReply::OtherIncarnation;
         } else if !self.is_lost(index) {
             let now_ms = self.now_ms;
             self.workers[index].advance(now_ms);
--- a/crates/scheduler/tests/scheduler/support/world/faults.rs
+++ b/crates/scheduler/tests/scheduler/support/world/faults.rs
@@ -64,7 +64,7 @@
         }
         if self.draw(self.faults.trouble) && !self.has_trouble {
             self.has_trouble = true;
-            self.tell_all(Event::StoreTrouble(true));
+            self.tell_all(Event::StoreDegraded(true));
             let length_ms = self.rng.random_range(TROUBLE_MS);
             self.post(length_ms, Message::TroubleOver);
         }
@@ -174,7 +174,7 @@
                 self.post(after_ms, Message::Cut { worker, length_ms });
             }
         }
-        self.tell_all(Event::StoreTrouble(false));
+        self.tell_all(Event::StoreDegraded(false));
     }
 
     /// Cuts a worker off for a while.
@@ -272,7 +272,7 @@
         next.rack = rack;
         next.set_capacity(self.workers[index].full_capacity);
         next.ignores_foreign_acks = self.workers[index].ignores_foreign_acks;
-        if self.workers[index].life_start.is_some() {
+        if self.workers[index].incarnation.is_some() {
             next.tell_life_start(self.rng.random_range(WALL_MS));
         }
         self.workers.push(next);
--- a/crates/scheduler/tests/scheduler/support/world/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/world/mod.rs
@@ -372,7 +372,7 @@
         let mut scheduler = Scheduler::new(config, self.configuration.clone(), now, recovered);
         let before = self.leaders.last().filter(|_| self.hands_on_learned);
         if let Some(before) = before {
-            scheduler.take_learned(now, &before.scheduler.learned(now));
+            scheduler.restore_learned(now, &before.scheduler.learned(now));
         }
         self.leaders.push(Leader {
             fence,
@@ -382,7 +382,7 @@
             backlog: Vec::new(),
         });
         self.tell_all(Event::NodesListed(vec![Arc::from("n1"), Arc::from("n2")]));
-        self.tell(fence, Event::StoreTrouble(self.has_trouble));
+        self.tell(fence, Event::StoreDegraded(self.has_trouble));
         self.list_all_workers(fence);
     }
 
@@ -472,7 +472,7 @@
         leader.scheduler.handle_all(now, events, &mut actions);
         let acts = now_ms < leader.acts_until_ms;
         if acts {
-            leader.scheduler.settle(now, &mut actions);
+            leader.scheduler.run_due_work(now, &mut actions);
         }
         if let Err(violation) = leader.scheduler.verify() {
             panic!("term {fence}, at {now_ms} ms: {violation}");
@@ -535,7 +535,7 @@
                         text: self.ticket_of(to),
                     })
                     .collect();
-                let reply = AdviceReply::Good {
+                let reply = AdviceReply::Answered {
                     tickets,
                     validity: Duration::from_ms(1500),
                 };
