--- a/crates/scheduler/src/commits.rs
+++ b/crates/scheduler/src/commits.rs
@@ -1,10 +1,10 @@
-//! Group commits: what changed goes to the store, then what waited for it
-//! happens.
+//! Group commits: writes changed job states to the store and then applies the effects that
+//! depended on the write.
 //!
-//! A lane has one transaction open at a time, and a job is in one open
-//! transaction at most, so a later state of a job never reaches the store
-//! before an earlier one. Commits begin at a pace, in whichever lane is free:
-//! a slow store fills the lanes, and the groups grow.
+//! Each lane has at most one open transaction, and a job is in at most one open
+//! transaction, so a later state of a job never reaches the store before an earlier one.
+//! Commits begin at a fixed interval in any free lane; when the store is slow all lanes
+//! fill and the batches grow.
 
 use crate::config::LANES_COUNT;
 use crate::decision::{Decision, DecisionKind};
@@ -17,32 +17,32 @@
 use ospreywing_types::Instant;
 use std::collections::VecDeque;
 
-/// The keys that are removed where a job is forgotten.
+/// The number of keys removed when a job is removed from the store.
 const FORGET_ENTRIES_COUNT: usize = 3;
-/// The keys that are written and removed where a job has its outcome.
+/// The number of keys written and removed when a job's outcome is stored.
 const OUTCOME_ENTRIES_COUNT: usize = 2;
 
-/// What waits for a job's state to be in the store.
+/// An effect that takes place once a job's state is committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// A recorded start may be sent.
+    /// Sends a recorded start.
     Start {
         worker: WorkerKey,
         task: TaskKey,
         run: u32,
     },
-    /// The worker may forget an end.
+    /// Lets the worker discard an end.
     AckEnd { worker: WorkerKey, number: u64 },
-    /// Clients may be told of the phase.
+    /// Shows the phase to clients.
     PublishPhase(Phase),
-    /// The job is forgotten.
+    /// Removes the job.
     Forget,
 }
 
-/// What is to be committed, and what is on its way.
+/// The queue of changed jobs and the open transactions.
 #[derive(Debug, Default)]
 pub(crate) struct CommitQueue {
-    /// Jobs whose state has changed, the longest waiting first.
+    /// Jobs whose state has changed, in order of waiting.
     dirty: VecDeque<JobId>,
     /// The open transaction of each lane.
     lanes: [Option<Vec<OpenChange>>; LANES_COUNT as usize],
@@ -58,18 +58,18 @@
     }
 }
 
-/// A change that is on its way to the store.
+/// A change in an open transaction.
 #[derive(Clone, Copy, Debug)]
 struct OpenChange {
     job: JobId,
-    /// The version of the job's state that it carries.
+    /// The version of the job's state in the transaction.
     version: u64,
-    /// Whether only the outcome is kept from then on.
+    /// Whether the change stores the outcome, after which only the outcome is kept.
     is_outcome: bool,
 }
 
 impl Scheduler {
-    /// Notes that a job's state has changed, and what waits for its commit.
+    /// Queues a commit of a job's changed state, with an effect that waits for it.
     pub(crate) fn queue_commit(&mut self, id: JobId, effect: Option<Effect>) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -86,9 +86,9 @@
         }
     }
 
-    /// Begins a commit where one is due and a lane is free.
+    /// Begins a commit if one is due and a lane is free.
     pub(crate) fn flush_commits(&mut self, now: Instant, out: &mut Vec<Action>) {
-        // What fills a transaction gains nothing from waiting for more.
+        // A full transaction gains nothing from waiting for more changes.
         let is_full = self.commits.dirty.len() >= self.config.commit_limit_count;
         if self.commits.dirty.is_empty() || now < self.commits.next_at && !is_full {
             return;
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Takes as many changed jobs off the list as one transaction holds; those
-    /// that are on their way have to wait.
+    /// Removes as many changed jobs from the queue as one transaction holds; jobs in an
+    /// open transaction remain queued.
     fn next_batch(&mut self) -> Vec<JobId> {
         let mut left_count = self.config.commit_limit_count;
         let mut ids = Vec::new();
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Has the outcomes written of jobs whose last run is over, unless they wait
-    /// to be written or are on their way already.
+    /// Queues the outcomes of ended jobs without runs, unless a commit of the job is queued
+    /// or open already.
     pub(crate) fn queue_outcomes(&mut self) {
         let is_idle = |id: &&JobId| {
             let job = self.jobs.get(id);
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Lets the worker forget an end that is in the store.
+    /// Lets the worker discard an end that is in the store.
     pub(crate) fn ack_end(&mut self, key: WorkerKey, number: u64) {
         let worker = &mut self.workers[key];
         worker.uncommitted_ends.retain(|end| *end != number);
@@ -221,7 +221,7 @@
     }
 }
 
-/// Returns how many entries of a transaction a job's change takes.
+/// Returns the number of transaction entries for a job's change.
 fn entries_count(job: &Job) -> usize {
     if job.is_forgotten() {
         FORGET_ENTRIES_COUNT
@@ -232,7 +232,7 @@
     }
 }
 
-/// Returns what the store is to keep of a job now.
+/// Returns the change to store for a job's current state.
 fn next_change(job: &Job, has_runs: bool) -> ChangeKind {
     if job.is_forgotten() {
         ChangeKind::Forget
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration and the scheduler's own constants.
+//! The operators' configuration and the scheduler's constants.
 
 use crate::customers::Customer;
 use crate::features::Features;
@@ -6,117 +6,117 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// How a queue's advice is to be asked for.
+/// The cost and validity of a queue's advice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdvicePolicy {
-    /// The time that the adviser takes for a call, in milliseconds.
+    /// The time that the adviser takes for a request, in milliseconds.
     pub decision_ms: f64,
-    /// The time that it takes besides for each worker named, in milliseconds.
+    /// The additional time that it takes for each worker in the request, in milliseconds.
     pub per_worker_ms: f64,
-    /// How long a ticket holds.
+    /// How long a ticket is valid.
     pub validity: Duration,
 }
 
 impl AdvicePolicy {
-    /// Returns how long a call that names `workers_count` workers takes.
+    /// Returns the duration of a request that names `workers_count` workers.
     pub fn cost(&self, workers_count: usize) -> Duration {
         let cost_ms = self.decision_ms + self.per_worker_ms * workers_count as f64;
         Duration::from_ms(cost_ms.ceil() as u64)
     }
 }
 
-/// A queue, as the operators have set it.
+/// A configured queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// The queue's name.
     pub name: String,
     /// The service whose workers run its tasks.
     pub service: String,
-    /// Its priority; 0 comes first.
+    /// The priority; 0 comes first.
     pub priority: u32,
-    /// How often a task may fail.
+    /// The number of failures at which a task's job fails.
     pub attempts_limit_count: u32,
-    /// The factor on a job's work in its objective.
+    /// The factor applied to a job's work in its objective.
     pub stretch: f64,
-    /// What the objective allows besides, in milliseconds.
+    /// The constant part of the objective, in milliseconds.
     pub objective_ms: u64,
-    /// How advice is asked for, where the queue needs it.
+    /// The advice policy, if the queue requires advice.
     pub advice: Option<AdvicePolicy>,
 }
 
-/// A service, as the operators have set it.
+/// A configured service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServicePolicy {
-    /// Its name.
+    /// The service's name.
     pub name: String,
 }
 
-/// What the operators have set.
+/// The operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     /// The version; a higher one is newer.
     pub version: u64,
-    /// The queues by name: there may be thousands, and each job looks its own up.
+    /// The queues by name. There may be thousands, and each job looks up its own.
     pub queues: HashMap<String, Queue>,
     /// The services.
     pub services: Vec<ServicePolicy>,
-    /// The customers by name; empty where the operators name none.
+    /// The customers by name; empty if none is configured.
     pub customers: HashMap<Arc<str>, Customer>,
 }
 
 impl Configuration {
-    /// Returns a queue by its name.
+    /// Returns a queue by name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.get(name)
     }
 
-    /// Returns a customer by its name.
+    /// Returns a customer by name.
     pub fn customer(&self, name: &str) -> Option<&Customer> {
         self.customers.get(name)
     }
 
-    /// Returns whether the operators have set a service of this name.
+    /// Returns whether a service of this name is configured.
     pub fn has_service(&self, name: &str) -> bool {
         self.services.iter().any(|service| service.name == name)
     }
 }
 
-/// The lanes in which commits go out side by side.
+/// The number of lanes in which transactions are committed concurrently.
 ///
-/// One is enough while the store answers within the pace of commits; the
-/// others carry on while it is slow.
+/// One is enough while the store answers within the commit interval; the others are used
+/// while it is slow.
 pub const LANES_COUNT: u32 = 8;
 
-/// Where a task is tried that may have crashed a worker by starting there.
+/// Where a task that may have crashed a worker by starting there runs on probation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbationRule {
-    /// Wherever there is room; nothing joins it there until it has outlived its start, so
-    /// that each suspect has a worker of its own before long.
+    /// On any worker with free capacity. No other run joins it until it has passed its
+    /// start window, so each suspected task soon has a worker of its own.
     Anywhere,
-    /// Away from other jobs' runs, so that a crash costs nobody else.
+    /// On a worker without other jobs' runs, so that a crash affects no other job.
     Alone,
 }
 
-/// When a task is given up under which workers crash. How the ways compare is in
-/// docs/design/crashes.md.
+/// When a task is given up because workers crash under it. docs/design/crashes.md compares
+/// the alternatives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashPolicy {
-    /// What a crash right after the run's start counts.
+    /// The points for a crash right after the run's start.
     pub suspect_points: u32,
-    /// What a crash counts whose cause may be any of several runs.
+    /// The points for a crash that any of several runs may have caused.
     pub bystander_points: u32,
-    /// The points at which a task is given up: three crashes right after a start. With
-    /// five points, one innocent job in some 4,000 was failed on ten workers with three
-    /// tasks that crash them and a new leader each 2.5 s.
+    /// The points at which a task is given up: three crashes right after a start. With a
+    /// limit of five, about one innocent job in 4,000 failed on ten workers with three
+    /// tasks that crash them and a new leader every 2.5 s.
     pub points_limit: u32,
-    /// The crashes of any kind at which a task is given up: the platform allows two
-    /// starts more after three crashes of one task.
+    /// The number of crashes of any kind at which a task is given up: the platform allows
+    /// two more starts after three crashes of one task.
     pub crashes_limit_count: usize,
-    /// Where a suspect is tried.
+    /// Where a suspected task runs on probation.
     pub probation_rule: ProbationRule,
-    /// For how long a suspect waits for such a worker; then it goes anywhere. A
-    /// judgement: less than the 3 s in which a task must be started where there is room,
-    /// and more than a small task takes to leave a worker.
+    /// How long a suspected task waits for such a worker before it may run anywhere. This
+    /// is less than the 3 s within which a task must be started if there is free capacity,
+    /// and more than a small task needs to finish and free a worker.
     pub probation_wait: Duration,
 }
 
@@ -138,67 +138,67 @@
 pub struct SchedulerConfig {
     /// The fencing token of this leader's term.
     pub fence: u64,
-    /// The entries that one commit may have.
+    /// The maximum number of entries in one transaction.
     pub commit_limit_count: usize,
-    /// The time between the starts of two commits.
+    /// The interval between the beginnings of two transactions.
     pub commit_interval: Duration,
-    /// The least time between two passes over the waiting steps.
+    /// The minimum interval between two scheduling cycles.
     pub cycle_interval: Duration,
-    /// How many steps passes may look at in a millisecond, so that passes take a part
-    /// of the leader's time that is bounded however many steps wait. A judgement; with
-    /// four times as many, worth at 1,100 workers did not change (0.565 and 0.566,
-    /// without processor cost).
+    /// The number of steps that cycles may examine per millisecond, which bounds the share
+    /// of the leader's time that cycles take however many steps wait. With four times as
+    /// many, the worth of the completed work at 1,100 workers did not change (0.565 and
+    /// 0.566, without CPU cost).
     pub cycle_steps_per_ms: u64,
-    /// The least time between two looks for renewals that are due: each goes
-    /// over all workers, and a leader of 1,100 takes in a thousand events a second.
+    /// The minimum interval between two searches for due polls. Each search scans all
+    /// workers, and a leader of 1,100 workers handles a thousand events a second.
     pub renewal_interval: Duration,
-    /// How long a renewal keeps a worker's runs alive.
+    /// The duration of a lease.
     pub lease: Duration,
-    /// The same while the store is in trouble.
+    /// The duration of a lease while the store is slow or unavailable.
     pub extended_lease: Duration,
-    /// The longest that a worker's runs can outlive a grant by any leader.
+    /// The maximum duration of a lease that workers accept from any leader.
     pub lease_limit: Duration,
-    /// The longest that an earlier leader can have leased a worker, from the
-    /// start of this term. A leader whose lease was taken away may grant leases
-    /// until it learns of it.
+    /// The maximum time from the start of this term for which leases of an earlier leader
+    /// may last. A leader that has lost its own lease may grant leases until it learns of
+    /// the loss.
     pub recovered_lease_limit: Duration,
-    /// The most ends that a worker lists at once: a list with as many may not
-    /// hold them all.
+    /// The maximum number of ends that a worker lists at once; a list of that length may be
+    /// incomplete.
     pub listed_ends_limit_count: usize,
-    /// How long a renewal waits at the worker for an end, at least.
+    /// The minimum time for which a worker holds a poll until a run ends.
     pub poll_wait: Duration,
-    /// How long it waits at most, where many workers are busy: the workers' own
-    /// limit is 2 s, and a lease of 4 s must outlast a renewal that is lost and
-    /// the next.
+    /// The maximum time for which a worker holds a poll, used when many workers are busy.
+    /// The workers' own limit is 2 s, and a lease of 4 s must outlast a lost poll and the
+    /// next one.
     pub poll_wait_limit: Duration,
-    /// The time between an answered renewal and the next.
+    /// The interval between an answered poll and the next.
     pub poll_interval: Duration,
-    /// The time between two renewals while an end waits for its commit: the
-    /// worker lists it until it is acknowledged, so renewals would not wait for
-    /// the next one, and must still come well before a lease is over.
+    /// The interval between two polls while an end waits for its commit. The worker lists
+    /// the end until it is acknowledged, so it would answer polls at once; the next one
+    /// must still come well before the lease expires.
     pub poll_interval_during_commit: Duration,
-    /// The time until a stop that was not answered is sent again.
+    /// The interval after which an unanswered stop is repeated.
     pub stop_retry: Duration,
-    /// How long a stop may take at a worker.
+    /// The maximum time that a worker takes to stop a run.
     pub stop_grace: Duration,
-    /// How long a worker stays that is leaving and does not tell.
+    /// How long a draining worker stays if it doesn't report its departure.
     pub drain_time: Duration,
     /// How long a job's outcome is kept.
     pub retention: Duration,
-    /// When a task is given up under which workers crash.
+    /// When a task is given up because workers crash under it.
     pub crash_policy: CrashPolicy,
-    /// The decisions under load that are on.
+    /// The optional scheduling features that are enabled.
     pub features: Features,
 }
 
-/// The longest lease that is granted, however long workers would keep one. A lasting task must
-/// run again within 9 s of the loss of its worker; 0.3 s of that are for a slow clock, and
-/// placing it may take a second.
+/// The maximum duration of a lease, even if workers accept longer ones. A perpetual task
+/// must run again within 9 s of the loss of its worker; 0.3 s of that allow for a slow
+/// clock, and placing it may take a second.
 const LONG_GRANT_LIMIT: Duration = Duration::from_ms(7500);
 
 impl SchedulerConfig {
-    /// Creates the constants for a term, where workers keep leases of
-    /// `lease_limit` at most.
+    /// Creates the constants for a term on workers that accept leases of at most
+    /// `lease_limit`.
     pub fn new(fence: u64, lease_limit: Duration) -> Self {
         let limit_ms = lease_limit.as_ms();
         Self {
@@ -226,26 +226,26 @@
         }
     }
 
-    /// Adds the time for which an earlier leader may not know that it is none
-    /// any more.
+    /// Adds the time for which an earlier leader may not know that its term is over.
     pub fn with_leader_lease(mut self, leader_lease: Duration) -> Self {
         self.recovered_lease_limit = self.lease_limit + leader_lease;
         self
     }
 
-    /// Sets when a task is given up under which workers crash.
+    /// Sets when a task is given up because workers crash under it.
     pub fn with_crash_policy(mut self, policy: CrashPolicy) -> Self {
         self.crash_policy = policy;
         self
     }
 
-    /// Sets which decisions under load are on.
+    /// Sets the enabled scheduling features.
     pub fn with_features(mut self, features: Features) -> Self {
         self.features = features;
         self
     }
 
-    /// Sets how long a stop may take at a worker, and how long one stays that is leaving.
+    /// Sets the maximum time that a worker takes to stop a run, and the time for which a
+    /// draining worker stays.
     pub fn with_departures(mut self, stop_grace: Duration, drain_time: Duration) -> Self {
         self.stop_grace = stop_grace;
         self.drain_time = drain_time;
--- a/crates/scheduler/src/cordons.rs
+++ b/crates/scheduler/src/cordons.rs
@@ -1,7 +1,7 @@
-//! Cordons: data centres in which the operators want nothing new started.
+//! Cordons: data centres in which the operators allow no new starts.
 //!
-//! What runs there goes on. A start is looked at again when it is sent: between its placement
-//! and that moment its record goes to the store, which may take seconds.
+//! Runs that are already there continue. Cordons are checked again when a start is sent,
+//! since recording it in the store after the placement may take seconds.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::Action;
@@ -11,19 +11,19 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The data centres that are cordoned.
+/// The cordoned data centres.
 #[derive(Debug, Default)]
 pub(crate) struct Cordons {
     data_centres: BTreeSet<Arc<str>>,
 }
 
 impl Cordons {
-    /// Creates what the store told at the start of a term.
+    /// Creates the set from the cordons stored at the start of a term.
     pub(crate) const fn new(data_centres: BTreeSet<Arc<str>>) -> Self {
         Self { data_centres }
     }
 
-    /// Returns how many data centres are cordoned.
+    /// Returns the number of cordoned data centres.
     pub(crate) fn len(&self) -> usize {
         self.data_centres.len()
     }
@@ -35,7 +35,7 @@
 }
 
 impl Scheduler {
-    /// Takes in which data centres are cordoned.
+    /// Replaces the cordoned data centres and logs the difference.
     pub(crate) fn set_cordons(&mut self, data_centres: BTreeSet<Arc<str>>, out: &mut Vec<Action>) {
         let before = core::mem::replace(&mut self.cordons.data_centres, data_centres);
         let after = &self.cordons.data_centres;
@@ -49,26 +49,27 @@
         self.is_cycle_due = true;
     }
 
-    /// Holds starts back, or lets them go on.
+    /// Pauses or resumes starts.
     pub(crate) fn set_starts_paused(&mut self, are_paused: bool) {
         self.are_starts_paused = are_paused;
         self.is_cycle_due = true;
     }
 
-    /// Returns whether nothing new may be sent to a worker on which a run was placed.
+    /// Returns whether no start may be sent to a worker, even for a run that is already
+    /// placed there.
     pub(crate) const fn is_closed_to_starts(&self, worker: &Worker) -> bool {
         let is_leaving = worker.facts.is_draining || !worker.is_listed;
         self.are_starts_paused || worker.is_cordoned || is_leaving
     }
 
-    /// Notes which workers are in a cordoned data centre.
+    /// Updates which workers are in a cordoned data centre.
     pub(crate) fn update_cordoned_workers(&mut self) {
         for worker in self.workers.values_mut() {
             worker.is_cordoned = self.cordons.contains(&worker.facts.data_centre);
         }
     }
 
-    /// Returns whether a step may run on workers in cordoned data centres alone.
+    /// Returns whether all workers that may run a step are in cordoned data centres.
     pub(crate) fn is_confined_to_cordons(&self, pending: &PendingStep) -> bool {
         if self.cordons.len() == 0 {
             return false;
@@ -78,7 +79,7 @@
         };
         let mut eligible = self.workers.values().filter(is_eligible);
         let is_open = |worker: &Worker| !worker.is_cordoned;
-        // The first one in an open data centre ends the search.
+        // The first worker in an open data centre ends the search.
         let first = eligible.next();
         first.is_some_and(|first| !is_open(first) && !eligible.any(is_open))
     }
--- a/crates/scheduler/src/crash_records.rs
+++ b/crates/scheduler/src/crash_records.rs
@@ -1,42 +1,42 @@
-//! Evidence of workers that crashed under a task, as the store keeps it.
+//! Records of worker crashes under a task, as stored.
 //!
-//! A run that was lost with its worker is recorded in its job's progress, so the next
-//! start of its task is in the store together with all that speaks against it, and a new
-//! leader gives the same verdict.
+//! A run that was lost with its worker is recorded in its job's progress. The next start of
+//! the task is therefore stored together with all earlier crashes, and a new leader comes
+//! to the same decision.
 
 use crate::config::CrashPolicy;
 use crate::job::{StepKey, TaskKey};
 use crate::state::JobState;
 use serde::{Deserialize, Serialize};
 
-/// The crashes that must be certain for a verdict by points: the platform allows a task to
-/// be given up under which two workers have crashed, and a silent worker may only be cut
-/// off.
+/// The confirmed crashes required before points decide: the platform allows a task to be
+/// given up after two workers have crashed under it, and an unresponsive worker may only be
+/// partitioned.
 const CONFIRMED_LEAST_COUNT: usize = 2;
 
-/// What ties a run to its worker's crash.
+/// The relation of a run to its worker's crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Suspicion {
-    /// The run had begun just before, or was tried alone.
+    /// The run had just begun, or was alone on the worker, or was on probation.
     Suspect,
-    /// The run had outlived its start, or much of the rack was lost with the worker, or
-    /// nothing tells whether the run had begun.
+    /// The run had passed its start window, or much of the rack was lost with the worker,
+    /// or it is unknown whether the run had begun.
     Bystander,
-    /// Another run there was on trial, or the worker was leaving by plan.
+    /// Another run on the worker was on probation, or the worker was draining.
     Cleared,
 }
 
-/// The crash of a worker while a run of a task was on it.
+/// A worker crash while a run of a task was on the worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// The task.
     pub task: TaskKey,
-    /// The run; each run is on record once, whoever learns of the crash and how often.
+    /// The run. Each run is recorded once, however often its crash is reported.
     pub run: u32,
-    /// What ties the run to the crash.
+    /// The relation of the run to the crash.
     pub suspicion: Suspicion,
-    /// Whether the worker's life is certainly over; one that is silent while its leases
-    /// lapse may only be cut off.
+    /// Whether the worker's incarnation is certainly over. A worker that is unresponsive
+    /// until its leases expire may only be partitioned.
     pub is_confirmed: bool,
 }
 
@@ -51,8 +51,8 @@
 }
 
 impl JobState {
-    /// Returns whether a task may be one that crashes its workers: one crashed right
-    /// after its start, or several did under it.
+    /// Returns whether a task is suspected of crashing its workers: one crashed right after
+    /// the task's start, or several crashed under it.
     pub fn is_suspect(&self, task: TaskKey, policy: &CrashPolicy) -> bool {
         let is_tied = |crash: &CrashRecord| crash.suspicion == Suspicion::Suspect;
         self.points_of(task, policy) >= policy.suspect_points || self.crashes_of(task).any(is_tied)
@@ -63,7 +63,7 @@
         let confirmed = self.crashes_of(task).filter(|crash| crash.is_confirmed);
         let is_certain = confirmed.count() >= CONFIRMED_LEAST_COUNT;
         let is_proved = is_certain && self.points_of(task, policy) >= policy.points_limit;
-        // The bound on restarts goes before certainty.
+        // The limit on restarts applies even without confirmed crashes.
         is_proved || self.crashes_of(task).count() >= policy.crashes_limit_count
     }
 
@@ -76,25 +76,25 @@
         self.crashes.iter().filter(move |crash| crash.task == task)
     }
 
-    /// Puts a crash on record, in the place of what was known of the same run.
+    /// Records a crash; replaces an earlier record of the same run.
     pub fn record_crash(&mut self, record: CrashRecord) {
         self.retract_crash(record.task, record.run);
         self.crashes.push(record);
     }
 
-    /// Takes a run off the record: its worker was only cut off.
+    /// Removes the record of a run whose worker was only partitioned.
     pub fn retract_crash(&mut self, task: TaskKey, run: u32) {
         let is_other = |crash: &CrashRecord| (crash.task, crash.run) != (task, run);
         self.crashes.retain(is_other);
     }
 
-    /// Takes a task off the record: a run of it is done, or has lived on long after its
+    /// Removes the records of a task: a run of it is done, or has lived on long after its
     /// start.
     pub fn clear_crashes(&mut self, task: TaskKey) {
         self.crashes.retain(|crash| crash.task != task);
     }
 
-    /// Takes all tasks of a step off the record: its gang is done.
+    /// Removes the records of all tasks of a step: its gang is done.
     pub fn clear_gang_crashes(&mut self, step: StepKey) {
         self.crashes.retain(|crash| crash.task.step != step);
     }
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -1,10 +1,10 @@
-//! Workers that crash: which of their runs may have caused it, where suspects are tried,
+//! Worker crashes: which runs may have caused one, where suspected tasks run on probation,
 //! and when a task is given up.
 //!
-//! The signals: a call for a worker's life that another one refuses at its address says
-//! that the life is over; silence until every lease has lapsed may be a cut as well, so
-//! its records stand only until the worker answers again. A worker that was draining
-//! ends by plan: only a run that had just begun there is put on record, as cleared.
+//! A crash is confirmed when another incarnation answers at the worker's address. A worker
+//! that is unresponsive until its leases expire may only be partitioned, so its records are
+//! retracted if it answers again. A draining worker departs as planned: only a run that had
+//! just begun there is recorded, as cleared.
 
 use crate::config::ProbationRule;
 use crate::crash_records::{CrashRecord, Suspicion};
@@ -18,42 +18,44 @@
 use crate::worker::{LostRun, Run, RunPhase, Worker, WorkerKey};
 use ospreywing_types::{Duration, Instant};
 
-/// A run that its worker has outlived by this much did not crash it by starting. A
-/// judgement: the crashes seen so far came 10 ms after the start.
+/// A run did not crash its worker by starting if the worker answers this long after the run
+/// began. The crashes observed came 10 ms after the start.
 const START_WINDOW: Duration = Duration::from_ms(500);
-/// A run that lives this long clears its task of earlier crashes. A judgement: tasks
-/// that last for months must not gather the crashes of all that time.
+/// A run that lives this long clears its task of earlier crashes, so that tasks which run
+/// for months don't accumulate the crashes of all that time.
 const CLEARING_TIME: Duration = Duration::from_s(30);
-/// The workers of a rack that must be lost together, and the percentage of those that had
-/// runs, to be taken for the loss of the rack and not for some tasks' doing: with half of
-/// them, ten bad tasks on 50 workers passed for one, and crashed 4.7 workers each.
+/// The loss of a rack is assumed, and no task suspected, if at least this many of its
+/// workers are lost together and they are at least this percentage of those that had runs.
+/// At 50 percent, ten crashing tasks on 50 workers passed for a rack loss and crashed 4.7
+/// workers each.
 const RACK_LOST_COUNT: usize = 3;
 const RACK_LOST_PERCENT: usize = 75;
-/// Workers of a rack that were lost within this time were lost together: what says that
-/// a life is over comes within some seconds of the loss.
+/// Workers of a rack that are lost within this period count as lost together: the
+/// confirmation that an incarnation is over takes a few seconds.
 const RACK_LOST_PERIOD: Duration = Duration::from_s(5);
 
 impl Worker {
-    /// Returns whether the worker has answered long after it said that it has the run.
+    /// Returns whether the worker has answered a full start window after it reported the
+    /// run.
     fn has_passed_start_window(&self, run: &Run) -> bool {
         run.begun_at
             .is_some_and(|begun_at| self.answered_at >= begun_at + START_WINDOW)
     }
 
-    /// Returns whether a suspect's run there has not yet outlived its start.
+    /// Returns whether a run on probation is still in its start window on the worker.
     pub(crate) fn has_probation_run(&self) -> bool {
         let is_open = |run: &Run| run.is_on_probation && !self.has_passed_start_window(run);
         self.probation_runs_count > 0 && self.runs.values().any(is_open)
     }
 
-    /// Returns whether a suspect of the job would hurt nobody else there.
+    /// Returns whether a crash of the worker would affect no job but the given one.
     fn is_isolated_for(&self, job: JobId) -> bool {
         let is_own = |task: &TaskKey| task.step.job == job;
         let mut reservations = self.reservations.iter();
         self.runs.keys().all(is_own) && reservations.all(|kept| kept.step.job == job)
     }
 
-    /// Returns whether the worker was lost a short while ago, or seems to be lost now.
+    /// Returns whether the worker was lost recently or appears to be lost now.
     fn is_recently_lost(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.since(at) < RACK_LOST_PERIOD;
         let is_silent = self.unanswered_polls_count > 0 && !self.runs.is_empty();
@@ -62,8 +64,8 @@
 }
 
 impl Scheduler {
-    /// Puts the crash of a worker's life on record for each of its runs, and gives up
-    /// the tasks that have crashed too many.
+    /// Records the crash of an incarnation for each of its runs, and gives up the tasks
+    /// that exceed the crash limits.
     pub(crate) fn record_crash(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
         let mut lost = core::mem::take(&mut self.workers[key].lost_runs);
         lost.extend(self.runs_lost_with(key));
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Puts the crash of an earlier life on record for runs that an earlier leader recorded
-    /// for it, and gives these up.
+    /// Records the crash of an earlier incarnation for the runs that an earlier leader
+    /// recorded for it, and releases them.
     pub(crate) fn record_lost_incarnations(
         &mut self,
         now: Instant,
@@ -84,7 +86,7 @@
     ) {
         let worker = &self.workers[key];
         let mut runs = worker.runs.values();
-        // Each look comes by here, and only a term's first ones find any.
+        // This is called for each poll, and only the first ones of a term find such runs.
         if !runs.any(|run| run.phase == RunPhase::Recovered) {
             return;
         }
@@ -95,7 +97,8 @@
         };
         let mut lost = self.runs_lost_with(key);
         lost.retain(|lost| is_lost(&lost.task, &worker.runs[&lost.task]));
-        // Whether they had begun there is not known, so that the crash is laid on none.
+        // It is unknown whether these runs had begun, so the crash is attributed to none of
+        // them.
         for run in &lost {
             self.record_lost_run(now, key, *run, true, out);
         }
@@ -105,14 +108,14 @@
         }
     }
 
-    /// Decides on which of a lost worker's runs its crash is laid.
+    /// Decides which of a lost worker's runs its crash is attributed to.
     ///
-    /// On those that were on trial, where there are any; on nobody in particular where
-    /// much of the rack was lost with the worker. Of a run that an earlier leader recorded
-    /// nothing tells how far it was; the crash is laid on it where it was alone.
+    /// Runs on probation are suspected first. If there are none and much of the rack was
+    /// lost with the worker, no run is suspected. For a run that an earlier leader
+    /// recorded, its progress is unknown; it is suspected only if it was alone.
     ///
-    /// A worker that was draining takes its runs with it by plan; only one that had just
-    /// begun there may have ended it sooner.
+    /// A draining worker ends its runs as planned; only a run that had just begun may have
+    /// ended it early.
     fn attribute_crash(&self, now: Instant, key: WorkerKey, lost: &mut Vec<LostRun>) {
         if self.workers[key].facts.is_draining {
             lost.retain(|run| run.is_open);
@@ -135,8 +138,8 @@
         }
     }
 
-    /// Puts runs on record that are given up since their worker is silent. The records
-    /// are taken back where it answers again.
+    /// Records the runs that are given up because their worker is unresponsive. The records
+    /// are retracted if it answers again.
     pub(crate) fn record_unresponsive(
         &mut self,
         now: Instant,
@@ -151,8 +154,8 @@
         self.workers[key].lost_runs = lost;
     }
 
-    /// Takes back what was recorded of a worker that was silent and has answered, as the life
-    /// with this start. What was given to another life is lost for certain.
+    /// Retracts the records of an unresponsive worker that has answered. Runs assigned to
+    /// an incarnation other than the one that answered are confirmed as lost.
     pub(crate) fn retract_unresponsive(
         &mut self,
         now: Instant,
@@ -172,9 +175,9 @@
         }
     }
 
-    /// Returns the runs that are lost with a worker; of those whose start was never sent
-    /// nothing can be said. Those that the worker had answered not to have can't have crashed
-    /// it by then, and their starts were being stopped.
+    /// Returns the runs that are lost with a worker. It leaves out those whose start was
+    /// never sent, and those that the worker did not list while their starts were being
+    /// stopped: these can't have crashed it by then.
     fn runs_lost_with(&self, key: WorkerKey) -> Vec<LostRun> {
         let worker = &self.workers[key];
         let placed = worker.runs.iter().filter(|(task, run)| {
@@ -241,7 +244,7 @@
         lost_count >= RACK_LOST_COUNT && lost_count * 100 >= counted.len() * RACK_LOST_PERCENT
     }
 
-    /// Clears a task whose run its worker has listed long after its start.
+    /// Clears a task of crashes if its worker lists the run long after its start.
     pub(crate) fn clear_suspect(&mut self, now: Instant, task: TaskKey, begun_at: Instant) {
         if now.since(begun_at) < CLEARING_TIME {
             return;
@@ -257,8 +260,8 @@
         job.is_some_and(|job| job.state.is_suspect(task, &self.config.crash_policy))
     }
 
-    /// Returns whether tasks of a job are kept for workers without other jobs' runs. Where
-    /// no such worker comes free they go anywhere after a while.
+    /// Returns whether suspected tasks of a job wait for a worker without other jobs' runs.
+    /// After the policy's `probation_wait` they may run anywhere.
     pub(crate) fn is_awaiting_probation(&self, now: Instant, id: JobId) -> bool {
         let policy = &self.config.crash_policy;
         let job = self.jobs.get(&id);
@@ -269,7 +272,7 @@
         is_kept && policy.probation_rule == ProbationRule::Alone
     }
 
-    /// Returns whether a task of a job that is kept for trial may be started on a worker.
+    /// Returns whether a task of a job that awaits probation may be started on a worker.
     pub(crate) fn is_probation_worker(&self, task: TaskKey, key: WorkerKey) -> bool {
         !self.is_suspect(task) || self.workers[key].is_isolated_for(task.step.job)
     }
@@ -281,7 +284,7 @@
     }
 }
 
-/// Returns whether a run may have begun and is not known to have outlived its start.
+/// Returns whether a run may have begun and is not known to have passed its start window.
 fn is_open(worker: &Worker, run: &Run) -> bool {
     let may_have_begun =
         run.begun_at.is_some() || run.was_cut_off || run.phase == RunPhase::Recovered;
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -1,73 +1,73 @@
-//! What is logged: one entry per decision.
+//! Log entries: one for each decision of the scheduler.
 
 use crate::customers::CustomerUse;
 use crate::job::{JobId, StepKey, TaskKey};
 use ospreywing_types::Duration;
 use std::sync::Arc;
 
-/// What was decided or came to be believed.
+/// The kind of a decision or observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecisionKind {
-    /// A job came in.
+    /// A job was accepted.
     JobTaken,
-    /// A job's work is held back by its customer's limit.
+    /// A job's work waits for its customer's limit.
     JobHeld,
-    /// A step has waited for long.
+    /// A step has waited for a long time.
     StepWaits,
-    /// A run was given to a worker.
+    /// A run was placed on a worker.
     Placed,
     /// A start was sent.
     StartSent,
-    /// The worker began the run.
+    /// The worker has started the run.
     Started,
-    /// The run can't have begun.
+    /// The run can't have started.
     NotStarted,
-    /// Whether the run began is not known; it is being stopped.
+    /// It is unknown whether the run started; it is sent again or stopped.
     StartUnknown,
     /// A run is being stopped.
     StopSent,
-    /// A run's end was noted.
+    /// A run's end was handled.
     Ended,
-    /// A run was given up for lost.
+    /// A run was given up as lost.
     RunLost,
-    /// A job reached its outcome.
+    /// A job's outcome is committed.
     JobEnded,
-    /// A worker became known.
+    /// A worker was added.
     WorkerListed,
-    /// A worker is leaving.
+    /// A worker is draining.
     WorkerDraining,
-    /// A worker is not listed any more.
+    /// A worker was removed from the list.
     WorkerUnlisted,
-    /// A worker's list of runs was taken over.
+    /// A worker listed its runs for the first time under this leader's fencing token.
     WorkerSynced,
-    /// A worker did not answer.
+    /// A worker is unresponsive.
     WorkerUnresponsive,
-    /// A worker's life is over.
+    /// A worker's incarnation is over.
     WorkerGone,
-    /// A worker is heard of under its id with another start than before.
+    /// A new incarnation answered under a worker's id.
     WorkerRestarted,
     /// A worker was lost with a run on it.
     WorkerCrashed,
-    /// A worker's room has changed while work is there.
+    /// A worker's capacity changed while runs occupy it.
     WorkerResized,
-    /// A worker is avoided for a while.
+    /// A worker is avoided for some time.
     WorkerAvoided,
-    /// Advice was asked for.
+    /// Advice was requested.
     AdviceAsked,
-    /// Advice came, or did not.
+    /// An advice request was answered or has failed.
     AdviceAnswered,
-    /// A configuration came into force.
+    /// A new configuration is active.
     Configured,
-    /// A customer went over its share of a service's room, or came back.
+    /// A customer went over its fair share of a service, or came back below it.
     Share,
-    /// A data centre was cordoned, or is not any more.
+    /// A data centre was cordoned or uncordoned.
     Cordon,
-    /// A service is short of room, or is not any more.
+    /// A service became overloaded or recovered.
     Overload,
 }
 
 impl DecisionKind {
-    /// Returns the word for the log.
+    /// Returns the value for log entries.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::JobTaken => "job taken",
@@ -102,43 +102,43 @@
     }
 }
 
-/// A reservation of a customer's limit, for the log.
+/// A reservation of part of a customer's limit, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReservedLimit {
-    /// The step that it is for.
+    /// The step that it is reserved for.
     pub step: StepKey,
-    /// How long until the limit should hold that, where it is known.
+    /// The expected time until the limit has enough left for the step, if known.
     pub due_in: Option<Duration>,
 }
 
-/// One entry for the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// What was decided.
+    /// The kind of decision.
     pub kind: DecisionKind,
-    /// The job, where one is concerned.
+    /// The job, if any.
     pub job: Option<JobId>,
-    /// The task, where one is concerned.
+    /// The task, if any.
     pub task: Option<TaskKey>,
-    /// The run, where one is concerned; 0 otherwise.
+    /// The run, if any; otherwise 0.
     pub run: u32,
-    /// The worker's id, where one is concerned.
+    /// The worker's id, if any.
     pub worker: Option<Arc<str>>,
-    /// The data centre, where one is concerned.
+    /// The data centre, if any.
     pub data_centre: Option<Arc<str>>,
-    /// The job's queue, where the job is named for the first time in a term.
+    /// The job's queue, in the job's first entry of a term.
     pub queue: Option<Arc<str>>,
-    /// The service, where a whole one is concerned.
+    /// The service, for a decision about a whole service.
     pub service: Option<Arc<str>>,
-    /// The customer, and what it has running and may have, where that decides.
+    /// The customer with its usage and limit, if these were decisive.
     pub customer: Option<CustomerUse>,
-    /// The reservation of the customer's limit, where there is one.
+    /// The reservation of the customer's limit, if there is one.
     pub reserved: Option<ReservedLimit>,
-    /// Why, or how it came out.
+    /// The reason or the result.
     pub reason: &'static str,
-    /// The age of the belief or the size that decided, by kind.
+    /// A number that depends on the kind, such as an age in milliseconds or a count.
     pub figure: u64,
-    /// How many workers were found good, where advice was answered.
+    /// The number of suitable workers in an adviser's answer.
     pub good_count: usize,
 }
 
@@ -162,56 +162,56 @@
         }
     }
 
-    /// Names the job.
+    /// Sets the job.
     pub const fn with_job(mut self, job: JobId) -> Self {
         self.job = Some(job);
         self
     }
 
-    /// Names the task and its run.
+    /// Sets the task and its run.
     pub const fn with_run(mut self, task: TaskKey, run: u32) -> Self {
         self.task = Some(task);
         self.run = run;
         self
     }
 
-    /// Names the worker.
+    /// Sets the worker.
     pub fn with_worker(mut self, worker: &Arc<str>) -> Self {
         self.worker = Some(worker.clone());
         self
     }
 
-    /// Names the data centre.
+    /// Sets the data centre.
     pub fn with_data_centre(mut self, data_centre: &Arc<str>) -> Self {
         self.data_centre = Some(data_centre.clone());
         self
     }
 
-    /// Names the job's queue.
+    /// Sets the job's queue.
     pub fn with_queue(mut self, queue: &str) -> Self {
         self.queue = Some(Arc::from(queue));
         self
     }
 
-    /// Names the service.
+    /// Sets the service.
     pub fn with_service(mut self, service: &Arc<str>) -> Self {
         self.service = Some(service.clone());
         self
     }
 
-    /// Names the customer and its use.
+    /// Sets the customer and its usage.
     pub fn with_customer(mut self, customer: CustomerUse) -> Self {
         self.customer = Some(customer);
         self
     }
 
-    /// Names the reservation of the customer's limit.
+    /// Sets the reservation of the customer's limit.
     pub const fn with_reserved(mut self, reserved: Option<ReservedLimit>) -> Self {
         self.reserved = reserved;
         self
     }
 
-    /// Sets how many workers were found good.
+    /// Sets the number of suitable workers.
     pub const fn with_good_count(mut self, good_count: usize) -> Self {
         self.good_count = good_count;
         self
--- a/crates/scheduler/src/departures.rs
+++ b/crates/scheduler/src/departures.rs
@@ -1,10 +1,11 @@
-//! Departures: what becomes of runs on workers that are leaving.
+//! Departures: stops runs on draining workers in time.
 //!
-//! Whatever still runs on a worker when it goes is lost with it, and the loss is known only
-//! once its leases are over. So a run that can't end in time is stopped before, and placed
-//! elsewhere at once: late where it saves checkpoints, since the stop saves one; as soon as
-//! the leaving is known where it saves none, since all that it still did would be lost. The
-//! members of a gang are stopped together.
+//! A run that is still on a worker when it departs is lost, and the loss is certain only
+//! once the worker's leases have expired. A run that can't end in time is therefore stopped
+//! before and placed elsewhere at once. If it saves checkpoints it is stopped as late as
+//! possible, since the stop saves one. If it saves none it is stopped as soon as the
+//! departure is known, since all further work would be lost. The members of a gang are
+//! stopped together.
 
 use crate::event::Action;
 use crate::job::TaskKey;
@@ -13,29 +14,30 @@
 use ospreywing_types::{Duration, Instant};
 use std::collections::BTreeSet;
 
-/// How long before a worker goes its runs are stopped, beside the time that a stop takes: the
-/// order is on its way, and the end must be listed and asked for.
+/// How long before a departure runs are stopped, in addition to the time that a stop takes:
+/// the order must arrive, and the end must be listed and polled.
 const STOP_MARGIN: Duration = Duration::from_ms(1000);
-/// How long before a worker goes a run must end: its end must be listed and asked for.
+/// How long before a departure a run must end, so that its end can be listed and polled.
 const END_MARGIN: Duration = Duration::from_ms(300);
 
-/// Why a run is stopped.
+/// The reason for such stops in the log.
 const REASON: &str = "worker leaving";
 
 impl Worker {
-    /// Notes when the worker goes at the earliest, as its entry tells now.
+    /// Updates the worker's earliest departure from its entry.
     pub(crate) fn update_departure(&mut self, now: Instant, drain_time: Duration) {
         if !self.facts.is_draining {
             self.departs_at = None;
             return;
         }
         let told = self.reported_departure();
-        // Without a word on it, the time counts from when the leaving was told first.
+        // If no departure is reported, the time counts from when the worker was first
+        // listed as draining.
         let known = self.departs_at.unwrap_or(now + drain_time);
         self.departs_at = Some(told.unwrap_or(known));
     }
 
-    /// Returns when the worker goes at the earliest, where it tells and its clock is known.
+    /// Returns the earliest departure, if it is reported and the worker's clock is known.
     fn reported_departure(&self) -> Option<Instant> {
         let clock = self.clock?;
         let left_ms = self.facts.departs_at_clock_ms?.checked_sub(clock.clock_ms);
@@ -44,7 +46,7 @@
 }
 
 impl Scheduler {
-    /// Stops the runs that would be lost with workers that are leaving.
+    /// Stops the runs that would be lost with departing workers.
     pub(crate) fn stop_before_departures(&mut self, now: Instant, out: &mut Vec<Action>) {
         let leaving = self.workers.values().filter(|worker| !worker.is_gone);
         let leaving = leaving.filter_map(|worker| Some((worker, worker.departs_at?)));
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Returns whether a run on a worker that goes at `departs_at` is to be stopped now.
+    /// Returns whether a run on a worker that departs at `departs_at` has to be stopped
+    /// now.
     fn is_stop_due(&self, now: Instant, departs_at: Instant, task: TaskKey, run: &Run) -> bool {
         if !matches!(run.phase, RunPhase::Running { .. }) {
             return false;
@@ -83,7 +86,7 @@
         !ends_in_time && (loses_all || is_last_moment)
     }
 
-    /// Notes that a gang's run is being stopped for a checkpoint.
+    /// Records that a gang's run is being stopped to save a checkpoint.
     fn record_gang_stop(&mut self, task: TaskKey) {
         let worker = self.placements.get(&task);
         let run = worker.and_then(|worker| self.workers[*worker].runs.get(&task));
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs, and what follows from them.
+//! Ends of runs and their effects on tasks, jobs and workers.
 
 use crate::commits::Effect;
 use crate::decision::{Decision, DecisionKind};
@@ -9,15 +9,15 @@
 use crate::worker::{RunPhase, WorkerKey};
 use ospreywing_types::{Duration, Instant};
 
-/// Failures in a row after which a worker is avoided.
+/// The consecutive failures after which a worker is avoided.
 const AVOID_AFTER_COUNT: u32 = 2;
-/// How long it is avoided at first; doubled with each further failure.
+/// How long a worker is avoided at first; doubled with each further failure.
 const AVOID_BASE: Duration = Duration::from_ms(1500);
-/// The most doublings.
+/// The maximum number of doublings.
 const AVOID_DOUBLINGS_COUNT: u32 = 3;
 
 impl Scheduler {
-    /// Takes in an end that a worker lists.
+    /// Handles an end that a worker lists.
     pub(crate) fn handle_end(
         &mut self,
         now: Instant,
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Has the worker forget an end once the store has what its job's state is
-    /// now. An end that changes nothing may be one that an unrecorded change has
-    /// made needless, and a new leader would not know of that change.
+    /// Acknowledges an end once the store has the current state of its job. This holds for
+    /// an end that changes nothing too: a change that is not yet committed may have made it
+    /// redundant, and a new leader would not know of that change.
     fn ack_once_recorded(&mut self, key: WorkerKey, end: &EndedRun) {
         let number = end.number;
         let id = end.task.step.job;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Changes the job's state; returns whether anything has to be committed.
+    /// Updates the job's state; returns whether it has to be committed.
     fn record_end(&mut self, end: &EndedRun, is_current: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&end.task.step.job) else {
             return false;
@@ -159,8 +159,8 @@
         self.break_gang(now, step);
     }
 
-    /// Stops other runs of a task that is done, or of its gang: they have nothing to win.
-    /// The members of the run itself end by themselves.
+    /// Stops the other runs of a task, or of a gang, that is done. The members of the run
+    /// that ended stop by themselves.
     fn stop_later_runs(&mut self, now: Instant, end: &EndedRun, out: &mut Vec<Action>) {
         let tasks = if self.is_gang(end.task.step) {
             self.members(end.task.step)
@@ -205,7 +205,7 @@
         spec.is_some_and(|spec| spec.is_gang)
     }
 
-    /// Takes back a run of which nothing was sent.
+    /// Removes a run whose start was never sent.
     pub(crate) fn unplace(&mut self, task: TaskKey) {
         let Some(key) = self.placements.remove(&task) else {
             return;
@@ -220,7 +220,7 @@
         self.is_cycle_due = true;
     }
 
-    /// Takes back a run that can't be alive any more, and the gang with it.
+    /// Removes a run that can't be alive any more, and stops the rest of its gang.
     pub(crate) fn release_run(
         &mut self,
         now: Instant,
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Counts a failure against a worker; after a few in a row it is avoided.
+    /// Counts a failure of a worker; after a few consecutive ones the worker is avoided.
     pub(crate) fn record_failure(
         &mut self,
         now: Instant,
@@ -278,7 +278,7 @@
         out.push(Action::Log(line));
     }
 
-    /// Takes back all runs of a worker whose life, or whose leases, are over.
+    /// Removes all runs of a worker whose incarnation is over or whose leases have expired.
     pub(crate) fn release_all_runs(
         &mut self,
         now: Instant,
@@ -296,7 +296,8 @@
         }
     }
 
-    /// Takes in that a worker's life is over: another one has answered at its address.
+    /// Handles an answer from another incarnation at the worker's address: the expected one
+    /// is over.
     pub(crate) fn on_incarnation_over(
         &mut self,
         now: Instant,
@@ -315,14 +316,14 @@
         self.release_all_runs(now, key, reason, out);
     }
 
-    /// Notes that a life is over, and puts its crash on record for what ran there.
+    /// Marks an incarnation as over and records its crash for the runs that were there.
     pub(crate) fn mark_gone(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
         self.workers[key].is_gone = true;
         self.record_crash(now, key, out);
         self.workers[key].gone_at = Some(now);
     }
 
-    /// Sends stops again that were not answered.
+    /// Repeats the stops that are unanswered.
     pub(crate) fn repeat_stops(&mut self, now: Instant, out: &mut Vec<Action>) {
         let retry = self.config.stop_retry;
         for (key, worker) in self.workers.iter_mut() {
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told, and what it wants done.
+//! The scheduler's input events and output actions.
 
 use crate::config::Configuration;
 use crate::decision::Decision;
@@ -13,22 +13,22 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// Well.
+    /// The run succeeded.
     Done,
-    /// By its own fault or the worker's.
+    /// The run failed, through its own fault or the worker's.
     Failed,
-    /// By a stop.
+    /// The leader stopped the run.
     Stopped,
-    /// Its lease was over.
+    /// The run's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the run's gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of the run's gang did not start in time.
     Alone,
 }
 
 impl EndKind {
-    /// Returns the word for the log.
+    /// Returns the value for log entries.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -50,17 +50,17 @@
     pub run: u32,
     /// Its newest checkpoint.
     pub checkpoint: Option<String>,
-    /// How much of its work is done.
+    /// The completed part of its work, in percent.
     pub progress_percent: u32,
-    /// The tail of a serving task's answers in milliseconds, otherwise the
-    /// processors in use in thousandths of a core; over the last half second.
+    /// For a serving task, a high quantile of its response times in milliseconds; otherwise
+    /// its CPU use in thousandths of a core. Measured over the last half second.
     pub usage_figure: u32,
 }
 
 /// A run that a worker lists as ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedRun {
-    /// The end's number in the worker's life.
+    /// The end's sequence number within the worker's incarnation.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
@@ -72,53 +72,54 @@
     pub checkpoint: Option<String>,
 }
 
-/// What became of a renewal.
+/// The result of a poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HoldReply {
-    /// The worker's lists.
+    /// The worker listed its runs.
     Listed {
-        /// When the life that answers started, where the platform tells.
+        /// The incarnation of the worker that answered, if the platform reports it.
         #[serde(rename = "life_start")]
         incarnation: Option<Incarnation>,
         /// The worker's clock, in milliseconds.
         clock_ms: u64,
-        /// What is alive.
+        /// The runs that are alive.
         running: Vec<RunningRun>,
-        /// What has ended and was not yet forgotten.
+        /// The runs that have ended and whose ends are not yet acknowledged.
         ended: Vec<EndedRun>,
     },
-    /// A newer leader has been there.
+    /// A newer leader has polled the worker.
     Fenced,
-    /// Another life answers at the address.
+    /// Another incarnation answered at the address.
     #[serde(rename = "OtherLife")]
     OtherIncarnation,
     /// There was no usable answer.
     Unanswered,
 }
 
-/// Why a worker certainly has not started a run.
+/// The reason why a worker has certainly not started a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusedStart {
-    /// A newer leader has been there.
+    /// A newer leader has contacted the worker.
     Fence,
-    /// The run is not above one that stopped or ended there.
+    /// The run's number does not exceed that of a run of the task that was stopped or has
+    /// ended there.
     Old,
-    /// The lease in the order was over.
+    /// The lease in the order had expired.
     Late,
-    /// The worker has no room.
+    /// The worker has too little free capacity.
     Room,
-    /// The ticket is missing or over.
+    /// The ticket is missing or has expired.
     Ticket,
-    /// The worker is not well.
+    /// The worker is unhealthy.
     Unhealthy,
-    /// The order was malformed for it.
+    /// The worker found the order malformed.
     Invalid,
     /// The order was never sent.
     NotSent,
 }
 
 impl RefusedStart {
-    /// Returns the word for the log.
+    /// Returns the value for log entries.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Fence => "fence",
@@ -133,117 +134,116 @@
     }
 }
 
-/// What became of a start.
+/// The result of a start order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartReply {
-    /// The run is there.
+    /// The worker has the run.
     Started,
-    /// The run is not there.
+    /// The worker does not have the run.
     Refused(RefusedStart),
-    /// Another life answers at the address.
+    /// Another incarnation answered at the address.
     #[serde(rename = "OtherLife")]
     OtherIncarnation,
-    /// Nothing is known; it may start yet.
+    /// There was no usable answer; the worker may still start the run.
     Unanswered,
 }
 
-/// What became of a stop.
+/// The result of a stop order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopReply {
-    /// The run ends soon, or can't start any more.
+    /// The run ends soon or can't start any more.
     Stopping,
-    /// A newer leader has been there.
+    /// A newer leader has contacted the worker.
     Fenced,
-    /// Another life answers at the address.
+    /// Another incarnation answered at the address.
     #[serde(rename = "OtherLife")]
     OtherIncarnation,
-    /// Nothing is known.
+    /// There was no usable answer.
     Unanswered,
 }
 
-/// Leave to run a step's tasks on a worker.
+/// An adviser's permission to run a step's tasks on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The worker's id.
     pub worker: Arc<str>,
-    /// The ticket itself.
+    /// The adviser's text, which a start order carries to the worker.
     pub text: Arc<str>,
 }
 
-/// What became of a call for advice.
+/// The result of an advice request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdviceReply {
-    /// The workers that may run the step.
+    /// The adviser returned the workers that may run the step.
     Answered {
-        /// Their tickets.
+        /// One ticket for each suitable worker.
         tickets: Vec<Ticket>,
-        /// How long they hold.
+        /// How long the tickets are valid.
         validity: Duration,
     },
     /// There was no usable answer.
     Unanswered,
 }
 
-/// Where a worker's agent is met.
+/// The address of a worker's agent and the incarnation that is expected there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// The worker, in this scheduler.
+    /// The scheduler's key of the worker.
     pub worker: WorkerKey,
-    /// The worker's id; every order names the life that is meant.
+    /// The worker's id; every order names the worker that it is meant for.
     pub id: Arc<str>,
-    /// When the life started that is meant, where that is known: it alone may be told to
-    /// forget ends.
+    /// The incarnation that the order is meant for, if known. Ends are acknowledged only to
+    /// this incarnation.
     #[serde(rename = "life_start")]
     pub incarnation: Option<Incarnation>,
-    /// Its address.
+    /// The agent's address.
     pub address: Arc<str>,
 }
 
-/// A change of the list of live workers.
+/// A change to the list of live workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerChange {
-    /// A worker is listed, or something else is listed of it.
+    /// A worker was added, or its entry has changed.
     Listed(WorkerFacts),
-    /// The worker with this id is not listed any more.
+    /// The worker with this id was removed from the list.
     Unlisted(Arc<str>),
 }
 
-/// Something that happened.
+/// An input event.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A job was accepted and is in the store.
     JobAccepted {
         /// The job.
         job: JobId,
-        /// What was accepted.
+        /// The accepted job.
         record: Box<JobRecord>,
     },
-    /// A cancel was accepted and is in the store.
+    /// A cancellation was accepted and is in the store.
     CancelAccepted {
         /// The job.
         job: JobId,
     },
-    /// A configuration came into force.
+    /// A new configuration is active.
     Configured(Configuration),
-    /// The data centres in which the operators want nothing new started, whole.
+    /// The complete set of cordoned data centres.
     CordonsListed(BTreeSet<Arc<str>>),
-    /// Whether nothing new may be started: what was told last of cordons or workers may be
-    /// outdated.
+    /// Whether starts are paused because the known cordons or workers may be outdated.
     StartsPaused(bool),
-    /// The list of live workers, whole.
+    /// The complete list of live workers.
     WorkersListed(Vec<WorkerFacts>),
-    /// What has changed of the list of live workers, in its order.
+    /// Changes to the list of live workers, in order.
     WorkersChanged(Vec<WorkerChange>),
-    /// A renewal was answered, or not.
+    /// A poll was answered, timed out, or failed.
     HoldAnswered {
         /// The worker.
         worker: WorkerKey,
-        /// When the renewal was sent.
+        /// When the poll was sent.
         sent_at: Instant,
-        /// What became of it.
+        /// The result.
         reply: HoldReply,
     },
-    /// A start was answered, or not.
+    /// A start order was answered, timed out, or failed.
     StartAnswered {
         /// The worker.
         worker: WorkerKey,
@@ -251,10 +251,10 @@
         task: TaskKey,
         /// The run.
         run: u32,
-        /// What became of it.
+        /// The result.
         reply: StartReply,
     },
-    /// A stop was answered, or not.
+    /// A stop order was answered, timed out, or failed.
     StopAnswered {
         /// The worker.
         worker: WorkerKey,
@@ -262,35 +262,35 @@
         task: TaskKey,
         /// The run.
         run: u32,
-        /// What became of it.
+        /// The result.
         reply: StopReply,
     },
-    /// The nodes that can ask the adviser, whole.
+    /// The complete list of nodes that can send advice requests.
     NodesListed(Vec<Arc<str>>),
-    /// Advice was answered, or not.
+    /// An advice request was answered, timed out, or failed.
     AdviceAnswered {
         /// The step.
         step: StepKey,
-        /// The workers that were named.
+        /// The workers that the request named.
         named: Vec<WorkerKey>,
-        /// What became of it.
+        /// The result.
         reply: AdviceReply,
     },
-    /// A lane's commit is in the store.
+    /// A lane's transaction is committed.
     Committed {
         /// The lane.
         lane: u32,
     },
-    /// Whether the store answers as it should.
+    /// Whether the store is slow or unavailable.
     StoreDegraded(bool),
-    /// The wall clock, for jobs with a schedule, in milliseconds since 1970.
+    /// The wall-clock time in milliseconds since the Unix epoch, for jobs with a schedule.
     WallClock(u64),
-    /// Time has passed.
+    /// Time has passed; runs periodic work.
     Tick,
 }
 
 impl Event {
-    /// Returns whether the event tells what the operators have set.
+    /// Returns whether the event carries settings of the operators.
     pub(crate) const fn is_set_by_operators(&self) -> bool {
         matches!(
             self,
@@ -299,24 +299,24 @@
     }
 }
 
-/// A change of the store.
+/// A change to the stored state of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The job.
     pub job: JobId,
-    /// What is to become of what the store keeps of it.
+    /// The kind of change.
     pub kind: ChangeKind,
 }
 
-/// What a change does to what the store keeps of a job.
+/// The kind of a [`Change`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// Writes the job's progress, in its stored form.
+    /// Writes the job's encoded progress.
     Progress(Vec<u8>),
-    /// Writes the job's outcome, in its stored form, in the place of what was
-    /// accepted, and removes its progress: nothing of the job runs any more.
+    /// Replaces the accepted job by its encoded outcome and removes its progress. None of
+    /// the job's runs is alive.
     Outcome(Vec<u8>),
-    /// Removes everything.
+    /// Removes everything stored about the job.
     Forget,
 }
 
@@ -327,35 +327,35 @@
     pub task: TaskKey,
     /// The run.
     pub run: u32,
-    /// The text of the job.
+    /// The job's payload.
     pub payload: Arc<str>,
-    /// Until when the worker's runs are leased, on its clock.
+    /// The end of the worker's lease, in milliseconds on the worker's clock.
     pub until_ms: u64,
-    /// The checkpoint to go on from.
+    /// The checkpoint to resume from.
     pub checkpoint: Option<String>,
-    /// The ticket, where the queue needs advice.
+    /// The ticket, if the queue requires advice.
     pub ticket: Option<Arc<str>>,
 }
 
-/// Something to be done.
+/// An output action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write these changes in one transaction of the lane; answered by
-    /// [`Event::Committed`] once they are certainly there.
+    /// Writes the changes in one transaction of the lane. [`Event::Committed`] follows once
+    /// they are certainly stored.
     Commit {
         /// The lane.
         lane: u32,
         /// The changes.
         changes: Vec<Change>,
     },
-    /// Send a start.
+    /// Sends a start order.
     Start {
         /// The worker.
         to: Endpoint,
         /// The order.
         order: StartOrder,
     },
-    /// Send a stop.
+    /// Sends a stop order.
     Stop {
         /// The worker.
         to: Endpoint,
@@ -364,32 +364,34 @@
         /// The run.
         run: u32,
     },
-    /// Renew a worker's lease and ask for its lists.
+    /// Polls a worker for its runs and may renew its lease.
     Hold {
         /// The worker.
         to: Endpoint,
-        /// Until when, on the worker's clock; `None` to ask only.
+        /// The end of the renewed lease, in milliseconds on the worker's clock; `None`
+        /// polls without renewing.
         until_ms: Option<u64>,
-        /// The last end that the worker may forget.
+        /// The number up to which the worker may discard its ends.
         last_seen: u64,
-        /// How long the worker may wait for an end.
+        /// How long the worker may hold the poll until a run ends.
         wait: Duration,
-        /// How long the answer may take beyond that.
+        /// The timeout of the answer, in addition to `wait`.
         patience: Duration,
     },
-    /// Ask for advice.
+    /// Requests advice.
     Advise {
         /// The step.
         step: StepKey,
-        /// The workers to be named.
+        /// The workers to ask about.
         workers: Vec<Endpoint>,
-        /// The node that asks.
+        /// The node that sends the request.
         node: Arc<str>,
-        /// How long the adviser will take, with the calls before this one.
+        /// The expected time until the adviser answers, including the requests before this
+        /// one.
         expected: Duration,
     },
-    /// A newer leader exists.
+    /// Steps down: a newer leader exists.
     StepDown,
-    /// Write a line to the log.
+    /// Writes a log entry.
     Log(Decision),
 }
--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -1,6 +1,7 @@
-//! What a leader has learned, in a form that it hands on to those who may lead next.
+//! The durations and speeds that a leader has learned, in the form sent to its possible
+//! successors.
 //!
-//! Numbers are whole and bounded, so that what can't be is told apart from what was learned.
+//! All numbers are bounded integers, so that invalid values can be detected.
 
 use crate::durations::Durations;
 use crate::scheduler::Scheduler;
@@ -9,74 +10,76 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Quantiles of lengths in milliseconds, or of ratios to estimates in thousandths.
+/// Quantiles of durations in milliseconds, or of ratios of durations to estimates in
+/// thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LearnedQuantiles {
-    /// What one in ten is below.
+    /// The 0.1 quantile.
     pub sure: u64,
     /// The median.
     pub likely: u64,
-    /// What nine in ten are below.
+    /// The 0.9 quantile.
     pub late: u64,
     /// The standard deviation of the logarithm, in thousandths.
     pub spread_milli: u32,
 }
 
 impl LearnedQuantiles {
-    /// Returns whether they are in their order.
+    /// Returns whether the quantiles are positive and in ascending order.
     pub(crate) const fn is_ordered(&self) -> bool {
         self.sure > 0 && self.sure <= self.likely && self.likely <= self.late
     }
 }
 
-/// What was learned of a queue's steps of one size.
+/// Learned durations of a queue's steps of one size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LearnedSize {
     /// The queue.
     pub queue: Arc<str>,
-    /// Whether they are gangs.
+    /// Whether the steps are gangs.
     pub is_gang: bool,
-    /// The power of two that their estimates lie above; `None` for all sizes together.
+    /// The binary logarithm of the size class's lower bound of estimates; `None` for all
+    /// sizes together.
     pub size: Option<u32>,
-    /// Lengths to estimates, where steps had estimates.
+    /// Ratios of durations to estimates, if the steps had estimates.
     pub ratios: Option<LearnedQuantiles>,
-    /// Lengths.
+    /// Durations.
     pub lengths: LearnedQuantiles,
-    /// The steps from which this was learned.
+    /// The number of steps observed.
     pub count: u64,
-    /// The age of the newest of them, in milliseconds.
+    /// The age of the newest observation, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What was learned of a machine.
+/// The learned speed of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LearnedSpeed {
     /// The machine.
     pub machine: Arc<str>,
-    /// Its speed by nature, in thousandths of the usual one.
+    /// The baseline speed, in thousandths of the typical one.
     pub speed_milli: u32,
-    /// The runs from which this was learned.
+    /// The number of runs observed.
     pub runs_count: u32,
-    /// The age of the newest of them, in milliseconds.
+    /// The age of the newest observation, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a leader has learned.
+/// The durations and speeds that a leader has learned.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Learned {
-    /// Lengths.
+    /// The learned durations.
     pub sizes: Vec<LearnedSize>,
-    /// Speeds.
+    /// The learned speeds.
     pub speeds: Vec<LearnedSpeed>,
 }
 
 impl Learned {
-    /// Returns whether there is nothing in it.
+    /// Returns whether nothing has been learned.
     pub fn is_empty(&self) -> bool {
         self.sizes.is_empty() && self.speeds.is_empty()
     }
 
-    /// Adds the time for which it was kept.
+    /// Adds the time since the snapshot was taken to all ages.
     pub fn add_age(&mut self, kept: Duration) {
         let sizes = self.sizes.iter_mut().map(|it| &mut it.age_ms);
         let speeds = self.speeds.iter_mut().map(|it| &mut it.age_ms);
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Takes in what an earlier leader has learned; what this one learns takes its place.
+    /// Restores what an earlier leader learned; replaces what this one has learned so far.
     pub fn restore_learned(&mut self, now: Instant, learned: &Learned) {
         if !self.is_learning() {
             return;
--- a/crates/scheduler/src/incarnation.rs
+++ b/crates/scheduler/src/incarnation.rs
@@ -1,22 +1,23 @@
-//! The start of a worker's life.
+//! The identity of a worker's incarnation.
 
 use serde::{Deserialize, Serialize};
 
-/// When a worker has started, in milliseconds since 1970, as the worker tells it.
+/// An incarnation of a worker, identified by its start time as the worker reports it, in
+/// milliseconds since the Unix epoch.
 ///
-/// A worker may start again under the id that it had. It then knows nothing of before, and
-/// its clock and the numbers of its ends begin anew. Two starts that differ are two lives;
-/// which one is the later they don't tell, since the time of day is set back and ahead.
+/// A worker may restart under the same id. It then has no state from before, and its clock
+/// and the numbers of its ends start anew. Different start times mean different
+/// incarnations, but not which one is later, since the wall clock may be set back or ahead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Creates a start from milliseconds since 1970.
+    /// Creates an incarnation from a start time in milliseconds since the Unix epoch.
     pub const fn from_ms(wall_ms: u64) -> Self {
         Self(wall_ms)
     }
 
-    /// Returns the milliseconds since 1970.
+    /// Returns the start time in milliseconds since the Unix epoch.
     pub const fn as_ms(self) -> u64 {
         self.0
     }
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -1,10 +1,10 @@
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same id.
 //!
-//! A [`WorkerKey`] stands for one life. What is known of a life (its clock, the numbers of
-//! its ends, its leases, what advice told) holds for no other, so a life that follows under
-//! the same id gets a key of its own. Which life is there, only the worker's own answers
-//! tell: its entry in the store may be written late, and the start is a time of day, which
-//! may be set back.
+//! Each [`WorkerKey`] identifies one incarnation. What is known of an incarnation (its
+//! clock, the numbers of its ends, its leases, its advice) does not apply to any other, so
+//! the next one under the same id gets a new key. Only the worker's own answers show which
+//! incarnation runs: its entry in the store may be written late, and the start time that
+//! identifies it is wall-clock time, which may be set back.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, Endpoint};
@@ -18,31 +18,31 @@
 /// The runs that an answer lists, alive or ended.
 pub(crate) type ListedRuns = BTreeSet<(TaskKey, u32)>;
 
-/// What becomes of a run when another life answers under its worker's id.
+/// What happens to a run when another incarnation answers under its worker's id.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Disposition {
-    /// It is there, or the answer to its start will tell.
+    /// The new incarnation has the run, or the answer to its start will tell.
     Kept,
-    /// It was lost with the life before, but a start of it that was never answered may
+    /// The run was lost with the previous incarnation, but an unanswered start of it may
     /// still be carried out.
     Open,
-    /// It was lost with the life before, or was never sent.
+    /// The run was lost with the previous incarnation, or its start was never sent.
     Lost,
 }
 
 impl Worker {
-    /// Returns whether an answer comes from another life than the one that answered before.
+    /// Returns whether an answer comes from an incarnation other than the known one.
     pub(crate) fn is_other_incarnation(&self, incarnation: Option<Incarnation>) -> bool {
         matches!((self.incarnation, incarnation), (Some(known), Some(told)) if known != told)
     }
 
-    /// Returns whether an entry may be that of the life that answers.
+    /// Returns whether an entry may describe the incarnation that answers.
     pub(crate) fn may_be_own_entry(&self, facts: &WorkerFacts) -> bool {
         !self.is_other_incarnation(facts.incarnation)
     }
 
-    /// Notes which life answers. An entry of another one is of no use from then on: its
-    /// room may be another.
+    /// Sets the incarnation that answers. The entry of another one is ignored from then on,
+    /// since its capacity may differ.
     pub(crate) fn set_incarnation(&mut self, incarnation: Option<Incarnation>) {
         self.incarnation = self.incarnation.or(incarnation);
         self.is_listed &= !self.is_other_incarnation(self.facts.incarnation);
@@ -50,8 +50,8 @@
 }
 
 impl Scheduler {
-    /// Takes in an entry that names another life than the one that answers: nothing new
-    /// is started there, and the worker is asked at once.
+    /// Handles an entry that names another incarnation than the one that answers: no run is
+    /// placed on the worker, and it is polled at once.
     pub(crate) fn on_other_entry(&mut self, now: Instant, key: WorkerKey, facts: WorkerFacts) {
         let worker = &mut self.workers[key];
         worker.is_listed = false;
@@ -67,11 +67,11 @@
         }
     }
 
-    /// Ends a life, since another one has answered under its id, and begins that one;
-    /// returns its key.
+    /// Ends an incarnation because another one has answered under its id, and returns the
+    /// key of the new one.
     ///
-    /// Starts that were meant for the life before may have been carried out in the new
-    /// one, so runs that may be there go over to it.
+    /// Starts meant for the previous incarnation may have been carried out in the new one,
+    /// so runs that may be there are moved to it.
     pub(crate) fn begin_next_incarnation(
         &mut self,
         now: Instant,
@@ -110,7 +110,7 @@
         before.is_listed = false;
         let facts = entry.unwrap_or_else(|| before.facts.clone());
         let id = facts.id.clone();
-        // What was granted by the clock of the life before is cut to the limit there.
+        // The new incarnation limits leases granted for the previous one's clock.
         let mut next = self.new_worker(facts, lease_bound(now, self.config.lease_limit));
         next.is_listed = is_listed;
         next.incarnation = incarnation;
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Has a new life refuse the starts that were meant for the one before and may still
-    /// come, though their runs have ended or were given up.
+    /// Sends the new incarnation stops for starts that were meant for the previous one and
+    /// may still arrive, though their runs have ended or were given up.
     fn stop_open_starts(
         &mut self,
         now: Instant,
@@ -159,7 +159,7 @@
         send_open_start_stops(self.workers[to].endpoint(to), stops, out);
     }
 
-    /// Repeats the stops of such starts that were not answered.
+    /// Repeats the unanswered stops of such starts.
     pub(crate) fn repeat_open_start_stops(&mut self, now: Instant, out: &mut Vec<Action>) {
         let retry = self.config.stop_retry;
         for (key, worker) in self.workers.iter_mut().filter(|(_, it)| !it.is_gone) {
@@ -170,8 +170,9 @@
         }
     }
 
-    /// Stops in a new life what was being stopped in the one before, and what may still
-    /// begin there: a run that was stopped before it came is refused.
+    /// Stops in the new incarnation the runs that were being stopped in the previous one or
+    /// may still begin there. A stop that arrives before the start makes the worker refuse
+    /// it.
     fn stop_in_next_incarnation(
         &mut self,
         now: Instant,
@@ -195,7 +196,8 @@
         }
     }
 
-    /// Returns which life of a worker has a task's run now, where it was begun for `key`.
+    /// Returns the incarnation that has a task's run now, given the one to which its start
+    /// was sent.
     pub(crate) fn incarnation_with(&self, key: WorkerKey, task: TaskKey) -> WorkerKey {
         let placed = self.placements.get(&task).copied();
         let is_next =
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -1,4 +1,5 @@
-//! Workers' leases and what they list: renewed, taken in, given up.
+//! Worker leases: polls that renew them, the runs that workers list, and leases that
+//! expire.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, EndedRun, HoldReply, RunningRun};
@@ -11,34 +12,32 @@
 use crate::worker::{lease_bound, ClockReading, Run, RunPhase, Worker, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
 
-/// Renewals in a row without an answer after which a worker is taken for silent.
-/// A single answer may be lost while the worker is well.
+/// The consecutive unanswered polls after which a worker is unresponsive. A single answer
+/// may be lost while the worker is healthy.
 const UNRESPONSIVE_AFTER_COUNT: u32 = 2;
-/// How long the answer to a look may take beyond the time that it waits: an
-/// answer takes some milliseconds, and a look that is sent twice does no harm.
+/// The timeout of a poll's answer, in addition to the time for which the worker holds the
+/// poll. An answer takes a few milliseconds, and a repeated poll does no harm.
 const POLL_TIMEOUT: Duration = Duration::from_ms(250);
-/// How often that is doubled, once for each further look at a silent worker:
-/// where this node or a link is slow, each answer would come too late for a
-/// limit that stays the same.
+/// How often the timeout is doubled, once for each further poll of an unresponsive worker.
+/// With a fixed timeout, every answer would come too late where this node or a link is
+/// slow.
 const TIMEOUT_DOUBLINGS_COUNT: u32 = 2;
-/// For how long after a lost answer renewals wait less: about as long as a few
-/// rounds of looks at all workers take.
+/// How long polls are shorter after a lost answer: about as long as a few polls of all
+/// workers take.
 const LOSSY_PERIOD: Duration = Duration::from_ms(3000);
-/// How long a renewal then waits at the worker.
+/// How long a worker then holds a poll.
 const LOSSY_POLL_WAIT: Duration = Duration::from_ms(250);
-/// The renewals that a leader sends in a second, besides those that ends cut
-/// short: with more busy workers each renewal waits longer. A judgement: 1,100
-/// workers that are asked each 0.9 s are 1,200 calls a second of a leader on half a
-/// core, beside as many starts.
+/// The maximum rate of polls, apart from those that an end cuts short; with more busy
+/// workers each poll is held longer. Polling each of 1,100 workers every 0.9 s takes 1,200
+/// calls a second, as many as the starts, from a leader on half a core.
 const RENEWALS_PER_S: u64 = 500;
-/// The same while answers are lost.
+/// The maximum rate of polls while answers are lost.
 const LOSSY_RENEWALS_PER_S: u64 = 1000;
-/// The time until a worker that did not answer is asked again.
+/// The interval between polls of an unresponsive worker.
 const UNRESPONSIVE_RETRY: Duration = Duration::from_ms(250);
 
 impl Worker {
-    /// Notes which runs a look did not find that was sent after their starts had gone
-    /// unanswered.
+    /// Marks the runs that a poll sent after their starts went unanswered did not list.
     fn mark_absent_runs(&mut self, sent_at: Instant, listed: &ListedRuns) {
         for (task, run) in &mut self.runs {
             if run.was_unknown_at(sent_at) && !listed.contains(&(*task, run.run)) {
@@ -49,7 +48,7 @@
 }
 
 impl Scheduler {
-    /// Returns how long leases are granted now.
+    /// Returns the duration of new leases.
     pub(crate) fn lease_duration(&self) -> Duration {
         if self.is_store_degraded {
             self.config.extended_lease
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Sends the renewals that are due.
+    /// Sends the polls that are due.
     pub(crate) fn renew_leases(&mut self, now: Instant, out: &mut Vec<Action>) {
         let length = self.lease_duration();
         let busy = self.workers.values().filter(|w| !w.runs.is_empty());
@@ -72,10 +71,10 @@
             if worker.unanswered_polls_count == 0 {
                 self.retries.polls.record_first_call();
             }
-            // A silent worker is only asked: a grant that it may have received
-            // would keep its runs from ever being given up.
+            // An unresponsive worker is polled without a lease: a lease that it may have
+            // received would keep its runs from ever being given up.
             let is_granted = worker.is_synced && worker.unanswered_polls_count == 0;
-            // A renewal would not wait while an end is listed.
+            // A worker answers at once while it lists an end, so the poll isn't held.
             let has_listed_end = !worker.uncommitted_ends.is_empty();
             let is_quick = !is_granted
                 || worker.runs.is_empty()
@@ -96,9 +95,9 @@
         }
     }
 
-    /// Returns how long a renewal waits for an end. What a worker lists is not
-    /// learned while an answer is missing, so where answers were lost lately
-    /// the waits are short. They are longer where many workers are busy.
+    /// Returns how long a worker holds a poll until a run ends. Ends stay unknown while an
+    /// answer is missing, so after lost answers polls are short. They are longer the more
+    /// workers are busy.
     fn poll_wait(&self, now: Instant, busy_count: usize) -> Duration {
         let is_lossy = self
             .last_lost_poll_at
@@ -168,15 +167,15 @@
         worker.answered_at = now;
         worker.end_lag = sent_at.since(worker.lists_at);
         worker.lists_at = now;
-        // A look that was on its way before tells nothing of what came since.
+        // A poll that was sent before says nothing about the time since.
         worker.unconfirmed_since = worker.unconfirmed_since.filter(|since| sent_at < *since);
         if !core::mem::replace(&mut worker.is_reachable, true) {
             worker.next_poll_at = now;
         }
     }
 
-    /// Asks again at once after the first renewal without an answer, as far as the budget
-    /// allows; after a further one the worker is silent.
+    /// Polls again at once after the first unanswered poll, as far as the retry budget
+    /// allows; after the next one the worker is unresponsive.
     fn on_poll_unanswered(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
         let worker = &mut self.workers[key];
         worker.unanswered_polls_count += 1;
@@ -220,7 +219,7 @@
         }
         let is_whole = ended.len() < self.config.listed_ends_limit_count;
         let listed = listed_runs(&running, &ended);
-        // What a worker may forget is told by number.
+        // The worker discards ends by number.
         ended.sort_by_key(|end| end.number);
         for end in ended {
             self.handle_end(now, key, end, out);
@@ -236,15 +235,15 @@
         }
     }
 
-    /// Bounds what earlier leaders granted to a worker that has answered under
-    /// this term's fence: it takes nothing from them any more.
+    /// Limits the lease that earlier leaders granted to a worker that has answered under
+    /// this leader's fencing token: it accepts nothing from them any more.
     fn bound_recovered_lease(&mut self, now: Instant, key: WorkerKey) {
         let bound = lease_bound(now, self.config.lease_limit);
         let worker = &mut self.workers[key];
         worker.leased_until = worker.leased_until.min(bound);
     }
 
-    /// Takes in a run that a worker lists as alive.
+    /// Handles a run that a worker lists as alive.
     fn handle_running(
         &mut self,
         now: Instant,
@@ -254,7 +253,7 @@
     ) {
         let task = listed.task;
         if self.unreadable.contains(&task.step.job) {
-            // How much room it takes is not known.
+            // The run's demand is unknown.
             self.workers[key].has_unknown_run = true;
             return;
         }
@@ -272,13 +271,14 @@
                 self.clear_suspect(now, task, begun_at);
                 self.update_checkpoint(task, listed.checkpoint);
                 if self.is_obsolete(task) {
-                    // An earlier leader may not have lived to send the stop.
+                    // The earlier leader may have failed before it sent the stop.
                     self.stop_task(now, task, "job ended", out);
                 }
                 return;
             }
         }
-        // The run is no run of ours: it is stopped, and its room counts until then.
+        // This leader didn't place the run here: it is stopped, and its demand counts until
+        // then.
         let demand = self.demand_of(task);
         match demand {
             Some(demand) if !self.workers[key].runs.contains_key(&task) => {
@@ -307,8 +307,8 @@
         });
     }
 
-    /// Returns whether a task's runs serve nobody: its job was cancelled or has
-    /// failed, or the task is done. Members of a gang that is done end by themselves.
+    /// Returns whether a task's runs are no longer needed: its job was cancelled or has
+    /// failed, or the task is done. The members of a gang that is done end by themselves.
     fn is_obsolete(&self, task: TaskKey) -> bool {
         let Some(job) = self.jobs.get(&task.step.job) else {
             return false;
@@ -321,8 +321,7 @@
         is_over || is_done && !self.is_gang(task.step)
     }
 
-    /// Keeps a run's newest checkpoint; it goes to the store with the job's
-    /// next change.
+    /// Keeps a run's newest checkpoint, which is stored with the job's next change.
     fn update_checkpoint(&mut self, task: TaskKey, checkpoint: Option<String>) {
         if checkpoint.is_none() {
             return;
@@ -339,7 +338,7 @@
         }
     }
 
-    /// Takes back runs that the worker neither lists nor can begin any more.
+    /// Releases the runs that the worker neither lists nor can start any more.
     fn release_unlisted(
         &mut self,
         now: Instant,
@@ -377,7 +376,7 @@
         }
     }
 
-    /// Gives up the runs of silent workers whose leases are certainly over.
+    /// Gives up the runs of unresponsive workers whose leases have certainly expired.
     pub(crate) fn give_up_expired(&mut self, now: Instant, out: &mut Vec<Action>) {
         let lapsed: Vec<WorkerKey> = self
             .workers
@@ -419,15 +418,15 @@
     listed
 }
 
-/// Returns how long the next answer may take, after so many looks in a row
-/// without one.
+/// Returns the timeout of the next poll's answer after so many consecutive unanswered
+/// polls.
 pub fn poll_timeout(unanswered_polls_count: u32) -> Duration {
     let doublings = unanswered_polls_count.saturating_sub(UNRESPONSIVE_AFTER_COUNT - 1);
     POLL_TIMEOUT.times(1 << doublings.min(TIMEOUT_DOUBLINGS_COUNT))
 }
 
-/// Returns whether a worker is to be asked; `interval_during_commit` is the time
-/// between two renewals while an end waits for its commit.
+/// Returns whether a poll of the worker is due; `interval_during_commit` is the time
+/// between two polls while an end waits for its commit.
 fn is_poll_due(worker: &Worker, now: Instant, interval_during_commit: Duration) -> bool {
     if worker.is_gone || worker.is_poll_open || worker.facts.address.is_empty() {
         return false;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,17 +1,16 @@
-//! The decisions of the cell's leader.
+//! The scheduling decisions of a cell's leader.
 //!
-//! One node holds the leader's lease. Its [`Scheduler`] takes typed events
-//! (accepted jobs, lists of workers, answers to orders) and appends typed
-//! actions (commits, starts, stops, renewals, calls for advice). It does no
-//! I/O, reads no clock and draws no random number: every event brings its
-//! instant.
+//! One node holds the leader's lease. Its [`Scheduler`] handles typed events (accepted
+//! jobs, lists of workers, answers to orders) and appends typed actions (commits, starts,
+//! stops, polls, advice requests). It performs no I/O, reads no clock and uses no
+//! randomness: every event comes with its instant.
 //!
-//! Three rules carry its promises:
+//! Its guarantees rest on three rules:
 //!
 //! - a start is recorded in the store before it is sent;
-//! - an end is recorded before the worker is told to forget it;
-//! - a task is started again only after its last run has ended, can't start
-//!   any more, or has outlived every lease that was granted to its worker.
+//! - an end is recorded before the worker may discard it;
+//! - a task is started again only after its last run has ended, can't start any more, or
+//!   has outlasted every lease granted to its worker.
 
 mod admission;
 mod advice;
--- a/crates/scheduler/src/name_interner.rs
+++ b/crates/scheduler/src/name_interner.rs
@@ -1,21 +1,21 @@
-//! Names that many workers share, each kept once.
+//! Interning of names that many workers share.
 
 use crate::worker::WorkerFacts;
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// The names of services and racks.
+/// The interned names of services and racks.
 ///
-/// Each cycle compares the services of all workers, and two names that are kept once are told
-/// to be alike by their address: comparing texts took 7% of the samples of a leader of 3,000
-/// workers.
+/// Each scheduling cycle compares the services of all workers. Interned names share one
+/// allocation, so equal ones compare by address; comparing the texts took 7% of the CPU
+/// samples of a leader of 3,000 workers.
 #[derive(Debug, Default)]
 pub(crate) struct NameInterner {
     names: HashSet<Arc<str>>,
 }
 
 impl NameInterner {
-    /// Returns the one copy of a name.
+    /// Returns the shared copy of a name.
     pub(crate) fn intern(&mut self, name: &str) -> Arc<str> {
         if let Some(names) = self.names.get(name) {
             return names.clone();
@@ -25,13 +25,13 @@
         names
     }
 
-    /// Has a worker's facts use the kept names.
+    /// Replaces the names in a worker's entry by shared copies.
     pub(crate) fn intern_all(&mut self, facts: &mut WorkerFacts) {
         facts.service = self.intern(&facts.service);
         facts.rack = facts.rack.as_deref().map(|rack| self.intern(rack));
     }
 
-    /// Forgets names that nobody else uses.
+    /// Removes names without other users.
     pub(crate) fn remove_unused(&mut self) {
         self.names.retain(|name| Arc::strong_count(name) > 1);
     }
--- a/crates/scheduler/src/open_starts.rs
+++ b/crates/scheduler/src/open_starts.rs
@@ -1,25 +1,26 @@
-//! Starts that were never answered and may still be carried out.
+//! Unanswered starts that may still be carried out.
 //!
-//! A call without an answer may be done some seconds later, and by a life that follows under
-//! the same id: that one has neither seen the leader's fence nor been told to stop the run.
-//! So each life that follows is told to refuse these starts, until it answers.
+//! An unanswered call may be carried out some seconds later, possibly by the next
+//! incarnation under the same id, which has neither seen the leader's fencing token nor
+//! received a stop of the run. Each new incarnation is therefore sent stops for these
+//! starts until it answers them.
 
 use crate::job::TaskKey;
 use ospreywing_types::{Duration, Instant};
 use std::collections::VecDeque;
 
-/// How late an order may be carried out: the longest seen is 12 s.
+/// How late an order may be carried out; the longest delay observed is 12 s.
 const LATE_LIMIT: Duration = Duration::from_s(15);
-/// The most starts that are remembered for a worker, the latest ones. A worker holds some
-/// tens of runs, and a start is sent three times at most.
+/// The maximum number of starts kept for a worker; the oldest are dropped. A worker holds a
+/// few tens of runs, and a start is sent three times at most.
 const STARTS_LIMIT_COUNT: usize = 64;
 
-/// Whether the worker's current life refuses a start.
+/// Whether the worker's current incarnation is known to refuse a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StopState {
-    /// It does: its run ended there, or the stop was answered.
+    /// It refuses the start: the run ended there, or the stop was answered.
     Confirmed,
-    /// A stop was sent at this instant and is not answered.
+    /// A stop was sent at this instant and is unanswered.
     SentAt(Instant),
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl OpenStarts {
-    /// Remembers a start.
+    /// Adds a start.
     pub(crate) fn add(&mut self, sent_at: Instant, task: TaskKey, run: u32) {
         if self.starts.len() == STARTS_LIMIT_COUNT {
             self.starts.pop_front();
@@ -53,8 +54,8 @@
         });
     }
 
-    /// Notes that another life has begun, which refuses none of the starts yet; returns
-    /// those that it is to be told to refuse.
+    /// Records that a new incarnation has begun, which does not refuse any of the starts
+    /// yet; returns the runs to stop there.
     pub(crate) fn begin_incarnation(&mut self, now: Instant) -> Vec<(TaskKey, u32)> {
         self.starts
             .retain(|start| now.since(start.sent_at) < LATE_LIMIT);
@@ -64,8 +65,8 @@
         self.starts.iter().map(OpenStart::run).collect()
     }
 
-    /// Returns the starts whose stops were not answered within `retry`, and notes that these
-    /// are sent again.
+    /// Returns the runs whose stops are unanswered for at least `retry`, and records that
+    /// these are sent again.
     pub(crate) fn stops_to_repeat(&mut self, now: Instant, retry: Duration) -> Vec<(TaskKey, u32)> {
         let is_due = |start: &OpenStart| match start.stop_state {
             StopState::Confirmed => false,
@@ -81,7 +82,7 @@
         due
     }
 
-    /// Notes that the current life has answered the stop of a run.
+    /// Records that the current incarnation has answered the stop of a run.
     pub(crate) fn confirm_stop(&mut self, task: TaskKey, run: u32) {
         for start in &mut self.starts {
             if start.run() == (task, run) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Returns how many stops are not answered.
+    /// Returns the number of unanswered stops.
     pub(crate) fn unanswered_stops_count(&self) -> usize {
         let asked = self.starts.iter();
         let asked = asked.filter(|start| start.stop_state != StopState::Confirmed);
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -1,4 +1,4 @@
-//! Starts and stops, and what their answers mean.
+//! Start and stop orders and the handling of their answers.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, RefusedStart, StartOrder, StartReply, StopReply};
@@ -7,13 +7,13 @@
 use crate::worker::{RunPhase, WorkerKey};
 use ospreywing_types::Instant;
 
-/// How often a start is sent that is not answered. A worker that has the run
-/// answers a repeat as it answers the first; a lost answer is rare enough that
-/// three in a row tell of the worker.
+/// How often an unanswered start is sent. A worker that has the run answers a repeat like
+/// the first order, and answers are lost so rarely that three in a row point to a fault of
+/// the worker.
 const START_SENDS_LIMIT_COUNT: u32 = 3;
 
 impl Scheduler {
-    /// Sends a start whose record is in the store.
+    /// Sends a start that is recorded in the store.
     pub(crate) fn send_start(
         &mut self,
         now: Instant,
@@ -41,17 +41,17 @@
             return;
         }
         if !has_room {
-            // It has shrunk since the start was placed.
+            // The worker's capacity has shrunk since the placement.
             self.release_run(now, task, DecisionKind::NotStarted, "room shrank", out);
             return;
         }
         if is_closed_to_starts {
-            // It was open when the start was placed.
+            // The worker has been closed to starts since the placement.
             self.release_run(now, task, DecisionKind::NotStarted, "worker closed", out);
             return;
         }
         if !is_within_limit {
-            // It was lowered since the start was placed.
+            // The limit has been lowered since the placement.
             self.release_run(now, task, DecisionKind::NotStarted, "limit lowered", out);
             return;
         }
@@ -71,8 +71,7 @@
         }
     }
 
-    /// Sends a run's start with a lease; returns whether the worker could be
-    /// granted one.
+    /// Sends a start order with a lease; returns whether the worker could be granted one.
     fn send_order(
         &mut self,
         now: Instant,
@@ -113,7 +112,7 @@
         true
     }
 
-    /// Sends a start again that was not answered; returns whether it did.
+    /// Repeats an unanswered start; returns whether it was sent.
     fn repeat_start(
         &mut self,
         now: Instant,
@@ -125,8 +124,9 @@
         let Some(run) = worker.runs.get(&task) else {
             return false;
         };
-        // The first one may not have arrived, and its room may be gone, its customer's limit
-        // be lower, or its data centre be cordoned.
+        // The first order may not have arrived. Meanwhile the worker's capacity may have
+        // shrunk, the customer's limit may have been lowered, or the data centre may have
+        // been cordoned.
         let is_closed_to_starts = self.is_closed_to_starts(worker);
         if is_closed_to_starts || worker.is_overcommitted() || !self.is_within_limit(task.step.job)
         {
@@ -136,13 +136,14 @@
         is_open && self.retries.starts.spend() && self.send_order(now, key, task, out)
     }
 
-    /// Returns the checkpoint from which a task goes on.
+    /// Returns the checkpoint from which a task resumes.
     fn checkpoint_of(&self, task: TaskKey) -> Option<String> {
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.record.spec.steps.get(task.step.step as usize)?;
         let step = job.state.round(task.step.round)?;
         let step = step.steps.get(task.step.step as usize)?;
-        // Any member's checkpoint is good for its gang, if all bring the same.
+        // A checkpoint of any member serves the whole gang, provided that all members start
+        // from the same one.
         let keeper = if spec.is_gang { 0 } else { task.index };
         step.tasks.get(keeper as usize)?.checkpoint.clone()
     }
@@ -160,7 +161,7 @@
             self.on_incarnation_over(now, key, out);
             return;
         }
-        // The run may have gone over to a life that has answered meanwhile.
+        // The run may have moved to an incarnation that has answered meanwhile.
         let key = self.incarnation_with(key, task);
         let worker = &mut self.workers[key];
         let Some(run) = worker.runs.get_mut(&task) else {
@@ -263,12 +264,13 @@
     }
 }
 
-/// Returns what the answer to a start tells where the start may have been sent
-/// before: an earlier one may have been carried out, or may still be.
+/// Returns the meaning of an answer to a start that may have been sent before: an earlier
+/// order may have been carried out, or may still be.
 fn interpret_repeat(reply: StartReply, sends_count: u32) -> StartReply {
     match reply {
         StartReply::Refused(_) if sends_count < 2 => reply,
-        // The run is or was there, or has been stopped: the worker's lists tell.
+        // The worker has or had the run, or has stopped it; its next list of runs shows
+        // which.
         StartReply::Refused(RefusedStart::Old) => StartReply::Started,
         StartReply::Refused(RefusedStart::Fence) => reply,
         StartReply::Refused(_) => StartReply::Unanswered,
--- a/crates/scheduler/src/placed_incarnations.rs
+++ b/crates/scheduler/src/placed_incarnations.rs
@@ -1,13 +1,13 @@
-//! The lives of workers to which tasks were given, as the store keeps them.
+//! The worker incarnations to which tasks were assigned, as stored.
 //!
-//! They stand behind the rest of a job's progress, so that progress without any is written as
-//! it was before workers told their starts.
+//! They follow the rest of a job's progress, so that progress without them keeps the
+//! encoding from before workers reported their incarnations.
 
 use crate::incarnation::Incarnation;
 use crate::state::{JobState, TaskStatus};
 use serde::{Deserialize, Serialize};
 
-/// The life of a worker to which a task was given.
+/// The incarnation to which a task was assigned.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct PlacedIncarnation {
     round: u32,
@@ -17,7 +17,7 @@
 }
 
 impl JobState {
-    /// Returns the lives to which the job's tasks were given, where they are known.
+    /// Returns the known incarnations to which the job's tasks were assigned.
     pub(crate) fn placed_incarnations(&self) -> Vec<PlacedIncarnation> {
         let mut placed_incarnations = Vec::new();
         for round in &self.rounds {
@@ -41,7 +41,8 @@
         placed_incarnations
     }
 
-    /// Sets the lives to which tasks were given; what names no such task is left out.
+    /// Sets the incarnations to which tasks were assigned; entries for tasks that are not
+    /// placed are ignored.
     pub(crate) fn set_placed_incarnations(&mut self, placed_incarnations: &[PlacedIncarnation]) {
         for placed in placed_incarnations {
             let round = self.round_mut(placed.round);
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The start of a leader's term, from what the store keeps.
+//! Recovery of the scheduler's state from the store at the start of a term.
 
 use crate::config::{Configuration, SchedulerConfig};
 use crate::cordons::Cordons;
@@ -13,22 +13,23 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// What the store keeps at the start of a term.
+/// The stored state at the start of a term.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
-    /// The accepted jobs, in the order in which they were accepted.
+    /// The accepted jobs, in order of acceptance.
     pub jobs: Vec<(JobId, JobRecord)>,
-    /// The jobs of which only the outcome is kept.
+    /// The ended jobs, of which only the outcome is stored.
     pub ended: Vec<(JobId, JobOutcome)>,
-    /// The jobs that were cancelled.
+    /// The cancelled jobs.
     pub cancels: Vec<JobId>,
-    /// The jobs' progress, for those that have any.
+    /// The progress of jobs that have any.
     pub states: Vec<(JobId, JobState)>,
-    /// The jobs of which something can't be read: of a later form, or damaged.
+    /// The jobs with a stored value that can't be read, because its format is newer or it
+    /// is damaged.
     pub unreadable: Vec<JobId>,
-    /// The data centres that are cordoned.
+    /// The cordoned data centres.
     pub cordons: BTreeSet<Arc<str>>,
-    /// The wall clock, in milliseconds since 1970.
+    /// The wall-clock time in milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
@@ -41,11 +42,11 @@
 }
 
 impl Scheduler {
-    /// Begins a term with what the store keeps.
+    /// Creates the scheduler of a term from the stored state.
     ///
-    /// A run that was recorded may be alive, or its start may be on its way,
-    /// until its worker has answered under this term's fence or every lease
-    /// that an earlier leader can have granted is over.
+    /// A recorded run may be alive, or its start may still be in transit, until its worker
+    /// has answered under this leader's fencing token or every lease that an earlier leader
+    /// may have granted has expired.
     pub fn new(
         config: SchedulerConfig,
         configuration: Configuration,
@@ -118,7 +119,8 @@
         self.placements.insert(recovered.task, key);
     }
 
-    /// Returns the worker with this id, of which nothing else may be known.
+    /// Returns the worker with this id; adds one of which only the id is known if there is
+    /// none.
     fn placeholder(&mut self, id: &str) -> WorkerKey {
         if let Some(&key) = self.workers_by_id.get(id) {
             return key;
--- a/crates/scheduler/src/retries.rs
+++ b/crates/scheduler/src/retries.rs
@@ -1,15 +1,15 @@
-//! Budgets of what is sent again where no answer came.
+//! Retry budgets for unanswered calls.
 
 use ospreywing_types::RetryBudget;
 
-/// The retries of a full budget. A judgement: a fault that loses the answers of a third of
-/// 40 starts a second uses them up in some ten seconds.
+/// The retries of a full budget. They last about ten seconds when a fault loses the answers
+/// to a third of 40 starts a second.
 const FULL_COUNT: u32 = 100;
-/// What each first call earns, in hundredths of a retry. A judgement: of what is sent, a
-/// fifth at most is sent again.
+/// The budget earned by each first call, in hundredths of a retry. At this rate at most a
+/// fifth of all calls are retries.
 const EARNED_PERCENT: u32 = 25;
 
-/// The retries of one kind of call.
+/// The retry budget of one kind of call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Retries(RetryBudget);
 
@@ -20,19 +20,19 @@
 }
 
 impl Retries {
-    /// Notes a first call.
+    /// Records a first call.
     pub(crate) fn record_first_call(&mut self) {
         self.0.earn(EARNED_PERCENT);
     }
 
-    /// Returns whether one more call may be sent again.
+    /// Spends one retry; returns whether the budget allowed it.
     pub(crate) const fn spend(&mut self) -> bool {
         self.0.spend()
     }
 }
 
-/// The budgets of a leader. Each kind of call has its own, so that one which fails leaves
-/// the others theirs.
+/// The retry budgets of a leader. Each kind of call has its own, so that failures of one
+/// kind leave the others' retries available.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RetryBudgets {
     pub(crate) starts: Retries,
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,18 +1,19 @@
-//! The runs that occupy workers, and what they take of their customers' limits.
+//! Accounting of the runs that occupy workers: capacity, customers' limits and fair shares.
 
 use crate::job::TaskKey;
 use crate::scheduler::Scheduler;
 use crate::worker::{Run, WorkerKey};
 
 impl Scheduler {
-    /// Adds a run that this leader starts or has inherited.
+    /// Adds a run that this leader starts or has recovered.
     pub(crate) fn add_run(&mut self, worker: WorkerKey, task: TaskKey, run: Run) {
         self.accounts.charge(run.charge);
         self.shares.charge(&run);
         self.workers[worker].insert_run(task, run);
     }
 
-    /// Adds a run that an earlier leader started, when the worker may have held more.
+    /// Adds a run that an earlier leader started, when the worker's capacity may have been
+    /// larger.
     pub(crate) fn add_foreign_run(&mut self, worker: WorkerKey, task: TaskKey, run: Run) {
         self.accounts.charge(run.charge);
         self.shares.charge(&run);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: its state and the dispatch of events.
+//! The scheduler's state and its event dispatch.
 
 use crate::advice::StepAdvice;
 use crate::advisers::Advisers;
@@ -30,139 +30,141 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// The time between two looks at jobs that have their outcome.
+/// The interval between checks of ended jobs, departures and long waits.
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_ms(100);
-/// The time between two looks for jobs to forget: all jobs are looked at, some
-/// ten thousand, and outcomes are kept for minutes.
+/// The interval between removals of expired data. Each one scans all jobs, some ten
+/// thousand, and outcomes are kept for minutes.
 const FORGET_PERIOD: Duration = Duration::from_ms(2000);
 
-/// The state of a job that clients are shown.
+/// The state of a job as clients see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job's life, as far as it is in the store.
+    /// The job's phase, as far as it is committed.
     pub phase: Phase,
-    /// Whether a task of it has begun.
+    /// Whether a task of the job has begun.
     pub has_begun: bool,
-    /// Whether nothing is on its way to the store that changes the phase. Otherwise the
-    /// store may have more, and whoever reads it would be told more than the leader
-    /// tells: a client would see the job's outcome and then see it undone.
+    /// Whether no commit that changes the phase is in flight. Otherwise the store may be
+    /// ahead of this view: a client that reads the store would see the job's outcome, and
+    /// then see it undone by the leader's answer.
     pub is_settled: bool,
 }
 
-/// Sizes for metrics and operators.
+/// Figures for metrics and operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerStatus {
     /// Jobs with work left.
     pub active_jobs_count: usize,
-    /// Jobs that are known.
+    /// All known jobs.
     pub jobs_count: usize,
     /// Runs that occupy workers.
     pub runs_count: usize,
-    /// Workers that may take a run.
+    /// Workers on which a run may be placed.
     pub placeable_workers_count: usize,
-    /// Workers that are listed.
+    /// Workers in the platform's list.
     pub listed_workers_count: usize,
-    /// Data centres that are cordoned.
+    /// Cordoned data centres.
     pub cordons_count: usize,
-    /// Stops of starts meant for an earlier life that were not answered yet.
+    /// Unanswered stops of starts that were meant for an earlier incarnation.
     pub unanswered_refusals_count: usize,
-    /// The processors of the workers that may take a run, in thousandths of a core.
+    /// The CPU capacity of the placeable workers, in thousandths of a core.
     pub capacity_milli: u64,
-    /// What of them runs occupy.
+    /// The CPU capacity of the placeable workers that runs occupy, in thousandths of a
+    /// core.
     pub used_milli: u64,
-    /// Workers that were kept free for waiting gangs when work was last placed.
+    /// Workers that were reserved for waiting gangs in the last scheduling cycle.
     pub awaited_workers_count: usize,
-    /// Gangs that waited then.
+    /// Gangs that were waiting in the last scheduling cycle.
     pub waiting_gangs_count: usize,
-    /// Workers that are known to be slower than their service's others.
+    /// Workers that are known to be slower than the others of their service.
     pub slow_workers_count: usize,
-    /// Workers that come last, since they are slow of late.
+    /// Workers that are chosen last, because they have been slow recently.
     pub ejected_workers_count: usize,
-    /// Sizes of steps whose lengths are learned.
+    /// Step sizes for which durations are learned.
     pub learned_sizes_count: usize,
-    /// How far off forecasts of lengths and clients' estimates were.
+    /// The errors of duration forecasts and of clients' estimates.
     pub forecast_error: ForecastError,
-    /// Steps for which a part of their customer's limit is reserved.
+    /// Steps for which part of their customer's limit is reserved.
     pub limit_reservations_count: usize,
-    /// Customers whose work beyond their shares of a service that is short comes last.
+    /// Customers whose work comes last because they are over their fair share of an
+    /// overloaded service.
     pub beyond_share_count: usize,
-    /// How far a customer is ahead of its share at most.
+    /// The largest amount by which a customer is ahead of its fair share.
     pub largest_share_lag: Duration,
-    /// Services that are short of room.
+    /// Services that are short of capacity.
     pub overloaded_services_count: usize,
-    /// Queues of which a forecast is told.
+    /// Queues with a forecast.
     pub forecast_queues_count: usize,
-    /// How broken up the free room of each service is.
+    /// The fragmentation of each service's free capacity.
     pub service_rooms: Vec<ServiceFragmentation>,
-    /// The steps that wait, by reason in the order of [`WaitReason::ALL`].
+    /// The waiting steps, by wait reason in the order of [`WaitReason::ALL`].
     pub waits: [WaitSummary; WaitReason::ALL.len()],
 }
 
-/// The decisions of one leader's term.
+/// The scheduler of one leader's term.
 pub struct Scheduler {
     pub(crate) config: SchedulerConfig,
     pub(crate) configuration: Configuration,
     pub(crate) accounts: Accounts,
-    /// What is kept of customers' limits for steps that wait for them.
+    /// The parts of customers' limits that are reserved for steps waiting for them.
     pub(crate) limit_reservations: LimitReservations,
     pub(crate) shares: Shares,
-    /// Jobs whose services have to count anew what they ask for.
+    /// Jobs whose demand has to be recomputed for their service's shares.
     pub(crate) stale_asks: HashSet<JobId>,
     pub(crate) cordons: Cordons,
-    /// Whether nothing new may be started anywhere.
+    /// Whether starts are paused everywhere.
     pub(crate) are_starts_paused: bool,
     pub(crate) workers: PrimaryMap<WorkerKey, Worker>,
     pub(crate) workers_by_id: HashMap<Arc<str>, WorkerKey>,
     pub(crate) name_interner: NameInterner,
     pub(crate) jobs: HashMap<JobId, Job>,
-    /// Jobs with work left, in the order in which they are served.
+    /// Jobs with work left, in scheduling order.
     pub(crate) active: BTreeMap<(u32, u64), JobId>,
-    /// Jobs with a schedule that have rounds left to begin.
+    /// Scheduled jobs with rounds left to begin.
     pub(crate) scheduled: Vec<JobId>,
-    /// Jobs that have their outcome while a run of theirs may be alive.
+    /// Ended jobs of which a run may still be alive.
     pub(crate) unsettled: BTreeSet<JobId>,
-    /// Jobs whose stored state can't be read. Nothing of them is started or
-    /// stopped, and their ends stay with the workers for a leader that can.
+    /// Jobs whose stored state can't be read. None of their runs is started or stopped, and
+    /// their ends stay with the workers for a leader that can read them.
     pub(crate) unreadable: BTreeSet<JobId>,
     pub(crate) next_order: u64,
-    /// Where each task's run is.
+    /// The worker of each task's run.
     pub(crate) placements: HashMap<TaskKey, WorkerKey>,
     pub(crate) advice: HashMap<StepKey, StepAdvice>,
     pub(crate) advisers: Advisers,
-    /// What this leader has learned of lengths and speeds.
+    /// Learned durations and speeds.
     pub(crate) learning: Learning,
-    /// The workers that keep room for gangs whose advice is being asked for.
+    /// The workers with reservations for gangs whose advice requests are open.
     pub(crate) reservations: BTreeMap<StepKey, Vec<WorkerKey>>,
-    /// Gangs that have lost a member, and when.
+    /// When each gang that lost a member was broken.
     pub(crate) broken_gangs: BTreeMap<StepKey, Instant>,
-    /// Workers found good and workers named, by queue.
+    /// The workers found suitable and the workers asked about, by queue.
     pub(crate) goodness: HashMap<String, (f64, f64)>,
-    /// The shapes of the tasks that came lately.
+    /// The shapes of recently submitted tasks.
     pub(crate) shapes: Shapes,
-    /// The steps that wait, and why.
+    /// The waiting steps and their wait reasons.
     pub(crate) waits: Waits,
-    /// What the last cycle over waiting steps left.
+    /// A summary of the last scheduling cycle.
     pub(crate) last_cycle: CycleSummary,
-    /// The services that were short of room then.
+    /// The services that were short of capacity in the last scheduling cycle.
     pub(crate) overloads: Overloads,
-    /// When the queues of these could do another job.
+    /// Forecasts of when each queue can complete another job.
     pub(crate) forecasts: Forecasts,
     pub(crate) commits: CommitQueue,
     pub(crate) is_store_degraded: bool,
-    /// When every lease that an earlier leader granted is certainly over. A lease
-    /// never shortens and holds for all that runs on a worker, also for what only
-    /// this leader starts there.
+    /// When every lease granted by an earlier leader has certainly expired. A lease is
+    /// never shortened and covers every run on its worker, including runs that only this
+    /// leader starts.
     pub(crate) recovered_leases_until: Instant,
-    /// What may be sent again.
+    /// The retry budgets.
     pub(crate) retries: RetryBudgets,
-    /// When a worker last left a renewal unanswered that answered before.
+    /// When a reachable worker last left a poll unanswered.
     pub(crate) last_lost_poll_at: Option<Instant>,
-    /// Whether something has changed that may let a task be placed.
+    /// Whether a change since the last scheduling cycle may let a task be placed.
     pub(crate) is_cycle_due: bool,
     next_cycle_at: Instant,
     next_housekeeping_at: Instant,
     next_forget_at: Instant,
-    /// When renewals that are due are looked for next.
+    /// When to look for due polls next.
     pub(crate) next_renewal_at: Instant,
     pub(crate) wall_ms: u64,
 }
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Takes in an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::JobAccepted { job, record } => self.take_job(now, job, *record, out),
@@ -256,10 +258,10 @@
         }
     }
 
-    /// Takes in events that have come together, what the operators have set before all else.
+    /// Handles events that arrived together, those with operators' settings first.
     ///
-    /// A leader that stood still finds answers and a lowered limit behind one another, and
-    /// would give orders by the answers while it still knew the higher limit.
+    /// A leader that was suspended may find answers queued before a lowered limit, and
+    /// would otherwise send orders under the old limit.
     pub fn handle_all(&mut self, now: Instant, events: Vec<Event>, out: &mut Vec<Action>) {
         let (first, rest): (Vec<Event>, Vec<Event>) =
             events.into_iter().partition(Event::is_set_by_operators);
@@ -268,8 +270,8 @@
         }
     }
 
-    /// Does what is due: places, commits, renews. Called after each batch of
-    /// events, so that one cycle serves them all.
+    /// Runs a scheduling cycle, sends polls and begins commits, as far as they are due.
+    /// Call it after each batch of events, so that one cycle covers the whole batch.
     pub fn run_due_work(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.is_cycle_due && now >= self.next_cycle_at {
             self.is_cycle_due = false;
@@ -285,14 +287,14 @@
         self.flush_commits(now, out);
     }
 
-    /// Returns the state of a job that clients are shown, where the job is known and open
-    /// to the caller.
+    /// Returns the state of a job as clients see it, if the job is known and visible to the
+    /// caller.
     pub fn job_for(&self, caller: Option<&str>, job: JobId) -> Option<JobView> {
         let record = &self.jobs.get(&job)?.record;
         self.job(job).filter(|_| record.is_visible_to(caller))
     }
 
-    /// Returns the state of a job that clients are shown, where the job is known.
+    /// Returns the state of a job as clients see it, if the job is known.
     pub fn job(&self, job: JobId) -> Option<JobView> {
         let job = self.jobs.get(&job)?;
         Some(JobView {
@@ -302,26 +304,26 @@
         })
     }
 
-    /// Returns how many of a queue's jobs have no task that has begun.
+    /// Returns the number of a queue's jobs of which no task has begun.
     pub fn pending_count(&self, queue: &str) -> usize {
         let jobs = self.active.values().filter_map(|id| self.jobs.get(id));
         jobs.filter(|job| job.record.queue == queue && !job.has_begun)
             .count()
     }
 
-    /// Returns a worker's key by the id of its life.
+    /// Returns the key of the current incarnation of the worker with this id.
     pub fn worker_key(&self, id: &str) -> Option<WorkerKey> {
         self.workers_by_id.get(id).copied()
     }
 
-    /// Returns the workers that the platform lists and that are not known to be gone.
+    /// Returns the listed workers that are not known to be gone.
     pub fn listed_workers(&self) -> impl Iterator<Item = (WorkerKey, &WorkerFacts)> + '_ {
         let workers = self.workers.iter();
         let listed = workers.filter(|(_, worker)| worker.is_listed && !worker.is_gone);
         listed.map(|(key, worker)| (key, &worker.facts))
     }
 
-    /// Returns sizes for metrics.
+    /// Returns figures for metrics.
     pub fn status(&self, now: Instant) -> SchedulerStatus {
         let shares = self.shares.summary();
         let placeable = || self.workers.values().filter(|w| w.is_placeable(now));
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,4 +1,6 @@
-//! What the store keeps of a job's progress.
+//! The stored state of a job: its progress, its outcome, and their encodings.
+//!
+//! The first byte of every stored value identifies its format.
 
 use crate::crash_records::CrashRecord;
 use crate::incarnation::Incarnation;
@@ -7,67 +9,70 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The version of the stored form, its first byte.
+/// The format of an accepted job without a customer, and of progress without crash records
+/// and incarnations.
 const FORMAT_VERSION: u8 = 1;
-/// The first byte of what stands for a job that has its outcome.
+/// The format of the outcome of a job without a customer.
 const OUTCOME_FORMAT: u8 = 2;
-/// The first byte of progress with crash records behind it. Progress without any is
-/// written as before, so that nodes of the version before read it.
+/// The format of progress with crash records. Progress without them keeps
+/// [`FORMAT_VERSION`], which nodes of the previous version can read.
 const CRASHES_FORMAT: u8 = 3;
-/// The first byte of an accepted job of a customer. One that is nobody's is written as
-/// before; nodes of the version before keep what they can't read apart and leave it alone.
+/// The format of an accepted job of a customer. A job without a customer keeps
+/// [`FORMAT_VERSION`]; nodes of the previous version set aside jobs in a format they can't
+/// read and don't change them.
 const CUSTOMERS_JOB_FORMAT: u8 = 4;
-/// The same of an outcome.
+/// The format of the outcome of a customer's job.
 const CUSTOMERS_OUTCOME_FORMAT: u8 = 5;
-/// The first byte of progress with crash records and the lives of workers behind it. Where
-/// workers tell no starts it is written as before; nodes of the version before leave a job
-/// alone whose progress they can't read.
+/// The format of progress with crash records and the incarnations of workers. It is used
+/// only where workers report their incarnations; nodes of the previous version don't change
+/// a job whose progress they can't read.
 const INCARNATIONS_FORMAT: u8 = 6;
 
-/// The phase of a job's life that clients are shown.
+/// The phase of a job, as clients see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Work is left.
+    /// The job has work left.
     #[default]
     Active,
-    /// Every task has ended well.
+    /// Every task has succeeded.
     Complete,
-    /// A task, or a gang, has failed too often.
+    /// A task or a gang has used up its attempts, or workers crashed under a task too
+    /// often.
     Failed,
     /// The job was cancelled.
     Canceled,
 }
 
-/// Where a task stands.
+/// The status of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStatus {
-    /// No run of it can be alive.
+    /// No run of the task can be alive.
     #[default]
     Waiting,
     /// A run may be alive on a worker.
     Placed {
         /// The worker's id.
         worker: String,
-        /// The start of the life that was meant, where it is known; stored behind the rest.
+        /// The incarnation to which the task was assigned, if known. It is stored
+        /// separately, after the rest of the progress.
         #[serde(skip)]
         incarnation: Option<Incarnation>,
     },
-    /// A run has ended well.
+    /// A run has succeeded.
     Done,
 }
 
 /// A task's progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskState {
-    /// The number of the last run that was recorded; 0 for none.
+    /// The number of the last recorded run; 0 if there is none.
     pub last_run: u32,
-    /// The runs that have failed; a worker lists an end until it is told that
-    /// it was noted, so the same end may come more than once.
+    /// The runs that have failed. A worker lists an end until the leader acknowledges it,
+    /// so the same end may be reported more than once.
     pub failed_runs: Vec<u32>,
-    /// Where the task stands.
+    /// The task's status.
     pub status: TaskStatus,
-    /// The newest checkpoint that was reported for the task; that of a gang
-    /// stands at its first member.
+    /// The newest reported checkpoint; for a gang it is stored at its first member.
     pub checkpoint: Option<String>,
 }
 
@@ -92,21 +97,22 @@
 /// A job's progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobState {
-    /// The job's life.
+    /// The job's phase.
     pub phase: Phase,
-    /// The next round that is not yet due.
+    /// The first round that is not yet due.
     pub next_round: u32,
     /// The rounds that have begun and have work left.
     pub rounds: Vec<RoundState>,
-    /// The crashes of workers under the job's tasks; stored behind the rest.
+    /// The worker crashes attributed to the job's tasks. They are stored separately, after
+    /// the rest of the progress.
     #[serde(skip)]
     pub crashes: Vec<CrashRecord>,
 }
 
-/// The stored bytes are not a job's state.
+/// The stored bytes are not a valid job state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateError {
-    /// The form is of another version.
+    /// The format is unknown.
     #[error("the stored form has version {0}")]
     Version(u8),
     /// The bytes are damaged.
@@ -115,7 +121,7 @@
 }
 
 impl StepState {
-    /// Returns whether every task has ended well.
+    /// Returns whether every task has succeeded.
     pub fn is_done(&self) -> bool {
         self.tasks
             .iter()
@@ -124,8 +130,8 @@
 }
 
 impl TaskState {
-    /// Returns whether a run of the task has left a trace. A start that was
-    /// recorded may never have been sent.
+    /// Returns whether the state proves that a run of the task has begun. A recorded start
+    /// is no proof, since it may never have been sent.
     fn has_certainly_begun(&self) -> bool {
         let is_done = self.status == TaskStatus::Done;
         is_done || !self.failed_runs.is_empty() || self.checkpoint.is_some()
@@ -133,7 +139,7 @@
 }
 
 impl RoundState {
-    /// Creates the state of a round in which nothing has begun.
+    /// Creates the state of a round in which no task has begun.
     pub fn new(number: u32, record: &JobRecord) -> Self {
         let steps = record.spec.steps.iter().map(|step| StepState {
             tasks: vec![TaskState::default(); step.tasks_count as usize],
@@ -145,14 +151,14 @@
         }
     }
 
-    /// Returns whether every step has ended well.
+    /// Returns whether every step has succeeded.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepState::is_done)
     }
 }
 
 impl JobState {
-    /// Returns whether a task has begun, as far as the state tells.
+    /// Returns whether the state proves that a task of the job has begun.
     pub fn has_certainly_begun(&self) -> bool {
         let mut steps = self.rounds.iter().flat_map(|round| &round.steps);
         let has_begun = |step: &StepState| {
@@ -162,17 +168,17 @@
         self.phase != Phase::Active || steps.any(has_begun)
     }
 
-    /// Returns the round with this number, where it has begun and has work left.
+    /// Returns the round with this number if it has begun and has work left.
     pub fn round(&self, number: u32) -> Option<&RoundState> {
         self.rounds.iter().find(|round| round.number == number)
     }
 
-    /// Returns the round with this number, to be changed.
+    /// Returns a mutable reference to the round with this number.
     pub fn round_mut(&mut self, number: u32) -> Option<&mut RoundState> {
         self.rounds.iter_mut().find(|round| round.number == number)
     }
 
-    /// Returns the stored form.
+    /// Returns the encoding for the store.
     pub fn to_bytes(&self) -> Vec<u8> {
         let incarnations = self.placed_incarnations();
         if !incarnations.is_empty() {
@@ -186,11 +192,11 @@
         encode(CRASHES_FORMAT, &parts)
     }
 
-    /// Reads the stored form.
+    /// Decodes stored progress.
     ///
     /// # Errors
     ///
-    /// Returns a [`StateError`] where the bytes are of another version or damaged.
+    /// Returns a [`StateError`] if the bytes are of an unknown format or malformed.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, StateError> {
         match bytes.split_first() {
             Some((&CRASHES_FORMAT, rest)) => {
@@ -213,7 +219,7 @@
 }
 
 impl JobRecord {
-    /// Returns the stored form.
+    /// Returns the encoding for the store.
     pub fn to_bytes(&self) -> Vec<u8> {
         if self.customer.is_some() {
             return encode(CUSTOMERS_JOB_FORMAT, self);
@@ -233,20 +239,20 @@
     }
 }
 
-/// The fields of a record that is nobody's, in their order.
+/// The fields of a [`JobRecord`] without a customer, in stored order.
 type RecordParts = (String, String, u64, JobSpec);
 
-/// A job's outcome, and whose job it was.
+/// The outcome of a job and its customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobOutcome {
-    /// How the job ended.
+    /// The job's final phase.
     pub phase: Phase,
-    /// The customer that handed the job in, where it was one.
+    /// The customer that submitted the job, if any.
     pub customer: Option<String>,
 }
 
 impl JobOutcome {
-    /// Creates the outcome of a job that is nobody's.
+    /// Creates the outcome of a job without a customer.
     pub const fn new(phase: Phase) -> Self {
         Self {
             phase,
@@ -254,18 +260,18 @@
         }
     }
 
-    /// Sets whose job it was.
+    /// Sets the customer.
     pub fn with_customer(mut self, customer: Option<String>) -> Self {
         self.customer = customer;
         self
     }
 
-    /// Returns whether whoever calls as `caller` may see the outcome.
+    /// Returns whether `caller` may see the outcome.
     pub fn is_visible_to(&self, caller: Option<&str>) -> bool {
         is_visible_to(self.customer.as_deref(), caller)
     }
 
-    /// Returns the stored form.
+    /// Returns the encoding for the store.
     pub fn to_bytes(&self) -> Vec<u8> {
         if self.customer.is_some() {
             encode(CUSTOMERS_OUTCOME_FORMAT, self)
@@ -275,21 +281,20 @@
     }
 }
 
-/// What the store keeps under an accepted job's key.
+/// The value stored under the key of an accepted job.
 ///
-/// The key stays for as long as the job may be asked for or handed in again.
-/// What was accepted is of no use once the job has its outcome, and a new
-/// leader would have to read it.
+/// The key remains while clients may query or resubmit the job. Once the job has ended, its
+/// outcome replaces its specification, which a new leader would otherwise have to read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoredJob {
-    /// What was accepted.
+    /// The accepted job.
     Accepted(Box<JobRecord>),
-    /// The job's outcome; nothing of it runs any more.
+    /// The outcome of the job; none of its runs is alive.
     Ended(JobOutcome),
 }
 
 impl StoredJob {
-    /// Returns whether whoever calls as `caller` may see the job.
+    /// Returns whether `caller` may see the job.
     pub fn is_visible_to(&self, caller: Option<&str>) -> bool {
         match self {
             Self::Accepted(record) => record.is_visible_to(caller),
@@ -297,11 +302,11 @@
         }
     }
 
-    /// Reads the stored form.
+    /// Decodes a stored job.
     ///
     /// # Errors
     ///
-    /// Returns a [`StateError`] where the bytes are of another version or damaged.
+    /// Returns a [`StateError`] if the bytes are of an unknown format or malformed.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, StateError> {
         match bytes.split_first() {
             Some((&OUTCOME_FORMAT, rest)) => {
--- a/crates/scheduler/src/verifier.rs
+++ b/crates/scheduler/src/verifier.rs
@@ -1,4 +1,4 @@
-//! A verifier of the scheduler's invariants, for tests and searches.
+//! Checks of the scheduler's invariants, for tests and searches.
 
 use crate::customers::CustomerKey;
 use crate::job::{JobId, StepKey, TaskKey};
@@ -11,47 +11,47 @@
 use std::collections::{BTreeMap, HashMap};
 use thiserror::Error;
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// A worker's account of its room differs from its runs.
+    /// A worker's used capacity differs from the sum of its runs.
     #[error("the room of worker {0} is miscounted")]
     Room(String),
-    /// A worker has been given more than it holds.
+    /// The runs on a worker need more than its capacity.
     #[error("worker {0} has been given more than it holds")]
     Overcommitted(String),
-    /// A customer's account differs from its runs.
+    /// A customer's usage differs from the sum of its runs.
     #[error("the account of customer {0} is miscounted")]
     Account(String),
-    /// A service's account of shares differs from its jobs and runs, or a tag from its
-    /// clock.
+    /// A service's fair-share accounts differ from its jobs and runs, or a virtual time
+    /// differs from the service's clock.
     #[error("the shares of service {0} are miscounted")]
     Share(String),
-    /// A task's state and the table of runs disagree.
+    /// A task's state and the table of placements disagree.
     #[error("task {0} is not where its state says")]
     Placement(TaskKey),
-    /// A worker keeps room for a gang that has none kept, or the reverse.
+    /// A worker's reservations differ from those of the gangs.
     #[error("the room that is kept on worker {0} is miscounted")]
     Reservation(String),
-    /// A step counts on room of a worker that no open call of it names.
+    /// A worker has a soft reservation without an open advice request that names it.
     #[error("step {0} counts on room of worker {1} without a call")]
     Claim(StepKey, String),
-    /// A job is in more than one open transaction, or its note of that is wrong.
+    /// A job is in more than one open transaction, or its commit flag is wrong.
     #[error("a job's commit is miscounted")]
     Commit,
-    /// A step waits for what can't come.
+    /// A step waits for something that can't happen.
     #[error("step {0} waits for what can't come: {1}")]
     Wait(StepKey, &'static str),
-    /// What is believed of a worker's speed can't be.
+    /// A worker's estimated speed is invalid.
     #[error("the speed of worker {0} can't be")]
     Speed(String),
-    /// More is surely left of a job than likely.
+    /// The lower estimate of a job's remaining work exceeds the expected one.
     #[error("more is surely left of job {0} than likely")]
     Left(JobId),
-    /// More shapes of tasks are kept than may be, or some that are none.
+    /// The table of task shapes is over its limit or contains an invalid shape.
     #[error("the shapes of tasks are miscounted")]
     Shapes,
-    /// A job with an outcome is still served.
+    /// A job that has ended is still in the scheduling order.
     #[error("a job that has its outcome is still served")]
     Outcome,
 }
@@ -109,16 +109,16 @@
                 return Err(Violation::Room(worker.facts.id.to_string()));
             }
             let is_counted = !worker.facts.address.is_empty() && !worker.is_gone;
-            // Of runs that an earlier leader recorded, some may have ended without
-            // a record, so more than the worker holds may seem to be there until
-            // its lists are known. Nothing is placed there before.
+            // Some of the runs that an earlier leader recorded may have ended without a
+            // record, so they may seem to exceed the capacity until the worker has listed
+            // its runs. Nothing is placed on it before that.
             let mut known = Resources::ZERO;
             for run in worker.runs.values() {
                 if run.phase != RunPhase::Recovered {
                     known += run.demand;
                 }
             }
-            // A worker whose room has shrunk may hold what it held then.
+            // A worker whose capacity has shrunk may hold the runs that it held then.
             let room = worker.facts.capacity.max(worker.overcommitted);
             if is_counted && !known.fits_in(&room) {
                 return Err(Violation::Overcommitted(worker.facts.id.to_string()));
@@ -167,7 +167,7 @@
         wrong.map_or(Ok(()), |service| Err(Violation::Share(service.to_string())))
     }
 
-    /// Checks what jobs ask for that are not to be counted anew.
+    /// Checks the recorded demand of jobs that are not due to be recomputed.
     fn verify_asked(&self) -> Result<(), Violation> {
         if !self.has_fair_shares() {
             return Ok(());
@@ -183,7 +183,8 @@
         wrong.map_or(Ok(()), |id| Err(Violation::Share(format!("of job {id}"))))
     }
 
-    /// Checks the reasons that the last cycle gave, until something changes.
+    /// Checks the wait reasons of the last scheduling cycle, unless something has changed
+    /// since.
     fn verify_waits(&self) -> Result<(), Violation> {
         if self.is_cycle_due {
             return Ok(());
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -14,69 +14,69 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A worker's life, as known to one scheduler.
+/// Identifies an incarnation of a worker within one scheduler.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerKey(u32);
 entity_impl!(WorkerKey, "worker");
 
-/// The share by which a worker's clock may be slow, in thousandths, and more
-/// to be sure.
+/// The assumed maximum by which a worker's clock runs slow, in thousandths, with a safety
+/// margin.
 const CLOCK_SLACK_PER_MILLE: u64 = 30;
-/// What is added to every bound on a lease.
+/// The margin added to every lease bound.
 const LEASE_MARGIN: Duration = Duration::from_ms(100);
 
-/// What the platform's list says of a worker.
+/// A worker's entry in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerFacts {
-    /// Its id, which it may have had in an earlier life too.
+    /// The worker's id, which earlier incarnations may have had too.
     pub id: Arc<str>,
-    /// When this life started, where the platform tells.
+    /// The worker's incarnation, if the platform reports it.
     pub incarnation: Option<Incarnation>,
-    /// The address of its agent.
+    /// The address of the worker's agent.
     pub address: Arc<str>,
-    /// The service that it belongs to.
+    /// The service that the worker belongs to.
     pub service: Arc<str>,
-    /// The machine that it is a life of, where the platform tells.
+    /// The machine that the worker runs on, if the platform reports it.
     pub machine: Option<Arc<str>>,
-    /// Its data centre; empty where the platform tells none.
+    /// The data centre; empty if the platform reports none.
     pub data_centre: Arc<str>,
-    /// Its rack, where the platform tells.
+    /// The rack, if the platform reports it.
     pub rack: Option<Arc<str>>,
-    /// Its labels.
+    /// The worker's labels.
     pub labels: Vec<String>,
-    /// What it holds.
+    /// The worker's total capacity.
     pub capacity: Resources,
-    /// Whether it is leaving.
+    /// Whether the worker is draining.
     pub is_draining: bool,
-    /// When it goes at the earliest, on its clock in milliseconds, where it is leaving and
-    /// tells.
+    /// The earliest departure of a draining worker, in milliseconds on its clock, if
+    /// reported.
     pub departs_at_clock_ms: Option<u64>,
 }
 
-/// Where a run stands.
+/// The phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPhase {
-    /// Its record is on the way to the store; nothing was sent.
+    /// The start is being recorded in the store and has not been sent.
     Recording,
-    /// An earlier leader recorded it; the worker has not been asked yet.
+    /// An earlier leader recorded the run, and the worker has not been polled yet.
     Recovered,
-    /// The start was sent and is not answered.
+    /// The start was sent and is unanswered.
     Starting,
-    /// The worker has it, at least since this instant.
+    /// The worker has the run.
     Running {
-        /// When the worker said so.
+        /// When the worker confirmed the run.
         since: Instant,
     },
-    /// It is being stopped.
+    /// The run is being stopped.
     Stopping {
         /// When the last stop was sent.
         sent_at: Instant,
-        /// When the worker took a stop.
+        /// When the worker accepted a stop, if it did.
         accepted_at: Option<Instant>,
     },
 }
 
-/// How much of a run's work was done at an instant.
+/// The progress of a run at an instant.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
     pub(crate) percent: u32,
@@ -89,41 +89,42 @@
     pub(crate) run: u32,
     pub(crate) phase: RunPhase,
     pub(crate) demand: Resources,
-    /// What it takes of its customer's limit.
+    /// The run's charge against its customer's limit and share.
     pub(crate) charge: Charge,
     pub(crate) role: RunRole,
     pub(crate) ticket: Option<Arc<str>>,
-    /// The checkpoint that its start brings.
+    /// The checkpoint that the start order carries.
     pub(crate) checkpoint: Option<String>,
-    /// The life for which an earlier leader recorded it, where that is known.
+    /// The incarnation for which an earlier leader recorded the run, if known.
     pub(crate) recorded_incarnation: Option<Incarnation>,
-    /// How often its start was sent, and how many of these were answered.
+    /// The number of times that the start was sent, and how many of these were answered.
     pub(crate) sends_count: u32,
     pub(crate) answers_count: u32,
-    /// When its start was sent last.
+    /// When the start was last sent.
     pub(crate) sent_at: Instant,
     pub(crate) placed_at: Instant,
-    /// Since when the worker is known to have it.
+    /// When the worker was first known to have the run.
     pub(crate) begun_at: Option<Instant>,
-    /// Whether the connection of its start broke and nothing listened there any more: the
-    /// worker was lost while it had the start.
+    /// Whether the connection broke while a start was sent and nothing listened at the
+    /// address afterwards: the worker was lost while it had the start.
     pub(crate) was_cut_off: bool,
-    /// Whether the worker did not list it in answer to a look that was sent after its start
-    /// had gone unanswered.
+    /// Whether a poll that was sent after the start went unanswered did not list the run.
     pub(crate) was_absent: bool,
-    /// Whether its task may have crashed a worker by starting there.
+    /// Whether the run is on probation, because its task may have crashed a worker by
+    /// starting there.
     pub(crate) is_on_probation: bool,
     pub(crate) progress_percent: u32,
-    /// How often it has told that its machine is slow, by taking far longer than others.
+    /// The number of times that the run was counted as evidence of a slow machine, because
+    /// it took far longer than others.
     pub(crate) overdue_count: u32,
-    /// How much of its work was done when that was known first: its pace counts from there.
+    /// The first known progress; the run's pace is measured from there.
     pub(crate) pace_from: Option<Progress>,
-    /// When it was listed last.
+    /// When the worker last listed the run.
     pub(crate) listed_at: Instant,
 }
 
 impl Run {
-    /// Creates a run of which nothing was sent yet.
+    /// Creates a run whose start has not been sent.
     pub(crate) const fn new(run: u32, demand: Resources, placed_at: Instant) -> Self {
         Self {
             run,
@@ -153,27 +154,28 @@
         }
     }
 
-    /// Returns whether a start that was sent may still be carried out.
+    /// Returns whether a start that was sent is unanswered, so that the worker may still
+    /// carry it out.
     pub(crate) const fn has_open_start(&self) -> bool {
         self.sends_count > self.answers_count
     }
 
-    /// Returns whether it was being stopped, and is not known to have begun, when a look was
-    /// sent.
+    /// Returns whether the run was being stopped and not known to have begun when a poll
+    /// was sent.
     pub(crate) fn was_unknown_at(&self, sent_at: Instant) -> bool {
         let is_before =
             matches!(self.phase, RunPhase::Stopping { sent_at: at, .. } if at < sent_at);
         is_before && self.begun_at.is_none()
     }
 
-    /// Notes how much of its work is done.
+    /// Records the run's progress.
     pub(crate) fn record_progress(&mut self, now: Instant, percent: u32) {
         self.pace_from.get_or_insert(Progress { percent, at: now });
         self.progress_percent = percent;
         self.listed_at = now;
     }
 
-    /// Notes that the worker has it.
+    /// Records that the worker has the run.
     pub(crate) fn note_begun(&mut self, now: Instant) {
         self.was_absent = false;
         if self.begun_at.is_none() && self.checkpoint.is_none() {
@@ -184,26 +186,26 @@
     }
 }
 
-/// A run that was given up with its worker.
+/// A run that was lost with its worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LostRun {
     pub(crate) task: TaskKey,
     pub(crate) run: u32,
     pub(crate) suspicion: Suspicion,
-    /// The life that it was given to, where that is known.
+    /// The incarnation that the run was assigned to, if known.
     pub(crate) incarnation: Option<Incarnation>,
-    /// Whether it is not known to have outlived its start, and may have begun.
+    /// Whether the run may have begun and is not known to have passed its start window.
     pub(crate) is_open: bool,
 }
 
-/// The worker's clock as it was last told.
+/// A reading of the worker's clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClockReading {
     pub(crate) clock_ms: u64,
     pub(crate) read_at: Instant,
 }
 
-/// Room that a step counts on.
+/// Capacity reserved for a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CapacityReservation {
     pub(crate) step: StepKey,
@@ -214,77 +216,80 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub(crate) facts: WorkerFacts,
-    /// Whether the platform's list has this life of it.
+    /// Whether the platform's list contains this incarnation.
     pub(crate) is_listed: bool,
-    /// Whether its service is one that the operators have set.
+    /// Whether the worker's service is configured.
     pub(crate) has_service: bool,
     /// Whether its data centre is cordoned.
     pub(crate) is_cordoned: bool,
-    /// When it goes at the earliest, where it is leaving.
+    /// The earliest departure, if the worker is draining.
     pub(crate) departs_at: Option<Instant>,
-    /// Whether this life is certainly over.
+    /// Whether this incarnation is certainly over.
     pub(crate) is_gone: bool,
-    /// Whether its lists have been taken over under this fence.
+    /// Whether the worker has listed its runs under this leader's fencing token.
     pub(crate) is_synced: bool,
-    /// Whether the last renewal was answered.
+    /// Whether the last poll was answered.
     pub(crate) is_reachable: bool,
-    /// Since when another life is listed at its place or under its id, where it has not
-    /// answered a look that was sent since.
+    /// Since when it is unconfirmed that this incarnation still runs: another one is listed
+    /// on its machine, at its address or under its id, and no poll sent since then has been
+    /// answered.
     pub(crate) unconfirmed_since: Option<Instant>,
-    /// The entry under its id, where that names another life than the one that answers.
+    /// The entry under the worker's id that names another incarnation than the one that
+    /// answers.
     pub(crate) other_entry: Option<WorkerFacts>,
-    /// Whether it runs something that nobody can account for.
+    /// Whether the worker has a run whose demand is unknown.
     pub(crate) has_unknown_run: bool,
-    /// When the life started that answers, where it tells.
+    /// The incarnation that answers, if reported.
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) clock: Option<ClockReading>,
-    /// When every lease granted to its runs is certainly over.
+    /// When every lease granted to the worker has certainly expired.
     pub(crate) leased_until: Instant,
-    /// When this leader granted a lease last.
+    /// When this leader last granted a lease.
     pub(crate) lease_granted_at: Instant,
     pub(crate) runs: BTreeMap<TaskKey, Run>,
     pub(crate) used: Resources,
-    /// What its runs held when its room shrank below them, less what has ended since.
+    /// The capacity in use when the worker's total capacity shrank below it, reduced as
+    /// runs end.
     pub(crate) overcommitted: Resources,
     serving_count: usize,
     fillers_count: usize,
-    /// Runs of tasks that may have crashed a worker before.
+    /// The number of runs on probation.
     pub(crate) probation_runs_count: usize,
-    /// Starts whose runs were given up without an answer.
+    /// Unanswered starts whose runs have ended or were given up.
     pub(crate) open_starts: OpenStarts,
-    /// Runs that were given up while it was silent; what became of it is not known.
+    /// Runs that were given up while the worker was unresponsive; their fate is
+    /// unconfirmed.
     pub(crate) lost_runs: Vec<LostRun>,
-    /// When this leader learned that its life is over.
+    /// When this leader learned that the incarnation is over.
     pub(crate) gone_at: Option<Instant>,
-    /// When it last answered a call.
+    /// When the worker last answered a call.
     pub(crate) answered_at: Instant,
-    /// Room that steps count on whose calls for advice name the worker. It
-    /// keeps others from naming it too, not from taking the room.
+    /// Soft reservations of steps with open advice requests that name the worker. They keep
+    /// other advice requests from counting on the same capacity, but don't prevent its use.
     soft_reservations: Vec<CapacityReservation>,
-    /// Room that is kept for gangs: nobody else may take it.
+    /// Reservations for gangs; no other step may use this capacity.
     pub(crate) reservations: Vec<CapacityReservation>,
-    /// The last end that it may forget.
+    /// The number up to which the worker may discard its ends.
     pub(crate) acked_end: u64,
-    /// The last end that was taken in.
+    /// The number of the last end that was handled.
     pub(crate) last_seen_end: u64,
-    /// The first end that this leader may not acknowledge, since it can't read
-    /// the job.
+    /// The first end that this leader may not acknowledge, because it can't read the job.
     pub(crate) first_unreadable_end: Option<u64>,
-    /// Ends that wait for their commit.
+    /// Ends whose changes are not yet committed.
     pub(crate) uncommitted_ends: Vec<u64>,
     pub(crate) is_poll_open: bool,
-    /// Renewals in a row that were not answered.
+    /// The number of consecutive unanswered polls.
     pub(crate) unanswered_polls_count: u32,
     pub(crate) next_poll_at: Instant,
-    /// Starts that were refused or runs that failed, in a row.
+    /// The number of consecutive refused starts and failed runs.
     pub(crate) failures_count: u32,
     pub(crate) avoided_until: Instant,
-    /// What is believed of its speed.
+    /// The estimate of the worker's speed.
     pub(crate) speed: WorkerSpeed,
-    /// When its lists came last.
+    /// When the worker last listed its runs.
     pub(crate) lists_at: Instant,
-    /// For how long an end that it listed last may have been unknown: nobody waited for its
-    /// lists then.
+    /// The longest time for which an end in the last answer may have gone unnoticed: no
+    /// poll was waiting at the worker then.
     pub(crate) end_lag: Duration,
 }
 
@@ -333,8 +338,8 @@
         }
     }
 
-    /// Returns up to which end the worker may forget, once all that wait for
-    /// their commit are in the store.
+    /// Returns the number up to which the worker may discard its ends once all uncommitted
+    /// ends are in the store.
     pub(crate) fn ackable_end(&self) -> u64 {
         let kept = self
             .first_unreadable_end
@@ -342,13 +347,13 @@
         kept.map_or(self.last_seen_end, |last| last.min(self.last_seen_end))
     }
 
-    /// Takes in what is listed of it now.
+    /// Replaces the worker's entry.
     pub(crate) fn set_facts(&mut self, facts: WorkerFacts) {
         self.facts = facts;
         self.update_overcommitted();
     }
 
-    /// Returns whether its runs need more than it holds since its room has shrunk.
+    /// Returns whether the worker's runs need more than its capacity, which has shrunk.
     pub(crate) fn is_overcommitted(&self) -> bool {
         !self.used.fits_in(&self.facts.capacity)
     }
@@ -361,7 +366,7 @@
         };
     }
 
-    /// Returns whether a recorded start still fits beside all whose start was sent.
+    /// Returns whether a recorded start still fits beside all runs whose start was sent.
     pub(crate) fn has_capacity_to_send(&self, task: TaskKey) -> bool {
         if !self.is_overcommitted() {
             return true;
@@ -375,12 +380,12 @@
         needed.fits_in(&self.facts.capacity)
     }
 
-    /// Returns what is not taken.
+    /// Returns the free capacity.
     pub(crate) fn free(&self) -> Resources {
         self.facts.capacity - self.used
     }
 
-    /// Notes that a step counts on room for so many tasks.
+    /// Adds a soft reservation for `tasks_count` tasks of a step.
     pub(crate) fn add_soft_reservation(
         &mut self,
         step: StepKey,
@@ -392,32 +397,31 @@
             .push(CapacityReservation { step, room });
     }
 
-    /// Drops what a step counted on.
+    /// Drops the soft reservations of a step.
     pub(crate) fn drop_soft_reservation(&mut self, step: StepKey) {
         self.soft_reservations
             .retain(|add_soft_reservation| add_soft_reservation.step != step);
     }
 
-    /// Returns the steps that count on room here.
+    /// Returns the steps with soft reservations.
     pub(crate) fn soft_reserving_steps(&self) -> impl Iterator<Item = StepKey> + '_ {
         self.soft_reservations
             .iter()
             .map(|add_soft_reservation| add_soft_reservation.step)
     }
 
-    /// Returns what steps count on whose calls for advice are open.
+    /// Returns the sum of the soft reservations.
     pub(crate) fn soft_reserved(&self) -> Resources {
         sum_of(self.soft_reservations.iter())
     }
 
-    /// Returns what is kept for gangs other than `step`.
+    /// Returns the capacity reserved for gangs other than `step`.
     pub(crate) fn reserved(&self, step: StepKey) -> Resources {
         let others = self.reservations.iter();
         sum_of(others.filter(|reservation| reservation.step != step))
     }
 
-    /// Returns what will not be taken once the runs that are being stopped
-    /// have ended.
+    /// Returns the free capacity once all runs that are being stopped have ended.
     pub(crate) fn free_after_stops(&self) -> Resources {
         let mut room = self.free();
         for run in self.runs.values() {
@@ -428,7 +432,7 @@
         room
     }
 
-    /// Returns whether a new run may be sent there.
+    /// Returns whether a new run may be placed on the worker.
     pub(crate) fn is_placeable(&self, now: Instant) -> bool {
         self.is_listed
             && self.has_service
@@ -439,7 +443,7 @@
             && self.unconfirmed_since.is_none()
             && !self.has_unknown_run
             && !self.facts.is_draining
-            // Nothing joins a run that may crash the worker.
+            // No run joins one that may crash the worker.
             && !self.has_probation_run()
             && now >= self.avoided_until
     }
@@ -462,7 +466,8 @@
         self.runs.insert(task, run);
     }
 
-    /// Adds a run that an earlier leader started, when the worker may have held more.
+    /// Adds a run that an earlier leader started, when the worker's capacity may have been
+    /// larger.
     pub(crate) fn insert_foreign_run(&mut self, task: TaskKey, run: Run) {
         self.insert_run(task, run);
         self.update_overcommitted();
@@ -476,12 +481,12 @@
         }
     }
 
-    /// Returns whether a task that serves users runs there.
+    /// Returns whether a serving task runs on the worker.
     pub(crate) const fn is_serving(&self) -> bool {
         self.serving_count > 0
     }
 
-    /// Returns whether a filler runs there beside a task that serves users.
+    /// Returns whether a filler runs on the worker beside a serving task.
     pub(crate) const fn is_shared(&self) -> bool {
         self.serving_count > 0 && self.fillers_count > 0
     }
@@ -499,8 +504,8 @@
 
     /// Grants a lease of `length` and returns its end on the worker's clock.
     ///
-    /// Returns `None` where the worker's clock is not known. The worker's own
-    /// clock may be slow, so the lease may last longer on this node's clock.
+    /// Returns `None` if the worker's clock is unknown. That clock may be slow, so the
+    /// lease may last longer on this node's clock.
     pub(crate) fn grant_lease(&mut self, now: Instant, length: Duration) -> Option<u64> {
         let clock = self.clock?;
         let age = now.since(clock.read_at);
@@ -512,13 +517,13 @@
     }
 }
 
-/// Returns when a lease is certainly over that was granted by now, on a worker
-/// that keeps leases of `limit` at most.
+/// Returns when every lease granted by `now` has certainly expired on a worker that limits
+/// leases to `limit`.
 pub(crate) fn lease_bound(now: Instant, limit: Duration) -> Instant {
     now + limit + clock_slack(limit) + LEASE_MARGIN
 }
 
-/// Returns how much longer a time on a worker's clock may be on this node's.
+/// Returns by how much a time span on a worker's clock may be longer on this node's clock.
 const fn clock_slack(length: Duration) -> Duration {
     Duration::from_ms(length.as_ms() * CLOCK_SLACK_PER_MILLE / 1000)
 }
--- a/crates/scheduler/src/worker_list.rs
+++ b/crates/scheduler/src/worker_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers, and what it tells of those that are known.
+//! The platform's list of workers and changes to their entries.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, WorkerChange};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl Scheduler {
-    /// Takes in the list of workers.
+    /// Handles a complete list of workers.
     pub(crate) fn list_workers(
         &mut self,
         now: Instant,
@@ -26,7 +26,7 @@
         self.change_workers(now, changes, out);
     }
 
-    /// Takes in what has changed of the list of workers.
+    /// Handles changes to the list of workers.
     pub(crate) fn change_workers(
         &mut self,
         now: Instant,
@@ -57,7 +57,7 @@
         self.handle_entry(now, key, facts, out);
     }
 
-    /// Creates a worker as the operators' settings stand.
+    /// Creates a worker under the current configuration and cordons.
     pub(crate) fn new_worker(&self, facts: WorkerFacts, leased_until: Instant) -> Worker {
         let mut worker = Worker::new(facts, leased_until);
         worker.has_service = self.configuration.has_service(&worker.facts.service);
@@ -65,20 +65,20 @@
         worker
     }
 
-    /// Notes which workers belong to a service that the operators have set: an entry that
-    /// names another one names no worker to use. What runs there runs on.
+    /// Updates which workers belong to a configured service. No run is placed on the
+    /// others; their runs continue.
     pub(crate) fn update_has_service(&mut self) {
         for worker in self.workers.values_mut() {
             worker.has_service = self.configuration.has_service(&worker.facts.service);
         }
     }
 
-    /// Has workers asked at once at whose place another life is listed that was not met
-    /// before in this term.
+    /// Polls known workers at once if an incarnation that is new in this term is listed on
+    /// their machine or at their address.
     ///
-    /// The entry alone does not tell which life is the later one: a write of an earlier
-    /// life may come to the store late. The address answers for the one that is there, to
-    /// a call for any other with its refusal.
+    /// The entry alone does not show which incarnation is the later one, since a write of
+    /// an earlier incarnation may reach the store late. The incarnation that runs answers
+    /// polls at the address and refuses those meant for another one.
     fn recheck_shared_hosts(&mut self, now: Instant, changes: &[WorkerChange]) {
         let mut hosts = Hosts::default();
         for change in changes {
@@ -108,7 +108,7 @@
         key.is_some_and(|key| !self.workers[*key].facts.address.is_empty())
     }
 
-    /// Takes in the entry of a known worker, which may be that of another life.
+    /// Handles the entry of a known worker, which may describe another incarnation.
     fn handle_entry(
         &mut self,
         now: Instant,
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Takes in what is listed of a known worker now.
+    /// Updates the entry of a known worker.
     ///
-    /// What runs on a worker whose room has shrunk below it runs on: stopping it would
-    /// lose work, and nothing more is placed there until enough has ended.
+    /// Runs continue when a worker's capacity shrinks below their demand: stopping them
+    /// would lose work. No run is placed there until enough of them have ended.
     fn update_facts(
         &mut self,
         now: Instant,
@@ -155,7 +155,7 @@
         worker.has_service = has_service;
         worker.is_cordoned = is_cordoned;
         let after = worker.facts.capacity;
-        // Of a worker that only the records of an earlier leader name nothing was known.
+        // The capacity was unknown for a worker that only an earlier leader's records name.
         let is_change = before != after && !before.is_zero();
         if !is_change || worker.runs.is_empty() {
             return;
@@ -182,7 +182,7 @@
     }
 }
 
-/// Takes in that a worker is not listed any more: it has left, or its entry has lapsed.
+/// Marks a worker as unlisted: it has departed, or its entry has expired.
 fn unlist(worker: &mut Worker, out: &mut Vec<Action>) {
     worker.is_listed = false;
     let line = Decision::new(DecisionKind::WorkerUnlisted, "entry gone");
@@ -190,12 +190,12 @@
     out.push(Action::Log(line.with_figure(worker.runs.len() as u64)));
 }
 
-/// The machines and addresses of workers that were not listed before.
+/// The machines and addresses of newly listed workers.
 #[derive(Debug, Default)]
 struct Hosts<'a> {
     machines: HashSet<&'a str>,
     addresses: HashSet<&'a str>,
-    /// The addresses of those whose machine the platform does not tell.
+    /// The addresses of workers whose machine is not reported.
     addresses_without_machine: HashSet<&'a str>,
 }
 
@@ -212,8 +212,8 @@
         self.addresses.is_empty()
     }
 
-    /// Returns whether one of them is a life of the same machine, or at the same address
-    /// where the machine of one is not told.
+    /// Returns whether one of the workers is on the machine of the known one, or at its
+    /// address if either machine is not reported.
     fn has(&self, known: &WorkerFacts) -> bool {
         let is_addressed = !known.address.is_empty();
         match &known.machine {
