--- a/crates/scheduler/src/advice.rs
+++ b/crates/scheduler/src/advice.rs
@@ -33,7 +33,7 @@
     /// The parts of the open call that have not been answered.
     pub(crate) open: Vec<OpenPart>,
     /// When the last call was answered.
-    pub(crate) answered_at: Instant,
+    pub(crate) last_answer_at: Instant,
     /// When the next call may be made after one that failed.
     pub(crate) retry_at: Instant,
     /// When a gang may next search for room.
--- a/crates/scheduler/src/asking.rs
+++ b/crates/scheduler/src/asking.rs
@@ -328,7 +328,7 @@
             out.push(Action::Log(line.with_job(step.job).with_figure(waited_ms)));
             return;
         };
-        advice.answered_at = now;
+        advice.last_answer_at = now;
         advice.search_at = now;
         let good: Vec<(WorkerKey, Arc<str>)> = tickets
             .into_iter()
--- a/crates/scheduler/src/cordons.rs
+++ b/crates/scheduler/src/cordons.rs
@@ -39,12 +39,12 @@
     pub(crate) fn set_cordons(&mut self, data_centres: BTreeSet<Arc<str>>, out: &mut Vec<Action>) {
         let before = core::mem::replace(&mut self.cordons.data_centres, data_centres);
         let after = &self.cordons.data_centres;
-        let mut tell = |data_centre: &Arc<str>, reason| {
+        let mut log = |data_centre: &Arc<str>, reason| {
             let line = Decision::new(DecisionKind::Cordon, reason);
             out.push(Action::Log(line.with_data_centre(data_centre)));
         };
-        after.difference(&before).for_each(|it| tell(it, "set"));
-        before.difference(after).for_each(|it| tell(it, "lifted"));
+        after.difference(&before).for_each(|it| log(it, "set"));
+        before.difference(after).for_each(|it| log(it, "lifted"));
         self.update_cordoned_workers();
         self.is_cycle_due = true;
     }
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -39,20 +39,21 @@
     /// run.
     fn has_passed_start_window(&self, run: &Run) -> bool {
         run.begun_at
-            .is_some_and(|begun_at| self.answered_at >= begun_at + START_WINDOW)
+            .is_some_and(|begun_at| self.last_answer_at >= begun_at + START_WINDOW)
     }
 
     /// Returns whether a run on probation is still in its start window on the worker.
     pub(crate) fn has_probation_run(&self) -> bool {
-        let is_open = |run: &Run| run.is_on_probation && !self.has_passed_start_window(run);
-        self.probation_runs_count > 0 && self.runs.values().any(is_open)
+        let may_be_in_start_window =
+            |run: &Run| run.is_on_probation && !self.has_passed_start_window(run);
+        self.probation_runs_count > 0 && self.runs.values().any(may_be_in_start_window)
     }
 
     /// Returns whether a crash of the worker would affect no job but the given one.
     fn is_isolated_for(&self, job: JobId) -> bool {
         let is_own = |task: &TaskKey| task.step.job == job;
         let mut reservations = self.reservations.iter();
-        self.runs.keys().all(is_own) && reservations.all(|kept| kept.step.job == job)
+        self.runs.keys().all(is_own) && reservations.all(|reserved| reserved.step.job == job)
     }
 
     /// Returns whether the worker was lost recently or appears to be lost now.
@@ -118,15 +119,16 @@
     /// ended it early.
     fn attribute_crash(&self, now: Instant, key: WorkerKey, lost: &mut Vec<LostRun>) {
         if self.workers[key].facts.is_draining {
-            lost.retain(|run| run.is_open);
+            lost.retain(|run| run.may_be_in_start_window);
             set_suspicion_of_all(lost, Suspicion::Cleared);
             return;
         }
-        let is_on_probation = |run: &LostRun| run.is_open && self.is_suspect(run.task);
+        let is_on_probation =
+            |run: &LostRun| run.may_be_in_start_window && self.is_suspect(run.task);
         let has_probation_run = lost.iter().any(is_on_probation);
         if !has_probation_run && self.is_rack_lost(now, key) {
             set_suspicion_of_all(lost, Suspicion::Bystander);
-        } else if lost.len() == 1 && lost[0].is_open {
+        } else if lost.len() == 1 && lost[0].may_be_in_start_window {
             set_suspicion_of_all(lost, Suspicion::Suspect);
         } else if has_probation_run {
             for run in lost {
@@ -190,7 +192,7 @@
             run: run.run,
             suspicion: suspicion_of(worker, run),
             incarnation: worker.incarnation.or(run.recorded_incarnation),
-            is_open: is_open(worker, run),
+            may_be_in_start_window: may_be_in_start_window(worker, run),
         });
         lost.collect()
     }
@@ -285,14 +287,14 @@
 }
 
 /// Returns whether a run may have begun and is not known to have passed its start window.
-fn is_open(worker: &Worker, run: &Run) -> bool {
+fn may_be_in_start_window(worker: &Worker, run: &Run) -> bool {
     let may_have_begun =
         run.begun_at.is_some() || run.was_cut_off || run.phase == RunPhase::Recovered;
     may_have_begun && !worker.has_passed_start_window(run)
 }
 
 fn suspicion_of(worker: &Worker, run: &Run) -> Suspicion {
-    if run.phase != RunPhase::Recovered && is_open(worker, run) {
+    if run.phase != RunPhase::Recovered && may_be_in_start_window(worker, run) {
         Suspicion::Suspect
     } else {
         Suspicion::Bystander
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -30,7 +30,7 @@
     Ended,
     /// A run was given up as lost.
     RunLost,
-    /// A job's outcome is committed.
+    /// A job ended, or clients can see its outcome.
     JobEnded,
     /// A worker was added.
     WorkerListed,
--- a/crates/scheduler/src/departures.rs
+++ b/crates/scheduler/src/departures.rs
@@ -30,11 +30,11 @@
             self.departs_at = None;
             return;
         }
-        let told = self.reported_departure();
+        let reported = self.reported_departure();
         // If no departure is reported, the time counts from when the worker was first
         // listed as draining.
         let known = self.departs_at.unwrap_or(now + drain_time);
-        self.departs_at = Some(told.unwrap_or(known));
+        self.departs_at = Some(reported.unwrap_or(known));
     }
 
     /// Returns the earliest departure, if it is reported and the worker's clock is known.
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -67,8 +67,8 @@
         let number = end.number;
         let id = end.task.step.job;
         if self.unreadable.contains(&id) {
-            let kept = &mut self.workers[key].first_unreadable_end;
-            *kept = Some(kept.map_or(number, |first| first.min(number)));
+            let first = &mut self.workers[key].first_unreadable_end;
+            *first = Some(first.map_or(number, |known| known.min(number)));
             return;
         }
         let job = self.jobs.get_mut(&id);
@@ -108,8 +108,10 @@
         let is_stopped_for_one = job.gang_stops.get(&end.task.step) == Some(&end.run);
         let is_older = is_stopped_for_one && end.kind != EndKind::Stopped;
         if end.checkpoint.is_some() && !is_older {
-            let keeper = if is_gang { 0 } else { index };
-            step.tasks[keeper].checkpoint.clone_from(&end.checkpoint);
+            let checkpoint_owner = if is_gang { 0 } else { index };
+            step.tasks[checkpoint_owner]
+                .checkpoint
+                .clone_from(&end.checkpoint);
         }
         if end.kind == EndKind::Done && !is_perpetual {
             if is_gang {
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -197,7 +197,7 @@
         cycle: &mut SchedulingCycle,
         out: &mut Vec<Action>,
     ) -> bool {
-        let waited = now.since(self.advice[&pending.key].answered_at);
+        let waited = now.since(self.advice[&pending.key].last_answer_at);
         let has_waited = waited >= LOOK_FURTHER_AFTER;
         if !has_waited && !self.advisers.is_idle(now, policy.cost(1)) {
             return false;
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -14,14 +14,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) worker: WorkerKey,
-    pub(crate) room: Resources,
+    pub(crate) capacity: Resources,
 }
 
 impl Reservation {
     /// Creates a reservation for so many members.
     pub(crate) fn new(worker: WorkerKey, demand: &Resources, members_count: u32) -> Self {
-        let room = demand.times(members_count);
-        Self { worker, room }
+        let capacity = demand.times(members_count);
+        Self { worker, capacity }
     }
 }
 
@@ -30,10 +30,10 @@
     pub(crate) fn reserve_room(&mut self, step: StepKey, reservations: Vec<Reservation>) {
         self.release_room(step);
         let mut workers = Vec::with_capacity(reservations.len());
-        for Reservation { worker, room } in reservations {
+        for Reservation { worker, capacity } in reservations {
             self.workers[worker]
                 .reservations
-                .push(CapacityReservation { step, room });
+                .push(CapacityReservation { step, capacity });
             workers.push(worker);
         }
         self.reservations.insert(step, workers);
--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -80,11 +80,11 @@
     }
 
     /// Adds the time since the snapshot was taken to all ages.
-    pub fn add_age(&mut self, kept: Duration) {
+    pub fn add_age(&mut self, elapsed: Duration) {
         let sizes = self.sizes.iter_mut().map(|it| &mut it.age_ms);
         let speeds = self.speeds.iter_mut().map(|it| &mut it.age_ms);
         for age_ms in sizes.chain(speeds) {
-            *age_ms = age_ms.saturating_add(kept.as_ms());
+            *age_ms = age_ms.saturating_add(elapsed.as_ms());
         }
     }
 }
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -33,7 +33,7 @@
 impl Worker {
     /// Returns whether an answer comes from an incarnation other than the known one.
     pub(crate) fn is_other_incarnation(&self, incarnation: Option<Incarnation>) -> bool {
-        matches!((self.incarnation, incarnation), (Some(known), Some(told)) if known != told)
+        matches!((self.incarnation, incarnation), (Some(known), Some(answering)) if known != answering)
     }
 
     /// Returns whether an entry may describe the incarnation that answers.
@@ -86,8 +86,8 @@
         let line = line.with_worker(&self.workers[key].facts.id);
         out.push(Action::Log(line.with_figure(runs_count)));
         let next = self.add_next_incarnation(now, key, incarnation);
-        let kept = self.runs_with_disposition(key, Disposition::Kept, sent_at, listed);
-        self.move_runs(key, next, kept);
+        let moved = self.runs_with_disposition(key, Disposition::Kept, sent_at, listed);
+        self.move_runs(key, next, moved);
         self.mark_gone(now, key, out);
         let open = self.runs_with_disposition(key, Disposition::Open, sent_at, listed);
         self.move_runs(key, next, open.clone());
@@ -103,12 +103,13 @@
         key: WorkerKey,
         incarnation: Option<Incarnation>,
     ) -> WorkerKey {
-        let before = &mut self.workers[key];
-        let entry = before.other_entry.take();
+        let previous = &mut self.workers[key];
+        let entry = previous.other_entry.take();
         let entry = entry.filter(|entry| entry.incarnation == incarnation);
-        let is_listed = entry.is_some() || before.facts.incarnation.is_none() && before.is_listed;
-        before.is_listed = false;
-        let facts = entry.unwrap_or_else(|| before.facts.clone());
+        let is_listed =
+            entry.is_some() || previous.facts.incarnation.is_none() && previous.is_listed;
+        previous.is_listed = false;
+        let facts = entry.unwrap_or_else(|| previous.facts.clone());
         let id = facts.id.clone();
         // The new incarnation limits leases granted for the previous one's clock.
         let mut next = self.new_worker(facts, lease_bound(now, self.config.lease_limit));
@@ -227,7 +228,7 @@
         RunPhase::Recording | RunPhase::Recovered => Disposition::Lost,
         RunPhase::Starting => Disposition::Kept,
         RunPhase::Running { since } if since >= sent_at => Disposition::Kept,
-        RunPhase::Running { .. } | RunPhase::Stopping { .. } if run.has_open_start() => {
+        RunPhase::Running { .. } | RunPhase::Stopping { .. } if run.has_unanswered_start() => {
             Disposition::Open
         }
         RunPhase::Running { .. } | RunPhase::Stopping { .. } => Disposition::Lost,
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -156,7 +156,7 @@
     /// Returns whether a run's time is known and was spent on the whole work alone.
     fn tells_speed(&self, run: &Run, spec: &StepSpec) -> bool {
         let is_whole = run.checkpoint.is_none() && !spec.is_perpetual;
-        let is_begin_known = run.sends_count == 1 && run.answers_count == 1;
+        let is_begin_known = run.start_sends_count == 1 && run.start_answers_count == 1;
         let near = spec.data_rack.as_deref();
         let is_near = near.is_none() || near == self.facts.rack.as_deref();
         let is_alone = RunRole::of(spec) == RunRole::Plain;
@@ -192,7 +192,7 @@
         // Of a gang the first member that ends tells of all.
         let is_counted = step.tasks.get(end.task.index as usize)?.status == TaskStatus::Done;
         let length = now.since(run.begun_at?);
-        let is_end_known = worker.end_lag.times(LAG_PARTS) <= length;
+        let is_end_known = worker.end_detection_delay.times(LAG_PARTS) <= length;
         if is_counted || !is_end_known || !worker.tells_length(run, spec) {
             return None;
         }
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -40,7 +40,7 @@
     /// Marks the runs that a poll sent after their starts went unanswered did not list.
     fn mark_absent_runs(&mut self, sent_at: Instant, listed: &ListedRuns) {
         for (task, run) in &mut self.runs {
-            if run.was_unknown_at(sent_at) && !listed.contains(&(*task, run.run)) {
+            if run.was_unconfirmed_at(sent_at) && !listed.contains(&(*task, run.run)) {
                 run.was_absent = true;
             }
         }
@@ -76,7 +76,7 @@
             let is_granted = worker.is_synced && worker.unanswered_polls_count == 0;
             // A worker answers at once while it lists an end, so the poll isn't held.
             let has_listed_end = !worker.uncommitted_ends.is_empty();
-            let is_quick = !is_granted
+            let is_immediate = !is_granted
                 || worker.runs.is_empty()
                 || has_listed_end
                 || worker.unconfirmed_since.is_some();
@@ -89,7 +89,7 @@
                 to: worker.endpoint(key),
                 until_ms,
                 last_seen: worker.acked_end,
-                wait: if is_quick { Duration::ZERO } else { wait },
+                wait: if is_immediate { Duration::ZERO } else { wait },
                 patience: poll_timeout(worker.unanswered_polls_count),
             });
         }
@@ -102,12 +102,12 @@
         let is_lossy = self
             .last_lost_poll_at
             .is_some_and(|at| now.since(at) < LOSSY_PERIOD);
-        let (least, per_s) = if is_lossy {
+        let (least, limit_per_s) = if is_lossy {
             (LOSSY_POLL_WAIT, LOSSY_RENEWALS_PER_S)
         } else {
             (self.config.poll_wait, RENEWALS_PER_S)
         };
-        let affordable = Duration::from_ms(busy_count as u64 * 1000 / per_s);
+        let affordable = Duration::from_ms(busy_count as u64 * 1000 / limit_per_s);
         affordable.clamp(least, self.config.poll_wait_limit)
     }
 
@@ -164,9 +164,9 @@
             read_at: now,
         });
         worker.unanswered_polls_count = 0;
-        worker.answered_at = now;
-        worker.end_lag = sent_at.since(worker.lists_at);
-        worker.lists_at = now;
+        worker.last_answer_at = now;
+        worker.end_detection_delay = sent_at.since(worker.last_listed_at);
+        worker.last_listed_at = now;
         // A poll that was sent before says nothing about the time since.
         worker.unconfirmed_since = worker.unconfirmed_since.filter(|since| sent_at < *since);
         if !core::mem::replace(&mut worker.is_reachable, true) {
@@ -217,7 +217,7 @@
             self.is_cycle_due = true;
             self.bound_recovered_lease(now, key);
         }
-        let is_whole = ended.len() < self.config.listed_ends_limit_count;
+        let is_complete = ended.len() < self.config.listed_ends_limit_count;
         let listed = listed_runs(&running, &ended);
         // The worker discards ends by number.
         ended.sort_by_key(|end| end.number);
@@ -229,7 +229,7 @@
         for run in running {
             self.handle_running(now, key, run, out);
         }
-        if is_whole {
+        if is_complete {
             self.workers[key].mark_absent_runs(sent_at, &listed);
             self.release_unlisted(now, key, sent_at, &listed, out);
         }
@@ -326,12 +326,12 @@
         if checkpoint.is_none() {
             return;
         }
-        let keeper = if self.is_gang(task.step) {
+        let checkpoint_owner = if self.is_gang(task.step) {
             task.step.task(0)
         } else {
             task
         };
-        if let Some(state) = self.task_state_mut(keeper) {
+        if let Some(state) = self.task_state_mut(checkpoint_owner) {
             if state.checkpoint != checkpoint {
                 state.checkpoint = checkpoint;
             }
@@ -378,7 +378,7 @@
 
     /// Gives up the runs of unresponsive workers whose leases have certainly expired.
     pub(crate) fn give_up_expired(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let lapsed: Vec<WorkerKey> = self
+        let expired: Vec<WorkerKey> = self
             .workers
             .iter()
             .filter(|(_, worker)| {
@@ -390,7 +390,7 @@
             })
             .map(|(key, _)| key)
             .collect();
-        for key in lapsed {
+        for key in expired {
             self.record_unresponsive(now, key, out);
             self.release_all_runs(now, key, "lease over", out);
             self.workers[key].is_synced = false;
@@ -444,9 +444,9 @@
     if !worker.uncommitted_ends.is_empty() {
         return has_runs && now.since(worker.lease_granted_at) >= interval_during_commit;
     }
-    let has_news = worker.ackable_end() > worker.acked_end;
+    let has_new_ack = worker.ackable_end() > worker.acked_end;
     has_runs
-        || has_news
+        || has_new_ack
         || worker.has_unknown_run
         || (worker.is_listed && worker.has_service && (!worker.is_synced || !worker.is_reachable))
 }
--- a/crates/scheduler/src/open_starts.rs
+++ b/crates/scheduler/src/open_starts.rs
@@ -93,9 +93,9 @@
 
     /// Returns the number of unanswered stops.
     pub(crate) fn unanswered_stops_count(&self) -> usize {
-        let asked = self.starts.iter();
-        let asked = asked.filter(|start| start.stop_state != StopState::Confirmed);
-        asked.count()
+        let unanswered = self.starts.iter();
+        let unanswered = unanswered.filter(|start| start.stop_state != StopState::Confirmed);
+        unanswered.count()
     }
 }
 
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -29,7 +29,7 @@
         let is_within_limit = self.is_within_limit(task.step.job);
         let is_closed_to_starts = self.is_closed_to_starts(&self.workers[key]);
         let worker = &mut self.workers[key];
-        let has_room = worker.has_capacity_to_send(task);
+        let has_capacity = worker.has_capacity_to_send(task);
         let Some(run) = worker.runs.get_mut(&task) else {
             return;
         };
@@ -40,7 +40,7 @@
             self.release_run(now, task, DecisionKind::NotStarted, "ticket over", out);
             return;
         }
-        if !has_room {
+        if !has_capacity {
             // The worker's capacity has shrunk since the placement.
             self.release_run(now, task, DecisionKind::NotStarted, "room shrank", out);
             return;
@@ -85,8 +85,8 @@
         };
         let payload = job.payload.clone();
         let worker = &mut self.workers[key];
-        let is_able = !worker.is_gone && worker.is_reachable && worker.is_synced;
-        if !is_able {
+        let can_receive = !worker.is_gone && worker.is_reachable && worker.is_synced;
+        if !can_receive {
             return false;
         }
         let Some(until_ms) = worker.grant_lease(now, length) else {
@@ -96,7 +96,7 @@
         let Some(run) = worker.runs.get_mut(&task) else {
             return false;
         };
-        run.sends_count += 1;
+        run.start_sends_count += 1;
         run.sent_at = now;
         out.push(Action::Start {
             to,
@@ -132,7 +132,8 @@
         {
             return false;
         }
-        let is_open = run.phase == RunPhase::Starting && run.sends_count < START_SENDS_LIMIT_COUNT;
+        let is_open =
+            run.phase == RunPhase::Starting && run.start_sends_count < START_SENDS_LIMIT_COUNT;
         is_open && self.retries.starts.spend() && self.send_order(now, key, task, out)
     }
 
@@ -144,8 +145,11 @@
         let step = step.steps.get(task.step.step as usize)?;
         // A checkpoint of any member serves the whole gang, provided that all members start
         // from the same one.
-        let keeper = if spec.is_gang { 0 } else { task.index };
-        step.tasks.get(keeper as usize)?.checkpoint.clone()
+        let checkpoint_owner = if spec.is_gang { 0 } else { task.index };
+        step.tasks
+            .get(checkpoint_owner as usize)?
+            .checkpoint
+            .clone()
     }
 
     pub(crate) fn on_start_answered(
@@ -170,10 +174,10 @@
         if run.run != number {
             return;
         }
-        run.answers_count += u32::from(reply != StartReply::Unanswered);
+        run.start_answers_count += u32::from(reply != StartReply::Unanswered);
         let is_refused = reply == StartReply::Refused(RefusedStart::NotSent);
-        run.was_cut_off |= is_refused && run.sends_count > 1;
-        let reply = interpret_repeat(reply, run.sends_count);
+        run.was_cut_off |= is_refused && run.start_sends_count > 1;
+        let reply = interpret_repeat(reply, run.start_sends_count);
         let id = worker.facts.id.clone();
         let line = |kind, reason| {
             let line = Decision::new(kind, reason);
@@ -182,7 +186,7 @@
         match reply {
             StartReply::Started => {
                 run.note_begun(now);
-                worker.answered_at = now;
+                worker.last_answer_at = now;
                 if run.phase == RunPhase::Starting {
                     run.phase = RunPhase::Running { since: now };
                 }
@@ -198,12 +202,12 @@
                 self.record_failure(now, key, "starts unanswered", out);
                 self.stop_task(now, task, "start unknown", out);
             }
-            StartReply::Refused(why) => {
-                if why == RefusedStart::Fence {
+            StartReply::Refused(reason) => {
+                if reason == RefusedStart::Fence {
                     out.push(Action::StepDown);
                     return;
                 }
-                self.on_refused(now, key, task, why, out);
+                self.on_refused(now, key, task, reason, out);
             }
             StartReply::OtherIncarnation => {}
         }
@@ -214,10 +218,10 @@
         now: Instant,
         key: WorkerKey,
         task: TaskKey,
-        why: RefusedStart,
+        reason: RefusedStart,
         out: &mut Vec<Action>,
     ) {
-        match why {
+        match reason {
             RefusedStart::Ticket => {
                 if let Some(advice) = self.advice.get_mut(&task.step) {
                     advice.expire(key);
@@ -228,7 +232,7 @@
             }
             _ => {}
         }
-        self.release_run(now, task, DecisionKind::NotStarted, why.as_str(), out);
+        self.release_run(now, task, DecisionKind::NotStarted, reason.as_str(), out);
     }
 
     pub(crate) fn on_stop_answered(
@@ -246,7 +250,7 @@
             StopReply::Unanswered => {}
             StopReply::Stopping => {
                 let worker = &mut self.workers[key];
-                worker.answered_at = now;
+                worker.last_answer_at = now;
                 worker.open_starts.confirm_stop(task, number);
                 let Some(run) = worker.runs.get_mut(&task) else {
                     return;
@@ -266,9 +270,9 @@
 
 /// Returns the meaning of an answer to a start that may have been sent before: an earlier
 /// order may have been carried out, or may still be.
-fn interpret_repeat(reply: StartReply, sends_count: u32) -> StartReply {
+fn interpret_repeat(reply: StartReply, start_sends_count: u32) -> StartReply {
     match reply {
-        StartReply::Refused(_) if sends_count < 2 => reply,
+        StartReply::Refused(_) if start_sends_count < 2 => reply,
         // The worker has or had the run, or has stopped it; its next list of runs shows
         // which.
         StartReply::Refused(RefusedStart::Old) => StartReply::Started,
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -25,7 +25,7 @@
         if let Some(run) = self.workers[worker].remove_run(task) {
             self.accounts.give_back(run.charge);
             self.shares.give_back(&run);
-            if run.has_open_start() {
+            if run.has_unanswered_start() {
                 let open_starts = &mut self.workers[worker].open_starts;
                 open_starts.add(run.sent_at, task, run.run);
             }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -276,9 +276,9 @@
         if self.is_cycle_due && now >= self.next_cycle_at {
             self.is_cycle_due = false;
             let examined_count = self.place(now, out);
-            let pace = self.config.cycle_interval;
+            let interval = self.config.cycle_interval;
             let rest_ms = examined_count as u64 / self.config.cycle_steps_per_ms;
-            self.next_cycle_at = now + pace.max(Duration::from_ms(rest_ms));
+            self.next_cycle_at = now + interval.max(Duration::from_ms(rest_ms));
         }
         if now >= self.next_renewal_at {
             self.next_renewal_at = now + self.config.renewal_interval;
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -113,10 +113,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateError {
     /// The format is unknown.
-    #[error("the stored form has version {0}")]
+    #[error("unsupported format {0} of a stored value")]
     Version(u8),
     /// The bytes are damaged.
-    #[error("the stored form can't be read: {0}")]
+    #[error("malformed stored value: {0}")]
     Malformed(String),
 }
 
--- a/crates/scheduler/src/verifier.rs
+++ b/crates/scheduler/src/verifier.rs
@@ -15,44 +15,44 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
     /// A worker's used capacity differs from the sum of its runs.
-    #[error("the room of worker {0} is miscounted")]
-    Room(String),
+    #[error("the used capacity of worker {0} differs from its runs")]
+    Capacity(String),
     /// The runs on a worker need more than its capacity.
-    #[error("worker {0} has been given more than it holds")]
+    #[error("the runs on worker {0} exceed its capacity")]
     Overcommitted(String),
     /// A customer's usage differs from the sum of its runs.
-    #[error("the account of customer {0} is miscounted")]
+    #[error("the usage of customer {0} differs from its runs")]
     Account(String),
-    /// A service's fair-share accounts differ from its jobs and runs, or a virtual time
-    /// differs from the service's clock.
-    #[error("the shares of service {0} are miscounted")]
+    /// A service's fair-share accounts differ from its jobs and runs, or a customer's tag is
+    /// too far ahead of the service's clock.
+    #[error("the share accounts of service {0} are inconsistent")]
     Share(String),
     /// A task's state and the table of placements disagree.
-    #[error("task {0} is not where its state says")]
+    #[error("the state of task {0} disagrees with its placement")]
     Placement(TaskKey),
     /// A worker's reservations differ from those of the gangs.
-    #[error("the room that is kept on worker {0} is miscounted")]
+    #[error("the reservations on worker {0} are inconsistent")]
     Reservation(String),
     /// A worker has a soft reservation without an open advice request that names it.
-    #[error("step {0} counts on room of worker {1} without a call")]
-    Claim(StepKey, String),
+    #[error("step {0} has a soft reservation on worker {1} without an advice request")]
+    SoftReservation(StepKey, String),
     /// A job is in more than one open transaction, or its commit flag is wrong.
-    #[error("a job's commit is miscounted")]
+    #[error("a job's open commit is inconsistent")]
     Commit,
     /// A step waits for something that can't happen.
-    #[error("step {0} waits for what can't come: {1}")]
+    #[error("step {0} waits for something that can't happen: {1}")]
     Wait(StepKey, &'static str),
     /// A worker's estimated speed is invalid.
     #[error("the speed of worker {0} can't be")]
     Speed(String),
     /// The lower estimate of a job's remaining work exceeds the expected one.
-    #[error("more is surely left of job {0} than likely")]
-    Left(JobId),
+    #[error("the minimum remaining work of job {0} exceeds the expected one")]
+    RemainingWork(JobId),
     /// The table of task shapes is over its limit or contains an invalid shape.
-    #[error("the shapes of tasks are miscounted")]
+    #[error("the table of task shapes is inconsistent")]
     Shapes,
     /// A job that has ended is still in the scheduling order.
-    #[error("a job that has its outcome is still served")]
+    #[error("an ended job is still in the scheduling order")]
     Outcome,
 }
 
@@ -63,12 +63,12 @@
     ///
     /// Returns the first [`Violation`] found.
     pub fn verify(&self) -> Result<(), Violation> {
-        self.verify_rooms()?;
+        self.verify_capacities()?;
         self.verify_accounts()?;
         self.verify_shares()?;
         self.verify_placements()?;
         self.verify_reservations()?;
-        self.verify_claims()?;
+        self.verify_soft_reservations()?;
         self.verify_commits()?;
         self.verify_waits()?;
         self.verify_learned()?;
@@ -89,24 +89,24 @@
     fn verify_learned(&self) -> Result<(), Violation> {
         for worker in self.workers.values() {
             let factor = worker.speed.factor;
-            let is_told = self.is_learning() || factor == USUAL_SPEED;
-            if !factor.is_finite() || factor <= 0.0 || !is_told {
+            let is_allowed = self.is_learning() || factor == USUAL_SPEED;
+            if !factor.is_finite() || factor <= 0.0 || !is_allowed {
                 return Err(Violation::Speed(worker.facts.id.to_string()));
             }
         }
         let mut jobs = self.jobs.iter();
         let wrong = jobs.find(|(_, job)| job.sure_ms > job.left_ms);
-        wrong.map_or(Ok(()), |(id, _)| Err(Violation::Left(*id)))
+        wrong.map_or(Ok(()), |(id, _)| Err(Violation::RemainingWork(*id)))
     }
 
-    fn verify_rooms(&self) -> Result<(), Violation> {
+    fn verify_capacities(&self) -> Result<(), Violation> {
         for worker in self.workers.values() {
             let mut used = Resources::ZERO;
             for run in worker.runs.values() {
                 used += run.demand;
             }
             if used != worker.used {
-                return Err(Violation::Room(worker.facts.id.to_string()));
+                return Err(Violation::Capacity(worker.facts.id.to_string()));
             }
             let is_counted = !worker.facts.address.is_empty() && !worker.is_gone;
             // Some of the runs that an earlier leader recorded may have ended without a
@@ -119,8 +119,8 @@
                 }
             }
             // A worker whose capacity has shrunk may hold the runs that it held then.
-            let room = worker.facts.capacity.max(worker.overcommitted);
-            if is_counted && !known.fits_in(&room) {
+            let capacity = worker.facts.capacity.max(worker.overcommitted);
+            if is_counted && !known.fits_in(&capacity) {
                 return Err(Violation::Overcommitted(worker.facts.id.to_string()));
             }
         }
@@ -162,13 +162,13 @@
                 share.running.add(&run.demand, 1);
             }
         }
-        self.verify_asked()?;
+        self.verify_demands()?;
         let wrong = self.shares.miscounted(&counted);
         wrong.map_or(Ok(()), |service| Err(Violation::Share(service.to_string())))
     }
 
     /// Checks the recorded demand of jobs that are not due to be recomputed.
-    fn verify_asked(&self) -> Result<(), Violation> {
+    fn verify_demands(&self) -> Result<(), Violation> {
         if !self.has_fair_shares() {
             return Ok(());
         }
@@ -190,18 +190,18 @@
             return Ok(());
         }
         let mut waits = self.waits.of_last_cycle();
-        let endless = waits.find(|(step, reason)| !self.can_end(*step, *reason));
-        endless.map_or(Ok(()), |(step, reason)| {
+        let impossible = waits.find(|(step, reason)| !self.can_end(*step, *reason));
+        impossible.map_or(Ok(()), |(step, reason)| {
             Err(Violation::Wait(step, reason.as_str()))
         })
     }
 
     fn verify_commits(&self) -> Result<(), Violation> {
         let open: Vec<JobId> = self.commits.open_jobs().collect();
-        let noted_count = self.jobs.values().filter(|job| job.is_on_its_way).count();
+        let flagged_count = self.jobs.values().filter(|job| job.is_on_its_way).count();
         let known = open.iter().filter_map(|id| self.jobs.get(id));
-        let is_noted = known.clone().all(|job| job.is_on_its_way);
-        if is_noted && known.count() == noted_count {
+        let are_flagged = known.clone().all(|job| job.is_on_its_way);
+        if are_flagged && known.count() == flagged_count {
             Ok(())
         } else {
             Err(Violation::Commit)
@@ -214,23 +214,26 @@
                 let workers = self.reservations.get(step);
                 workers.is_some_and(|workers| workers.contains(&key))
             };
-            let kept = worker.reservations.iter();
-            let kept_count = kept.filter(|kept| is_known(&kept.step)).count();
+            let held = worker.reservations.iter();
+            let matching_count = held.filter(|held| is_known(&held.step)).count();
             let known = self.reservations.values().flatten();
             let known_count = known.filter(|known| **known == key).count();
-            if kept_count != worker.reservations.len() || kept_count != known_count {
+            if matching_count != worker.reservations.len() || matching_count != known_count {
                 return Err(Violation::Reservation(worker.facts.id.to_string()));
             }
         }
         Ok(())
     }
 
-    fn verify_claims(&self) -> Result<(), Violation> {
+    fn verify_soft_reservations(&self) -> Result<(), Violation> {
         for (key, worker) in self.workers.iter() {
             for step in worker.soft_reserving_steps() {
                 let advice = self.advice.get(&step);
                 if !advice.is_some_and(|advice| advice.is_asked_about(key)) {
-                    return Err(Violation::Claim(step, worker.facts.id.to_string()));
+                    return Err(Violation::SoftReservation(
+                        step,
+                        worker.facts.id.to_string(),
+                    ));
                 }
             }
         }
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -98,8 +98,8 @@
     /// The incarnation for which an earlier leader recorded the run, if known.
     pub(crate) recorded_incarnation: Option<Incarnation>,
     /// The number of times that the start was sent, and how many of these were answered.
-    pub(crate) sends_count: u32,
-    pub(crate) answers_count: u32,
+    pub(crate) start_sends_count: u32,
+    pub(crate) start_answers_count: u32,
     /// When the start was last sent.
     pub(crate) sent_at: Instant,
     pub(crate) placed_at: Instant,
@@ -139,8 +139,8 @@
             ticket: None,
             checkpoint: None,
             recorded_incarnation: None,
-            sends_count: 0,
-            answers_count: 0,
+            start_sends_count: 0,
+            start_answers_count: 0,
             sent_at: placed_at,
             placed_at,
             begun_at: None,
@@ -156,13 +156,13 @@
 
     /// Returns whether a start that was sent is unanswered, so that the worker may still
     /// carry it out.
-    pub(crate) const fn has_open_start(&self) -> bool {
-        self.sends_count > self.answers_count
+    pub(crate) const fn has_unanswered_start(&self) -> bool {
+        self.start_sends_count > self.start_answers_count
     }
 
     /// Returns whether the run was being stopped and not known to have begun when a poll
     /// was sent.
-    pub(crate) fn was_unknown_at(&self, sent_at: Instant) -> bool {
+    pub(crate) fn was_unconfirmed_at(&self, sent_at: Instant) -> bool {
         let is_before =
             matches!(self.phase, RunPhase::Stopping { sent_at: at, .. } if at < sent_at);
         is_before && self.begun_at.is_none()
@@ -195,7 +195,7 @@
     /// The incarnation that the run was assigned to, if known.
     pub(crate) incarnation: Option<Incarnation>,
     /// Whether the run may have begun and is not known to have passed its start window.
-    pub(crate) is_open: bool,
+    pub(crate) may_be_in_start_window: bool,
 }
 
 /// A reading of the worker's clock.
@@ -209,7 +209,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CapacityReservation {
     pub(crate) step: StepKey,
-    pub(crate) room: Resources,
+    pub(crate) capacity: Resources,
 }
 
 /// A worker.
@@ -263,7 +263,7 @@
     /// When this leader learned that the incarnation is over.
     pub(crate) gone_at: Option<Instant>,
     /// When the worker last answered a call.
-    pub(crate) answered_at: Instant,
+    pub(crate) last_answer_at: Instant,
     /// Soft reservations of steps with open advice requests that name the worker. They keep
     /// other advice requests from counting on the same capacity, but don't prevent its use.
     soft_reservations: Vec<CapacityReservation>,
@@ -287,10 +287,10 @@
     /// The estimate of the worker's speed.
     pub(crate) speed: WorkerSpeed,
     /// When the worker last listed its runs.
-    pub(crate) lists_at: Instant,
+    pub(crate) last_listed_at: Instant,
     /// The longest time for which an end in the last answer may have gone unnoticed: no
     /// poll was waiting at the worker then.
-    pub(crate) end_lag: Duration,
+    pub(crate) end_detection_delay: Duration,
 }
 
 impl Worker {
@@ -320,7 +320,7 @@
             open_starts: OpenStarts::default(),
             lost_runs: Vec::new(),
             gone_at: None,
-            answered_at: Instant::default(),
+            last_answer_at: Instant::default(),
             soft_reservations: Vec::new(),
             reservations: Vec::new(),
             acked_end: 0,
@@ -333,18 +333,18 @@
             failures_count: 0,
             avoided_until: Instant::default(),
             speed: WorkerSpeed::default(),
-            lists_at: Instant::default(),
-            end_lag: Duration::ZERO,
+            last_listed_at: Instant::default(),
+            end_detection_delay: Duration::ZERO,
         }
     }
 
     /// Returns the number up to which the worker may discard its ends once all uncommitted
     /// ends are in the store.
     pub(crate) fn ackable_end(&self) -> u64 {
-        let kept = self
+        let last_readable = self
             .first_unreadable_end
             .map(|number| number.saturating_sub(1));
-        kept.map_or(self.last_seen_end, |last| last.min(self.last_seen_end))
+        last_readable.map_or(self.last_seen_end, |last| last.min(self.last_seen_end))
     }
 
     /// Replaces the worker's entry.
@@ -392,22 +392,22 @@
         demand: &Resources,
         tasks_count: u32,
     ) {
-        let room = demand.times(tasks_count);
+        let capacity = demand.times(tasks_count);
         self.soft_reservations
-            .push(CapacityReservation { step, room });
+            .push(CapacityReservation { step, capacity });
     }
 
     /// Drops the soft reservations of a step.
     pub(crate) fn drop_soft_reservation(&mut self, step: StepKey) {
         self.soft_reservations
-            .retain(|add_soft_reservation| add_soft_reservation.step != step);
+            .retain(|reservation| reservation.step != step);
     }
 
     /// Returns the steps with soft reservations.
     pub(crate) fn soft_reserving_steps(&self) -> impl Iterator<Item = StepKey> + '_ {
         self.soft_reservations
             .iter()
-            .map(|add_soft_reservation| add_soft_reservation.step)
+            .map(|reservation| reservation.step)
     }
 
     /// Returns the sum of the soft reservations.
@@ -423,13 +423,13 @@
 
     /// Returns the free capacity once all runs that are being stopped have ended.
     pub(crate) fn free_after_stops(&self) -> Resources {
-        let mut room = self.free();
+        let mut capacity = self.free();
         for run in self.runs.values() {
             if matches!(run.phase, RunPhase::Stopping { .. }) {
-                room += run.demand;
+                capacity += run.demand;
             }
         }
-        room
+        capacity
     }
 
     /// Returns whether a new run may be placed on the worker.
@@ -459,7 +459,7 @@
 
     pub(crate) fn insert_run(&mut self, task: TaskKey, run: Run) {
         self.used += run.demand;
-        if let Some(count) = self.count_of(run.role) {
+        if let Some(count) = self.counter_of(run.role) {
             *count += 1;
         }
         self.probation_runs_count += usize::from(run.is_on_probation);
@@ -473,7 +473,7 @@
         self.update_overcommitted();
     }
 
-    const fn count_of(&mut self, role: RunRole) -> Option<&mut usize> {
+    const fn counter_of(&mut self, role: RunRole) -> Option<&mut usize> {
         match role {
             RunRole::Plain => None,
             RunRole::Serving => Some(&mut self.serving_count),
@@ -495,7 +495,7 @@
         let run = self.runs.remove(&task)?;
         self.used -= run.demand;
         self.update_overcommitted();
-        if let Some(count) = self.count_of(run.role) {
+        if let Some(count) = self.counter_of(run.role) {
             *count -= 1;
         }
         self.probation_runs_count -= usize::from(run.is_on_probation);
@@ -528,10 +528,10 @@
     Duration::from_ms(length.as_ms() * CLOCK_SLACK_PER_MILLE / 1000)
 }
 
-fn sum_of<'a>(soft_reservations: impl Iterator<Item = &'a CapacityReservation>) -> Resources {
-    let mut room = Resources::ZERO;
-    for add_soft_reservation in soft_reservations {
-        room += add_soft_reservation.room;
+fn sum_of<'a>(reservations: impl Iterator<Item = &'a CapacityReservation>) -> Resources {
+    let mut capacity = Resources::ZERO;
+    for reservation in reservations {
+        capacity += reservation.capacity;
     }
-    room
+    capacity
 }
