--- a/crates/scheduler/src/commits.rs
+++ b/crates/scheduler/src/commits.rs
@@ -42,7 +42,7 @@
 /// The queue of changed jobs and the open transactions.
 #[derive(Debug, Default)]
 pub(crate) struct CommitQueue {
-    /// Jobs whose state has changed, in order of waiting.
+    /// Jobs whose state has changed, the longest waiting first.
     dirty: VecDeque<JobId>,
     /// The open transaction of each lane.
     lanes: [Option<Vec<OpenChange>>; LANES_COUNT as usize],
@@ -106,23 +106,23 @@
     /// Removes as many changed jobs from the queue as one transaction holds; jobs in an
     /// open transaction remain queued.
     fn next_batch(&mut self) -> Vec<JobId> {
-        let mut left_count = self.config.commit_limit_count;
+        let mut remaining_count = self.config.commit_limit_count;
         let mut ids = Vec::new();
-        let mut passed = Vec::new();
+        let mut skipped = Vec::new();
         while let Some(id) = self.commits.dirty.pop_front() {
             let job = self.jobs.get(&id);
             let entries_count = job.map_or(0, entries_count);
             if job.is_some_and(|job| job.is_on_its_way) {
-                passed.push(id);
-            } else if entries_count <= left_count {
-                left_count -= entries_count;
+                skipped.push(id);
+            } else if entries_count <= remaining_count {
+                remaining_count -= entries_count;
                 ids.push(id);
             } else {
-                passed.push(id);
+                skipped.push(id);
                 break;
             }
         }
-        for id in passed.into_iter().rev() {
+        for id in skipped.into_iter().rev() {
             self.commits.dirty.push_front(id);
         }
         ids
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -151,7 +151,7 @@
     pub cycle_steps_per_ms: u64,
     /// The minimum interval between two searches for due polls. Each search scans all
     /// workers, and a leader of 1,100 workers handles a thousand events a second.
-    pub renewal_interval: Duration,
+    pub poll_scan_interval: Duration,
     /// The duration of a lease.
     pub lease: Duration,
     /// The duration of a lease while the store is slow or unavailable.
@@ -207,7 +207,7 @@
             commit_interval: Duration::from_ms(22),
             cycle_interval: Duration::from_ms(8),
             cycle_steps_per_ms: 10,
-            renewal_interval: Duration::from_ms(5),
+            poll_scan_interval: Duration::from_ms(5),
             lease: Duration::from_ms(limit_ms.min(4000)),
             extended_lease: Duration::from_ms(limit_ms.min(LONG_GRANT_LIMIT.as_ms())),
             lease_limit,
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -26,8 +26,8 @@
 const CLEARING_TIME: Duration = Duration::from_s(30);
 /// The loss of a rack is assumed, and no task suspected, if at least this many of its
 /// workers are lost together and they are at least this percentage of those that had runs.
-/// At 50 percent, ten crashing tasks on 50 workers passed for a rack loss and crashed 4.7
-/// workers each.
+/// At 50 percent, ten crashing tasks on 50 workers were taken for a rack loss and crashed
+/// 4.7 workers each.
 const RACK_LOST_COUNT: usize = 3;
 const RACK_LOST_PERCENT: usize = 75;
 /// Workers of a rack that are lost within this period count as lost together: the
@@ -59,8 +59,8 @@
     /// Returns whether the worker was lost recently or appears to be lost now.
     fn is_recently_lost(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.since(at) < RACK_LOST_PERIOD;
-        let is_silent = self.unanswered_polls_count > 0 && !self.runs.is_empty();
-        self.gone_at.is_some_and(is_recent) || is_silent
+        let is_unresponsive = self.unanswered_polls_count > 0 && !self.runs.is_empty();
+        self.gone_at.is_some_and(is_recent) || is_unresponsive
     }
 }
 
@@ -111,9 +111,10 @@
 
     /// Decides which of a lost worker's runs its crash is attributed to.
     ///
-    /// Runs on probation are suspected first. If there are none and much of the rack was
-    /// lost with the worker, no run is suspected. For a run that an earlier leader
-    /// recorded, its progress is unknown; it is suspected only if it was alone.
+    /// If suspected tasks had runs in their start window, only these runs are suspected and
+    /// the others are cleared. Otherwise no run is suspected if much of the rack was lost
+    /// with the worker. How far a run was that an earlier leader recorded is unknown; it is
+    /// suspected only if it was alone.
     ///
     /// A draining worker ends its runs as planned; only a run that had just begun may have
     /// ended it early.
@@ -267,11 +268,11 @@
     pub(crate) fn is_awaiting_probation(&self, now: Instant, id: JobId) -> bool {
         let policy = &self.config.crash_policy;
         let job = self.jobs.get(&id);
-        let is_kept = job.is_some_and(|job| {
+        let is_awaiting = job.is_some_and(|job| {
             let mut tasks = job.state.crashes.iter().map(|crash| crash.task);
             now < job.trial_until && tasks.any(|task| job.state.is_suspect(task, policy))
         });
-        is_kept && policy.probation_rule == ProbationRule::Alone
+        is_awaiting && policy.probation_rule == ProbationRule::Alone
     }
 
     /// Returns whether a task of a job that awaits probation may be started on a worker.
--- a/crates/scheduler/src/departures.rs
+++ b/crates/scheduler/src/departures.rs
@@ -15,9 +15,9 @@
 use std::collections::BTreeSet;
 
 /// How long before a departure runs are stopped, in addition to the time that a stop takes:
-/// the order must arrive, and the end must be listed and polled.
+/// the order must arrive, and a poll must report the end.
 const STOP_MARGIN: Duration = Duration::from_ms(1000);
-/// How long before a departure a run must end, so that its end can be listed and polled.
+/// How long before a departure a run must end, so that a poll can report its end.
 const END_MARGIN: Duration = Duration::from_ms(300);
 
 /// The reason for such stops in the log.
@@ -48,10 +48,10 @@
 impl Scheduler {
     /// Stops the runs that would be lost with departing workers.
     pub(crate) fn stop_before_departures(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let leaving = self.workers.values().filter(|worker| !worker.is_gone);
-        let leaving = leaving.filter_map(|worker| Some((worker, worker.departs_at?)));
+        let departing = self.workers.values().filter(|worker| !worker.is_gone);
+        let departing = departing.filter_map(|worker| Some((worker, worker.departs_at?)));
         let mut to_stop: BTreeSet<TaskKey> = BTreeSet::new();
-        for (worker, departs_at) in leaving {
+        for (worker, departs_at) in departing {
             let runs = worker.runs.iter();
             let lost = runs.filter(|(task, run)| self.is_stop_due(now, departs_at, **task, run));
             to_stop.extend(lost.map(|(task, _)| *task));
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -105,9 +105,9 @@
         if index >= step.tasks.len() {
             return false;
         }
-        let is_stopped_for_one = job.gang_stops.get(&end.task.step) == Some(&end.run);
-        let is_older = is_stopped_for_one && end.kind != EndKind::Stopped;
-        if end.checkpoint.is_some() && !is_older {
+        let is_stopped_for_checkpoint = job.gang_stops.get(&end.task.step) == Some(&end.run);
+        let is_checkpoint_older = is_stopped_for_checkpoint && end.kind != EndKind::Stopped;
+        if end.checkpoint.is_some() && !is_checkpoint_older {
             let checkpoint_owner = if is_gang { 0 } else { index };
             step.tasks[checkpoint_owner]
                 .checkpoint
@@ -207,7 +207,8 @@
         spec.is_some_and(|spec| spec.is_gang)
     }
 
-    /// Removes a run whose start was never sent.
+    /// Removes a run that was never sent or can't be alive any more, and sets its task back to
+    /// waiting.
     pub(crate) fn unplace(&mut self, task: TaskKey) {
         let Some(key) = self.placements.remove(&task) else {
             return;
@@ -222,7 +223,7 @@
         self.is_cycle_due = true;
     }
 
-    /// Removes a run that can't be alive any more, and stops the rest of its gang.
+    /// Logs and removes a run that can't be alive any more, and marks its gang as broken.
     pub(crate) fn release_run(
         &mut self,
         now: Instant,
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -33,7 +33,7 @@
 impl Worker {
     /// Returns whether an answer comes from an incarnation other than the known one.
     pub(crate) fn is_other_incarnation(&self, incarnation: Option<Incarnation>) -> bool {
-        matches!((self.incarnation, incarnation), (Some(known), Some(answering)) if known != answering)
+        matches!((self.incarnation, incarnation), (Some(known), Some(other)) if known != other)
     }
 
     /// Returns whether an entry may describe the incarnation that answers.
@@ -63,7 +63,7 @@
         if is_new {
             worker.unconfirmed_since = Some(now);
             worker.next_poll_at = now;
-            self.next_renewal_at = now;
+            self.next_poll_scan_at = now;
         }
     }
 
@@ -111,7 +111,7 @@
         previous.is_listed = false;
         let facts = entry.unwrap_or_else(|| previous.facts.clone());
         let id = facts.id.clone();
-        // The new incarnation limits leases granted for the previous one's clock.
+        // The new incarnation cuts a lease granted on the previous one's clock to its limit.
         let mut next = self.new_worker(facts, lease_bound(now, self.config.lease_limit));
         next.is_listed = is_listed;
         next.incarnation = incarnation;
@@ -160,7 +160,7 @@
         send_open_start_stops(self.workers[to].endpoint(to), stops, out);
     }
 
-    /// Repeats the unanswered stops of such starts.
+    /// Repeats the unanswered stops of starts that were meant for earlier incarnations.
     pub(crate) fn repeat_open_start_stops(&mut self, now: Instant, out: &mut Vec<Action>) {
         let retry = self.config.stop_retry;
         for (key, worker) in self.workers.iter_mut().filter(|(_, it)| !it.is_gone) {
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -29,15 +29,16 @@
 const LOSSY_POLL_WAIT: Duration = Duration::from_ms(250);
 /// The maximum rate of polls, apart from those that an end cuts short; with more busy
 /// workers each poll is held longer. Polling each of 1,100 workers every 0.9 s takes 1,200
-/// calls a second, as many as the starts, from a leader on half a core.
-const RENEWALS_PER_S: u64 = 500;
+/// calls a second of a leader on half a core, in addition to as many starts.
+const POLLS_PER_S: u64 = 500;
 /// The maximum rate of polls while answers are lost.
-const LOSSY_RENEWALS_PER_S: u64 = 1000;
+const LOSSY_POLLS_PER_S: u64 = 1000;
 /// The interval between polls of an unresponsive worker.
 const UNRESPONSIVE_RETRY: Duration = Duration::from_ms(250);
 
 impl Worker {
-    /// Marks the runs that a poll sent after their starts went unanswered did not list.
+    /// Marks runs as absent if their starts went unanswered and a poll sent afterwards did
+    /// not list them.
     fn mark_absent_runs(&mut self, sent_at: Instant, listed: &ListedRuns) {
         for (task, run) in &mut self.runs {
             if run.was_unconfirmed_at(sent_at) && !listed.contains(&(*task, run.run)) {
@@ -58,7 +59,7 @@
     }
 
     /// Sends the polls that are due.
-    pub(crate) fn renew_leases(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(crate) fn send_due_polls(&mut self, now: Instant, out: &mut Vec<Action>) {
         let length = self.lease_duration();
         let busy = self.workers.values().filter(|w| !w.runs.is_empty());
         let wait = self.poll_wait(now, busy.count());
@@ -73,14 +74,14 @@
             }
             // An unresponsive worker is polled without a lease: a lease that it may have
             // received would keep its runs from ever being given up.
-            let is_granted = worker.is_synced && worker.unanswered_polls_count == 0;
+            let renews_lease = worker.is_synced && worker.unanswered_polls_count == 0;
             // A worker answers at once while it lists an end, so the poll isn't held.
             let has_listed_end = !worker.uncommitted_ends.is_empty();
-            let is_immediate = !is_granted
+            let is_immediate = !renews_lease
                 || worker.runs.is_empty()
                 || has_listed_end
                 || worker.unconfirmed_since.is_some();
-            let until_ms = if is_granted {
+            let until_ms = if renews_lease {
                 worker.grant_lease(now, length)
             } else {
                 None
@@ -103,9 +104,9 @@
             .last_lost_poll_at
             .is_some_and(|at| now.since(at) < LOSSY_PERIOD);
         let (least, limit_per_s) = if is_lossy {
-            (LOSSY_POLL_WAIT, LOSSY_RENEWALS_PER_S)
+            (LOSSY_POLL_WAIT, LOSSY_POLLS_PER_S)
         } else {
-            (self.config.poll_wait, RENEWALS_PER_S)
+            (self.config.poll_wait, POLLS_PER_S)
         };
         let affordable = Duration::from_ms(busy_count as u64 * 1000 / limit_per_s);
         affordable.clamp(least, self.config.poll_wait_limit)
@@ -186,7 +187,7 @@
             } else {
                 now + UNRESPONSIVE_RETRY
             };
-            self.next_renewal_at = now;
+            self.next_poll_scan_at = now;
             self.last_lost_poll_at = Some(now);
             return;
         }
@@ -382,8 +383,8 @@
             .workers
             .iter()
             .filter(|(_, worker)| {
-                let is_silent = !worker.is_reachable || !worker.is_synced;
-                is_silent
+                let is_unresponsive = !worker.is_reachable || !worker.is_synced;
+                is_unresponsive
                     && !worker.is_gone
                     && !worker.runs.is_empty()
                     && now >= worker.leased_until
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -24,8 +24,8 @@
     ) {
         let checkpoint = self.checkpoint_of(task);
         let needs_ticket = self.needs_ticket(task.step);
-        let fresh = self.advice.get(&task.step);
-        let fresh = fresh.and_then(|advice| advice.ticket(now, key));
+        let ticket = self.advice.get(&task.step);
+        let ticket = ticket.and_then(|advice| advice.ticket(now, key));
         let is_within_limit = self.is_within_limit(task.step.job);
         let is_closed_to_starts = self.is_closed_to_starts(&self.workers[key]);
         let worker = &mut self.workers[key];
@@ -36,7 +36,7 @@
         if run.run != number || run.phase != RunPhase::Recording {
             return;
         }
-        if needs_ticket && fresh.is_none() {
+        if needs_ticket && ticket.is_none() {
             self.release_run(now, task, DecisionKind::NotStarted, "ticket over", out);
             return;
         }
@@ -55,7 +55,7 @@
             self.release_run(now, task, DecisionKind::NotStarted, "limit lowered", out);
             return;
         }
-        run.ticket = fresh;
+        run.ticket = ticket;
         run.checkpoint = checkpoint;
         run.phase = RunPhase::Starting;
         let waited_ms = now.since(run.placed_at).as_ms();
@@ -132,9 +132,9 @@
         {
             return false;
         }
-        let is_open =
+        let may_repeat =
             run.phase == RunPhase::Starting && run.start_sends_count < START_SENDS_LIMIT_COUNT;
-        is_open && self.retries.starts.spend() && self.send_order(now, key, task, out)
+        may_repeat && self.retries.starts.spend() && self.send_order(now, key, task, out)
     }
 
     /// Returns the checkpoint from which a task resumes.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -165,7 +165,7 @@
     next_housekeeping_at: Instant,
     next_forget_at: Instant,
     /// When to look for due polls next.
-    pub(crate) next_renewal_at: Instant,
+    pub(crate) next_poll_scan_at: Instant,
     pub(crate) wall_ms: u64,
 }
 
@@ -212,7 +212,7 @@
             next_cycle_at: Instant::default(),
             next_housekeeping_at: Instant::default(),
             next_forget_at: Instant::default(),
-            next_renewal_at: Instant::default(),
+            next_poll_scan_at: Instant::default(),
             wall_ms: 0,
         }
     }
@@ -280,9 +280,9 @@
             let rest_ms = examined_count as u64 / self.config.cycle_steps_per_ms;
             self.next_cycle_at = now + interval.max(Duration::from_ms(rest_ms));
         }
-        if now >= self.next_renewal_at {
-            self.next_renewal_at = now + self.config.renewal_interval;
-            self.renew_leases(now, out);
+        if now >= self.next_poll_scan_at {
+            self.next_poll_scan_at = now + self.config.poll_scan_interval;
+            self.send_due_polls(now, out);
         }
         self.flush_commits(now, out);
     }
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -108,7 +108,7 @@
     /// Whether the connection broke while a start was sent and nothing listened at the
     /// address afterwards: the worker was lost while it had the start.
     pub(crate) was_cut_off: bool,
-    /// Whether a poll that was sent after the start went unanswered did not list the run.
+    /// Whether the start went unanswered and a poll sent afterwards did not list the run.
     pub(crate) was_absent: bool,
     /// Whether the run is on probation, because its task may have crashed a worker by
     /// starting there.
--- a/crates/scheduler/src/worker_list.rs
+++ b/crates/scheduler/src/worker_list.rs
@@ -98,7 +98,7 @@
             has_shared = true;
         }
         if has_shared {
-            self.next_renewal_at = now;
+            self.next_poll_scan_at = now;
         }
     }
 
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -174,7 +174,7 @@
             .register_async_method(worker::RENEW, |params, shared, _| async move {
                 let renew: Renew = params.one()?;
                 pass(&shared).await;
-                renew_leases(&shared, &renew);
+                send_due_polls(&shared, &renew);
                 Ok::<_, ErrorObjectOwned>(())
             })
             .is_ok(),
@@ -231,7 +231,7 @@
     }
 }
 
-fn renew_leases(shared: &Shared, renew: &Renew) {
+fn send_due_polls(shared: &Shared, renew: &Renew) {
     let mut state = lock(shared);
     // What has lapsed is over before the renewal is looked at.
     state.tick();
