--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -174,8 +174,8 @@
     /// The interval between an answered poll and the next.
     pub poll_interval: Duration,
     /// The interval between two polls while an end waits for its commit. The worker lists
-    /// the end until it is acknowledged, so it would answer polls at once; the next one
-    /// must still come well before the lease expires.
+    /// the end until it is acknowledged and so answers every poll at once, which is why
+    /// polls are spaced out; the next one must still come well before the lease expires.
     pub poll_interval_during_commit: Duration,
     /// The interval after which an unanswered stop is repeated.
     pub stop_retry: Duration,
@@ -194,7 +194,7 @@
 /// The maximum duration of a lease, even if workers accept longer ones. A perpetual task
 /// must run again within 9 s of the loss of its worker; 0.3 s of that allow for a slow
 /// clock, and placing it may take a second.
-const LONG_GRANT_LIMIT: Duration = Duration::from_ms(7500);
+const EXTENDED_LEASE_LIMIT: Duration = Duration::from_ms(7500);
 
 impl SchedulerConfig {
     /// Creates the constants for a term on workers that accept leases of at most
@@ -209,7 +209,7 @@
             cycle_steps_per_ms: 10,
             poll_scan_interval: Duration::from_ms(5),
             lease: Duration::from_ms(limit_ms.min(4000)),
-            extended_lease: Duration::from_ms(limit_ms.min(LONG_GRANT_LIMIT.as_ms())),
+            extended_lease: Duration::from_ms(limit_ms.min(EXTENDED_LEASE_LIMIT.as_ms())),
             lease_limit,
             recovered_lease_limit: lease_limit,
             listed_ends_limit_count: 500,
--- a/crates/scheduler/src/cordons.rs
+++ b/crates/scheduler/src/cordons.rs
@@ -58,8 +58,8 @@
     /// Returns whether no start may be sent to a worker, even for a run that is already
     /// placed there.
     pub(crate) const fn is_closed_to_starts(&self, worker: &Worker) -> bool {
-        let is_leaving = worker.facts.is_draining || !worker.is_listed;
-        self.are_starts_paused || worker.is_cordoned || is_leaving
+        let is_departing = worker.facts.is_draining || !worker.is_listed;
+        self.are_starts_paused || worker.is_cordoned || is_departing
     }
 
     /// Updates which workers are in a cordoned data centre.
--- a/crates/scheduler/src/crash_records.rs
+++ b/crates/scheduler/src/crash_records.rs
@@ -54,17 +54,18 @@
     /// Returns whether a task is suspected of crashing its workers: one crashed right after
     /// the task's start, or several crashed under it.
     pub fn is_suspect(&self, task: TaskKey, policy: &CrashPolicy) -> bool {
-        let is_tied = |crash: &CrashRecord| crash.suspicion == Suspicion::Suspect;
-        self.points_of(task, policy) >= policy.suspect_points || self.crashes_of(task).any(is_tied)
+        let is_suspected = |crash: &CrashRecord| crash.suspicion == Suspicion::Suspect;
+        self.points_of(task, policy) >= policy.suspect_points
+            || self.crashes_of(task).any(is_suspected)
     }
 
     /// Returns whether so many workers have crashed under a task that it is given up.
     pub fn exceeds_crash_limits(&self, task: TaskKey, policy: &CrashPolicy) -> bool {
         let confirmed = self.crashes_of(task).filter(|crash| crash.is_confirmed);
         let is_certain = confirmed.count() >= CONFIRMED_LEAST_COUNT;
-        let is_proved = is_certain && self.points_of(task, policy) >= policy.points_limit;
+        let has_enough_points = is_certain && self.points_of(task, policy) >= policy.points_limit;
         // The limit on restarts applies even without confirmed crashes.
-        is_proved || self.crashes_of(task).count() >= policy.crashes_limit_count
+        has_enough_points || self.crashes_of(task).count() >= policy.crashes_limit_count
     }
 
     fn points_of(&self, task: TaskKey, policy: &CrashPolicy) -> u32 {
--- a/crates/scheduler/src/name_interner.rs
+++ b/crates/scheduler/src/name_interner.rs
@@ -17,12 +17,12 @@
 impl NameInterner {
     /// Returns the shared copy of a name.
     pub(crate) fn intern(&mut self, name: &str) -> Arc<str> {
-        if let Some(names) = self.names.get(name) {
-            return names.clone();
+        if let Some(interned) = self.names.get(name) {
+            return interned.clone();
         }
-        let names: Arc<str> = Arc::from(name);
-        self.names.insert(names.clone());
-        names
+        let interned: Arc<str> = Arc::from(name);
+        self.names.insert(interned.clone());
+        interned
     }
 
     /// Replaces the names in a worker's entry by shared copies.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -34,7 +34,7 @@
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_ms(100);
 /// The interval between removals of expired data. Each one scans all jobs, some ten
 /// thousand, and outcomes are kept for minutes.
-const FORGET_PERIOD: Duration = Duration::from_ms(2000);
+const EXPIRY_SCAN_PERIOD: Duration = Duration::from_ms(2000);
 
 /// The state of a job as clients see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -135,7 +135,7 @@
     pub(crate) learning: Learning,
     /// The workers with reservations for gangs whose advice requests are open.
     pub(crate) reservations: BTreeMap<StepKey, Vec<WorkerKey>>,
-    /// When each gang that lost a member was broken.
+    /// The broken gangs, which have lost a member, and when they did.
     pub(crate) broken_gangs: BTreeMap<StepKey, Instant>,
     /// The workers found suitable and the workers asked about, by queue.
     pub(crate) goodness: HashMap<String, (f64, f64)>,
@@ -163,7 +163,7 @@
     pub(crate) is_cycle_due: bool,
     next_cycle_at: Instant,
     next_housekeeping_at: Instant,
-    next_forget_at: Instant,
+    next_expiry_scan_at: Instant,
     /// When to look for due polls next.
     pub(crate) next_poll_scan_at: Instant,
     pub(crate) wall_ms: u64,
@@ -211,7 +211,7 @@
             is_cycle_due: true,
             next_cycle_at: Instant::default(),
             next_housekeeping_at: Instant::default(),
-            next_forget_at: Instant::default(),
+            next_expiry_scan_at: Instant::default(),
             next_poll_scan_at: Instant::default(),
             wall_ms: 0,
         }
@@ -249,8 +249,8 @@
                 self.on_advice_answered(now, step, &named, reply, out);
             }
             Event::Committed { lane } => self.on_committed(now, lane as usize, out),
-            Event::StoreDegraded(has_trouble) => {
-                self.is_store_degraded = has_trouble;
+            Event::StoreDegraded(is_degraded) => {
+                self.is_store_degraded = is_degraded;
                 self.forecasts.note_unsure(now);
             }
             Event::WallClock(wall_ms) => self.begin_due_rounds(wall_ms),
@@ -277,8 +277,8 @@
             self.is_cycle_due = false;
             let examined_count = self.place(now, out);
             let interval = self.config.cycle_interval;
-            let rest_ms = examined_count as u64 / self.config.cycle_steps_per_ms;
-            self.next_cycle_at = now + interval.max(Duration::from_ms(rest_ms));
+            let pause_ms = examined_count as u64 / self.config.cycle_steps_per_ms;
+            self.next_cycle_at = now + interval.max(Duration::from_ms(pause_ms));
         }
         if now >= self.next_poll_scan_at {
             self.next_poll_scan_at = now + self.config.poll_scan_interval;
@@ -379,8 +379,8 @@
             self.stop_before_departures(now, out);
             self.tell_waits(now, out);
         }
-        if now >= self.next_forget_at {
-            self.next_forget_at = now + FORGET_PERIOD;
+        if now >= self.next_expiry_scan_at {
+            self.next_expiry_scan_at = now + EXPIRY_SCAN_PERIOD;
             self.waits.forget_old(now);
             self.shapes.forget_old(now);
             self.name_interner.remove_unused();
