--- a/crates/control/src/decision_log.rs
+++ b/crates/control/src/decision_log.rs
@@ -16,7 +16,7 @@
         "used_milli" => status.used_milli,
         "waiting_gangs" => status.waiting_gangs_count,
         "awaited_workers" => status.awaited_workers_count,
-        "beyond_share" => status.beyond_share_count,
+        "beyond_share" => status.over_share_count,
         "largest_share_lag_ms" => status.largest_share_lag.as_ms());
 }
 
@@ -40,7 +40,7 @@
     match (decision.task, decision.job) {
         (None, Some(job)) if decision.kind == DecisionKind::AdviceAnswered => {
             info!(log, "{}", kind;
-            "job" => %job, "reason" => decision.reason, "good" => decision.good_count,
+            "job" => %job, "reason" => decision.reason, "good" => decision.suitable_count,
             "figure" => decision.figure)
         }
         (Some(task), _) => info!(log, "{}", kind;
@@ -52,7 +52,7 @@
         (None, None) if decision.kind == DecisionKind::WorkerListed => {
             debug!(log, "{}", kind; "worker" => worker, "reason" => decision.reason);
         }
-        (None, None) if decision.kind == DecisionKind::Cordon => {
+        (None, None) if decision.kind == DecisionKind::CordonChanged => {
             let data_centre = decision.data_centre.as_deref().unwrap_or_default();
             info!(log, "{}", kind; "data_centre" => data_centre, "reason" => decision.reason);
         }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -524,7 +524,7 @@
         set(&self.runs, status.runs_count);
         set(&self.workers, status.listed_workers_count);
         set(&self.cordons, status.cordons_count);
-        set(&self.unanswered_refusals, status.unanswered_refusals_count);
+        set(&self.unanswered_refusals, status.unanswered_stops_count);
         set(&self.placeable_workers, status.placeable_workers_count);
         set(&self.overloaded_services, status.overloaded_services_count);
         set(&self.waiting_gangs, status.waiting_gangs_count);
@@ -538,7 +538,7 @@
             .set(error.forecast_percent as i64);
         self.estimate_error_percent
             .set(error.estimate_percent as i64);
-        set(&self.beyond_share_customers, status.beyond_share_count);
+        set(&self.beyond_share_customers, status.over_share_count);
         let lag_ms = status.largest_share_lag.as_ms();
         self.largest_share_lag_ms.set(lag_ms as i64);
         self.capacity_millicores.set(status.capacity_milli as i64);
--- a/crates/control/tests/control/measuring.rs
+++ b/crates/control/tests/control/measuring.rs
@@ -37,7 +37,7 @@
     metrics.note_status(&SchedulerStatus {
         runs_count: 7,
         slow_workers_count: 2,
-        beyond_share_count: 3,
+        over_share_count: 3,
         largest_share_lag: Duration::from_ms(1500),
         ..SchedulerStatus::default()
     });
--- a/crates/scheduler/src/asking.rs
+++ b/crates/scheduler/src/asking.rs
@@ -262,7 +262,7 @@
             node: assignment.node.clone(),
             named: Box::from(named),
         });
-        let line = Decision::new(DecisionKind::AdviceAsked, "workers with room");
+        let line = Decision::new(DecisionKind::AdviceRequested, "workers with room");
         let line = line
             .with_job(pending.key.job)
             .with_figure(named.len() as u64);
@@ -349,18 +349,18 @@
         let line = Decision::new(DecisionKind::AdviceAnswered, "answered")
             .with_job(step.job)
             .with_figure(waited_ms)
-            .with_good_count(good.len());
+            .with_suitable_count(good.len());
         out.push(Action::Log(line));
         self.learn_goodness(step, fresh_good, fresh.len());
     }
 
-    fn learn_goodness(&mut self, step: StepKey, good_count: usize, named_count: usize) {
+    fn learn_goodness(&mut self, step: StepKey, suitable_count: usize, named_count: usize) {
         let queue = self.jobs.get(&step.job).map(|job| job.record.queue.clone());
         let Some(queue) = queue else {
             return;
         };
         let known = self.goodness.entry(queue).or_insert((FIRST_GOODNESS, 1.0));
-        known.0 = known.0 * GOODNESS_DECAY + good_count as f64;
+        known.0 = known.0 * GOODNESS_DECAY + suitable_count as f64;
         known.1 = known.1 * GOODNESS_DECAY + named_count as f64;
     }
 }
--- a/crates/scheduler/src/cordons.rs
+++ b/crates/scheduler/src/cordons.rs
@@ -40,7 +40,7 @@
         let before = core::mem::replace(&mut self.cordons.data_centres, data_centres);
         let after = &self.cordons.data_centres;
         let mut log = |data_centre: &Arc<str>, reason| {
-            let line = Decision::new(DecisionKind::Cordon, reason);
+            let line = Decision::new(DecisionKind::CordonChanged, reason);
             out.push(Action::Log(line.with_data_centre(data_centre)));
         };
         after.difference(&before).for_each(|it| log(it, "set"));
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecisionKind {
     /// A job was accepted.
-    JobTaken,
+    JobAccepted,
     /// A job's work waits for its customer's limit.
-    JobHeld,
+    JobHeldByLimit,
     /// A step has waited for a long time.
     StepWaits,
     /// A run was placed on a worker.
@@ -27,7 +27,7 @@
     /// A run is being stopped.
     StopSent,
     /// A run's end was handled.
-    Ended,
+    RunEnded,
     /// A run was given up as lost.
     RunLost,
     /// A job ended, or clients can see its outcome.
@@ -53,15 +53,15 @@
     /// A worker is avoided for some time.
     WorkerAvoided,
     /// Advice was requested.
-    AdviceAsked,
+    AdviceRequested,
     /// An advice request was answered or has failed.
     AdviceAnswered,
     /// A new configuration is active.
     Configured,
     /// A customer went over its fair share of a service, or came back below it.
-    Share,
+    ShareChanged,
     /// A data centre was cordoned or uncordoned.
-    Cordon,
+    CordonChanged,
     /// A service became overloaded or recovered.
     Overload,
 }
@@ -70,8 +70,8 @@
     /// Returns the value for log entries.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::JobTaken => "job taken",
-            Self::JobHeld => "job held",
+            Self::JobAccepted => "job taken",
+            Self::JobHeldByLimit => "job held",
             Self::StepWaits => "step waits",
             Self::Placed => "placed",
             Self::StartSent => "start sent",
@@ -79,7 +79,7 @@
             Self::NotStarted => "not started",
             Self::StartUnknown => "start unknown",
             Self::StopSent => "stop sent",
-            Self::Ended => "run ended",
+            Self::RunEnded => "run ended",
             Self::RunLost => "run lost",
             Self::JobEnded => "job ended",
             Self::WorkerListed => "worker listed",
@@ -92,11 +92,11 @@
             Self::WorkerCrashed => "worker crashed under run",
             Self::WorkerResized => "worker resized",
             Self::WorkerAvoided => "worker avoided",
-            Self::AdviceAsked => "advice asked",
+            Self::AdviceRequested => "advice asked",
             Self::AdviceAnswered => "advice answered",
             Self::Configured => "configured",
-            Self::Share => "share",
-            Self::Cordon => "cordon",
+            Self::ShareChanged => "share",
+            Self::CordonChanged => "cordon",
             Self::Overload => "overload",
         }
     }
@@ -139,7 +139,7 @@
     /// A number that depends on the kind, such as an age in milliseconds or a count.
     pub figure: u64,
     /// The number of suitable workers in an adviser's answer.
-    pub good_count: usize,
+    pub suitable_count: usize,
 }
 
 impl Decision {
@@ -158,7 +158,7 @@
             reserved: None,
             reason,
             figure: 0,
-            good_count: 0,
+            suitable_count: 0,
         }
     }
 
@@ -212,8 +212,8 @@
     }
 
     /// Sets the number of suitable workers.
-    pub const fn with_good_count(mut self, good_count: usize) -> Self {
-        self.good_count = good_count;
+    pub const fn with_suitable_count(mut self, suitable_count: usize) -> Self {
+        self.suitable_count = suitable_count;
         self
     }
 
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -32,7 +32,7 @@
         worker.last_seen_end = end.number;
         self.note_begun(end.task.step.job);
         let worker = &mut self.workers[key];
-        let line = Decision::new(DecisionKind::Ended, end.kind.as_str())
+        let line = Decision::new(DecisionKind::RunEnded, end.kind.as_str())
             .with_run(end.task, end.run)
             .with_worker(&worker.facts.id)
             .with_figure(end.number);
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -190,7 +190,8 @@
 pub struct Endpoint {
     /// The scheduler's key of the worker.
     pub worker: WorkerKey,
-    /// The worker's id; every order names the worker that it is meant for.
+    /// The worker's id. Every order carries it, so that another worker at the address
+    /// refuses the order.
     pub id: Arc<str>,
     /// The incarnation that the order is meant for, if known. Ends are acknowledged only to
     /// this incarnation.
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -227,7 +227,7 @@
         if self.jobs.contains_key(&id) || self.unreadable.contains(&id) {
             return;
         }
-        let line = Decision::new(DecisionKind::JobTaken, "accepted")
+        let line = Decision::new(DecisionKind::JobAccepted, "accepted")
             .with_job(id)
             .with_queue(&record.queue)
             .with_figure(self.estimated_objective(&record).as_ms());
--- a/crates/scheduler/src/limits.rs
+++ b/crates/scheduler/src/limits.rs
@@ -109,7 +109,7 @@
             step: reservation.step,
             due_in: reservation.due().map(|due| due.since(now)),
         });
-        let line = Decision::new(DecisionKind::JobHeld, reason.as_str())
+        let line = Decision::new(DecisionKind::JobHeldByLimit, reason.as_str())
             .with_job(step.job)
             .with_figure(u64::from(least_count))
             .with_customer(self.accounts.get(customer).to_use())
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -65,7 +65,7 @@
     /// Cordoned data centres.
     pub cordons_count: usize,
     /// Unanswered stops of starts that were meant for an earlier incarnation.
-    pub unanswered_refusals_count: usize,
+    pub unanswered_stops_count: usize,
     /// The CPU capacity of the placeable workers, in thousandths of a core.
     pub capacity_milli: u64,
     /// The CPU capacity of the placeable workers that runs occupy, in thousandths of a
@@ -87,7 +87,7 @@
     pub limit_reservations_count: usize,
     /// Customers whose work comes last because they are over their fair share of an
     /// overloaded service.
-    pub beyond_share_count: usize,
+    pub over_share_count: usize,
     /// The largest amount by which a customer is ahead of its fair share.
     pub largest_share_lag: Duration,
     /// Services that are short of capacity.
@@ -341,7 +341,7 @@
             learned_sizes_count: self.learning.durations.classes_count(),
             forecast_error: self.learning.durations.error(),
             limit_reservations_count: self.limit_reservations.count(),
-            beyond_share_count: shares.beyond_count,
+            over_share_count: shares.beyond_count,
             largest_share_lag: shares.largest_lag,
             overloaded_services_count: self.overloads.len(),
             forecast_queues_count: self.forecasts.len(),
@@ -351,7 +351,7 @@
             jobs_count: self.jobs.len(),
             runs_count: self.placements.len(),
             cordons_count: self.cordons.len(),
-            unanswered_refusals_count: self
+            unanswered_stops_count: self
                 .workers
                 .values()
                 .filter(|worker| !worker.is_gone)
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -213,7 +213,7 @@
                 };
                 // Thousandths of its share.
                 let figure = account.share_ppm / 1000;
-                let line = Decision::new(DecisionKind::Share, reason).with_figure(figure);
+                let line = Decision::new(DecisionKind::ShareChanged, reason).with_figure(figure);
                 out.push(Action::Log(
                     line.with_customer(accounts.get(*holder).to_use()),
                 ));
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -96,7 +96,7 @@
 
 fn held_lines(bench: &Bench) -> Vec<Decision> {
     let lines = bench.actions.iter().filter_map(|action| match action {
-        Action::Log(line) if line.kind == DecisionKind::JobHeld => Some(line.clone()),
+        Action::Log(line) if line.kind == DecisionKind::JobHeldByLimit => Some(line.clone()),
         _ => None,
     });
     lines.collect()
--- a/crates/scheduler/tests/scheduler/customers.rs
+++ b/crates/scheduler/tests/scheduler/customers.rs
@@ -69,7 +69,7 @@
     bench.commit_all();
     bench.commit_all();
     let held = bench.actions.iter().filter_map(|action| match action {
-        Action::Log(line) if line.kind == DecisionKind::JobHeld => line.customer.clone(),
+        Action::Log(line) if line.kind == DecisionKind::JobHeldByLimit => line.customer.clone(),
         _ => None,
     });
     let held: Vec<CustomerUse> = held.collect();
@@ -93,8 +93,7 @@
     let (worker, task, run) = starts[0];
     bench.list(worker, vec![end(1, task, run, EndKind::Broken)]);
     bench.commit_all();
-    let is_held =
-        |action: &Action| matches!(action, Action::Log(line) if line.kind == DecisionKind::JobHeld);
+    let is_held = |action: &Action| matches!(action, Action::Log(line) if line.kind == DecisionKind::JobHeldByLimit);
     assert!(!bench.actions.iter().any(is_held));
 }
 
