--- a/crates/control/src/decision_loop.rs
+++ b/crates/control/src/decision_loop.rs
@@ -104,7 +104,7 @@
     }
     let have_workers_joined = events.iter().any(may_list_new_workers);
     if let Some(is_outdated) = term.store_views.update_starts_paused(now, &node.log) {
-        events.push(Event::StartsHeld(is_outdated));
+        events.push(Event::StartsPaused(is_outdated));
     }
     scheduler.handle_all(now, events, &mut state.actions);
     if have_workers_joined {
@@ -112,7 +112,7 @@
         links::choose_relays(node, term, &scheduler, now);
     }
     if term.may_send_orders() && !term.is_resigned.get() {
-        scheduler.settle(now, &mut state.actions);
+        scheduler.run_due_work(now, &mut state.actions);
     }
     drop(scheduler);
     for action in state.actions.drain(..) {
@@ -149,7 +149,7 @@
         info!(node.log, "store health changed"; "has_trouble" => is_store_degraded);
         scheduler.handle(
             now,
-            Event::StoreTrouble(is_store_degraded),
+            Event::StoreDegraded(is_store_degraded),
             &mut state.actions,
         );
     }
--- a/crates/control/src/handover.rs
+++ b/crates/control/src/handover.rs
@@ -43,7 +43,7 @@
         if age > MAX_AGE || self.learned.is_empty() {
             return None;
         }
-        self.learned.age(age);
+        self.learned.add_age(age);
         Some(self.learned)
     }
 }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -148,7 +148,7 @@
         return true;
     };
     let (events, received) = mpsc::unbounded_channel();
-    let config = SchedulerConfig::new(fence, node.settings.grant_limit)
+    let config = SchedulerConfig::new(fence, node.settings.lease_limit)
         .with_leader_lease(LEADER_LEASE)
         .with_departures(node.settings.stop_grace, node.settings.drain_limit)
         .with_retention(node.settings.retention)
@@ -202,7 +202,7 @@
         if let Some(learned) = snapshot.into_learned(clock::now()) {
             info!(node.log, "learned statistics restored";
                 "sizes" => learned.sizes.len(), "speeds" => learned.speeds.len());
-            scheduler.take_learned(clock::now(), &learned);
+            scheduler.restore_learned(clock::now(), &learned);
         }
         *term.scheduler.borrow_mut() = scheduler;
         *node.term.borrow_mut() = Some(term.clone());
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -67,7 +67,7 @@
     /// The number of nodes from which nodes fetch configurations from one another.
     pub sharing_min_nodes_count: usize,
     /// The longest lease that a worker grants.
-    pub grant_limit: Duration,
+    pub lease_limit: Duration,
     /// The time within which the node must stop.
     pub grace: Duration,
     /// The time within which a worker must stop a run.
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -98,7 +98,7 @@
 }
 
 fn to_advice_reply(answer: AdviceAnswer) -> AdviceReply {
-    AdviceReply::Good {
+    AdviceReply::Answered {
         tickets: answer
             .good
             .into_iter()
--- a/crates/scheduler/src/asking.rs
+++ b/crates/scheduler/src/asking.rs
@@ -156,7 +156,7 @@
             .filter(|key| !advice.is_known(*key));
         let able = unknown.filter_map(|key| {
             let mut candidate = self.candidate(pending, key, &self.workers[key])?;
-            candidate.free -= cycle.kept_room(key) + self.workers[key].claimed();
+            candidate.free -= cycle.kept_room(key) + self.workers[key].soft_reserved();
             if leaves_whole {
                 candidate.free -= cycle.whole_room(key);
             }
@@ -170,7 +170,7 @@
     /// Returns how many tasks fit beside what other steps count on.
     fn unclaimed_fit(&self, candidate: &Candidate, pending: &PendingStep) -> u32 {
         let mut candidate = candidate.clone();
-        candidate.free -= self.workers[candidate.worker].claimed();
+        candidate.free -= self.workers[candidate.worker].soft_reserved();
         candidate.fit_count(&pending.demand)
     }
 
@@ -182,7 +182,7 @@
             let fit_count = fit_in(&self.workers[key].free(), &pending.demand);
             let count = fit_count.min(left_count);
             if count > 0 {
-                self.workers[key].claim(pending.key, &pending.demand, count);
+                self.workers[key].add_soft_reservation(pending.key, &pending.demand, count);
             }
             left_count -= count;
         }
@@ -256,13 +256,13 @@
         let Some(advice) = self.advice.get_mut(&pending.key) else {
             return false;
         };
-        self.retries.advice.note_first();
+        self.retries.advice.record_first_call();
         advice.open.push(OpenPart {
             asked_at: now,
             node: assignment.node.clone(),
             named: Box::from(named),
         });
-        let line = Decision::new(DecisionKind::AdviceAsked, "workers with room");
+        let line = Decision::new(DecisionKind::AdviceRequested, "workers with room");
         let line = line
             .with_job(pending.key.job)
             .with_figure(named.len() as u64);
@@ -285,7 +285,7 @@
         };
         let named = advice.open.iter().flat_map(|part| part.named.iter());
         for worker in named {
-            self.workers[*worker].drop_claim(step);
+            self.workers[*worker].drop_soft_reservation(step);
         }
     }
 
@@ -303,9 +303,9 @@
         reply: AdviceReply,
         out: &mut Vec<Action>,
     ) {
-        self.is_place_due = true;
+        self.is_cycle_due = true;
         for &worker in named {
-            self.workers[worker].drop_claim(step);
+            self.workers[worker].drop_soft_reservation(step);
         }
         let Some(advice) = self.advice.get_mut(&step) else {
             return;
@@ -314,7 +314,7 @@
             return;
         };
         let waited_ms = now.since(open.asked_at).as_ms();
-        let AdviceReply::Good { tickets, validity } = reply else {
+        let AdviceReply::Answered { tickets, validity } = reply else {
             let is_retried = self.retries.advice.spend();
             let wait = if is_retried {
                 ADVICE_RETRY
@@ -323,12 +323,12 @@
             };
             advice.retry_at = now + wait;
             self.release_room(step);
-            self.advisers.note_failure(now, &open.node);
+            self.advisers.record_failure(now, &open.node);
             let line = Decision::new(DecisionKind::AdviceAnswered, "no answer");
             out.push(Action::Log(line.with_job(step.job).with_figure(waited_ms)));
             return;
         };
-        advice.answered_at = now;
+        advice.last_answer_at = now;
         advice.search_at = now;
         let good: Vec<(WorkerKey, Arc<str>)> = tickets
             .into_iter()
@@ -349,18 +349,18 @@
         let line = Decision::new(DecisionKind::AdviceAnswered, "answered")
             .with_job(step.job)
             .with_figure(waited_ms)
-            .with_good_count(good.len());
+            .with_suitable_count(good.len());
         out.push(Action::Log(line));
         self.learn_goodness(step, fresh_good, fresh.len());
     }
 
-    fn learn_goodness(&mut self, step: StepKey, good_count: usize, named_count: usize) {
+    fn learn_goodness(&mut self, step: StepKey, suitable_count: usize, named_count: usize) {
         let queue = self.jobs.get(&step.job).map(|job| job.record.queue.clone());
         let Some(queue) = queue else {
             return;
         };
         let known = self.goodness.entry(queue).or_insert((FIRST_GOODNESS, 1.0));
-        known.0 = known.0 * GOODNESS_DECAY + good_count as f64;
+        known.0 = known.0 * GOODNESS_DECAY + suitable_count as f64;
         known.1 = known.1 * GOODNESS_DECAY + named_count as f64;
     }
 }
--- a/crates/scheduler/src/departures.rs
+++ b/crates/scheduler/src/departures.rs
@@ -1,10 +1,11 @@
-//! Departures: what becomes of runs on workers that are leaving.
+//! Departures: stops runs on draining workers in time.
 //!
-//! Whatever still runs on a worker when it goes is lost with it, and the loss is known only
-//! once its leases are over. So a run that can't end in time is stopped before, and placed
-//! elsewhere at once: late where it saves checkpoints, since the stop saves one; as soon as
-//! the leaving is known where it saves none, since all that it still did would be lost. The
-//! members of a gang are stopped together.
+//! A run that is still on a worker when it departs is lost, and the loss is certain only
+//! once the worker's leases have expired. A run that can't end in time is therefore stopped
+//! before and placed elsewhere at once. If it saves checkpoints it is stopped as late as
+//! possible, since the stop saves one. If it saves none it is stopped as soon as the
+//! departure is known, since all further work would be lost. The members of a gang are
+//! stopped together.
 
 use crate::event::Action;
 use crate::job::TaskKey;
@@ -13,50 +14,51 @@
 use ospreywing_types::{Duration, Instant};
 use std::collections::BTreeSet;
 
-/// How long before a worker goes its runs are stopped, beside the time that a stop takes: the
-/// order is on its way, and the end must be listed and asked for.
+/// How long before a departure runs are stopped, in addition to the time that a stop takes:
+/// the order must arrive, and a poll must report the end.
 const STOP_MARGIN: Duration = Duration::from_ms(1000);
-/// How long before a worker goes a run must end: its end must be listed and asked for.
+/// How long before a departure a run must end, so that a poll can report its end.
 const END_MARGIN: Duration = Duration::from_ms(300);
 
-/// Why a run is stopped.
+/// The reason for such stops in the log.
 const REASON: &str = "worker leaving";
 
 impl Worker {
-    /// Notes when the worker goes at the earliest, as its entry tells now.
-    pub(crate) fn note_departure(&mut self, now: Instant, drain_time: Duration) {
+    /// Updates the worker's earliest departure from its entry.
+    pub(crate) fn update_departure(&mut self, now: Instant, drain_time: Duration) {
         if !self.facts.is_draining {
-            self.leaves_at = None;
+            self.departs_at = None;
             return;
         }
-        let told = self.told_departure();
-        // Without a word on it, the time counts from when the leaving was told first.
-        let known = self.leaves_at.unwrap_or(now + drain_time);
-        self.leaves_at = Some(told.unwrap_or(known));
+        let reported = self.reported_departure();
+        // If no departure is reported, the time counts from when the worker was first
+        // listed as draining.
+        let known = self.departs_at.unwrap_or(now + drain_time);
+        self.departs_at = Some(reported.unwrap_or(known));
     }
 
-    /// Returns when the worker goes at the earliest, where it tells and its clock is known.
-    fn told_departure(&self) -> Option<Instant> {
+    /// Returns the earliest departure, if it is reported and the worker's clock is known.
+    fn reported_departure(&self) -> Option<Instant> {
         let clock = self.clock?;
-        let remaining_ms = self.facts.leaves_clock_ms?.checked_sub(clock.clock_ms);
+        let remaining_ms = self.facts.departs_at_clock_ms?.checked_sub(clock.clock_ms);
         Some(clock.read_at + Duration::from_ms(remaining_ms.unwrap_or(0)))
     }
 }
 
 impl Scheduler {
-    /// Stops the runs that would be lost with workers that are leaving.
+    /// Stops the runs that would be lost with departing workers.
     pub(crate) fn stop_before_departures(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let leaving = self.workers.values().filter(|worker| !worker.is_gone);
-        let leaving = leaving.filter_map(|worker| Some((worker, worker.leaves_at?)));
-        let mut doomed: BTreeSet<TaskKey> = BTreeSet::new();
-        for (worker, leaves_at) in leaving {
+        let departing = self.workers.values().filter(|worker| !worker.is_gone);
+        let departing = departing.filter_map(|worker| Some((worker, worker.departs_at?)));
+        let mut to_stop: BTreeSet<TaskKey> = BTreeSet::new();
+        for (worker, departs_at) in departing {
             let runs = worker.runs.iter();
-            let lost = runs.filter(|(task, run)| self.must_stop(now, leaves_at, **task, run));
-            doomed.extend(lost.map(|(task, _)| *task));
+            let lost = runs.filter(|(task, run)| self.is_stop_due(now, departs_at, **task, run));
+            to_stop.extend(lost.map(|(task, _)| *task));
         }
-        for task in doomed {
+        for task in to_stop {
             if self.is_gang(task.step) {
-                self.note_gang_stop(task);
+                self.record_gang_stop(task);
                 for member in self.members(task.step) {
                     self.stop_task(now, member, REASON, out);
                 }
@@ -66,8 +68,9 @@
         }
     }
 
-    /// Returns whether a run on a worker that goes at `leaves_at` is to be stopped now.
-    fn must_stop(&self, now: Instant, leaves_at: Instant, task: TaskKey, run: &Run) -> bool {
+    /// Returns whether a run on a worker that departs at `departs_at` has to be stopped
+    /// now.
+    fn is_stop_due(&self, now: Instant, departs_at: Instant, task: TaskKey, run: &Run) -> bool {
         if !matches!(run.phase, RunPhase::Running { .. }) {
             return false;
         }
@@ -77,14 +80,14 @@
             return false;
         };
         let ends_in_time =
-            !spec.is_perpetual && self.earliest_end(task, spec, run) + END_MARGIN <= leaves_at;
-        let is_last_moment = now + STOP_MARGIN + self.config.stop_grace >= leaves_at;
+            !spec.is_perpetual && self.earliest_end(task, spec, run) + END_MARGIN <= departs_at;
+        let is_last_moment = now + STOP_MARGIN + self.config.stop_grace >= departs_at;
         let loses_all = !spec.saves_progress && !spec.is_perpetual;
         !ends_in_time && (loses_all || is_last_moment)
     }
 
-    /// Notes that a gang's run is being stopped for a checkpoint.
-    fn note_gang_stop(&mut self, task: TaskKey) {
+    /// Records that a gang's run is being stopped to save a checkpoint.
+    fn record_gang_stop(&mut self, task: TaskKey) {
         let worker = self.placements.get(&task);
         let run = worker.and_then(|worker| self.workers[*worker].runs.get(&task));
         let Some(run) = run.map(|run| run.run) else {
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs, and what follows from them.
+//! Ends of runs and their effects on tasks, jobs and workers.
 
 use crate::commits::Effect;
 use crate::decision::{Decision, DecisionKind};
@@ -9,16 +9,16 @@
 use crate::worker::{RunPhase, WorkerKey};
 use ospreywing_types::{Duration, Instant};
 
-/// Failures in a row after which a worker is avoided.
+/// The consecutive failures after which a worker is avoided.
 const AVOID_AFTER_COUNT: u32 = 2;
-/// How long it is avoided at first; doubled with each further failure.
+/// How long a worker is avoided at first; doubled with each further failure.
 const AVOID_BASE: Duration = Duration::from_ms(1500);
-/// The most doublings.
+/// The maximum number of doublings.
 const AVOID_DOUBLINGS_COUNT: u32 = 3;
 
 impl Scheduler {
-    /// Takes in an end that a worker lists.
-    pub(crate) fn take_end(
+    /// Handles an end that a worker lists.
+    pub(crate) fn handle_end(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -26,13 +26,13 @@
         out: &mut Vec<Action>,
     ) {
         let worker = &mut self.workers[key];
-        if end.number <= worker.seen_end {
+        if end.number <= worker.last_seen_end {
             return;
         }
-        worker.seen_end = end.number;
+        worker.last_seen_end = end.number;
         self.mark_begun(end.task.step.job);
         let worker = &mut self.workers[key];
-        let line = Decision::new(DecisionKind::Ended, end.kind.as_str())
+        let line = Decision::new(DecisionKind::RunEnded, end.kind.as_str())
             .with_run(end.task, end.run)
             .with_worker(&worker.facts.id)
             .with_figure(end.number);
@@ -45,14 +45,14 @@
                 self.placements.remove(&end.task);
             }
         }
-        self.note_health(now, key, end.kind, out);
-        self.is_place_due = true;
+        self.record_health(now, key, end.kind, out);
+        self.is_cycle_due = true;
         let changed = self.record_end(&end, is_current);
         if let Some(finished) = finished {
             self.record_finished_run(now, finished);
         }
         if changed {
-            self.touch(end.task.step.job, None);
+            self.queue_commit(end.task.step.job, None);
         }
         self.ack_once_recorded(key, &end);
         if changed {
@@ -60,15 +60,15 @@
         }
     }
 
-    /// Has the worker forget an end once the store has what its job's state is
-    /// now. An end that changes nothing may be one that an unrecorded change has
-    /// made needless, and a new leader would not know of that change.
+    /// Acknowledges an end once the store has the current state of its job. This holds for
+    /// an end that changes nothing too: a change that is not yet committed may have made it
+    /// redundant, and a new leader would not know of that change.
     fn ack_once_recorded(&mut self, key: WorkerKey, end: &EndedRun) {
         let number = end.number;
         let id = end.task.step.job;
         if self.unreadable.contains(&id) {
-            let kept = &mut self.workers[key].kept_end;
-            *kept = Some(kept.map_or(number, |first| first.min(number)));
+            let first = &mut self.workers[key].first_unreadable_end;
+            *first = Some(first.map_or(number, |known| known.min(number)));
             return;
         }
         let job = self.jobs.get_mut(&id);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Changes the job's state; returns whether anything has to be committed.
+    /// Updates the job's state; returns whether it has to be committed.
     fn record_end(&mut self, end: &EndedRun, is_current: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&end.task.step.job) else {
             return false;
@@ -105,11 +105,13 @@
         if index >= step.tasks.len() {
             return false;
         }
-        let is_stopped_for_one = job.gang_stops.get(&end.task.step) == Some(&end.run);
-        let is_older = is_stopped_for_one && end.kind != EndKind::Stopped;
-        if end.checkpoint.is_some() && !is_older {
-            let keeper = if is_gang { 0 } else { index };
-            step.tasks[keeper].checkpoint.clone_from(&end.checkpoint);
+        let is_stopped_for_checkpoint = job.gang_stops.get(&end.task.step) == Some(&end.run);
+        let is_checkpoint_older = is_stopped_for_checkpoint && end.kind != EndKind::Stopped;
+        if end.checkpoint.is_some() && !is_checkpoint_older {
+            let checkpoint_owner = if is_gang { 0 } else { index };
+            step.tasks[checkpoint_owner]
+                .checkpoint
+                .clone_from(&end.checkpoint);
         }
         if end.kind == EndKind::Done && !is_perpetual {
             if is_gang {
@@ -159,8 +161,8 @@
         self.break_gang(now, step);
     }
 
-    /// Stops other runs of a task that is done, or of its gang: they have nothing to win.
-    /// The members of the run itself end by themselves.
+    /// Stops the other runs of a task, or of a gang, that is done. The members of the run
+    /// that ended stop by themselves.
     fn stop_later_runs(&mut self, now: Instant, end: &EndedRun, out: &mut Vec<Action>) {
         let tasks = if self.is_gang(end.task.step) {
             self.members(end.task.step)
@@ -205,8 +207,9 @@
         spec.is_some_and(|spec| spec.is_gang)
     }
 
-    /// Takes back a run of which nothing was sent.
-    pub(crate) fn take_back(&mut self, task: TaskKey) {
+    /// Removes a run that was never sent or can't be alive any more, and sets its task back to
+    /// waiting.
+    pub(crate) fn unplace(&mut self, task: TaskKey) {
         let Some(key) = self.placements.remove(&task) else {
             return;
         };
@@ -216,12 +219,12 @@
                 state.status = TaskStatus::Waiting;
             }
         }
-        self.touch(task.step.job, None);
-        self.is_place_due = true;
+        self.queue_commit(task.step.job, None);
+        self.is_cycle_due = true;
     }
 
-    /// Takes back a run that can't be alive any more, and the gang with it.
-    pub(crate) fn release(
+    /// Logs and removes a run that can't be alive any more, and marks its gang as broken.
+    pub(crate) fn release_run(
         &mut self,
         now: Instant,
         task: TaskKey,
@@ -238,20 +241,26 @@
             .with_run(task, run)
             .with_worker(&worker.facts.id);
         out.push(Action::Log(line));
-        self.take_back(task);
+        self.unplace(task);
         self.break_gang(now, task.step);
     }
 
-    fn note_health(&mut self, now: Instant, key: WorkerKey, kind: EndKind, out: &mut Vec<Action>) {
+    fn record_health(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        kind: EndKind,
+        out: &mut Vec<Action>,
+    ) {
         match kind {
             EndKind::Done => self.workers[key].failures_count = 0,
-            EndKind::Failed => self.note_failure(now, key, "runs fail", out),
+            EndKind::Failed => self.record_failure(now, key, "runs fail", out),
             _ => {}
         }
     }
 
-    /// Counts a failure against a worker; after a few in a row it is avoided.
-    pub(crate) fn note_failure(
+    /// Counts a failure of a worker; after a few consecutive ones the worker is avoided.
+    pub(crate) fn record_failure(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -272,8 +281,8 @@
         out.push(Action::Log(line));
     }
 
-    /// Takes back all runs of a worker whose life, or whose leases, are over.
-    pub(crate) fn release_all(
+    /// Removes all runs of a worker whose incarnation is over or whose leases have expired.
+    pub(crate) fn release_all_runs(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -283,15 +292,21 @@
         let tasks: Vec<TaskKey> = self.workers[key].runs.keys().copied().collect();
         for task in tasks {
             if self.placements.get(&task) == Some(&key) {
-                self.release(now, task, DecisionKind::RunLost, reason, out);
+                self.release_run(now, task, DecisionKind::RunLost, reason, out);
             } else {
                 self.remove_run(key, task);
             }
         }
     }
 
-    /// Takes in that a worker's life is over: another one has answered at its address.
-    pub(crate) fn mark_gone(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
+    /// Handles an answer from another incarnation at the worker's address: the expected one
+    /// is over.
+    pub(crate) fn on_incarnation_over(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        out: &mut Vec<Action>,
+    ) {
         if self.workers[key].is_gone {
             return;
         }
@@ -300,18 +315,18 @@
         let figure = self.workers[key].runs.len() as u64;
         let line = line.with_worker(&self.workers[key].facts.id);
         out.push(Action::Log(line.with_figure(figure)));
-        self.note_gone(now, key, out);
-        self.release_all(now, key, reason, out);
+        self.mark_gone(now, key, out);
+        self.release_all_runs(now, key, reason, out);
     }
 
-    /// Notes that a life is over, and puts its crash on record for what ran there.
-    pub(crate) fn note_gone(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
+    /// Marks an incarnation as over and records its crash for the runs that were there.
+    pub(crate) fn mark_gone(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
         self.workers[key].is_gone = true;
         self.record_crash(now, key, out);
         self.workers[key].gone_at = Some(now);
     }
 
-    /// Sends stops again that were not answered.
+    /// Repeats the stops that are unanswered.
     pub(crate) fn repeat_stops(&mut self, now: Instant, out: &mut Vec<Action>) {
         let retry = self.config.stop_retry;
         for (key, worker) in self.workers.iter_mut() {
@@ -322,7 +337,7 @@
             for (task, run) in &mut worker.runs {
                 let RunPhase::Stopping {
                     sent_at,
-                    taken_at: None,
+                    accepted_at: None,
                 } = run.phase
                 else {
                     continue;
@@ -332,13 +347,13 @@
                 }
                 run.phase = RunPhase::Stopping {
                     sent_at: now,
-                    taken_at: None,
+                    accepted_at: None,
                 };
                 out.push(Action::Stop {
                     to: Endpoint {
                         worker: key,
                         id: id.clone(),
-                        life_start: worker.life_start,
+                        incarnation: worker.incarnation,
                         address: address.clone(),
                     },
                     task: *task,
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -3,7 +3,7 @@
 use crate::event::Action;
 use crate::job::{JobId, StepKey, TaskKey};
 use crate::scheduler::Scheduler;
-use crate::worker::{Claim, RunPhase, WorkerKey};
+use crate::worker::{CapacityReservation, RunPhase, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
 
 /// How long the members of a gang that has lost one are given to end by
@@ -14,14 +14,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) worker: WorkerKey,
-    pub(crate) room: Resources,
+    pub(crate) capacity: Resources,
 }
 
 impl Reservation {
     /// Creates a reservation for so many members.
     pub(crate) fn new(worker: WorkerKey, demand: &Resources, members_count: u32) -> Self {
-        let room = demand.times(members_count);
-        Self { worker, room }
+        let capacity = demand.times(members_count);
+        Self { worker, capacity }
     }
 }
 
@@ -30,8 +30,10 @@
     pub(crate) fn reserve_room(&mut self, step: StepKey, reservations: Vec<Reservation>) {
         self.release_room(step);
         let mut workers = Vec::with_capacity(reservations.len());
-        for Reservation { worker, room } in reservations {
-            self.workers[worker].reservations.push(Claim { step, room });
+        for Reservation { worker, capacity } in reservations {
+            self.workers[worker]
+                .reservations
+                .push(CapacityReservation { step, capacity });
             workers.push(worker);
         }
         self.reservations.insert(step, workers);
@@ -65,7 +67,7 @@
         for task in &members {
             let phase = self.run_phase(*task);
             if phase == Some(RunPhase::Recording) {
-                self.take_back(*task);
+                self.unplace(*task);
             }
         }
         self.broken_gangs.entry(step).or_insert(now);
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -156,7 +156,7 @@
     /// Returns whether a run's time is known and was spent on the whole work alone.
     fn is_speed_sample(&self, run: &Run, spec: &StepSpec) -> bool {
         let is_whole = run.checkpoint.is_none() && !spec.is_perpetual;
-        let is_start_known = run.sends_count == 1 && run.answers_count == 1;
+        let is_start_known = run.start_sends_count == 1 && run.start_answers_count == 1;
         let data_rack = spec.data_rack.as_deref();
         let is_local = data_rack.is_none() || data_rack == self.facts.rack.as_deref();
         let is_plain = RunRole::of(spec) == RunRole::Plain;
@@ -192,7 +192,7 @@
         // Of a gang the first member that ends tells of all.
         let is_counted = step.tasks.get(end.task.index as usize)?.status == TaskStatus::Done;
         let duration = now.since(run.begun_at?);
-        let is_end_known = worker.end_lag.times(MIN_DURATION_PER_END_LAG) <= duration;
+        let is_end_known = worker.end_detection_delay.times(MIN_DURATION_PER_END_LAG) <= duration;
         if is_counted || !is_end_known || !worker.is_duration_sample(run, spec) {
             return None;
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,17 +1,16 @@
-//! The decisions of the cell's leader.
+//! The scheduling decisions of a cell's leader.
 //!
-//! One node holds the leader's lease. Its [`Scheduler`] takes typed events
-//! (accepted jobs, lists of workers, answers to orders) and appends typed
-//! actions (commits, starts, stops, renewals, calls for advice). It does no
-//! I/O, reads no clock and draws no random number: every event brings its
-//! instant.
+//! One node holds the leader's lease. Its [`Scheduler`] handles typed events (accepted
+//! jobs, lists of workers, answers to orders) and appends typed actions (commits, starts,
+//! stops, polls, advice requests). It performs no I/O, reads no clock and uses no
+//! randomness: every event comes with its instant.
 //!
-//! Three rules carry its promises:
+//! Its guarantees rest on three rules:
 //!
 //! - a start is recorded in the store before it is sent;
-//! - an end is recorded before the worker is told to forget it;
-//! - a task is started again only after its last run has ended, can't start
-//!   any more, or has outlived every lease that was granted to its worker.
+//! - an end is recorded before the worker may discard it;
+//! - a task is started again only after its last run has ended, can't start any more, or
+//!   has outlasted every lease granted to its worker.
 
 mod admission;
 mod advice;
@@ -24,6 +23,7 @@
 mod commits;
 mod config;
 mod cordons;
+mod crash_records;
 mod crashes;
 mod customers;
 mod cycle;
@@ -34,28 +34,27 @@
 mod ends;
 mod estimates;
 mod event;
-mod evidence;
 mod features;
 mod forecast;
 mod fragmentation;
 mod gang_search;
 mod gangs;
 mod handover;
+mod incarnation;
+mod incarnations;
 mod interference;
 mod job;
 mod jobs;
 mod learning;
 mod leases;
-mod life;
 mod limits;
-mod lives;
-mod names;
+mod name_interner;
 mod open_starts;
 mod order;
 mod orders;
 mod overloads;
 mod packing;
-mod placed_lives;
+mod placed_incarnations;
 mod placing;
 mod preemption;
 mod recovery;
@@ -79,9 +78,10 @@
 
 pub use admission::{Forecast, QueueForecast, Rejection, FORECAST_AGE_LIMIT};
 pub use config::{
-    AdvicePolicy, Configuration, CrashPolicy, Queue, SchedulerConfig, ServicePolicy, TrialRule,
+    AdvicePolicy, Configuration, CrashPolicy, ProbationRule, Queue, SchedulerConfig, ServicePolicy,
     LANES_COUNT,
 };
+pub use crash_records::{CrashRecord, Suspicion};
 pub use customers::{Customer, CustomerUsage};
 pub use decision::{Decision, DecisionKind, ReservedLimit};
 pub use durations::{DurationForecast, Durations, ForecastError, StepClass};
@@ -89,13 +89,12 @@
     Action, AdviceReply, Change, ChangeKind, EndKind, EndedRun, Endpoint, Event, HoldReply,
     RefusedStart, RunningRun, StartOrder, StartReply, StopReply, Ticket, WorkerChange,
 };
-pub use evidence::{CrashRecord, Suspicion};
 pub use features::{Feature, Features, UnknownFeature};
 pub use fragmentation::ServiceFragmentation;
 pub use handover::{Learned, LearnedQuantiles, LearnedSize, LearnedSpeed};
+pub use incarnation::Incarnation;
 pub use job::{JobId, JobIdError, JobRecord, JobSpec, Schedule, StepKey, StepSpec, TaskKey};
-pub use leases::look_patience;
-pub use life::LifeStart;
+pub use leases::poll_timeout;
 pub use recovery::Recovered;
 pub use scheduler::{JobView, Scheduler, SchedulerStatus};
 pub use shares::ShareView;
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -1,4 +1,4 @@
-//! Starts and stops, and what their answers mean.
+//! Start and stop orders and the handling of their answers.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, RefusedStart, StartOrder, StartReply, StopReply};
@@ -7,13 +7,13 @@
 use crate::worker::{RunPhase, WorkerKey};
 use ospreywing_types::Instant;
 
-/// How often a start is sent that is not answered. A worker that has the run
-/// answers a repeat as it answers the first; a lost answer is rare enough that
-/// three in a row tell of the worker.
+/// How often an unanswered start is sent. A worker that has the run answers a repeat like
+/// the first order, and answers are lost so rarely that three in a row point to a fault of
+/// the worker.
 const START_SENDS_LIMIT_COUNT: u32 = 3;
 
 impl Scheduler {
-    /// Sends a start whose record is in the store.
+    /// Sends a start that is recorded in the store.
     pub(crate) fn send_start(
         &mut self,
         now: Instant,
@@ -24,38 +24,38 @@
     ) {
         let checkpoint = self.checkpoint_of(task);
         let needs_ticket = self.needs_ticket(task.step);
-        let fresh = self.advice.get(&task.step);
-        let fresh = fresh.and_then(|advice| advice.ticket(now, key));
+        let ticket = self.advice.get(&task.step);
+        let ticket = ticket.and_then(|advice| advice.ticket(now, key));
         let is_within_limit = self.is_within_limit(task.step.job);
-        let is_closed = self.is_closed(&self.workers[key]);
+        let is_closed_to_starts = self.is_closed_to_starts(&self.workers[key]);
         let worker = &mut self.workers[key];
-        let has_room = worker.has_room_to_send(task);
+        let has_capacity = worker.has_capacity_to_send(task);
         let Some(run) = worker.runs.get_mut(&task) else {
             return;
         };
         if run.run != number || run.phase != RunPhase::Recording {
             return;
         }
-        if needs_ticket && fresh.is_none() {
-            self.release(now, task, DecisionKind::NotStarted, "ticket over", out);
+        if needs_ticket && ticket.is_none() {
+            self.release_run(now, task, DecisionKind::NotStarted, "ticket over", out);
             return;
         }
-        if !has_room {
-            // It has shrunk since the start was placed.
-            self.release(now, task, DecisionKind::NotStarted, "room shrank", out);
+        if !has_capacity {
+            // The worker's capacity has shrunk since the placement.
+            self.release_run(now, task, DecisionKind::NotStarted, "room shrank", out);
             return;
         }
-        if is_closed {
-            // It was open when the start was placed.
-            self.release(now, task, DecisionKind::NotStarted, "worker closed", out);
+        if is_closed_to_starts {
+            // The worker has been closed to starts since the placement.
+            self.release_run(now, task, DecisionKind::NotStarted, "worker closed", out);
             return;
         }
         if !is_within_limit {
-            // It was lowered since the start was placed.
-            self.release(now, task, DecisionKind::NotStarted, "limit lowered", out);
+            // The limit has been lowered since the placement.
+            self.release_run(now, task, DecisionKind::NotStarted, "limit lowered", out);
             return;
         }
-        run.ticket = fresh;
+        run.ticket = ticket;
         run.checkpoint = checkpoint;
         run.phase = RunPhase::Starting;
         let waited_ms = now.since(run.placed_at).as_ms();
@@ -64,15 +64,14 @@
             .with_worker(&worker.facts.id)
             .with_figure(waited_ms);
         if self.send_order(now, key, task, out) {
-            self.retries.starts.note_first();
+            self.retries.starts.record_first_call();
             out.push(Action::Log(line));
         } else {
-            self.release(now, task, DecisionKind::NotStarted, "worker lost", out);
+            self.release_run(now, task, DecisionKind::NotStarted, "worker lost", out);
         }
     }
 
-    /// Sends a run's start with a lease; returns whether the worker could be
-    /// granted one.
+    /// Sends a start order with a lease; returns whether the worker could be granted one.
     fn send_order(
         &mut self,
         now: Instant,
@@ -80,24 +79,24 @@
         task: TaskKey,
         out: &mut Vec<Action>,
     ) -> bool {
-        let length = self.grant_length();
+        let length = self.lease_duration();
         let Some(job) = self.jobs.get(&task.step.job) else {
             return false;
         };
         let payload = job.payload.clone();
         let worker = &mut self.workers[key];
-        let is_able = !worker.is_gone && worker.is_reachable && worker.is_synced;
-        if !is_able {
+        let can_receive = !worker.is_gone && worker.is_reachable && worker.is_synced;
+        if !can_receive {
             return false;
         }
-        let Some(until_ms) = worker.grant(now, length) else {
+        let Some(until_ms) = worker.grant_lease(now, length) else {
             return false;
         };
         let to = worker.endpoint(key);
         let Some(run) = worker.runs.get_mut(&task) else {
             return false;
         };
-        run.sends_count += 1;
+        run.start_sends_count += 1;
         run.sent_at = now;
         out.push(Action::Start {
             to,
@@ -113,7 +112,7 @@
         true
     }
 
-    /// Sends a start again that was not answered; returns whether it did.
+    /// Repeats an unanswered start; returns whether it was sent.
     fn repeat_start(
         &mut self,
         now: Instant,
@@ -125,25 +124,32 @@
         let Some(run) = worker.runs.get(&task) else {
             return false;
         };
-        // The first one may not have arrived, and its room may be gone, its customer's limit
-        // be lower, or its data centre be cordoned.
-        let is_closed = self.is_closed(worker);
-        if is_closed || worker.is_overfull() || !self.is_within_limit(task.step.job) {
+        // The first order may not have arrived. Meanwhile the worker's capacity may have
+        // shrunk, the customer's limit may have been lowered, or the data centre may have
+        // been cordoned.
+        let is_closed_to_starts = self.is_closed_to_starts(worker);
+        if is_closed_to_starts || worker.is_overcommitted() || !self.is_within_limit(task.step.job)
+        {
             return false;
         }
-        let is_open = run.phase == RunPhase::Starting && run.sends_count < START_SENDS_LIMIT_COUNT;
-        is_open && self.retries.starts.spend() && self.send_order(now, key, task, out)
+        let may_repeat =
+            run.phase == RunPhase::Starting && run.start_sends_count < START_SENDS_LIMIT_COUNT;
+        may_repeat && self.retries.starts.spend() && self.send_order(now, key, task, out)
     }
 
-    /// Returns the checkpoint from which a task goes on.
+    /// Returns the checkpoint from which a task resumes.
     fn checkpoint_of(&self, task: TaskKey) -> Option<String> {
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.record.spec.steps.get(task.step.step as usize)?;
         let step = job.state.round(task.step.round)?;
         let step = step.steps.get(task.step.step as usize)?;
-        // Any member's checkpoint is good for its gang, if all bring the same.
-        let keeper = if spec.is_gang { 0 } else { task.index };
-        step.tasks.get(keeper as usize)?.checkpoint.clone()
+        // A checkpoint of any member serves the whole gang, provided that all members start
+        // from the same one.
+        let checkpoint_owner = if spec.is_gang { 0 } else { task.index };
+        step.tasks
+            .get(checkpoint_owner as usize)?
+            .checkpoint
+            .clone()
     }
 
     pub(crate) fn on_start_answered(
@@ -155,12 +161,12 @@
         reply: StartReply,
         out: &mut Vec<Action>,
     ) {
-        if reply == StartReply::OtherLife {
-            self.mark_gone(now, key, out);
+        if reply == StartReply::OtherIncarnation {
+            self.on_incarnation_over(now, key, out);
             return;
         }
-        // The run may have gone over to a life that has answered meanwhile.
-        let key = self.life_with(key, task);
+        // The run may have moved to an incarnation that has answered meanwhile.
+        let key = self.incarnation_with(key, task);
         let worker = &mut self.workers[key];
         let Some(run) = worker.runs.get_mut(&task) else {
             return;
@@ -168,10 +174,10 @@
         if run.run != number {
             return;
         }
-        run.answers_count += u32::from(reply != StartReply::Unanswered);
+        run.start_answers_count += u32::from(reply != StartReply::Unanswered);
         let is_refused = reply == StartReply::Refused(RefusedStart::NotSent);
-        run.was_cut_off |= is_refused && run.sends_count > 1;
-        let reply = told_by_repeat(reply, run.sends_count);
+        run.was_cut_off |= is_refused && run.start_sends_count > 1;
+        let reply = interpret_repeat(reply, run.start_sends_count);
         let id = worker.facts.id.clone();
         let line = |kind, reason| {
             let line = Decision::new(kind, reason);
@@ -180,7 +186,7 @@
         match reply {
             StartReply::Started => {
                 run.mark_begun(now);
-                worker.answered_at = now;
+                worker.last_answer_at = now;
                 if run.phase == RunPhase::Starting {
                     run.phase = RunPhase::Running { since: now };
                 }
@@ -193,17 +199,17 @@
                     return;
                 }
                 out.push(line(DecisionKind::StartUnknown, "no answer"));
-                self.note_failure(now, key, "starts unanswered", out);
+                self.record_failure(now, key, "starts unanswered", out);
                 self.stop_task(now, task, "start unknown", out);
             }
-            StartReply::Refused(why) => {
-                if why == RefusedStart::Fence {
+            StartReply::Refused(reason) => {
+                if reason == RefusedStart::Fence {
                     out.push(Action::StepDown);
                     return;
                 }
-                self.on_refused(now, key, task, why, out);
+                self.on_refused(now, key, task, reason, out);
             }
-            StartReply::OtherLife => {}
+            StartReply::OtherIncarnation => {}
         }
     }
 
@@ -212,21 +218,21 @@
         now: Instant,
         key: WorkerKey,
         task: TaskKey,
-        why: RefusedStart,
+        reason: RefusedStart,
         out: &mut Vec<Action>,
     ) {
-        match why {
+        match reason {
             RefusedStart::Ticket => {
                 if let Some(advice) = self.advice.get_mut(&task.step) {
                     advice.expire(key);
                 }
             }
             RefusedStart::Unhealthy | RefusedStart::NotSent | RefusedStart::Room => {
-                self.note_failure(now, key, "starts refused", out);
+                self.record_failure(now, key, "starts refused", out);
             }
             _ => {}
         }
-        self.release(now, task, DecisionKind::NotStarted, why.as_str(), out);
+        self.release_run(now, task, DecisionKind::NotStarted, reason.as_str(), out);
     }
 
     pub(crate) fn on_stop_answered(
@@ -239,13 +245,13 @@
         out: &mut Vec<Action>,
     ) {
         match reply {
-            StopReply::OtherLife => self.mark_gone(now, key, out),
+            StopReply::OtherIncarnation => self.on_incarnation_over(now, key, out),
             StopReply::Fenced => out.push(Action::StepDown),
             StopReply::Unanswered => {}
             StopReply::Stopping => {
                 let worker = &mut self.workers[key];
-                worker.answered_at = now;
-                worker.open_starts.note_refused(task, number);
+                worker.last_answer_at = now;
+                worker.open_starts.confirm_stop(task, number);
                 let Some(run) = worker.runs.get_mut(&task) else {
                     return;
                 };
@@ -253,7 +259,7 @@
                     if run.run == number {
                         run.phase = RunPhase::Stopping {
                             sent_at,
-                            taken_at: Some(now),
+                            accepted_at: Some(now),
                         };
                     }
                 }
@@ -262,12 +268,13 @@
     }
 }
 
-/// Returns what the answer to a start tells where the start may have been sent
-/// before: an earlier one may have been carried out, or may still be.
-fn told_by_repeat(reply: StartReply, sends_count: u32) -> StartReply {
+/// Returns the meaning of an answer to a start that may have been sent before: an earlier
+/// order may have been carried out, or may still be.
+fn interpret_repeat(reply: StartReply, start_sends_count: u32) -> StartReply {
     match reply {
-        StartReply::Refused(_) if sends_count < 2 => reply,
-        // The run is or was there, or has been stopped: the worker's lists tell.
+        StartReply::Refused(_) if start_sends_count < 2 => reply,
+        // The worker has or had the run, or has stopped it; its next list of runs shows
+        // which.
         StartReply::Refused(RefusedStart::Old) => StartReply::Started,
         StartReply::Refused(RefusedStart::Fence) => reply,
         StartReply::Refused(_) => StartReply::Unanswered,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: its state and the dispatch of events.
+//! The scheduler's state and its event dispatch.
 
 use crate::advice::StepAdvice;
 use crate::advisers::Advisers;
@@ -16,7 +16,7 @@
 use crate::job::{JobId, StepKey, TaskKey};
 use crate::jobs::Job;
 use crate::learning::{Learning, SpeedClass};
-use crate::names::Names;
+use crate::name_interner::NameInterner;
 use crate::overloads::Overloads;
 use crate::retries::RetryBudgets;
 use crate::shapes::Shapes;
@@ -30,140 +30,142 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// The time between two looks at jobs that have their outcome.
+/// The interval between checks of ended jobs, departures and long waits.
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_ms(100);
-/// The time between two looks for jobs to forget: all jobs are looked at, some
-/// ten thousand, and outcomes are kept for minutes.
-const FORGET_PERIOD: Duration = Duration::from_ms(2000);
+/// The interval between removals of expired data. Each one scans all jobs, some ten
+/// thousand, and outcomes are kept for minutes.
+const EXPIRY_SCAN_PERIOD: Duration = Duration::from_ms(2000);
 
-/// The state of a job that clients are shown.
+/// The state of a job as clients see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job's life, as far as it is in the store.
+    /// The job's phase, as far as it is committed.
     pub phase: Phase,
-    /// Whether a task of it has begun.
+    /// Whether a task of the job has begun.
     pub has_begun: bool,
-    /// Whether nothing is on its way to the store that changes the phase. Otherwise the
-    /// store may have more, and whoever reads it would be told more than the leader
-    /// tells: a client would see the job's outcome and then see it undone.
+    /// Whether no commit that changes the phase is in flight. Otherwise the store may be
+    /// ahead of this view: a client that reads the store would see the job's outcome, and
+    /// then see it undone by the leader's answer.
     pub is_settled: bool,
 }
 
-/// Sizes for metrics and operators.
+/// Figures for metrics and operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerStatus {
     /// Jobs with work left.
     pub active_jobs_count: usize,
-    /// Jobs that are known.
+    /// All known jobs.
     pub jobs_count: usize,
     /// Runs that occupy workers.
     pub runs_count: usize,
-    /// Workers that may take a run.
+    /// Workers on which a run may be placed.
     pub placeable_workers_count: usize,
-    /// Workers that are listed.
+    /// Workers in the platform's list.
     pub listed_workers_count: usize,
-    /// Data centres that are cordoned.
+    /// Cordoned data centres.
     pub cordons_count: usize,
-    /// Stops of starts meant for an earlier life that were not answered yet.
-    pub unanswered_refusals_count: usize,
-    /// The processors of the workers that may take a run, in thousandths of a core.
+    /// Unanswered stops of starts that were meant for an earlier incarnation.
+    pub unanswered_stops_count: usize,
+    /// The CPU capacity of the placeable workers, in thousandths of a core.
     pub capacity_milli: u64,
-    /// What of them runs occupy.
+    /// The CPU capacity of the placeable workers that runs occupy, in thousandths of a
+    /// core.
     pub used_milli: u64,
-    /// Workers that were kept free for waiting gangs when work was last placed.
+    /// Workers that were reserved for waiting gangs in the last scheduling cycle.
     pub awaited_workers_count: usize,
-    /// Gangs that waited then.
+    /// Gangs that were waiting in the last scheduling cycle.
     pub waiting_gangs_count: usize,
-    /// Workers that are known to be slower than their service's others.
+    /// Workers that are known to be slower than the others of their service.
     pub slow_workers_count: usize,
-    /// Workers that come last, since they are slow of late.
+    /// Workers that are chosen last, because they have been slow recently.
     pub ejected_workers_count: usize,
-    /// Sizes of steps whose lengths are learned.
+    /// Step sizes for which durations are learned.
     pub learned_sizes_count: usize,
-    /// How far off forecasts of lengths and clients' estimates were.
+    /// The errors of duration forecasts and of clients' estimates.
     pub forecast_error: ForecastError,
-    /// Steps for which a part of their customer's limit is reserved.
+    /// Steps for which part of their customer's limit is reserved.
     pub limit_reservations_count: usize,
-    /// Customers whose work beyond their shares of a service that is short comes last.
-    pub beyond_share_count: usize,
-    /// How far a customer is ahead of its share at most.
+    /// Customers whose work comes last because they are over their fair share of an
+    /// overloaded service.
+    pub over_share_count: usize,
+    /// The largest amount by which a customer is ahead of its fair share.
     pub largest_share_lag: Duration,
-    /// Services that are short of room.
+    /// Services that are short of capacity.
     pub overloaded_services_count: usize,
-    /// Queues of which a forecast is told.
+    /// Queues with a forecast.
     pub forecast_queues_count: usize,
-    /// How broken up the free room of each service is.
+    /// The fragmentation of each service's free capacity.
     pub service_rooms: Vec<ServiceFragmentation>,
-    /// The steps that wait, by reason in the order of [`WaitReason::ALL`].
+    /// The waiting steps, by wait reason in the order of [`WaitReason::ALL`].
     pub waits: [WaitSummary; WaitReason::ALL.len()],
 }
 
-/// The decisions of one leader's term.
+/// The scheduler of one leader's term.
 pub struct Scheduler {
     pub(crate) config: SchedulerConfig,
     pub(crate) configuration: Configuration,
     pub(crate) accounts: Accounts,
-    /// What is kept of customers' limits for steps that wait for them.
+    /// The parts of customers' limits that are reserved for steps waiting for them.
     pub(crate) limit_reservations: LimitReservations,
     pub(crate) shares: Shares,
-    /// Jobs whose services have to count anew what they ask for.
+    /// Jobs whose demand has to be recomputed for their service's shares.
     pub(crate) stale_ready_demand: HashSet<JobId>,
     pub(crate) cordons: Cordons,
-    /// Whether nothing new may be started anywhere.
-    pub(crate) are_starts_held: bool,
+    /// Whether starts are paused everywhere.
+    pub(crate) are_starts_paused: bool,
     pub(crate) workers: PrimaryMap<WorkerKey, Worker>,
     pub(crate) workers_by_id: HashMap<Arc<str>, WorkerKey>,
-    pub(crate) names: Names,
+    pub(crate) name_interner: NameInterner,
     pub(crate) jobs: HashMap<JobId, Job>,
-    /// Jobs with work left, in the order in which they are served.
+    /// Jobs with work left, in scheduling order.
     pub(crate) active: BTreeMap<(u32, u64), JobId>,
-    /// Jobs with a schedule that have rounds left to begin.
+    /// Scheduled jobs with rounds left to begin.
     pub(crate) scheduled: Vec<JobId>,
-    /// Jobs that have their outcome while a run of theirs may be alive.
+    /// Ended jobs of which a run may still be alive.
     pub(crate) unsettled: BTreeSet<JobId>,
-    /// Jobs whose stored state can't be read. Nothing of them is started or
-    /// stopped, and their ends stay with the workers for a leader that can.
+    /// Jobs whose stored state can't be read. None of their runs is started or stopped, and
+    /// their ends stay with the workers for a leader that can read them.
     pub(crate) unreadable: BTreeSet<JobId>,
     pub(crate) next_order: u64,
-    /// Where each task's run is.
+    /// The worker of each task's run.
     pub(crate) placements: HashMap<TaskKey, WorkerKey>,
     pub(crate) advice: HashMap<StepKey, StepAdvice>,
     pub(crate) advisers: Advisers,
-    /// What this leader has learned of lengths and speeds.
+    /// Learned durations and speeds.
     pub(crate) learning: Learning,
-    /// The workers that keep room for gangs whose advice is being asked for.
+    /// The workers with reservations for gangs whose advice requests are open.
     pub(crate) reservations: BTreeMap<StepKey, Vec<WorkerKey>>,
-    /// Gangs that have lost a member, and when.
+    /// The broken gangs, which have lost a member, and when they did.
     pub(crate) broken_gangs: BTreeMap<StepKey, Instant>,
-    /// Workers found good and workers named, by queue.
+    /// The workers found suitable and the workers asked about, by queue.
     pub(crate) goodness: HashMap<String, (f64, f64)>,
-    /// The shapes of the tasks that came lately.
+    /// The shapes of recently submitted tasks.
     pub(crate) shapes: Shapes,
-    /// The steps that wait, and why.
+    /// The waiting steps and their wait reasons.
     pub(crate) waits: Waits,
-    /// What the last cycle over waiting steps left.
+    /// A summary of the last scheduling cycle.
     pub(crate) last_cycle: CycleSummary,
-    /// The services that were short of room then.
+    /// The services that were short of capacity in the last scheduling cycle.
     pub(crate) overloads: Overloads,
-    /// When the queues of these could do another job.
+    /// Forecasts of when each queue can complete another job.
     pub(crate) forecasts: Forecasts,
     pub(crate) commits: CommitQueue,
-    pub(crate) has_store_trouble: bool,
-    /// When every lease that an earlier leader granted is certainly over. A lease
-    /// never shortens and holds for all that runs on a worker, also for what only
-    /// this leader starts there.
-    pub(crate) inherited_until: Instant,
-    /// What may be sent again.
+    pub(crate) is_store_degraded: bool,
+    /// When every lease granted by an earlier leader has certainly expired. A lease is
+    /// never shortened and covers every run on its worker, including runs that only this
+    /// leader starts.
+    pub(crate) recovered_leases_until: Instant,
+    /// The retry budgets.
     pub(crate) retries: RetryBudgets,
-    /// When a worker last left a renewal unanswered that answered before.
-    pub(crate) last_lost_hold_at: Option<Instant>,
-    /// Whether something has changed that may let a task be placed.
-    pub(crate) is_place_due: bool,
-    next_place_at: Instant,
+    /// When a reachable worker last left a poll unanswered.
+    pub(crate) last_lost_poll_at: Option<Instant>,
+    /// Whether a change since the last scheduling cycle may let a task be placed.
+    pub(crate) is_cycle_due: bool,
+    next_cycle_at: Instant,
     next_housekeeping_at: Instant,
-    next_forget_at: Instant,
-    /// When renewals that are due are looked for next.
-    pub(crate) next_renewal_at: Instant,
+    next_expiry_scan_at: Instant,
+    /// When to look for due polls next.
+    pub(crate) next_poll_scan_at: Instant,
     pub(crate) wall_ms: u64,
 }
 
@@ -179,10 +181,10 @@
             shares: Shares::default(),
             stale_ready_demand: HashSet::new(),
             cordons: Cordons::default(),
-            are_starts_held: false,
+            are_starts_paused: false,
             workers: PrimaryMap::new(),
             workers_by_id: HashMap::new(),
-            names: Names::default(),
+            name_interner: NameInterner::default(),
             jobs: HashMap::new(),
             active: BTreeMap::new(),
             scheduled: Vec::new(),
@@ -202,34 +204,34 @@
             overloads: Overloads::default(),
             forecasts: Forecasts::default(),
             commits: CommitQueue::default(),
-            has_store_trouble: false,
-            inherited_until: Instant::default(),
+            is_store_degraded: false,
+            recovered_leases_until: Instant::default(),
             retries: RetryBudgets::default(),
-            last_lost_hold_at: None,
-            is_place_due: true,
-            next_place_at: Instant::default(),
+            last_lost_poll_at: None,
+            is_cycle_due: true,
+            next_cycle_at: Instant::default(),
             next_housekeeping_at: Instant::default(),
-            next_forget_at: Instant::default(),
-            next_renewal_at: Instant::default(),
+            next_expiry_scan_at: Instant::default(),
+            next_poll_scan_at: Instant::default(),
             wall_ms: 0,
         }
     }
 
-    /// Takes in an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::JobAccepted { job, record } => self.accept_job(now, job, *record, out),
             Event::CancelAccepted { job } => self.cancel_job(now, job, out),
             Event::Configured(configuration) => self.configure(configuration, out),
             Event::CordonsListed(data_centres) => self.set_cordons(data_centres, out),
-            Event::StartsHeld(are_held) => self.hold_starts(are_held),
+            Event::StartsPaused(are_paused) => self.set_starts_paused(are_paused),
             Event::WorkersListed(list) => self.list_workers(now, list, out),
             Event::WorkersChanged(changes) => self.change_workers(now, changes, out),
             Event::HoldAnswered {
                 worker,
                 sent_at,
                 reply,
-            } => self.on_hold_answered(now, worker, sent_at, reply, out),
+            } => self.on_poll_answered(now, worker, sent_at, reply, out),
             Event::StartAnswered {
                 worker,
                 task,
@@ -247,8 +249,8 @@
                 self.on_advice_answered(now, step, &named, reply, out);
             }
             Event::Committed { lane } => self.on_committed(now, lane as usize, out),
-            Event::StoreTrouble(has_trouble) => {
-                self.has_store_trouble = has_trouble;
+            Event::StoreDegraded(is_degraded) => {
+                self.is_store_degraded = is_degraded;
                 self.forecasts.suspend(now);
             }
             Event::WallClock(wall_ms) => self.begin_due_rounds(wall_ms),
@@ -256,10 +258,10 @@
         }
     }
 
-    /// Takes in events that have come together, what the operators have set before all else.
+    /// Handles events that arrived together, those with operators' settings first.
     ///
-    /// A leader that stood still finds answers and a lowered limit behind one another, and
-    /// would give orders by the answers while it still knew the higher limit.
+    /// A leader that was suspended may find answers queued before a lowered limit, and
+    /// would otherwise send orders under the old limit.
     pub fn handle_all(&mut self, now: Instant, events: Vec<Event>, out: &mut Vec<Action>) {
         let (first, rest): (Vec<Event>, Vec<Event>) =
             events.into_iter().partition(Event::is_set_by_operators);
@@ -268,31 +270,31 @@
         }
     }
 
-    /// Does what is due: places, commits, renews. Called after each batch of
-    /// events, so that one cycle serves them all.
-    pub fn settle(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.is_place_due && now >= self.next_place_at {
-            self.is_place_due = false;
+    /// Runs a scheduling cycle, sends polls and begins commits, as far as they are due.
+    /// Call it after each batch of events, so that one cycle covers the whole batch.
+    pub fn run_due_work(&mut self, now: Instant, out: &mut Vec<Action>) {
+        if self.is_cycle_due && now >= self.next_cycle_at {
+            self.is_cycle_due = false;
             let examined_count = self.place(now, out);
-            let pace = self.config.place_pace;
-            let rest_ms = examined_count as u64 / self.config.place_steps_per_ms;
-            self.next_place_at = now + pace.max(Duration::from_ms(rest_ms));
+            let interval = self.config.cycle_interval;
+            let pause_ms = examined_count as u64 / self.config.cycle_steps_per_ms;
+            self.next_cycle_at = now + interval.max(Duration::from_ms(pause_ms));
         }
-        if now >= self.next_renewal_at {
-            self.next_renewal_at = now + self.config.renewal_pace;
-            self.renew_leases(now, out);
+        if now >= self.next_poll_scan_at {
+            self.next_poll_scan_at = now + self.config.poll_scan_interval;
+            self.send_due_polls(now, out);
         }
         self.flush_commits(now, out);
     }
 
-    /// Returns the state of a job that clients are shown, where the job is known and open
-    /// to the caller.
+    /// Returns the state of a job as clients see it, if the job is known and visible to the
+    /// caller.
     pub fn job_for(&self, caller: Option<&str>, job: JobId) -> Option<JobView> {
         let record = &self.jobs.get(&job)?.record;
-        self.job(job).filter(|_| record.is_open_to(caller))
+        self.job(job).filter(|_| record.is_visible_to(caller))
     }
 
-    /// Returns the state of a job that clients are shown, where the job is known.
+    /// Returns the state of a job as clients see it, if the job is known.
     pub fn job(&self, job: JobId) -> Option<JobView> {
         let job = self.jobs.get(&job)?;
         Some(JobView {
@@ -302,26 +304,26 @@
         })
     }
 
-    /// Returns how many of a queue's jobs have no task that has begun.
+    /// Returns the number of a queue's jobs of which no task has begun.
     pub fn pending_count(&self, queue: &str) -> usize {
         let jobs = self.active.values().filter_map(|id| self.jobs.get(id));
         jobs.filter(|job| job.record.queue == queue && !job.has_begun)
             .count()
     }
 
-    /// Returns a worker's key by the id of its life.
+    /// Returns the key of the current incarnation of the worker with this id.
     pub fn worker_key(&self, id: &str) -> Option<WorkerKey> {
         self.workers_by_id.get(id).copied()
     }
 
-    /// Returns the workers that the platform lists and that are not known to be gone.
+    /// Returns the listed workers that are not known to be gone.
     pub fn listed_workers(&self) -> impl Iterator<Item = (WorkerKey, &WorkerFacts)> + '_ {
         let workers = self.workers.iter();
         let listed = workers.filter(|(_, worker)| worker.is_listed && !worker.is_gone);
         listed.map(|(key, worker)| (key, &worker.facts))
     }
 
-    /// Returns sizes for metrics.
+    /// Returns figures for metrics.
     pub fn status(&self, now: Instant) -> SchedulerStatus {
         let shares = self.shares.summary();
         let placeable = || self.workers.values().filter(|w| w.is_placeable(now));
@@ -339,7 +341,7 @@
             learned_sizes_count: self.learning.durations.classes_count(),
             forecast_error: self.learning.durations.error(),
             limit_reservations_count: self.limit_reservations.count(),
-            beyond_share_count: shares.beyond_count,
+            over_share_count: shares.beyond_count,
             largest_share_lag: shares.largest_lag,
             overloaded_services_count: self.overloads.len(),
             forecast_queues_count: self.forecasts.len(),
@@ -349,11 +351,11 @@
             jobs_count: self.jobs.len(),
             runs_count: self.placements.len(),
             cordons_count: self.cordons.len(),
-            unanswered_refusals_count: self
+            unanswered_stops_count: self
                 .workers
                 .values()
                 .filter(|worker| !worker.is_gone)
-                .map(|worker| worker.open_starts.unanswered_count())
+                .map(|worker| worker.open_starts.unanswered_stops_count())
                 .sum(),
             placeable_workers_count: placeable().count(),
             listed_workers_count: self
@@ -365,26 +367,26 @@
     }
 
     fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.give_up_lapsed(now, out);
+        self.give_up_expired(now, out);
         self.stop_broken_gangs(now, out);
         self.evict_fillers(now, out);
         self.repeat_stops(now, out);
-        self.repeat_refusals(now, out);
+        self.repeat_open_start_stops(now, out);
         self.refresh_speeds(now, out);
         if now >= self.next_housekeeping_at {
             self.next_housekeeping_at = now + HOUSEKEEPING_PERIOD;
-            self.settle_ended_jobs();
+            self.queue_outcomes();
             self.stop_before_departures(now, out);
             self.tell_waits(now, out);
         }
-        if now >= self.next_forget_at {
-            self.next_forget_at = now + FORGET_PERIOD;
+        if now >= self.next_expiry_scan_at {
+            self.next_expiry_scan_at = now + EXPIRY_SCAN_PERIOD;
             self.waits.forget_old(now);
             self.shapes.forget_old(now);
-            self.names.forget_unused();
+            self.name_interner.remove_unused();
             self.remove_expired_jobs(now);
         }
-        self.is_place_due = true;
+        self.is_cycle_due = true;
     }
 
     fn configure(&mut self, configuration: Configuration, out: &mut Vec<Action>) {
@@ -396,7 +398,7 @@
         self.accounts.configure(configuration.customers.values());
         self.configuration = configuration;
         self.update_share_services();
-        self.note_services();
-        self.is_place_due = true;
+        self.update_has_service();
+        self.is_cycle_due = true;
     }
 }
--- a/crates/scheduler/src/worker_list.rs
+++ b/crates/scheduler/src/worker_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers, and what it tells of those that are known.
+//! The platform's list of workers and changes to their entries.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, WorkerChange};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl Scheduler {
-    /// Takes in the list of workers.
+    /// Handles a complete list of workers.
     pub(crate) fn list_workers(
         &mut self,
         now: Instant,
@@ -26,14 +26,14 @@
         self.change_workers(now, changes, out);
     }
 
-    /// Takes in what has changed of the list of workers.
+    /// Handles changes to the list of workers.
     pub(crate) fn change_workers(
         &mut self,
         now: Instant,
         changes: Vec<WorkerChange>,
         out: &mut Vec<Action>,
     ) {
-        self.doubt_shared_places(now, &changes);
+        self.recheck_shared_hosts(now, &changes);
         for change in changes {
             match change {
                 WorkerChange::Listed(facts) => self.list_worker(now, facts, out),
@@ -44,20 +44,20 @@
                 }
             }
         }
-        self.is_place_due = true;
+        self.is_cycle_due = true;
     }
 
     fn list_worker(&mut self, now: Instant, mut facts: WorkerFacts, out: &mut Vec<Action>) {
-        self.names.keep_all(&mut facts);
+        self.name_interner.intern_all(&mut facts);
         let Some(&key) = self.workers_by_id.get(&facts.id) else {
             return self.add_worker(facts, out);
         };
         let worker = &mut self.workers[key];
         worker.is_listed = !worker.is_gone;
-        self.take_entry(now, key, facts, out);
+        self.handle_entry(now, key, facts, out);
     }
 
-    /// Creates a worker as the operators' settings stand.
+    /// Creates a worker under the current configuration and cordons.
     pub(crate) fn new_worker(&self, facts: WorkerFacts, leased_until: Instant) -> Worker {
         let mut worker = Worker::new(facts, leased_until);
         worker.has_service = self.configuration.has_service(&worker.facts.service);
@@ -65,51 +65,51 @@
         worker
     }
 
-    /// Notes which workers belong to a service that the operators have set: an entry that
-    /// names another one names no worker to use. What runs there runs on.
-    pub(crate) fn note_services(&mut self) {
+    /// Updates which workers belong to a configured service. No run is placed on the
+    /// others; their runs continue.
+    pub(crate) fn update_has_service(&mut self) {
         for worker in self.workers.values_mut() {
             worker.has_service = self.configuration.has_service(&worker.facts.service);
         }
     }
 
-    /// Has workers asked at once at whose place another life is listed that was not met
-    /// before in this term.
+    /// Polls known workers at once if an incarnation that is new in this term is listed on
+    /// their machine or at their address.
     ///
-    /// The entry alone does not tell which life is the later one: a write of an earlier
-    /// life may come to the store late. The address answers for the one that is there, to
-    /// a call for any other with its refusal.
-    fn doubt_shared_places(&mut self, now: Instant, changes: &[WorkerChange]) {
-        let mut places = Places::default();
+    /// The entry alone does not show which incarnation is the later one, since a write of
+    /// an earlier incarnation may reach the store late. The incarnation that runs answers
+    /// polls at the address and refuses those meant for another one.
+    fn recheck_shared_hosts(&mut self, now: Instant, changes: &[WorkerChange]) {
+        let mut hosts = Hosts::default();
         for change in changes {
             match change {
-                WorkerChange::Listed(facts) if !self.is_met(&facts.id) => places.add(facts),
+                WorkerChange::Listed(facts) if !self.was_listed(&facts.id) => hosts.add(facts),
                 _ => {}
             }
         }
-        if places.is_empty() {
+        if hosts.is_empty() {
             return;
         }
-        let is_shared = |worker: &&mut Worker| !worker.is_gone && places.has(&worker.facts);
-        let mut is_any = false;
+        let is_shared = |worker: &&mut Worker| !worker.is_gone && hosts.has(&worker.facts);
+        let mut has_shared = false;
         for worker in self.workers.values_mut().filter(is_shared) {
-            worker.doubted_at = Some(now);
-            worker.next_hold_at = now;
-            is_any = true;
+            worker.unconfirmed_since = Some(now);
+            worker.next_poll_at = now;
+            has_shared = true;
         }
-        if is_any {
-            self.next_renewal_at = now;
+        if has_shared {
+            self.next_poll_scan_at = now;
         }
     }
 
     /// Returns whether a worker has been listed in this term.
-    fn is_met(&self, id: &Arc<str>) -> bool {
+    fn was_listed(&self, id: &Arc<str>) -> bool {
         let key = self.workers_by_id.get(id);
         key.is_some_and(|key| !self.workers[*key].facts.address.is_empty())
     }
 
-    /// Takes in the entry of a known worker, which may be that of another life.
-    fn take_entry(
+    /// Handles the entry of a known worker, which may describe another incarnation.
+    fn handle_entry(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -117,21 +117,21 @@
         out: &mut Vec<Action>,
     ) {
         let worker = &mut self.workers[key];
-        if worker.is_own_entry(&facts) {
+        if worker.may_be_own_entry(&facts) {
             worker.other_entry = None;
             self.update_facts(now, key, facts, out);
         } else if worker.is_gone {
             // The id is in use again.
             self.add_worker(facts, out);
         } else {
-            self.doubt_life(now, key, facts);
+            self.on_other_entry(now, key, facts);
         }
     }
 
-    /// Takes in what is listed of a known worker now.
+    /// Updates the entry of a known worker.
     ///
-    /// What runs on a worker whose room has shrunk below it runs on: stopping it would
-    /// lose work, and nothing more is placed there until enough has ended.
+    /// Runs continue when a worker's capacity shrinks below their demand: stopping them
+    /// would lose work. No run is placed there until enough of them have ended.
     fn update_facts(
         &mut self,
         now: Instant,
@@ -146,21 +146,21 @@
         let before = worker.facts.capacity;
         let was_draining = worker.facts.is_draining;
         worker.set_facts(facts);
-        worker.note_departure(now, drain_time);
-        if let Some(leaves_at) = worker.leaves_at.filter(|_| !was_draining) {
+        worker.update_departure(now, drain_time);
+        if let Some(departs_at) = worker.departs_at.filter(|_| !was_draining) {
             let line = Decision::new(DecisionKind::WorkerDraining, "listed as leaving");
             let line = line.with_worker(&worker.facts.id);
-            out.push(Action::Log(line.with_figure(leaves_at.since(now).as_ms())));
+            out.push(Action::Log(line.with_figure(departs_at.since(now).as_ms())));
         }
         worker.has_service = has_service;
         worker.is_cordoned = is_cordoned;
         let after = worker.facts.capacity;
-        // Of a worker that only the records of an earlier leader name nothing was known.
-        let is_news = before != after && !before.is_zero();
-        if !is_news || worker.runs.is_empty() {
+        // The capacity was unknown for a worker that only an earlier leader's records name.
+        let is_change = before != after && !before.is_zero();
+        if !is_change || worker.runs.is_empty() {
             return;
         }
-        let reason = if worker.is_overfull() {
+        let reason = if worker.is_overcommitted() {
             "smaller than what runs there"
         } else {
             "room changed"
@@ -177,12 +177,12 @@
         let id = facts.id.clone();
         let key = self
             .workers
-            .push(self.new_worker(facts, self.inherited_until));
+            .push(self.new_worker(facts, self.recovered_leases_until));
         self.workers_by_id.insert(id, key);
     }
 }
 
-/// Takes in that a worker is not listed any more: it has left, or its entry has lapsed.
+/// Marks a worker as unlisted: it has departed, or its entry has expired.
 fn unlist(worker: &mut Worker, out: &mut Vec<Action>) {
     worker.is_listed = false;
     let line = Decision::new(DecisionKind::WorkerUnlisted, "entry gone");
@@ -190,21 +190,21 @@
     out.push(Action::Log(line.with_figure(worker.runs.len() as u64)));
 }
 
-/// The machines and addresses of workers that were not listed before.
+/// The machines and addresses of newly listed workers.
 #[derive(Debug, Default)]
-struct Places<'a> {
+struct Hosts<'a> {
     machines: HashSet<&'a str>,
     addresses: HashSet<&'a str>,
-    /// The addresses of those whose machine the platform does not tell.
-    addresses_alone: HashSet<&'a str>,
+    /// The addresses of workers whose machine is not reported.
+    addresses_without_machine: HashSet<&'a str>,
 }
 
-impl<'a> Places<'a> {
+impl<'a> Hosts<'a> {
     fn add(&mut self, facts: &'a WorkerFacts) {
         self.addresses.insert(&facts.address);
         match &facts.machine {
             Some(machine) => self.machines.insert(machine),
-            None => self.addresses_alone.insert(&facts.address),
+            None => self.addresses_without_machine.insert(&facts.address),
         };
     }
 
@@ -212,14 +212,14 @@
         self.addresses.is_empty()
     }
 
-    /// Returns whether one of them is a life of the same machine, or at the same address
-    /// where the machine of one is not told.
+    /// Returns whether one of the workers is on the machine of the known one, or at its
+    /// address if either machine is not reported.
     fn has(&self, known: &WorkerFacts) -> bool {
         let is_addressed = !known.address.is_empty();
         match &known.machine {
             Some(machine) => {
                 self.machines.contains(&**machine)
-                    || is_addressed && self.addresses_alone.contains(&*known.address)
+                    || is_addressed && self.addresses_without_machine.contains(&*known.address)
             }
             None => is_addressed && self.addresses.contains(&*known.address),
         }
