--- a/crates/control/src/decision_log.rs
+++ b/crates/control/src/decision_log.rs
@@ -15,7 +15,7 @@
         "capacity_milli" => status.capacity_milli,
         "used_milli" => status.used_milli,
         "waiting_gangs" => status.waiting_gangs_count,
-        "awaited_workers" => status.awaited_workers_count,
+        "awaited_workers" => status.reserved_workers_count,
         "beyond_share" => status.beyond_share_count,
         "largest_share_lag_ms" => status.largest_share_lag.as_ms());
 }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -413,7 +413,7 @@
                 &self.fitting_tasks,
                 room.fit_count.min(i64::MAX as u64) as i64,
             );
-            set(&self.whole_room_percent, i64::from(room.whole_percent));
+            set(&self.whole_room_percent, i64::from(room.usable_percent));
         }
     }
 
@@ -529,7 +529,7 @@
         set(&self.overloaded_services, status.overloaded_services_count);
         set(&self.waiting_gangs, status.waiting_gangs_count);
         set(&self.limit_reservations, status.limit_reservations_count);
-        set(&self.awaited_workers, status.awaited_workers_count);
+        set(&self.awaited_workers, status.reserved_workers_count);
         set(&self.slow_workers, status.slow_workers_count);
         set(&self.ejected_workers, status.ejected_workers_count);
         set(&self.learned_sizes, status.learned_sizes_count);
@@ -543,7 +543,7 @@
         self.largest_share_lag_ms.set(lag_ms as i64);
         self.capacity_millicores.set(status.capacity_milli as i64);
         self.used_millicores.set(status.used_milli as i64);
-        self.note_rooms(&status.service_rooms);
+        self.note_rooms(&status.fragmentation);
         for (reason, wait) in WaitReason::ALL.iter().zip(&status.waits) {
             let labels = WaitLabels {
                 reason: reason.as_str(),
--- a/crates/scheduler/src/advice.rs
+++ b/crates/scheduler/src/advice.rs
@@ -10,113 +10,129 @@
 
 /// What is known of one worker for one step.
 #[derive(Clone, Debug)]
-enum Opinion {
-    Good { ticket: Arc<str>, until: Instant },
-    Bad,
+enum Suitability {
+    Suitable {
+        ticket: Arc<str>,
+        expires_at: Instant,
+    },
+    Unsuitable,
 }
 
 /// A part of a call for advice, which one node makes.
 #[derive(Clone, Debug)]
-pub(crate) struct OpenPart {
+pub(crate) struct AdviceRequest {
     /// When it was made.
-    pub(crate) asked_at: Instant,
+    pub(crate) sent_at: Instant,
     /// The node that makes it.
     pub(crate) node: Arc<str>,
     /// The workers that it names; no two parts name the same.
-    pub(crate) named: Box<[WorkerKey]>,
+    pub(crate) queried: Box<[WorkerKey]>,
 }
 
 /// The advice for one step. Who may run a step never changes, tickets expire.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepAdvice {
-    opinions: BTreeMap<WorkerKey, Opinion>,
+    suitability_by_worker: BTreeMap<WorkerKey, Suitability>,
     /// The parts of the open call that have not been answered.
-    pub(crate) open: Vec<OpenPart>,
+    pub(crate) pending_requests: Vec<AdviceRequest>,
     /// When the last call was answered.
     pub(crate) answered_at: Instant,
     /// When the next call may be made after one that failed.
     pub(crate) retry_at: Instant,
     /// When a gang may next search for room.
-    pub(crate) search_at: Instant,
+    pub(crate) next_search_at: Instant,
 }
 
 impl StepAdvice {
-    /// Takes in an answer that named `named` and found `good` of them.
-    pub(crate) fn take_in(
+    /// Takes in an answer that named `queried` and found `suitable` of them.
+    pub(crate) fn record_reply(
         &mut self,
         now: Instant,
-        named: &[WorkerKey],
-        good: &[(WorkerKey, Arc<str>)],
+        queried: &[WorkerKey],
+        suitable: &[(WorkerKey, Arc<str>)],
         validity: Duration,
     ) {
-        for &worker in named {
-            self.opinions.insert(worker, Opinion::Bad);
+        for &worker in queried {
+            self.suitability_by_worker
+                .insert(worker, Suitability::Unsuitable);
         }
-        let until = (now + validity) - TICKET_MARGIN;
-        for (worker, ticket) in good {
+        let expires_at = (now + validity) - TICKET_MARGIN;
+        for (worker, ticket) in suitable {
             let ticket = ticket.clone();
-            self.opinions
-                .insert(*worker, Opinion::Good { ticket, until });
+            self.suitability_by_worker
+                .insert(*worker, Suitability::Suitable { ticket, expires_at });
         }
     }
 
     /// Returns whether a call is open.
-    pub(crate) fn is_open(&self) -> bool {
-        !self.open.is_empty()
+    pub(crate) fn has_pending_request(&self) -> bool {
+        !self.pending_requests.is_empty()
     }
 
     /// Returns whether the open call names a worker.
-    pub(crate) fn is_asked_about(&self, worker: WorkerKey) -> bool {
-        self.open.iter().any(|part| part.named.contains(&worker))
+    pub(crate) fn is_queried(&self, worker: WorkerKey) -> bool {
+        self.pending_requests
+            .iter()
+            .any(|request| request.queried.contains(&worker))
     }
 
     /// Takes out the part of the open call that names these workers.
-    pub(crate) fn take_part(&mut self, named: &[WorkerKey]) -> Option<OpenPart> {
-        let first = named.first()?;
+    pub(crate) fn remove_request(&mut self, queried: &[WorkerKey]) -> Option<AdviceRequest> {
+        let first = queried.first()?;
         let index = self
-            .open
+            .pending_requests
             .iter()
-            .position(|part| part.named.first() == Some(first))?;
-        Some(self.open.swap_remove(index))
+            .position(|request| request.queried.first() == Some(first))?;
+        Some(self.pending_requests.swap_remove(index))
     }
 
     /// Returns the worker's ticket, where one holds.
     pub(crate) fn ticket(&self, now: Instant, worker: WorkerKey) -> Option<Arc<str>> {
-        match self.opinions.get(&worker) {
-            Some(Opinion::Good { ticket, until }) if now < *until => Some(ticket.clone()),
+        match self.suitability_by_worker.get(&worker) {
+            Some(Suitability::Suitable { ticket, expires_at }) if now < *expires_at => {
+                Some(ticket.clone())
+            }
             _ => None,
         }
     }
 
     /// Returns the workers whose tickets hold.
     pub(crate) fn ticketed(&self, now: Instant) -> Vec<WorkerKey> {
-        let holds =
-            |opinion: &Opinion| matches!(opinion, Opinion::Good { until, .. } if now < *until);
-        let holding = self.opinions.iter().filter(|(_, opinion)| holds(opinion));
+        let holds = |suitability: &Suitability| matches!(suitability, Suitability::Suitable { expires_at, .. } if now < *expires_at);
+        let holding = self
+            .suitability_by_worker
+            .iter()
+            .filter(|(_, suitability)| holds(suitability));
         holding.map(|(worker, _)| *worker).collect()
     }
 
     /// Returns the workers known to be fit, whether or not their tickets hold.
-    pub(crate) fn good(&self) -> Vec<WorkerKey> {
-        let is_good = |opinion: &Opinion| matches!(opinion, Opinion::Good { .. });
-        let good = self.opinions.iter().filter(|(_, opinion)| is_good(opinion));
-        good.map(|(worker, _)| *worker).collect()
+    pub(crate) fn suitable(&self) -> Vec<WorkerKey> {
+        let is_suitable =
+            |suitability: &Suitability| matches!(suitability, Suitability::Suitable { .. });
+        let suitable = self
+            .suitability_by_worker
+            .iter()
+            .filter(|(_, suitability)| is_suitable(suitability));
+        suitable.map(|(worker, _)| *worker).collect()
     }
 
     /// Returns whether nothing is known of any worker.
     pub(crate) fn is_empty(&self) -> bool {
-        self.opinions.is_empty()
+        self.suitability_by_worker.is_empty()
     }
 
     /// Returns whether anything is known of the worker.
     pub(crate) fn is_known(&self, worker: WorkerKey) -> bool {
-        self.opinions.contains_key(&worker)
+        self.suitability_by_worker.contains_key(&worker)
     }
 
     /// Ends the ticket of a worker that refused it.
-    pub(crate) fn expire(&mut self, worker: WorkerKey) {
-        if let Some(Opinion::Good { until, .. }) = self.opinions.get_mut(&worker) {
-            *until = Instant::default();
+    pub(crate) fn expire_ticket(&mut self, worker: WorkerKey) {
+        if let Some(Suitability::Suitable { expires_at, .. }) =
+            self.suitability_by_worker.get_mut(&worker)
+        {
+            *expires_at = Instant::default();
         }
     }
 }
--- a/crates/scheduler/src/asking.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -5,16 +5,16 @@
 //! once; a gang asks once about all workers, then waits for room on those that
 //! are good, keeps that room, and asks again about these alone.
 
-use crate::advice::OpenPart;
-use crate::awaiting::fills_workers;
+use crate::advice::AdviceRequest;
 use crate::candidate::Candidate;
 use crate::config::AdvicePolicy;
 use crate::cycle::SchedulingCycle;
 use crate::decision::{Decision, DecisionKind};
 use crate::event::{Action, AdviceReply};
+use crate::expected_capacity::has_large_tasks;
 use crate::job::StepKey;
-use crate::packing::fit_in;
-use crate::placing::PendingStep;
+use crate::packing::count_fitting;
+use crate::placement::PendingStep;
 use crate::scheduler::Scheduler;
 use crate::worker::WorkerKey;
 use ospreywing_types::{Duration, Instant};
@@ -22,33 +22,33 @@
 
 /// The most workers that one part of a call for advice names, by the platform's own
 /// limit.
-pub(crate) const NAMED_LIMIT_COUNT: usize = 100;
+pub(crate) const QUERIED_PER_REQUEST_LIMIT_COUNT: usize = 100;
 /// The idle nodes that there must be for each part of a call: the others stay free for other
 /// steps.
-pub(crate) const IDLE_NODES_PER_PART: usize = 8;
+pub(crate) const IDLE_NODES_PER_REQUEST: usize = 8;
 /// The part of a call's own time that the workers named in a part of it take at least: more
 /// parts would bring next to nothing.
-const PART_COST_SHARE: f64 = 0.25;
+const REQUEST_COST_SHARE: f64 = 0.25;
 /// How many times the room that is needed the named workers should have.
-const NAMED_ROOM_FACTOR: f64 = 1.5;
+const QUERIED_CAPACITY_FACTOR: f64 = 1.5;
 /// The workers that a small task weighs before it asks, the fullest ones with enough
 /// processors: more would take too long where there are thousands. The others follow, those
 /// with most room first.
-const PACKED_WEIGHED_COUNT: usize = 200;
+const PACKED_EXAMINED_COUNT: usize = 200;
 /// The share of good workers that is assumed before anything is known.
-const FIRST_GOODNESS: f64 = 0.5;
+const INITIAL_SUITABLE_SHARE: f64 = 0.5;
 /// The least share of good workers that is assumed.
-const GOODNESS_FLOOR: f64 = 0.05;
+const MIN_SUITABLE_SHARE: f64 = 0.05;
 /// The time until advice is asked for again after a call that failed.
-const ADVICE_RETRY: Duration = Duration::from_ms(100);
+const ADVICE_RETRY_DELAY: Duration = Duration::from_ms(100);
 /// The same where the budget of such calls is used up.
-const ADVICE_REST: Duration = Duration::from_ms(500);
+const ADVICE_OVER_BUDGET_DELAY: Duration = Duration::from_ms(500);
 /// The weight of what was learned before, so that the estimate can follow.
-const GOODNESS_DECAY: f64 = 0.98;
+const SUITABLE_SHARE_DECAY: f64 = 0.98;
 
 impl Scheduler {
     /// Asks for advice on tasks that could not be placed, where that serves.
-    pub(crate) fn seek_for_tasks(
+    pub(crate) fn request_advice_for_tasks(
         &mut self,
         now: Instant,
         pending: &PendingStep,
@@ -62,23 +62,23 @@
         }
         // Choosing workers takes far longer than to see that nobody can be asked about them;
         // a call about more of them takes no less.
-        let can_wait = self.is_patient(now, pending.key.job);
-        if can_wait && self.advisers.must_wait(now, policy.cost(1)) {
+        let can_wait = self.is_deferrable(now, pending.key.job);
+        if can_wait && self.adviser_nodes.must_defer(now, policy.cost(1)) {
             return;
         }
-        let mut named = if has_room(cycle, pending) {
-            self.choose_named(now, pending, cycle, needed)
+        let mut queried = if has_unreserved_capacity(cycle, pending) {
+            self.choose_workers_to_query(now, pending, cycle, needed)
         } else {
             Vec::new()
         };
-        for key in self.workers_to_learn_of(now, pending, policy, needed, cycle) {
-            if named.len() < NAMED_LIMIT_COUNT && !named.contains(&key) {
-                named.push(key);
+        for key in self.unknown_workers_to_query(now, pending, policy, needed, cycle) {
+            if queried.len() < QUERIED_PER_REQUEST_LIMIT_COUNT && !queried.contains(&key) {
+                queried.push(key);
             }
         }
-        if self.ask(now, pending, policy, named.clone(), out) {
-            self.claim_named(pending, &named, needed);
-            claim_room(cycle, pending, needed);
+        if self.request_advice(now, pending, policy, queried.clone(), out) {
+            self.add_soft_reservations(pending, &queried, needed);
+            reserve_in_cycle(cycle, pending, needed);
         }
     }
 
@@ -86,33 +86,35 @@
     /// known to be good first, then those with most room. Room that steps
     /// count on whose calls are open is left to them: many would otherwise
     /// name the same workers, and most of them in vain.
-    fn choose_named(
+    fn choose_workers_to_query(
         &self,
         now: Instant,
         pending: &PendingStep,
         cycle: &SchedulingCycle,
         needed: usize,
     ) -> Vec<WorkerKey> {
-        let goodness = self.goodness_of(&pending.record.queue);
+        let suitable_share = self.suitable_share_of(&pending.record.queue);
         let advice = &self.advice[&pending.key];
-        let mut wanted = needed as f64 * NAMED_ROOM_FACTOR;
-        let mut named = Vec::new();
-        for candidate in self.candidates(now, pending, cycle, advice.good().into_iter()) {
-            if wanted <= 0.0 || named.len() >= NAMED_LIMIT_COUNT {
-                return named;
+        let mut wanted = needed as f64 * QUERIED_CAPACITY_FACTOR;
+        let mut queried = Vec::new();
+        for candidate in self.candidates(now, pending, cycle, advice.suitable().into_iter()) {
+            if wanted <= 0.0 || queried.len() >= QUERIED_PER_REQUEST_LIMIT_COUNT {
+                return queried;
             }
-            let fit_count = self.unclaimed_fit(&candidate, pending).min(needed as u32);
+            let fit_count = self
+                .unreserved_fit_count(&candidate, pending)
+                .min(needed as u32);
             if fit_count > 0 {
                 wanted -= f64::from(fit_count);
-                named.push(candidate.worker);
+                queried.push(candidate.worker);
             }
         }
-        let leaves_whole = self.leaves_whole_room(now, pending, cycle);
-        let packed = self.packed_order(pending, leaves_whole, cycle);
-        let weighed_count = packed.as_ref().map_or(0, |_| PACKED_WEIGHED_COUNT);
-        let rest = cycle.freest_for(&pending.demand, weighed_count);
+        let must_leave_headroom = self.must_leave_headroom(now, pending, cycle);
+        let packed = self.packed_order(pending, must_leave_headroom, cycle);
+        let examined_count = packed.as_ref().map_or(0, |_| PACKED_EXAMINED_COUNT);
+        let rest = cycle.freest_for(&pending.demand, examined_count);
         for key in packed.unwrap_or_default().into_iter().chain(rest) {
-            if wanted <= 0.0 || named.len() >= NAMED_LIMIT_COUNT {
+            if wanted <= 0.0 || queried.len() >= QUERIED_PER_REQUEST_LIMIT_COUNT {
                 break;
             }
             if advice.is_known(key) {
@@ -121,20 +123,22 @@
             let Some(mut candidate) = self.candidate(pending, key, &self.workers[key]) else {
                 continue;
             };
-            candidate.free -= cycle.kept_room(key);
-            if leaves_whole {
-                candidate.free -= cycle.whole_room(key);
+            candidate.free -= cycle.reserved_on(key);
+            if must_leave_headroom {
+                candidate.free -= cycle.headroom_on(key);
             }
-            let fit_count = self.unclaimed_fit(&candidate, pending).min(needed as u32);
+            let fit_count = self
+                .unreserved_fit_count(&candidate, pending)
+                .min(needed as u32);
             if fit_count > 0 {
-                wanted -= goodness * f64::from(fit_count);
-                named.push(key);
+                wanted -= suitable_share * f64::from(fit_count);
+                queried.push(key);
             }
         }
         if pending.spec().data_rack.is_some() {
-            self.prefer_near(now, pending, cycle, &mut named);
+            self.prefer_near_data(now, pending, cycle, &mut queried);
         }
-        named
+        queried
     }
 
     /// Returns those of the fullest workers that are unknown and have room for a small task,
@@ -142,23 +146,23 @@
     fn packed_order(
         &self,
         pending: &PendingStep,
-        leaves_whole: bool,
+        must_leave_headroom: bool,
         cycle: &SchedulingCycle,
     ) -> Option<Vec<WorkerKey>> {
         let packing = cycle.packing(&pending.service)?;
-        if pending.spec().is_gang || fills_workers(pending, cycle) {
+        if pending.spec().is_gang || has_large_tasks(pending, cycle) {
             return None;
         }
         let advice = &self.advice[&pending.key];
         let unknown = cycle
             .fullest_for(&pending.demand)
-            .take(PACKED_WEIGHED_COUNT)
+            .take(PACKED_EXAMINED_COUNT)
             .filter(|key| !advice.is_known(*key));
         let able = unknown.filter_map(|key| {
             let mut candidate = self.candidate(pending, key, &self.workers[key])?;
-            candidate.free -= cycle.kept_room(key) + self.workers[key].claimed();
-            if leaves_whole {
-                candidate.free -= cycle.whole_room(key);
+            candidate.free -= cycle.reserved_on(key) + self.workers[key].claimed();
+            if must_leave_headroom {
+                candidate.free -= cycle.headroom_on(key);
             }
             (candidate.fit_count(&pending.demand) > 0).then_some(candidate)
         });
@@ -168,7 +172,7 @@
     }
 
     /// Returns how many tasks fit beside what other steps count on.
-    fn unclaimed_fit(&self, candidate: &Candidate, pending: &PendingStep) -> u32 {
+    fn unreserved_fit_count(&self, candidate: &Candidate, pending: &PendingStep) -> u32 {
         let mut candidate = candidate.clone();
         candidate.free -= self.workers[candidate.worker].claimed();
         candidate.fit_count(&pending.demand)
@@ -176,98 +180,104 @@
 
     /// Notes that a step counts on room for its tasks on the workers that its
     /// call names, the first ones first.
-    fn claim_named(&mut self, pending: &PendingStep, named: &[WorkerKey], needed: usize) {
-        let mut left_count = needed as u32;
-        for &key in named {
-            let fit_count = fit_in(&self.workers[key].free(), &pending.demand);
-            let count = fit_count.min(left_count);
+    fn add_soft_reservations(
+        &mut self,
+        pending: &PendingStep,
+        queried: &[WorkerKey],
+        needed: usize,
+    ) {
+        let mut remaining_count = needed as u32;
+        for &key in queried {
+            let fit_count = count_fitting(&self.workers[key].free(), &pending.demand);
+            let count = fit_count.min(remaining_count);
             if count > 0 {
                 self.workers[key].claim(pending.key, &pending.demand, count);
             }
-            left_count -= count;
+            remaining_count -= count;
         }
     }
 
     /// Puts unknown workers near the step's data before the others.
-    fn prefer_near(
+    fn prefer_near_data(
         &self,
         now: Instant,
         pending: &PendingStep,
         cycle: &SchedulingCycle,
-        named: &mut Vec<WorkerKey>,
+        queried: &mut Vec<WorkerKey>,
     ) {
         let advice = &self.advice[&pending.key];
-        let count = named.len();
+        let count = queried.len();
         let unknown = cycle.workers_for(&pending.demand);
         let unknown = unknown.filter(|key| !advice.is_known(*key));
         let near = self.candidates(now, pending, cycle, unknown);
-        let near = near.iter().filter(|candidate| candidate.is_near);
+        let near = near.iter().filter(|candidate| candidate.is_near_data);
         let mut preferred: Vec<WorkerKey> = near.map(|candidate| candidate.worker).collect();
         preferred.extend(
-            named
+            queried
                 .iter()
                 .filter(|key| !preferred.contains(key))
                 .copied()
                 .collect::<Vec<_>>(),
         );
         preferred.truncate(count);
-        *named = preferred;
+        *queried = preferred;
     }
 
     /// Has nodes ask about workers, each about as many as one may name; returns
     /// whether one could.
-    pub(crate) fn ask(
+    pub(crate) fn request_advice(
         &mut self,
         now: Instant,
         pending: &PendingStep,
         policy: AdvicePolicy,
-        named: Vec<WorkerKey>,
+        queried: Vec<WorkerKey>,
         out: &mut Vec<Action>,
     ) -> bool {
-        let parts = named.chunks(self.part_size(now, policy, named.len()));
-        let asked = parts.take_while(|part| self.ask_part(now, pending, policy, part, out));
+        let requests = queried.chunks(self.workers_per_request(now, policy, queried.len()));
+        let asked = requests
+            .take_while(|request| self.send_advice_request(now, pending, policy, request, out));
         asked.count() > 0
     }
 
     /// Returns how many workers each part of a call names. Where many nodes have nothing to
     /// do, several ask about fewer workers each, and the answers are there sooner.
-    fn part_size(&self, now: Instant, policy: AdvicePolicy, named_count: usize) -> usize {
-        let idle_count = self.advisers.idle_count(now, policy.cost(1));
-        let parts_count = (idle_count / IDLE_NODES_PER_PART).max(1);
-        let cheap_count = policy.decision_ms * PART_COST_SHARE / policy.per_worker_ms.max(0.01);
-        let least_count = (cheap_count as usize).clamp(1, NAMED_LIMIT_COUNT);
-        let even_count = named_count.div_ceil(parts_count);
-        even_count.clamp(least_count, NAMED_LIMIT_COUNT)
+    fn workers_per_request(&self, now: Instant, policy: AdvicePolicy, named_count: usize) -> usize {
+        let idle_nodes_count = self.adviser_nodes.idle_nodes_count(now, policy.cost(1));
+        let requests_count = (idle_nodes_count / IDLE_NODES_PER_REQUEST).max(1);
+        let cheap_count = policy.decision_ms * REQUEST_COST_SHARE / policy.per_worker_ms.max(0.01);
+        let least_count = (cheap_count as usize).clamp(1, QUERIED_PER_REQUEST_LIMIT_COUNT);
+        let even_count = named_count.div_ceil(requests_count);
+        even_count.clamp(least_count, QUERIED_PER_REQUEST_LIMIT_COUNT)
     }
 
-    fn ask_part(
+    fn send_advice_request(
         &mut self,
         now: Instant,
         pending: &PendingStep,
         policy: AdvicePolicy,
-        named: &[WorkerKey],
+        queried: &[WorkerKey],
         out: &mut Vec<Action>,
     ) -> bool {
-        let cost = policy.cost(named.len());
-        let can_wait = self.is_patient(now, pending.key.job);
-        let Some(assignment) = self.advisers.assign(now, cost, can_wait) else {
+        let cost = policy.cost(queried.len());
+        let can_wait = self.is_deferrable(now, pending.key.job);
+        let Some(assignment) = self.adviser_nodes.assign(now, cost, can_wait) else {
             return false;
         };
         let Some(advice) = self.advice.get_mut(&pending.key) else {
             return false;
         };
         self.retries.advice.note_first();
-        advice.open.push(OpenPart {
-            asked_at: now,
+        advice.pending_requests.push(AdviceRequest {
+            sent_at: now,
             node: assignment.node.clone(),
-            named: Box::from(named),
+            queried: Box::from(queried),
         });
         let line = Decision::new(DecisionKind::AdviceAsked, "workers with room");
         let line = line
             .with_job(pending.key.job)
-            .with_figure(named.len() as u64);
+            .with_figure(queried.len() as u64);
         out.push(Action::Log(line));
-        let workers = named.iter().map(|&key| self.workers[key].endpoint(key));
+        let workers = queried.iter().map(|&key| self.workers[key].endpoint(key));
         out.push(Action::Advise {
             step: pending.key,
             workers: workers.collect(),
@@ -283,95 +293,108 @@
         let Some(advice) = self.advice.remove(&step) else {
             return;
         };
-        let named = advice.open.iter().flat_map(|part| part.named.iter());
-        for worker in named {
+        let queried = advice
+            .pending_requests
+            .iter()
+            .flat_map(|request| request.queried.iter());
+        for worker in queried {
             self.workers[*worker].drop_claim(step);
         }
     }
 
-    pub(crate) fn goodness_of(&self, queue: &str) -> f64 {
-        let known = self.goodness.get(queue);
-        let (good, named) = known.copied().unwrap_or((FIRST_GOODNESS, 1.0));
-        (good / named).max(GOODNESS_FLOOR)
+    pub(crate) fn suitable_share_of(&self, queue: &str) -> f64 {
+        let known = self.suitable_shares.get(queue);
+        let (suitable, queried) = known.copied().unwrap_or((INITIAL_SUITABLE_SHARE, 1.0));
+        (suitable / queried).max(MIN_SUITABLE_SHARE)
     }
 
     pub(crate) fn on_advice_answered(
         &mut self,
         now: Instant,
         step: StepKey,
-        named: &[WorkerKey],
+        queried: &[WorkerKey],
         reply: AdviceReply,
         out: &mut Vec<Action>,
     ) {
         self.is_place_due = true;
-        for &worker in named {
+        for &worker in queried {
             self.workers[worker].drop_claim(step);
         }
         let Some(advice) = self.advice.get_mut(&step) else {
             return;
         };
-        let Some(open) = advice.take_part(named) else {
+        let Some(request) = advice.remove_request(queried) else {
             return;
         };
-        let waited_ms = now.since(open.asked_at).as_ms();
+        let waited_ms = now.since(request.sent_at).as_ms();
         let AdviceReply::Good { tickets, validity } = reply else {
             let is_retried = self.retries.advice.spend();
             let wait = if is_retried {
-                ADVICE_RETRY
+                ADVICE_RETRY_DELAY
             } else {
-                ADVICE_REST
+                ADVICE_OVER_BUDGET_DELAY
             };
             advice.retry_at = now + wait;
-            self.release_room(step);
-            self.advisers.note_failure(now, &open.node);
+            self.release_reservations(step);
+            self.adviser_nodes.pause_node(now, &request.node);
             let line = Decision::new(DecisionKind::AdviceAnswered, "no answer");
             out.push(Action::Log(line.with_job(step.job).with_figure(waited_ms)));
             return;
         };
         advice.answered_at = now;
-        advice.search_at = now;
-        let good: Vec<(WorkerKey, Arc<str>)> = tickets
+        advice.next_search_at = now;
+        let suitable: Vec<(WorkerKey, Arc<str>)> = tickets
             .into_iter()
             .filter_map(|ticket| {
                 // A life that has begun since was not asked about.
                 let worker = self.workers_by_id.get(&ticket.worker)?;
-                named.contains(worker).then_some((*worker, ticket.text))
+                queried.contains(worker).then_some((*worker, ticket.text))
             })
             .collect();
         // What was known before tells nothing of workers that are not.
-        let fresh: Vec<WorkerKey> = named
+        let newly_queried: Vec<WorkerKey> = queried
             .iter()
             .filter(|worker| !advice.is_known(**worker))
             .copied()
             .collect();
-        let fresh_good = good.iter().filter(|(w, _)| fresh.contains(w)).count();
-        advice.take_in(now, named, &good, validity);
+        let newly_suitable = suitable
+            .iter()
+            .filter(|(w, _)| newly_queried.contains(w))
+            .count();
+        advice.record_reply(now, queried, &suitable, validity);
         let line = Decision::new(DecisionKind::AdviceAnswered, "answered")
             .with_job(step.job)
             .with_figure(waited_ms)
-            .with_good_count(good.len());
+            .with_good_count(suitable.len());
         out.push(Action::Log(line));
-        self.learn_goodness(step, fresh_good, fresh.len());
+        self.record_suitable_share(step, newly_suitable, newly_queried.len());
     }
 
-    fn learn_goodness(&mut self, step: StepKey, good_count: usize, named_count: usize) {
+    fn record_suitable_share(&mut self, step: StepKey, suitable_count: usize, named_count: usize) {
         let queue = self.jobs.get(&step.job).map(|job| job.record.queue.clone());
         let Some(queue) = queue else {
             return;
         };
-        let known = self.goodness.entry(queue).or_insert((FIRST_GOODNESS, 1.0));
-        known.0 = known.0 * GOODNESS_DECAY + good_count as f64;
-        known.1 = known.1 * GOODNESS_DECAY + named_count as f64;
+        let known = self
+            .suitable_shares
+            .entry(queue)
+            .or_insert((INITIAL_SUITABLE_SHARE, 1.0));
+        known.0 = known.0 * SUITABLE_SHARE_DECAY + suitable_count as f64;
+        known.1 = known.1 * SUITABLE_SHARE_DECAY + named_count as f64;
     }
 }
 
 /// Returns whether the cycle has room left for at least one task.
-pub(crate) fn has_room(cycle: &SchedulingCycle, pending: &PendingStep) -> bool {
-    cycle.room_milli(&pending.service) >= i64::from(pending.demand.cores_milli)
+pub(crate) fn has_unreserved_capacity(cycle: &SchedulingCycle, pending: &PendingStep) -> bool {
+    cycle.unreserved_milli(&pending.service) >= i64::from(pending.demand.cores_milli)
 }
 
 /// Takes a step's demand off the room that the cycle has left.
-pub(crate) fn claim_room(cycle: &mut SchedulingCycle, pending: &PendingStep, tasks_count: usize) {
-    let taken_milli = i64::from(pending.demand.cores_milli) * tasks_count as i64;
-    cycle.take_room(&pending.service, taken_milli);
+pub(crate) fn reserve_in_cycle(
+    cycle: &mut SchedulingCycle,
+    pending: &PendingStep,
+    tasks_count: usize,
+) {
+    let reserved_milli = i64::from(pending.demand.cores_milli) * tasks_count as i64;
+    cycle.subtract_unreserved(&pending.service, reserved_milli);
 }
--- a/crates/scheduler/src/adviser_load.rs
+++ b/crates/scheduler/src/adviser_load.rs
@@ -3,26 +3,26 @@
 use ospreywing_types::{Duration, Instant};
 
 /// The time over which a load is averaged: some of a wave of callers.
-const PERIOD: Duration = Duration::from_ms(2000);
+const AVERAGING_PERIOD: Duration = Duration::from_ms(2000);
 
 /// How many nodes calls kept busy lately, on average.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AdviserLoad {
-    nodes: f64,
-    at: Instant,
+    busy_nodes: f64,
+    updated_at: Instant,
 }
 
 impl AdviserLoad {
     /// Returns the load now.
-    pub(crate) fn nodes(&self, now: Instant) -> f64 {
-        let passed = now.since(self.at).as_ms() as f64;
-        self.nodes * (-passed / PERIOD.as_ms() as f64).exp()
+    pub(crate) fn busy_nodes(&self, now: Instant) -> f64 {
+        let passed = now.since(self.updated_at).as_ms() as f64;
+        self.busy_nodes * (-passed / AVERAGING_PERIOD.as_ms() as f64).exp()
     }
 
     /// Adds a call.
     pub(crate) fn add(&mut self, now: Instant, cost: Duration) {
-        let added = cost.as_ms() as f64 / PERIOD.as_ms() as f64;
-        self.nodes = self.nodes(now) + added;
-        self.at = now;
+        let added = cost.as_ms() as f64 / AVERAGING_PERIOD.as_ms() as f64;
+        self.busy_nodes = self.busy_nodes(now) + added;
+        self.updated_at = now;
     }
 }
--- a/crates/scheduler/src/advisers.rs
+++ b/crates/scheduler/src/adviser_nodes.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// A call that takes at least this long goes to the nodes for long calls.
-const LONG_CALL: Duration = Duration::from_ms(150);
+const LONG_REQUEST: Duration = Duration::from_ms(150);
 /// The part of the nodes that take short calls alone, at most.
 const SHORT_NODES_NUMERATOR: usize = 3;
 const SHORT_NODES_DENOMINATOR: usize = 8;
@@ -20,12 +20,12 @@
 /// (mean of ten plays of five loads); the others were busy for a seventh of the time.
 const SHORT_NODES_LOAD: f64 = 0.3;
 /// The longest that a long call waits for its turn.
-const LONG_BACKLOG: Duration = Duration::from_ms(900);
+const LONG_BACKLOG_LIMIT: Duration = Duration::from_ms(900);
 /// The longest that a short call waits for its turn: what waits can't be
 /// overtaken by what is more urgent.
-const SHORT_BACKLOG: Duration = Duration::from_ms(120);
+const SHORT_BACKLOG_LIMIT: Duration = Duration::from_ms(120);
 /// How long a node that did not answer is passed over.
-const PAUSE: Duration = Duration::from_ms(1500);
+const FAILED_NODE_PAUSE: Duration = Duration::from_ms(1500);
 
 /// A node that has been given a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,13 +38,13 @@
 
 /// A node, and the calls that it has been given.
 #[derive(Clone, Debug)]
-struct Adviser {
+struct AdviserNode {
     name: Arc<str>,
     busy_until: Instant,
     paused_until: Instant,
 }
 
-impl Adviser {
+impl AdviserNode {
     const fn new(name: Arc<str>) -> Self {
         Self {
             name,
@@ -56,14 +56,14 @@
 
 /// The nodes' loads with calls for advice.
 #[derive(Debug, Default)]
-pub(crate) struct Advisers {
+pub(crate) struct AdviserNodes {
     /// The nodes in the order of their names.
-    nodes: Vec<Adviser>,
+    nodes: Vec<AdviserNode>,
     /// What short calls take.
     short_load: AdviserLoad,
 }
 
-impl Advisers {
+impl AdviserNodes {
     /// Takes in which nodes there are.
     pub(crate) fn set_nodes(&mut self, mut names: Vec<Arc<str>>) {
         names.sort_unstable();
@@ -74,28 +74,28 @@
         };
         let nodes = names
             .into_iter()
-            .map(|name| find(&name).unwrap_or(Adviser::new(name)));
+            .map(|name| find(&name).unwrap_or(AdviserNode::new(name)));
         self.nodes = nodes.collect();
     }
 
     /// Returns whether a node that takes such calls has nothing to do.
-    pub(crate) fn is_idle(&self, now: Instant, cost: Duration) -> bool {
-        let mut group = self.group(now, cost);
-        group.any(|index| self.nodes[index].busy_until <= now)
+    pub(crate) fn has_idle_node(&self, now: Instant, cost: Duration) -> bool {
+        let mut eligible_nodes = self.eligible_nodes(now, cost);
+        eligible_nodes.any(|index| self.nodes[index].busy_until <= now)
     }
 
     /// Returns how many nodes that take such calls have nothing to do.
-    pub(crate) fn idle_count(&self, now: Instant, cost: Duration) -> usize {
-        let group = self.group(now, cost);
-        group
+    pub(crate) fn idle_nodes_count(&self, now: Instant, cost: Duration) -> usize {
+        let eligible_nodes = self.eligible_nodes(now, cost);
+        eligible_nodes
             .filter(|index| self.nodes[*index].busy_until <= now)
             .count()
     }
 
     /// Returns whether a call of this cost is made only where a node has nothing to do, if
     /// it can wait, and none has.
-    pub(crate) fn must_wait(&self, now: Instant, cost: Duration) -> bool {
-        cost >= LONG_CALL && !self.is_idle(now, cost)
+    pub(crate) fn must_defer(&self, now: Instant, cost: Duration) -> bool {
+        cost >= LONG_REQUEST && !self.has_idle_node(now, cost)
     }
 
     /// Gives a call to the node that will have answered first; `None` where
@@ -111,68 +111,68 @@
         cost: Duration,
         can_wait: bool,
     ) -> Option<Assignment> {
-        let is_long = cost >= LONG_CALL;
+        let is_long = cost >= LONG_REQUEST;
         // Of nodes that can begin at once, short calls take the last, where no long ones go.
         let preference = |index: &usize| {
-            let begins = self.nodes[*index].busy_until.max(now);
-            let place = if is_long { *index } else { usize::MAX - *index };
-            (begins, place)
+            let starts_at = self.nodes[*index].busy_until.max(now);
+            let position = if is_long { *index } else { usize::MAX - *index };
+            (starts_at, position)
         };
-        let index = self.group(now, cost).min_by_key(preference)?;
-        let (begins, _) = preference(&index);
-        if begins.since(now) > backlog_of(cost, can_wait) {
+        let index = self.eligible_nodes(now, cost).min_by_key(preference)?;
+        let (starts_at, _) = preference(&index);
+        if starts_at.since(now) > backlog_limit(cost, can_wait) {
             return None;
         }
         if !is_long {
             self.short_load.add(now, cost);
         }
         let node = &mut self.nodes[index];
-        node.busy_until = begins + cost;
+        node.busy_until = starts_at + cost;
         Some(Assignment {
             node: node.name.clone(),
-            expected: (begins + cost).since(now),
+            expected: (starts_at + cost).since(now),
         })
     }
 
     /// Returns the nodes that take calls of this cost, by their places in the
     /// list. Asked for each step of each cycle, so without making a list.
-    fn group(&self, now: Instant, cost: Duration) -> impl Iterator<Item = usize> + '_ {
-        let is_able = move |node: &Adviser| now >= node.paused_until;
-        let able_count = self.nodes.iter().filter(|node| is_able(node)).count();
-        let count = if cost >= LONG_CALL && able_count > 1 {
-            able_count - self.short_count(now, able_count)
+    fn eligible_nodes(&self, now: Instant, cost: Duration) -> impl Iterator<Item = usize> + '_ {
+        let is_active = move |node: &AdviserNode| now >= node.paused_until;
+        let active_count = self.nodes.iter().filter(|node| is_active(node)).count();
+        let count = if cost >= LONG_REQUEST && active_count > 1 {
+            active_count - self.short_nodes_count(now, active_count)
         } else {
-            able_count
+            active_count
         };
         let nodes = self.nodes.iter().enumerate();
-        let able = nodes.filter(move |(_, node)| is_able(node));
-        able.map(|(index, _)| index).take(count)
+        let active = nodes.filter(move |(_, node)| is_active(node));
+        active.map(|(index, _)| index).take(count)
     }
 
     /// Returns how many of so many nodes take short calls alone.
-    fn short_count(&self, now: Instant, able_count: usize) -> usize {
-        let most = (able_count * SHORT_NODES_NUMERATOR).div_ceil(SHORT_NODES_DENOMINATOR);
-        let needed = (self.short_load.nodes(now) / SHORT_NODES_LOAD).ceil() as usize;
+    fn short_nodes_count(&self, now: Instant, active_count: usize) -> usize {
+        let most = (active_count * SHORT_NODES_NUMERATOR).div_ceil(SHORT_NODES_DENOMINATOR);
+        let needed = (self.short_load.busy_nodes(now) / SHORT_NODES_LOAD).ceil() as usize;
         (needed + 1).min(most)
     }
 
     /// Passes over a node that did not answer, for a while.
-    pub(crate) fn note_failure(&mut self, now: Instant, name: &Arc<str>) {
+    pub(crate) fn pause_node(&mut self, now: Instant, name: &Arc<str>) {
         let found = self.nodes.binary_search_by(|node| node.name.cmp(name));
         if let Ok(index) = found {
-            self.nodes[index].paused_until = now + PAUSE;
+            self.nodes[index].paused_until = now + FAILED_NODE_PAUSE;
             self.nodes[index].busy_until = now;
         }
     }
 }
 
 /// Returns how long a call may wait at a node.
-const fn backlog_of(cost: Duration, can_wait: bool) -> Duration {
-    if cost.as_ms() < LONG_CALL.as_ms() {
-        SHORT_BACKLOG
+const fn backlog_limit(cost: Duration, can_wait: bool) -> Duration {
+    if cost.as_ms() < LONG_REQUEST.as_ms() {
+        SHORT_BACKLOG_LIMIT
     } else if can_wait {
         Duration::ZERO
     } else {
-        LONG_BACKLOG
+        LONG_BACKLOG_LIMIT
     }
 }
--- a/crates/scheduler/src/backfill.rs
+++ b/crates/scheduler/src/backfill.rs
@@ -9,8 +9,8 @@
 use crate::customers::{Account, Charge, CustomerKey};
 use crate::cycle::SchedulingCycle;
 use crate::job::{StepKey, StepSpec};
-use crate::packing::fit_in;
-use crate::placing::PendingStep;
+use crate::packing::count_fitting;
+use crate::placement::PendingStep;
 use crate::scheduler::Scheduler;
 use crate::worker::Run;
 use ospreywing_types::{Duration, Instant, Resources};
@@ -21,30 +21,30 @@
 const FORECAST_PERIOD: Duration = Duration::from_ms(100);
 /// How much of its estimate a task may take, in percent, that passes because it surely ends
 /// in time: estimates are off by half.
-const SAFE_LENGTH_PERCENT: u64 = 150;
+const MAX_LENGTH_PERCENT: u64 = 150;
 /// How long a task takes from being placed to its start, and from its end to being noted,
 /// besides.
-const HANDLING_TIME: Duration = Duration::from_ms(300);
+const START_AND_END_DELAY: Duration = Duration::from_ms(300);
 /// For how long a reservation holds other work back after the time that was forecast first,
 /// or after the limit held its step: a call for advice and its room take as long. A step
 /// that waits for room reserves nothing for longer.
-const OVERDUE_TIME: Duration = Duration::from_ms(2000);
+const OVERDUE_GRACE: Duration = Duration::from_ms(2000);
 /// A step that has waited for so long holds back more urgent work too, so that a stream of
 /// it does not keep the step out for ever.
-const OVERTAKEN_TIME: Duration = Duration::from_ms(2000);
+const STARVED_AFTER: Duration = Duration::from_ms(2000);
 /// A step that has waited for so long holds other work back also where less than half of the
-/// limit is in use, for [`FIRM_TIME`]. Together they are the 3 s within which work is to
+/// limit is in use, for [`FIRM_DURATION`]. Together they are the 3 s within which work is to
 /// start whose customer uses so little.
 const FIRM_AFTER: Duration = Duration::from_ms(1000);
 /// For how long at a time: less than the 3 s within which the work that is held back is to
 /// start, by the time that its own start takes.
-const FIRM_TIME: Duration = Duration::from_ms(2000);
+const FIRM_DURATION: Duration = Duration::from_ms(2000);
 /// A step whose call for advice takes longer is not held back below half of the limit: the
 /// wait and the call together would be over the 3 s.
 const FIRM_ADVICE_LIMIT: Duration = Duration::from_ms(300);
 /// For how long nothing is reserved after a reservation that lapsed, or that held work back
 /// below half of the limit: what was held back is placed meanwhile.
-const REST_TIME: Duration = Duration::from_ms(4000);
+const COOLDOWN: Duration = Duration::from_ms(4000);
 
 /// When the limit will hold a step, by the ends that are expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,9 +72,9 @@
     /// `None` until it is worked out: nothing is held back for the step until then.
     forecast: Option<Forecast>,
     /// When it stops holding other work back.
-    lapses_at: Option<Instant>,
+    expires_at: Option<Instant>,
     /// Whether the limit has held the step since.
-    has_arrived: bool,
+    has_fit_limit: bool,
     /// Whether it holds work back also below half of the limit.
     is_firm: bool,
 }
@@ -86,8 +86,8 @@
             amount,
             since,
             forecast: None,
-            lapses_at: None,
-            has_arrived: false,
+            expires_at: None,
+            has_fit_limit: false,
             is_firm: false,
         }
     }
@@ -98,12 +98,12 @@
     }
 
     /// Returns whether it comes before more urgent work.
-    fn is_overtaken(&self, now: Instant) -> bool {
-        self.is_firm || now.since(self.since) >= OVERTAKEN_TIME
+    fn is_starved(&self, now: Instant) -> bool {
+        self.is_firm || now.since(self.since) >= STARVED_AFTER
     }
 
-    fn has_lapsed(&self, now: Instant) -> bool {
-        self.lapses_at.is_some_and(|at| now >= at)
+    fn has_expired(&self, now: Instant) -> bool {
+        self.expires_at.is_some_and(|at| now >= at)
     }
 
     /// Takes in a forecast; the first one says how long other work is held back. A later
@@ -111,20 +111,20 @@
     fn set_forecast(&mut self, now: Instant, new: Forecast) {
         let due = self.due().map_or(new.due, |due| due.min(new.due).max(now));
         self.forecast = Some(Forecast { due, ..new });
-        self.lapses_at.get_or_insert(due + OVERDUE_TIME);
+        self.expires_at.get_or_insert(due + OVERDUE_GRACE);
     }
 
     /// Makes it hold where it is due within the time for which it may, and the customer has
     /// little in use.
-    fn firm_up(&mut self, now: Instant, account: &Account) {
-        let is_near = self.due().is_some_and(|due| due <= now + FIRM_TIME);
+    fn make_firm_if_due(&mut self, now: Instant, account: &Account) {
+        let is_near = self.due().is_some_and(|due| due <= now + FIRM_DURATION);
         let is_long = now.since(self.since) >= FIRM_AFTER;
         if self.is_firm || !is_near || !is_long || !account.is_under_half() {
             return;
         }
         self.is_firm = true;
-        let firm_until = now + FIRM_TIME;
-        self.lapses_at = Some(self.lapses_at.map_or(firm_until, |at| at.min(firm_until)));
+        let firm_until = now + FIRM_DURATION;
+        self.expires_at = Some(self.expires_at.map_or(firm_until, |at| at.min(firm_until)));
     }
 }
 
@@ -135,17 +135,17 @@
     /// What takes its place as the next cycle begins.
     next: Option<LimitReservation>,
     /// Until when nothing is reserved.
-    rests_until: Instant,
+    cooldown_until: Instant,
     /// What runs have of the limit that don't end by themselves.
-    endless: Resources,
+    perpetual_used: Resources,
     /// When the customer's runs were last gone over.
     forecast_at: Instant,
 }
 
 impl CustomerReservation {
     /// Returns whether the customer's runs are to be gone over from time to time.
-    fn is_watched(&self) -> bool {
-        self.reservation.is_some() || self.endless != Resources::ZERO
+    fn needs_forecast(&self) -> bool {
+        self.reservation.is_some() || self.perpetual_used != Resources::ZERO
     }
 }
 
@@ -180,23 +180,23 @@
     /// time for one of them, since all take one pass.
     fn due_customers(&self, now: Instant) -> Vec<CustomerKey> {
         let is_due = |state: &CustomerReservation| now >= state.forecast_at + FORECAST_PERIOD;
-        let watched = || {
+        let needing_forecast = || {
             self.by_customer
                 .iter()
-                .filter(|(_, state)| state.is_watched())
+                .filter(|(_, state)| state.needs_forecast())
         };
-        if watched().map(|(_, state)| state).any(is_due) {
-            watched().map(|(customer, _)| *customer).collect()
+        if needing_forecast().map(|(_, state)| state).any(is_due) {
+            needing_forecast().map(|(customer, _)| *customer).collect()
         } else {
             Vec::new()
         }
     }
 
     /// Returns how much of a customer's limit may be reserved.
-    fn most_reserved(&self, now: Instant, customer: CustomerKey, account: &Account) -> Resources {
+    fn max_reservation(&self, now: Instant, customer: CustomerKey, account: &Account) -> Resources {
         match self.by_customer.get(&customer) {
-            Some(state) if now < state.rests_until => Resources::ZERO,
-            Some(state) => account.left_beside(state.endless),
+            Some(state) if now < state.cooldown_until => Resources::ZERO,
+            Some(state) => account.left_beside(state.perpetual_used),
             None => account.left_beside(Resources::ZERO),
         }
     }
@@ -216,7 +216,7 @@
     }
 
     /// Brings in what takes the place of others.
-    fn take_next(&mut self) {
+    fn promote_next(&mut self) {
         for state in self.by_customer.values_mut() {
             state.reservation = state.next.take().or(state.reservation);
         }
@@ -235,7 +235,7 @@
             return;
         };
         state.forecast_at = now;
-        state.endless = ends.iter().fold(account.used, |used, end| used - end.freed);
+        state.perpetual_used = ends.iter().fold(account.used, |used, end| used - end.freed);
         if let Some(reservation) = &mut state.reservation {
             match forecast(now, account, reservation.amount, ends) {
                 Some(forecast) => reservation.set_forecast(now, forecast),
@@ -243,7 +243,7 @@
             }
         }
         if let Some(reservation) = &mut state.reservation {
-            reservation.firm_up(now, account);
+            reservation.make_firm_if_due(now, account);
         }
     }
 
@@ -255,8 +255,8 @@
         let Some(ended) = state.reservation.take() else {
             return;
         };
-        if ended.is_firm || ended.has_lapsed(now) {
-            state.rests_until = now + REST_TIME;
+        if ended.is_firm || ended.has_expired(now) {
+            state.cooldown_until = now + COOLDOWN;
         }
     }
 }
@@ -265,7 +265,7 @@
     /// Looks at all reservations as a cycle begins: those that are over end, forecasts are
     /// made where they are due, and those come into force that more urgent work overtakes.
     pub(crate) fn begin_reservations(&mut self, now: Instant, cycle: &mut SchedulingCycle) {
-        self.limit_reservations.take_next();
+        self.limit_reservations.promote_next();
         let reserved: Vec<(CustomerKey, StepKey)> = self
             .limit_reservations
             .iter()
@@ -275,14 +275,14 @@
             let job = self.jobs.get_mut(&step.job);
             let is_ready = job.is_some_and(|job| job.ready_steps(step.job).contains(&step));
             let reservation = self.limit_reservations.get(customer);
-            if !is_ready || reservation.is_some_and(|it| it.has_lapsed(now)) {
+            if !is_ready || reservation.is_some_and(|it| it.has_expired(now)) {
                 self.limit_reservations.end(now, customer);
             }
         }
         self.make_forecasts(now);
         for (customer, reservation) in self.limit_reservations.iter() {
-            if reservation.is_overtaken(now) {
-                cycle.keep_limit(customer);
+            if reservation.is_starved(now) {
+                cycle.enforce_reservation(customer);
             }
         }
     }
@@ -303,7 +303,7 @@
             };
             if let Some(left) = self.time_left(*task, run) {
                 ends.push(ExpectedEnd {
-                    at: now + left_by_age(now, run, left),
+                    at: now + remaining_by_age(now, run, left),
                     freed: run.charge.amount,
                 });
             }
@@ -327,24 +327,24 @@
         cycle: &mut SchedulingCycle,
     ) {
         let account = self.accounts.get(customer);
-        let most = self
+        let max_amount = self
             .limit_reservations
-            .most_reserved(now, customer, account);
-        if !amount.fits_in(&most) {
+            .max_reservation(now, customer, account);
+        if !amount.fits_in(&max_amount) {
             return;
         }
         let since = self.waits.since(step).unwrap_or(now);
         let wanted = LimitReservation::new(step, amount, since);
-        let is_overtaken = wanted.is_overtaken(now);
-        let is_in_force = cycle.is_limit_kept(customer);
-        cycle.keep_limit(customer);
+        let is_starved = wanted.is_starved(now);
+        let is_enforced = cycle.is_reservation_enforced(customer);
+        cycle.enforce_reservation(customer);
         match self.limit_reservations.get_mut(customer) {
             Some(known) if known.step == step => known.amount = amount,
             Some(known) if known.is_firm => {}
-            Some(known) if is_overtaken && !(known.is_overtaken(now) && known.since <= since) => {
+            Some(known) if is_starved && !(known.is_starved(now) && known.since <= since) => {
                 self.limit_reservations.set_next(customer, wanted);
             }
-            Some(known) if known.is_overtaken(now) || is_in_force => {}
+            Some(known) if known.is_starved(now) || is_enforced => {}
             Some(_) | None => self.limit_reservations.set(customer, wanted),
         }
     }
@@ -359,7 +359,7 @@
         cycle: &SchedulingCycle,
     ) -> u32 {
         match self.surplus_for(now, step, charge, cycle) {
-            Some(surplus) => fit_in(&surplus, &charge.amount),
+            Some(surplus) => count_fitting(&surplus, &charge.amount),
             None => u32::MAX,
         }
     }
@@ -373,12 +373,14 @@
         charge: Charge,
         cycle: &SchedulingCycle,
     ) -> Option<Resources> {
-        let customer = charge.customer.filter(|key| cycle.is_limit_kept(*key))?;
+        let customer = charge
+            .customer
+            .filter(|key| cycle.is_reservation_enforced(*key))?;
         let reservation = self.limit_reservations.get(customer)?;
         let forecast = reservation.forecast?;
         let is_held_below_half = reservation.is_firm && !self.must_start_at_once(step);
         let is_free = !is_held_below_half && self.accounts.get(customer).is_under_half();
-        if reservation.step == step || is_free || self.surely_ends(now, step, forecast.due) {
+        if reservation.step == step || is_free || self.is_sure_to_end_by(now, step, forecast.due) {
             return None;
         }
         Some(forecast.surplus)
@@ -398,22 +400,22 @@
     }
 
     /// Returns whether a task of the step that is placed now has surely ended by then.
-    fn surely_ends(&self, now: Instant, step: StepKey, until: Instant) -> bool {
+    fn is_sure_to_end_by(&self, now: Instant, step: StepKey, until: Instant) -> bool {
         let Some(job) = self.jobs.get(&step.job) else {
             return false;
         };
         let spec = job.record.spec.steps.get(step.step as usize);
         spec.is_some_and(|spec: &StepSpec| {
             let length_ms = self.task_length(&job.record.queue, spec).as_ms();
-            let safe = Duration::from_ms(length_ms * SAFE_LENGTH_PERCENT / 100);
+            let max_length = Duration::from_ms(length_ms * MAX_LENGTH_PERCENT / 100);
             let is_known = length_ms > 0 && !spec.is_perpetual;
-            is_known && now + safe + HANDLING_TIME <= until
+            is_known && now + max_length + START_AND_END_DELAY <= until
         })
     }
 
     /// Takes in that the limit holds a step: its reservation stays for a while, since the
     /// step may need advice and room.
-    pub(crate) fn note_limit_holds(
+    pub(crate) fn on_limit_fits(
         &mut self,
         now: Instant,
         step: StepKey,
@@ -428,22 +430,22 @@
         let Some(reservation) = reservation.filter(|it| it.step == step) else {
             return;
         };
-        cycle.keep_limit(customer);
+        cycle.enforce_reservation(customer);
         reservation.forecast = Some(Forecast {
             due: now,
             surplus: left - reservation.amount,
         });
-        if !reservation.has_arrived {
-            reservation.has_arrived = true;
-            let until = now + OVERDUE_TIME;
-            let firm_until = reservation.lapses_at.filter(|_| reservation.is_firm);
-            reservation.lapses_at = Some(firm_until.map_or(until, |at| at.min(until)));
+        if !reservation.has_fit_limit {
+            reservation.has_fit_limit = true;
+            let until = now + OVERDUE_GRACE;
+            let firm_until = reservation.expires_at.filter(|_| reservation.is_firm);
+            reservation.expires_at = Some(firm_until.map_or(until, |at| at.min(until)));
         }
     }
 
     /// Takes the tasks of a step that were just placed off the surplus of the reservation
     /// that they passed, or ends the step's own reservation.
-    pub(crate) fn note_limit_taken(
+    pub(crate) fn on_tasks_placed(
         &mut self,
         now: Instant,
         pending: &PendingStep,
@@ -485,7 +487,7 @@
 
 /// Returns how long a run should still take where its worker does not tell how far on it
 /// is.
-fn left_by_age(now: Instant, run: &Run, left: Duration) -> Duration {
+fn remaining_by_age(now: Instant, run: &Run, left: Duration) -> Duration {
     match run.begun_at {
         Some(begun_at) if run.progress_percent == 0 => {
             let age_ms = now.since(begun_at).as_ms();
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -3,11 +3,11 @@
 use crate::cycle::SchedulingCycle;
 use crate::job::{StepKey, StepSpec};
 use crate::learning::SpeedClass;
-use crate::packing::{fit_in, Packing, PackingCost};
-use crate::placing::PendingStep;
+use crate::packing::{count_fitting, Packing, PackingCost};
+use crate::placement::PendingStep;
 use crate::scheduler::Scheduler;
 use crate::sharing::RunRole;
-use crate::speed_wish::SpeedWish;
+use crate::speed_preference::SpeedPreference;
 use crate::worker::{Worker, WorkerKey};
 use ospreywing_types::{Instant, Resources};
 use std::collections::BTreeSet;
@@ -19,8 +19,8 @@
     pub(crate) worker: WorkerKey,
     pub(crate) free: Resources,
     /// How many more tasks of the step it may hold.
-    pub(crate) left_count: u32,
-    pub(crate) is_near: bool,
+    pub(crate) remaining_count: u32,
+    pub(crate) is_near_data: bool,
     /// The rack of the worker, where the platform tells.
     rack: Option<Arc<str>>,
 }
@@ -28,13 +28,13 @@
 impl Candidate {
     /// Returns how many tasks of this demand fit.
     pub(crate) fn fit_count(&self, demand: &Resources) -> u32 {
-        fit_in(&self.free, demand).min(self.left_count)
+        count_fitting(&self.free, demand).min(self.remaining_count)
     }
 
     /// Takes the room of one task.
-    pub(crate) fn take(&mut self, demand: &Resources) {
+    pub(crate) fn subtract_task(&mut self, demand: &Resources) {
         self.free -= *demand;
-        self.left_count -= 1;
+        self.remaining_count -= 1;
     }
 }
 
@@ -57,31 +57,31 @@
         workers: impl Iterator<Item = WorkerKey>,
     ) -> Vec<Candidate> {
         let mut found = Vec::new();
-        let leaves_whole = self.leaves_whole_room(now, pending, cycle);
+        let must_leave_headroom = self.must_leave_headroom(now, pending, cycle);
         for key in workers {
             let worker = &self.workers[key];
             if !worker.is_placeable(now) || !pending.demand.fits_in(&worker.free()) {
                 continue;
             }
             if let Some(mut candidate) = self.candidate(pending, key, worker) {
-                candidate.free -= cycle.kept_room(key);
-                if leaves_whole {
-                    candidate.free -= cycle.whole_room(key);
+                candidate.free -= cycle.reserved_on(key);
+                if must_leave_headroom {
+                    candidate.free -= cycle.headroom_on(key);
                 }
-                if pending.demand.fits_in(&candidate.free) && candidate.left_count > 0 {
+                if pending.demand.fits_in(&candidate.free) && candidate.remaining_count > 0 {
                     found.push(candidate);
                 }
             }
         }
         let packing = cycle.packing(&pending.service);
-        let wish = self.speed_wish(now, pending);
+        let preference = self.speed_preference(now, pending);
         found.sort_by_cached_key(|c| {
-            let speed_rank = wish.rank(&self.workers[c.worker].speed);
+            let speed_rank = preference.rank(&self.workers[c.worker].speed);
             let cost = packing_cost(pending, packing, c);
-            (!c.is_near, speed_rank, cost, c.worker)
+            (!c.is_near_data, speed_rank, cost, c.worker)
         });
-        if pending.spec().is_gang && wish == SpeedWish::Slow {
-            found = self.one_class_first(found, pending);
+        if pending.spec().is_gang && preference == SpeedPreference::Slow {
+            found = self.prefer_one_speed_class(found, pending);
         }
         found
     }
@@ -89,7 +89,7 @@
     /// Puts the workers of one speed first that hold a whole gang, slow ones rather than fast
     /// ones; where none of the speeds has as much room, the fast ones come first. A gang is
     /// as slow as its slowest member, and would waste the time of faster ones.
-    fn one_class_first(
+    fn prefer_one_speed_class(
         &self,
         mut candidates: Vec<Candidate>,
         pending: &PendingStep,
@@ -100,12 +100,12 @@
             let is_other = |c: &Candidate| speed_of(c).class != class || speed_of(c).is_ejected;
             let alike = candidates.iter().filter(|c| !is_other(c));
             let alike: Vec<Candidate> = alike.cloned().collect();
-            if fit_sum(&alike, &pending.demand) >= needed {
+            if total_fit_count(&alike, &pending.demand) >= needed {
                 candidates.sort_by_key(is_other);
                 return candidates;
             }
         }
-        candidates.sort_by_key(|c| SpeedWish::Fast.rank(&speed_of(c)));
+        candidates.sort_by_key(|c| SpeedPreference::Fast.rank(&speed_of(c)));
         candidates
     }
 
@@ -124,8 +124,8 @@
         Some(Candidate {
             worker: key,
             free: worker.free() - worker.reserved(pending.key),
-            left_count: left_count(worker, pending.key, pending.spec()),
-            is_near: near.is_none() || near == worker.facts.rack.as_deref(),
+            remaining_count: remaining_count(worker, pending.key, pending.spec()),
+            is_near_data: near.is_none() || near == worker.facts.rack.as_deref(),
             rack: worker.facts.rack.clone(),
         })
     }
@@ -149,7 +149,7 @@
 }
 
 /// Returns how many tasks of a demand fit on all candidates together.
-pub(crate) fn fit_sum(candidates: &[Candidate], demand: &Resources) -> u64 {
+pub(crate) fn total_fit_count(candidates: &[Candidate], demand: &Resources) -> u64 {
     candidates
         .iter()
         .map(|c| u64::from(c.fit_count(demand)))
@@ -157,7 +157,7 @@
 }
 
 /// Returns how many more tasks of a step the worker may hold.
-pub(crate) fn left_count(worker: &Worker, step: StepKey, spec: &StepSpec) -> u32 {
+pub(crate) fn remaining_count(worker: &Worker, step: StepKey, spec: &StepSpec) -> u32 {
     if spec.per_worker_limit_count == 0 {
         return u32::MAX;
     }
@@ -169,7 +169,7 @@
 }
 
 /// Puts the workers of one rack first, where the whole gang fits into it.
-pub(crate) fn one_rack_first(
+pub(crate) fn prefer_one_rack(
     candidates: Vec<Candidate>,
     demand: &Resources,
     needed: usize,
@@ -182,7 +182,7 @@
     let fitting = racks
         .iter()
         .map(in_rack)
-        .filter(|here| fit_sum(here, demand) >= needed as u64)
-        .min_by_key(|here| fit_sum(here, demand));
+        .filter(|here| total_fit_count(here, demand) >= needed as u64)
+        .min_by_key(|here| total_fit_count(here, demand));
     fitting.unwrap_or(candidates)
 }
--- a/crates/scheduler/src/cordons.rs
+++ b/crates/scheduler/src/cordons.rs
@@ -5,7 +5,7 @@
 
 use crate::decision::{Decision, DecisionKind};
 use crate::event::Action;
-use crate::placing::PendingStep;
+use crate::placement::PendingStep;
 use crate::scheduler::Scheduler;
 use crate::worker::Worker;
 use std::collections::BTreeSet;
--- a/crates/scheduler/src/customers.rs
+++ b/crates/scheduler/src/customers.rs
@@ -7,7 +7,7 @@
 
 use crate::job::{JobRecord, StepKey, StepSpec};
 use crate::job_rate::JobRate;
-use crate::limits::least_count;
+use crate::limits::min_start_count;
 use crate::scheduler::Scheduler;
 use crate::share_accounts::ServiceKey;
 use cranelift_entity::{entity_impl, PrimaryMap};
@@ -38,7 +38,7 @@
 
 /// Returns what a step must have running at once to get anywhere.
 fn least_room(step: &StepSpec) -> Resources {
-    step.demand.times(least_count(step))
+    step.demand.times(min_start_count(step))
 }
 
 /// Returns a limit with the parts raised that have none.
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -4,11 +4,11 @@
 use crate::customers::CustomerKey;
 use crate::dominant::Room;
 use crate::features::Feature;
+use crate::headroom::Headroom;
 use crate::overload::Amounts;
 use crate::packing::{Packing, Scarcity};
 use crate::scheduler::Scheduler;
 use crate::shapes::Shape;
-use crate::whole_rooms::WholeRooms;
 use crate::worker::{Worker, WorkerKey};
 use ospreywing_types::{Instant, Resources};
 use std::cmp::Reverse;
@@ -29,7 +29,7 @@
     service: Arc<str>,
     /// The processors that are free and not yet asked for, in thousandths of a
     /// core.
-    room_milli: i64,
+    unreserved_milli: i64,
     /// The most that any of them holds.
     largest: Resources,
     /// Whether they hold accelerators, or not all of them the same.
@@ -43,12 +43,12 @@
 
 impl Pool {
     /// Adds a worker that may take a run.
-    fn note(&mut self, worker: &Worker) {
+    fn add_worker(&mut self, worker: &Worker) {
         let (capacity, free) = (&worker.facts.capacity, &worker.free());
         let is_first = self.largest.is_zero();
         self.is_uneven |= capacity.accelerators_count > 0 || !is_first && *capacity != self.largest;
         self.largest = self.largest.max(*capacity);
-        self.room_milli += i64::from(free.cores_milli);
+        self.unreserved_milli += i64::from(free.cores_milli);
         self.capacity.add(capacity, 1);
         self.free.add(free, 1);
         self.used.add(&worker.used, 1);
@@ -74,14 +74,14 @@
 }
 
 /// The room of one service, as it was when a cycle began.
-pub(crate) struct ServiceRoom<'a> {
+pub(crate) struct ServiceUsage<'a> {
     pub(crate) service: &'a Arc<str>,
     /// What its workers hold.
     pub(crate) capacity: Amounts,
     used: Amounts,
 }
 
-impl ServiceRoom<'_> {
+impl ServiceUsage<'_> {
     /// Returns the part of the room that is taken, by the scarcest resource.
     pub(crate) fn used_share(&self) -> f64 {
         self.used.share_of(self.capacity)
@@ -96,17 +96,17 @@
     pools: Vec<Pool>,
     /// The workers that may take a run, those with most room first, as they
     /// were when the cycle began.
-    by_room: Vec<FreeWorker>,
+    by_free_cores: Vec<FreeWorker>,
     /// Room that is kept on workers for steps that wait for it: steps that come
     /// later in the cycle are less urgent and don't take it.
-    kept: BTreeMap<WorkerKey, Resources>,
+    reserved: BTreeMap<WorkerKey, Resources>,
     /// Room that is kept for the largest tasks that come to a service.
-    whole_rooms: BTreeMap<WorkerKey, Resources>,
+    headroom: BTreeMap<WorkerKey, Resources>,
     /// What of customers' limits steps wait to start that were looked at before.
     claimed_limits: BTreeMap<CustomerKey, Resources>,
     /// The customers whose reservation of their limit holds back what is looked at from
     /// here on.
-    kept_limits: BTreeSet<CustomerKey>,
+    enforced_reservations: BTreeSet<CustomerKey>,
     /// The steps of single tasks that wait for workers so far.
     pub(crate) waiting_steps_count: usize,
     /// What all workers that may take a run hold, and what of it is free, in
@@ -122,7 +122,7 @@
 impl SchedulingCycle {
     /// Returns the workers that may take a run, those with most room first.
     pub(crate) fn workers(&self) -> impl Iterator<Item = WorkerKey> + '_ {
-        self.by_room.iter().map(|free| free.worker)
+        self.by_free_cores.iter().map(|free| free.worker)
     }
 
     /// Returns those of them that had room for a demand: a cycle only takes room.
@@ -136,23 +136,23 @@
         demand: &Resources,
         skipped_count: usize,
     ) -> impl Iterator<Item = WorkerKey> + '_ {
-        let able = self.able_for(demand);
-        let left_count = able.len().saturating_sub(skipped_count);
-        able[..left_count].iter().map(|free| free.worker)
+        let workers = self.workers_with_cores(demand);
+        let remaining_count = workers.len().saturating_sub(skipped_count);
+        workers[..remaining_count].iter().map(|free| free.worker)
     }
 
     /// Returns the workers that had room for a demand, the fullest first.
     pub(crate) fn fullest_for(&self, demand: &Resources) -> impl Iterator<Item = WorkerKey> + '_ {
-        let able = self.able_for(demand).iter().rev();
-        able.map(|free| free.worker)
+        let workers = self.workers_with_cores(demand).iter().rev();
+        workers.map(|free| free.worker)
     }
 
-    fn able_for(&self, demand: &Resources) -> &[FreeWorker] {
+    fn workers_with_cores(&self, demand: &Resources) -> &[FreeWorker] {
         let needed_milli = demand.cores_milli;
-        let able_count = self
-            .by_room
+        let workers_count = self
+            .by_free_cores
             .partition_point(|free| free.free_milli >= needed_milli);
-        &self.by_room[..able_count]
+        &self.by_free_cores[..workers_count]
     }
 
     /// Takes a part of a customer's limit for a step that waits to start.
@@ -167,43 +167,43 @@
     }
 
     /// Brings a customer's reservation into force for the rest of the cycle.
-    pub(crate) fn keep_limit(&mut self, customer: CustomerKey) {
-        self.kept_limits.insert(customer);
+    pub(crate) fn enforce_reservation(&mut self, customer: CustomerKey) {
+        self.enforced_reservations.insert(customer);
     }
 
     /// Returns whether a customer's reservation is in force.
-    pub(crate) fn is_limit_kept(&self, customer: CustomerKey) -> bool {
-        self.kept_limits.contains(&customer)
+    pub(crate) fn is_reservation_enforced(&self, customer: CustomerKey) -> bool {
+        self.enforced_reservations.contains(&customer)
     }
 
     /// Keeps room on a worker for a step that waits for it.
-    pub(crate) fn keep_room(&mut self, worker: WorkerKey, room: Resources) {
-        *self.kept.entry(worker).or_default() += room;
+    pub(crate) fn reserve_on(&mut self, worker: WorkerKey, room: Resources) {
+        *self.reserved.entry(worker).or_default() += room;
     }
 
     /// Returns the room that is kept on a worker.
-    pub(crate) fn kept_room(&self, worker: WorkerKey) -> Resources {
-        self.kept.get(&worker).copied().unwrap_or_default()
+    pub(crate) fn reserved_on(&self, worker: WorkerKey) -> Resources {
+        self.reserved.get(&worker).copied().unwrap_or_default()
     }
 
     /// Returns the room that is kept on a worker for the largest tasks of its service, which
     /// smaller ones leave that can wait.
-    pub(crate) fn whole_room(&self, worker: WorkerKey) -> Resources {
-        self.whole_rooms.get(&worker).copied().unwrap_or_default()
+    pub(crate) fn headroom_on(&self, worker: WorkerKey) -> Resources {
+        self.headroom.get(&worker).copied().unwrap_or_default()
     }
 
     /// Returns whether room is kept on a worker.
-    pub(crate) fn is_kept(&self, worker: WorkerKey) -> bool {
-        self.kept.contains_key(&worker)
+    pub(crate) fn has_reservation_on(&self, worker: WorkerKey) -> bool {
+        self.reserved.contains_key(&worker)
     }
 
     /// Returns on how many workers room is kept.
-    pub(crate) fn kept_workers_count(&self) -> usize {
-        self.kept.len()
+    pub(crate) fn reserved_workers_count(&self) -> usize {
+        self.reserved.len()
     }
 
     /// Returns the most that any worker of a service holds.
-    pub(crate) fn largest_of(&self, service: &Arc<str>) -> Resources {
+    pub(crate) fn largest_capacity(&self, service: &Arc<str>) -> Resources {
         let pool = self.pool(service);
         pool.map_or(Resources::ZERO, |pool| pool.largest)
     }
@@ -215,39 +215,39 @@
 
     /// Returns whether room may be kept for the largest tasks of a service: it is packed, and
     /// half used.
-    pub(crate) fn keeps_room(&self, service: &Arc<str>) -> bool {
+    pub(crate) fn may_reserve_for_large_tasks(&self, service: &Arc<str>) -> bool {
         let pool = self.pool(service);
         pool.is_some_and(|pool| pool.packing.is_some() && pool.is_half_used())
     }
 
     /// Returns the processors of a service's workers that are free and not yet
     /// asked for, in thousandths of a core.
-    pub(crate) fn room_milli(&self, service: &Arc<str>) -> i64 {
-        self.pool(service).map_or(0, |pool| pool.room_milli)
+    pub(crate) fn unreserved_milli(&self, service: &Arc<str>) -> i64 {
+        self.pool(service).map_or(0, |pool| pool.unreserved_milli)
     }
 
     /// Returns what a service's workers hold together.
-    pub(crate) fn capacity_of(&self, service: &Arc<str>) -> Room {
+    pub(crate) fn total_capacity(&self, service: &Arc<str>) -> Room {
         self.pool(service)
             .map_or(Room::default(), |pool| pool.capacity)
     }
 
     /// Returns what of it was free when the cycle began.
-    pub(crate) fn free_of(&self, service: &Arc<str>) -> Room {
+    pub(crate) fn total_free(&self, service: &Arc<str>) -> Room {
         self.pool(service).map_or(Room::default(), |pool| pool.free)
     }
 
     /// Takes processors off what is free and not yet asked for.
-    pub(crate) fn take_room(&mut self, service: &Arc<str>, taken_milli: i64) {
+    pub(crate) fn subtract_unreserved(&mut self, service: &Arc<str>, reserved_milli: i64) {
         let mut pools = self.pools.iter_mut();
         if let Some(pool) = pools.find(|pool| pool.service == *service) {
-            pool.room_milli -= taken_milli;
+            pool.unreserved_milli -= reserved_milli;
         }
     }
 
     /// Returns the rooms of all services, as they were when the cycle began.
-    pub(crate) fn rooms(&self) -> impl Iterator<Item = ServiceRoom<'_>> {
-        self.pools.iter().map(|pool| ServiceRoom {
+    pub(crate) fn service_usage(&self) -> impl Iterator<Item = ServiceUsage<'_>> {
+        self.pools.iter().map(|pool| ServiceUsage {
             service: &pool.service,
             capacity: Amounts::of_room(&pool.capacity),
             used: Amounts::of_room(&pool.used),
@@ -263,7 +263,7 @@
         let index = found.unwrap_or_else(|| {
             self.pools.push(Pool {
                 service: service.clone(),
-                room_milli: 0,
+                unreserved_milli: 0,
                 largest: Resources::ZERO,
                 is_uneven: false,
                 capacity: Room::default(),
@@ -277,31 +277,32 @@
     }
 
     /// Keeps room on a worker for the largest tasks that come.
-    pub(crate) fn keep_whole_room(&mut self, worker: WorkerKey, room: Resources) {
-        self.whole_rooms.insert(worker, room);
+    pub(crate) fn set_headroom(&mut self, worker: WorkerKey, room: Resources) {
+        self.headroom.insert(worker, room);
     }
 
     /// Returns what each service that is half used should keep for its largest tasks.
-    pub(crate) fn wanted_whole_rooms(&self) -> Vec<(Arc<str>, WholeRooms)> {
+    pub(crate) fn wanted_headroom(&self) -> Vec<(Arc<str>, Headroom)> {
         let wanted = self.pools.iter().filter_map(|pool| {
             let largest = pool.packing.as_ref()?.largest()?;
-            let held_count = pool.capacity.fit_count(&largest.demand);
-            let rooms = WholeRooms::new(largest.demand, largest.per_s, held_count)?;
-            pool.is_half_used().then(|| (pool.service.clone(), rooms))
+            let capacity_count = pool.capacity.fit_count(&largest.demand);
+            let service_usage = Headroom::new(largest.demand, largest.per_s, capacity_count)?;
+            pool.is_half_used()
+                .then(|| (pool.service.clone(), service_usage))
         });
         wanted.collect()
     }
 
     /// Returns how many workers may take a run.
     pub(crate) const fn workers_count(&self) -> usize {
-        self.by_room.len()
+        self.by_free_cores.len()
     }
 }
 
 /// What a cycle ended with, for metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CycleSummary {
-    pub(crate) awaited_workers_count: usize,
+    pub(crate) reserved_workers_count: usize,
     pub(crate) waiting_gangs_count: usize,
 }
 
@@ -311,14 +312,14 @@
         let mut cycle = SchedulingCycle::default();
         for (key, worker) in self.workers.iter() {
             if worker.is_placeable(now) {
-                cycle.by_room.push(FreeWorker {
+                cycle.by_free_cores.push(FreeWorker {
                     worker: key,
                     free_milli: worker.free().cores_milli,
                 });
                 cycle.capacity_milli += u64::from(worker.facts.capacity.cores_milli);
                 cycle.free_milli += u64::from(worker.free().cores_milli);
                 let pool = cycle.pool_mut(&worker.facts.service);
-                pool.note(worker);
+                pool.add_worker(worker);
             }
         }
         if self.config.features.has(Feature::Packing) {
@@ -327,9 +328,9 @@
             }
         }
         cycle
-            .by_room
+            .by_free_cores
             .sort_unstable_by_key(|free| (Reverse(free.free_milli), free.worker));
-        self.keep_whole_rooms(&mut cycle);
+        self.reserve_headroom(&mut cycle);
         cycle
     }
 }
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -7,8 +7,8 @@
 use crate::job::{JobId, StepKey, StepSpec, TaskKey};
 use crate::jobs::Job;
 use crate::learning::scaled;
-use crate::order::{chain, SURE_PERCENT};
 use crate::scheduler::Scheduler;
+use crate::scheduling_order::{critical_path, MIN_LENGTH_PERCENT};
 use crate::state::RoundState;
 use crate::worker::{Run, RunPhase, WorkerKey};
 use ospreywing_types::{Duration, Instant};
@@ -201,11 +201,11 @@
         // In hundredths, so that parts of estimates are not rounded one by one.
         let sure = |number: usize| {
             let sure = learned[number].map(|length| length.sure.as_ms() * 100);
-            sure.unwrap_or(steps[number].estimate_ms * SURE_PERCENT)
+            sure.unwrap_or(steps[number].estimate_ms * MIN_LENGTH_PERCENT)
         };
         RoundLeft {
-            left_ms: chain(&job.record, Some(round), likely_ms),
-            sure_ms: chain(&job.record, Some(round), sure) / 100,
+            left_ms: critical_path(&job.record, Some(round), likely_ms),
+            sure_ms: critical_path(&job.record, Some(round), sure) / 100,
         }
     }
 }
--- a/crates/scheduler/src/fragmentation.rs
+++ b/crates/scheduler/src/fragmentation.rs
@@ -1,7 +1,7 @@
 //! How broken up the free room of each service is, for operators.
 
 use crate::dominant::Room;
-use crate::packing::{fit_in, Packing, Scarcity};
+use crate::packing::{count_fitting, Packing, Scarcity};
 use crate::scheduler::Scheduler;
 use ospreywing_types::{Instant, Resources};
 use std::collections::BTreeMap;
@@ -18,21 +18,23 @@
     pub fit_count: u64,
     /// The part of the free room, by accelerators or else by processors, in which the
     /// largest of the shapes fits, in percent.
-    pub whole_percent: u32,
+    pub usable_percent: u32,
 }
 
 /// What the workers of a service that may take a run hold, and what of it is free.
 #[derive(Debug, Default)]
-struct FreeRoom {
+struct FreeCapacity {
     capacity: Room,
     free: Room,
-    rooms: Vec<Resources>,
+    free_by_worker: Vec<Resources>,
 }
 
-impl FreeRoom {
+impl FreeCapacity {
     fn fit_count(&self, demand: &Resources) -> u64 {
-        let rooms = self.rooms.iter();
-        rooms.map(|room| u64::from(fit_in(room, demand))).sum()
+        let free_by_worker = self.free_by_worker.iter();
+        free_by_worker
+            .map(|capacity| u64::from(count_fitting(capacity, demand)))
+            .sum()
     }
 
     /// Returns the part of the free room that so many tasks of a demand take, in percent.
@@ -49,28 +51,34 @@
 
 impl Scheduler {
     /// Returns how broken up the free room of each service is to which tasks came lately.
-    pub(crate) fn service_rooms(&self, now: Instant) -> Vec<ServiceFragmentation> {
-        let mut by_service: BTreeMap<Arc<str>, FreeRoom> = BTreeMap::new();
+    pub(crate) fn fragmentation(&self, now: Instant) -> Vec<ServiceFragmentation> {
+        let mut by_service: BTreeMap<Arc<str>, FreeCapacity> = BTreeMap::new();
         for worker in self.workers.values().filter(|it| it.is_placeable(now)) {
             let free = worker.free();
             let of_service = by_service.entry(worker.facts.service.clone()).or_default();
             of_service.capacity.add(&worker.facts.capacity, 1);
             of_service.free.add(&free, 1);
-            of_service.rooms.push(free);
+            of_service.free_by_worker.push(free);
         }
-        let rooms = by_service.into_iter();
-        rooms
-            .filter_map(|(service, room)| self.service_room(service, &room))
+        let free_by_worker = by_service.into_iter();
+        free_by_worker
+            .filter_map(|(service, capacity)| self.fragmentation_of(service, &capacity))
             .collect()
     }
 
-    fn service_room(&self, service: Arc<str>, room: &FreeRoom) -> Option<ServiceFragmentation> {
+    fn fragmentation_of(
+        &self,
+        service: Arc<str>,
+        capacity: &FreeCapacity,
+    ) -> Option<ServiceFragmentation> {
         let shapes = self.shapes.of(&service);
-        let scarcity = Scarcity::new(&room.capacity, &room.free, shapes);
+        let scarcity = Scarcity::new(&capacity.capacity, &capacity.free, shapes);
         let by_size = Packing::new(scarcity, shapes).largest_first();
         let largest = by_size.first()?;
-        let whole_percent = room.percent(largest, room.fit_count(largest));
-        let fitting = by_size.iter().map(|shape| (*shape, room.fit_count(shape)));
+        let usable_percent = capacity.percent(largest, capacity.fit_count(largest));
+        let fitting = by_size
+            .iter()
+            .map(|shape| (*shape, capacity.fit_count(shape)));
         let (largest_fit, fit_count) = fitting
             .into_iter()
             .find(|(_, count)| *count > 0)
@@ -79,7 +87,7 @@
             service,
             largest_fit,
             fit_count,
-            whole_percent,
+            usable_percent,
         })
     }
 }
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -8,7 +8,7 @@
 
 /// How long the members of a gang that has lost one are given to end by
 /// themselves, which spares the stops.
-const BREAK_TIME: Duration = Duration::from_ms(400);
+const BROKEN_GANG_STOP_DELAY: Duration = Duration::from_ms(400);
 
 /// Room on a worker that is kept for a gang.
 #[derive(Clone, Copy, Debug)]
@@ -27,8 +27,8 @@
 
 impl Scheduler {
     /// Keeps room for a gang, in the place of what was kept for it before.
-    pub(crate) fn reserve_room(&mut self, step: StepKey, reservations: Vec<Reservation>) {
-        self.release_room(step);
+    pub(crate) fn set_reservations(&mut self, step: StepKey, reservations: Vec<Reservation>) {
+        self.release_reservations(step);
         let mut workers = Vec::with_capacity(reservations.len());
         for Reservation { worker, room } in reservations {
             self.workers[worker].reservations.push(Claim { step, room });
@@ -38,7 +38,7 @@
     }
 
     /// Gives back the room that was kept for a gang.
-    pub(crate) fn release_room(&mut self, step: StepKey) {
+    pub(crate) fn release_reservations(&mut self, step: StepKey) {
         let workers = self.reservations.remove(&step).unwrap_or_default();
         for worker in workers {
             let reservations = &mut self.workers[worker].reservations;
@@ -47,11 +47,11 @@
     }
 
     /// Gives back the room that was kept for a job's gangs.
-    pub(crate) fn release_room_of(&mut self, job: JobId) {
+    pub(crate) fn release_reservations_of_job(&mut self, job: JobId) {
         let steps = self.reservations.keys().copied();
         let steps: Vec<StepKey> = steps.filter(|step| step.job == job).collect();
         for step in steps {
-            self.release_room(step);
+            self.release_reservations(step);
         }
     }
 
@@ -81,7 +81,7 @@
                 self.broken_gangs.remove(&step);
                 continue;
             }
-            if now.since(broken_at) < BREAK_TIME {
+            if now.since(broken_at) < BROKEN_GANG_STOP_DELAY {
                 continue;
             }
             for task in members {
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -7,7 +7,7 @@
 use crate::event::Action;
 use crate::job::{JobId, JobRecord, StepKey, TaskKey};
 use crate::overloads::JobNeed;
-use crate::placing::counted_demand;
+use crate::placement::counted_demand;
 use crate::scheduler::Scheduler;
 use crate::share_accounts::ServiceKey;
 use crate::state::{JobState, Phase, RoundState, TaskState, TaskStatus};
@@ -232,7 +232,7 @@
             .with_queue(&record.queue)
             .with_figure(self.estimated_objective(&record).as_ms());
         out.push(Action::Log(line));
-        self.note_shapes(now, &record);
+        self.record_shapes(now, &record);
         self.insert_job(now, id, record, JobState::default());
     }
 
@@ -347,8 +347,8 @@
         for step in self.steps_of(id) {
             self.forget_advice(step);
         }
-        self.waits.forget_job(id);
-        self.release_room_of(id);
+        self.waits.remove_job(id);
+        self.release_reservations_of_job(id);
         // What it took or kept may be room for others now.
         self.is_place_due = true;
     }
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -378,7 +378,7 @@
             job.is_some_and(|job| job.state.phase == Phase::Active)
         };
         self.learning.paces.retain(|step, _| is_active(step));
-        self.learning.speeds.forget_old();
+        self.learning.speeds.remove_stale();
     }
 }
 
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -403,7 +403,7 @@
     pub(crate) fn demand_of(&self, task: TaskKey) -> Option<Resources> {
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.record.spec.steps.get(task.step.step as usize)?;
-        Some(crate::placing::counted_demand(spec))
+        Some(crate::placement::counted_demand(spec))
     }
 }
 
--- a/crates/scheduler/src/limits.rs
+++ b/crates/scheduler/src/limits.rs
@@ -13,10 +13,10 @@
 use crate::event::Action;
 use crate::features::Feature;
 use crate::job::{JobId, StepKey, StepSpec};
-use crate::packing::fit_in;
-use crate::placing::PendingStep;
+use crate::packing::count_fitting;
+use crate::placement::PendingStep;
 use crate::scheduler::Scheduler;
-use crate::waiting::WaitReason;
+use crate::wait_reasons::WaitReason;
 use ospreywing_types::Instant;
 
 /// How many runs of a step its customer's limit lets start.
@@ -44,7 +44,7 @@
             };
         };
         let left = self.accounts.get(customer).left() - cycle.claimed_limit(customer);
-        let limit_count = fit_in(&left, &charge.amount);
+        let limit_count = count_fitting(&left, &charge.amount);
         let beside_count = self.count_beside_reservation(now, step, charge, cycle);
         Allowance {
             limit_count,
@@ -54,7 +54,7 @@
 
     /// Returns why a step is held back by its customer's limit, which lets so many of its
     /// tasks start; `None` where it is not. Going on would cost a cycle more, for nothing.
-    pub(crate) fn reason_to_hold(
+    pub(crate) fn limit_wait_reason(
         &mut self,
         now: Instant,
         step: StepKey,
@@ -65,37 +65,37 @@
     ) -> Option<WaitReason> {
         let job = self.jobs.get(&step.job)?;
         let spec = job.record.spec.steps.get(step.step as usize);
-        let least_count = spec.map_or(0, least_count);
-        if allowance.allowed_count >= least_count {
-            self.note_limit_holds(now, step, charge, cycle);
+        let min_start_count = spec.map_or(0, min_start_count);
+        if allowance.allowed_count >= min_start_count {
+            self.on_limit_fits(now, step, charge, cycle);
             return None;
         }
         if !job.is_waiting_whole(step) {
             // Members of its last run are still there, and count.
-            return Some(WaitReason::LastRun);
+            return Some(WaitReason::PreviousRun);
         }
         let customer = charge.customer?;
-        let is_limit = allowance.limit_count < least_count;
+        let is_limit = allowance.limit_count < min_start_count;
         if is_limit {
-            self.hold_limit(now, step, charge, least_count, cycle);
+            self.reserve_or_claim_limit(now, step, charge, min_start_count, cycle);
         }
         let reason = if is_limit {
             WaitReason::Limit
         } else {
             WaitReason::Reserved
         };
-        self.tell_held(now, step, customer, reason, least_count, out);
+        self.log_job_held(now, step, customer, reason, min_start_count, out);
         Some(reason)
     }
 
     /// Tells that a step is held back: once, and again once something of its job was placed.
-    fn tell_held(
+    fn log_job_held(
         &mut self,
         now: Instant,
         step: StepKey,
         customer: CustomerKey,
         reason: WaitReason,
-        least_count: u32,
+        min_start_count: u32,
         out: &mut Vec<Action>,
     ) {
         let Some(job) = self.jobs.get_mut(&step.job) else {
@@ -111,14 +111,14 @@
         });
         let line = Decision::new(DecisionKind::JobHeld, reason.as_str())
             .with_job(step.job)
-            .with_figure(u64::from(least_count))
+            .with_figure(u64::from(min_start_count))
             .with_customer(self.accounts.get(customer).to_use())
             .with_reserved(reserved);
         out.push(Action::Log(line));
     }
 
     /// Notes what became of a step that the limit let start.
-    pub(crate) fn note_served(
+    pub(crate) fn update_limit_reservations(
         &mut self,
         now: Instant,
         pending: &PendingStep,
@@ -132,7 +132,7 @@
             self.claim_limit(customer, pending, cycle);
             return;
         }
-        self.note_limit_taken(now, pending, charge, cycle);
+        self.on_tasks_placed(now, pending, charge, cycle);
     }
 
     /// Returns whether what a job's customer has running, recorded starts with it, is within
@@ -151,7 +151,7 @@
         };
         let job = self.jobs.get(&step.job);
         let spec = job.and_then(|job| job.record.spec.steps.get(step.step as usize));
-        let needed = charge.amount.times(spec.map_or(0, least_count));
+        let needed = charge.amount.times(spec.map_or(0, min_start_count));
         let is_claimed = !self.config.features.has(Feature::Backfill);
         is_claimed || !needed.fits_in(&self.accounts.get(customer).left())
     }
@@ -183,28 +183,28 @@
     ///
     /// Not while the customer has less than half of its limit in use: its tasks are to
     /// start then, whatever waits before them.
-    fn hold_limit(
+    fn reserve_or_claim_limit(
         &mut self,
         now: Instant,
         step: StepKey,
         charge: Charge,
-        least_count: u32,
+        min_start_count: u32,
         cycle: &mut SchedulingCycle,
     ) {
         let Some(customer) = charge.customer else {
             return;
         };
-        let amount = charge.amount.times(least_count);
+        let amount = charge.amount.times(min_start_count);
         if self.config.features.has(Feature::Backfill) {
             self.reserve_limit(now, step, customer, amount, cycle);
-        } else if least_count > 1 && !self.accounts.get(customer).is_under_half() {
+        } else if min_start_count > 1 && !self.accounts.get(customer).is_under_half() {
             cycle.claim_limit(customer, amount);
         }
     }
 }
 
 /// Returns how many tasks of a step must be let start for any to be placed.
-pub(crate) const fn least_count(spec: &StepSpec) -> u32 {
+pub(crate) const fn min_start_count(spec: &StepSpec) -> u32 {
     if spec.is_gang {
         spec.tasks_count
     } else {
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -218,7 +218,7 @@
         match why {
             RefusedStart::Ticket => {
                 if let Some(advice) = self.advice.get_mut(&task.step) {
-                    advice.expire(key);
+                    advice.expire_ticket(key);
                 }
             }
             RefusedStart::Unhealthy | RefusedStart::NotSent | RefusedStart::Room => {
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -6,12 +6,12 @@
 use crate::features::Feature;
 use crate::job::{JobId, StepSpec};
 use crate::jobs::Job;
-use crate::order::LATE_FACTOR;
 use crate::overload::{
     Amounts, Contender, Demand, Occupancy, Selection, ENTER_LOAD_PERCENT, LEAVE_LOAD_PERCENT,
 };
-use crate::placing::counted_demand;
+use crate::placement::counted_demand;
 use crate::scheduler::Scheduler;
+use crate::scheduling_order::WORTH_FACTOR;
 use crate::state::{StepState, TaskStatus};
 use ospreywing_types::{Duration, Instant};
 use std::collections::HashMap;
@@ -227,7 +227,7 @@
         out: &mut Vec<Action>,
     ) -> Vec<ServiceJobs> {
         let mut services: Vec<ServiceJobs> = cycle
-            .rooms()
+            .service_usage()
             .filter(|room| room.used_share() >= LEAST_USED_SHARE)
             .map(|room| ServiceJobs {
                 service: room.service.clone(),
@@ -338,6 +338,6 @@
         work: need.waiting,
         chain: Duration::from_ms(job.left_ms * LIKELY_PERCENT / 100) + WAYS,
         time_left: left_until(job.accepted_at + job.objective),
-        worth_left: left_until(job.accepted_at + job.objective.times(LATE_FACTOR)),
+        worth_left: left_until(job.accepted_at + job.objective.times(WORTH_FACTOR)),
     }
 }
--- a/crates/scheduler/src/packing.rs
+++ b/crates/scheduler/src/packing.rs
@@ -30,7 +30,7 @@
             let parts = shapes.iter();
             parts.map(|it| it.count * f64::from(part(&it.demand))).sum()
         };
-        let worth = |capacity: u64, free: u64, lately: f64| {
+        let unit_weight = |capacity: u64, free: u64, lately: f64| {
             if capacity == 0 {
                 return 0.0;
             }
@@ -38,17 +38,17 @@
             (needed / capacity as f64).max(PRESSURE_FLOOR) / capacity as f64
         };
         Self {
-            per_milli: worth(
+            per_milli: unit_weight(
                 capacity.cores_milli,
                 free.cores_milli,
                 lately(|it| it.cores_milli),
             ),
-            per_mib: worth(
+            per_mib: unit_weight(
                 capacity.memory_mib,
                 free.memory_mib,
                 lately(|it| it.memory_mib),
             ),
-            per_accelerator: worth(
+            per_accelerator: unit_weight(
                 capacity.accelerators_count,
                 free.accelerators_count,
                 lately(|it| it.accelerators_count),
@@ -62,7 +62,7 @@
     }
 
     /// Returns the worth of the part of a room that is worth most.
-    pub(crate) fn dominant_worth(&self, room: &Resources) -> f64 {
+    pub(crate) fn dominant_weight(&self, room: &Resources) -> f64 {
         let cores = self.per_milli * f64::from(room.cores_milli);
         let memory = self.per_mib * f64::from(room.memory_mib);
         let accelerators = self.per_accelerator * f64::from(room.accelerators_count);
@@ -76,7 +76,7 @@
     /// Whether it takes processors that free accelerators need.
     strands_accelerators: bool,
     /// The room for larger tasks that is lost, by how often such come.
-    lost_room: u64,
+    lost_capacity: u64,
     /// What is left unused.
     leftover: u64,
 }
@@ -96,8 +96,8 @@
 struct WeighedShape {
     demand: Resources,
     /// What all of it counts that came lately, in whole units of a cost.
-    weight: u64,
-    worth: f64,
+    demand_share: u64,
+    weight: f64,
     per_s: f64,
 }
 
@@ -121,15 +121,15 @@
     pub(crate) fn new(scarcity: Scarcity, shapes: &[Shape]) -> Self {
         let total: f64 = shapes
             .iter()
-            .map(|it| it.count * scarcity.dominant_worth(&it.demand))
+            .map(|it| it.count * scarcity.dominant_weight(&it.demand))
             .sum();
         let weighed = shapes.iter().map(|shape| {
-            let worth = scarcity.dominant_worth(&shape.demand);
-            let share = shape.count * worth / total.max(f64::MIN_POSITIVE);
+            let weight = scarcity.dominant_weight(&shape.demand);
+            let share = shape.count * weight / total.max(f64::MIN_POSITIVE);
             WeighedShape {
                 demand: shape.demand,
-                weight: (share * SHARE_UNIT) as u64,
-                worth,
+                demand_share: (share * SHARE_UNIT) as u64,
+                weight,
                 per_s: shape.per_s(),
             }
         });
@@ -142,7 +142,7 @@
     /// Returns the shape that takes most of what is scarce.
     pub(crate) fn largest(&self) -> Option<LargestShape> {
         let shapes = self.shapes.iter();
-        let largest = shapes.max_by(|one, other| one.worth.total_cmp(&other.worth));
+        let largest = shapes.max_by(|one, other| one.weight.total_cmp(&other.weight));
         largest.map(|shape| LargestShape {
             demand: shape.demand,
             per_s: shape.per_s,
@@ -152,13 +152,13 @@
     /// Returns all shapes, those first that take most of what is scarce.
     pub(crate) fn largest_first(&self) -> Vec<Resources> {
         let mut shapes = self.shapes.clone();
-        shapes.sort_by(|one, other| other.worth.total_cmp(&one.worth));
+        shapes.sort_by(|one, other| other.weight.total_cmp(&one.weight));
         shapes.into_iter().map(|shape| shape.demand).collect()
     }
 
     /// Returns whether a demand is smaller than another by what is scarce.
     pub(crate) fn is_smaller(&self, demand: &Resources, than: &Resources) -> bool {
-        self.scarcity.dominant_worth(demand) < self.scarcity.dominant_worth(than)
+        self.scarcity.dominant_weight(demand) < self.scarcity.dominant_weight(than)
     }
 
     /// Returns what a task costs on a worker with this room, into which it fits. Without
@@ -168,22 +168,23 @@
             return PackingCost::of_leftover(free.cores_milli);
         }
         let left = *free - *demand;
-        let worth = self.scarcity.dominant_worth(demand);
-        let larger = self.shapes.iter().filter(|shape| shape.worth > worth);
+        let weight = self.scarcity.dominant_weight(demand);
+        let larger = self.shapes.iter().filter(|shape| shape.weight > weight);
         let lost = larger.map(|shape| {
-            let lost_count = fit_in(free, &shape.demand) - fit_in(&left, &shape.demand);
-            shape.weight.saturating_mul(u64::from(lost_count))
+            let lost_count =
+                count_fitting(free, &shape.demand) - count_fitting(&left, &shape.demand);
+            shape.demand_share.saturating_mul(u64::from(lost_count))
         });
         PackingCost {
             strands_accelerators: demand.accelerators_count == 0 && free.accelerators_count > 0,
-            lost_room: lost.fold(0, u64::saturating_add),
-            leftover: (self.scarcity.dominant_worth(&left) * SHARE_UNIT * SHARE_UNIT) as u64,
+            lost_capacity: lost.fold(0, u64::saturating_add),
+            leftover: (self.scarcity.dominant_weight(&left) * SHARE_UNIT * SHARE_UNIT) as u64,
         }
     }
 }
 
 /// Returns how many tasks of a demand fit into a room.
-pub(crate) fn fit_in(room: &Resources, demand: &Resources) -> u32 {
+pub(crate) fn count_fitting(room: &Resources, demand: &Resources) -> u32 {
     let by = |free: u32, need: u32| free.checked_div(need).unwrap_or(u32::MAX);
     by(room.cores_milli, demand.cores_milli)
         .min(by(room.memory_mib, demand.memory_mib))
--- a/crates/scheduler/src/placing.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: which waiting task goes to which worker.
 
-use crate::asking::{claim_room, has_room};
-use crate::candidate::{fit_sum, one_rack_first, Candidate};
+use crate::advice_requests::{has_unreserved_capacity, reserve_in_cycle};
+use crate::candidate::{prefer_one_rack, total_fit_count, Candidate};
 use crate::commits::Effect;
 use crate::config::AdvicePolicy;
 use crate::cycle::{CycleSummary, SchedulingCycle};
@@ -11,13 +11,13 @@
 use crate::scheduler::Scheduler;
 use crate::sharing::RunRole;
 use crate::state::{StepState, TaskStatus};
-use crate::waiting::WaitReason;
+use crate::wait_reasons::WaitReason;
 use crate::worker::{Run, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
 use std::sync::Arc;
 
 /// The most steps that one cycle looks at; the rest has its turn in the next.
-const EXAMINED_LIMIT_COUNT: usize = 400;
+const EXAMINED_STEPS_LIMIT_COUNT: usize = 400;
 
 /// A step with this much time to spare leaves room to gangs that wait.
 const YIELD_SLACK: Duration = Duration::from_ms(4000);
@@ -27,7 +27,7 @@
 /// members take a third of a worker: with a third in place of half, wide gangs earned 0.44
 /// of their worth in place of 0.59 on 350 workers of 16 cores (mean of 15 plays of five
 /// loads).
-const YIELD_FREE_SHARE: u64 = 2;
+const YIELD_FREE_DIVISOR: u64 = 2;
 
 /// Returns what a task counts against a worker's room.
 pub(crate) fn counted_demand(spec: &StepSpec) -> Resources {
@@ -77,10 +77,10 @@
         self.begin_reservations(now, &mut cycle);
         self.refresh_shares(now, &cycle, out);
         self.rank_overloaded(now, &cycle, out);
-        let order = self.service_order(now);
+        let order = self.scheduling_order(now);
         self.place_all(now, order, &mut cycle, out);
         self.last_cycle = CycleSummary {
-            awaited_workers_count: cycle.kept_workers_count(),
+            reserved_workers_count: cycle.reserved_workers_count(),
             waiting_gangs_count: cycle.waiting_gangs_count,
         };
         cycle.examined_count
@@ -109,7 +109,7 @@
             for step in job.ready_steps(id) {
                 self.place_step(now, step, cycle, out);
             }
-            if cycle.examined_count >= EXAMINED_LIMIT_COUNT {
+            if cycle.examined_count >= EXAMINED_STEPS_LIMIT_COUNT {
                 return;
             }
         }
@@ -122,12 +122,12 @@
         cycle: &mut SchedulingCycle,
         out: &mut Vec<Action>,
     ) {
-        let reason = self.look_at_step(now, key, cycle, out);
-        self.waits.note(now, key, reason);
+        let reason = self.examine_step(now, key, cycle, out);
+        self.waits.update(now, key, reason);
     }
 
     /// Serves a step; returns why it waits, where anything of it still does.
-    fn look_at_step(
+    fn examine_step(
         &mut self,
         now: Instant,
         key: StepKey,
@@ -136,46 +136,46 @@
     ) -> Option<WaitReason> {
         let charge = self.charge_of(key);
         let allowance = self.allowance(now, key, charge, cycle);
-        if let Some(reason) = self.reason_to_hold(now, key, charge, allowance, cycle, out) {
+        if let Some(reason) = self.limit_wait_reason(now, key, charge, allowance, cycle, out) {
             return Some(reason);
         }
         cycle.examined_count += 1;
         let Some(pending) = self.pending_step(key, allowance.allowed_count) else {
             // Its other members may be alive.
-            return Some(WaitReason::LastRun);
+            return Some(WaitReason::PreviousRun);
         };
         if self.yields_to_gangs(now, &pending, cycle) {
             return Some(WaitReason::Gangs);
         }
-        let reason = self.serve_step(now, &pending, cycle, out);
-        self.note_served(now, &pending, charge, cycle);
+        let reason = self.place_or_reserve(now, &pending, cycle, out);
+        self.update_limit_reservations(now, &pending, charge, cycle);
         reason
     }
 
     /// Returns why a step waits whose tasks could not all be placed.
-    fn reason_to_seek(&self, now: Instant, pending: &PendingStep) -> WaitReason {
+    fn capacity_wait_reason(&self, now: Instant, pending: &PendingStep) -> WaitReason {
         if self.is_confined_to_cordons(pending) {
             return WaitReason::Cordon;
         }
         let Some((advice, policy)) = self.advice.get(&pending.key).zip(pending.advice) else {
-            return WaitReason::Room;
+            return WaitReason::Capacity;
         };
-        if advice.is_open() {
+        if advice.has_pending_request() {
             WaitReason::Advice
         } else if now < advice.retry_at {
             WaitReason::AdviceRetry
-        } else if self.is_patient(now, pending.key.job)
-            && self.advisers.must_wait(now, policy.cost(1))
+        } else if self.is_deferrable(now, pending.key.job)
+            && self.adviser_nodes.must_defer(now, policy.cost(1))
         {
-            WaitReason::AdviceNode
+            WaitReason::AdviserNodes
         } else {
-            WaitReason::Room
+            WaitReason::Capacity
         }
     }
 
     /// Places what of a step can be placed, and brings the rest nearer to its room; returns
     /// why that waits.
-    fn serve_step(
+    fn place_or_reserve(
         &mut self,
         now: Instant,
         pending: &PendingStep,
@@ -184,7 +184,7 @@
     ) -> Option<WaitReason> {
         let Some(policy) = pending.advice else {
             let mut placed_count = 0;
-            if has_room(cycle, pending) {
+            if has_unreserved_capacity(cycle, pending) {
                 let workers = cycle.workers_for(&pending.demand);
                 let candidates = self.candidates(now, pending, cycle, workers);
                 placed_count = self.allocate(now, pending, candidates, out);
@@ -194,8 +194,8 @@
                 return None;
             }
             self.preempt_for_share(now, pending, cycle, missing_count, out);
-            self.await_room(now, pending, missing_count, cycle);
-            return Some(self.reason_to_seek(now, pending));
+            self.reserve_expected_capacity_unadvised(now, pending, missing_count, cycle);
+            return Some(self.capacity_wait_reason(now, pending));
         };
         if pending.spec().is_gang {
             self.place_gang(now, pending, policy, cycle, out)
@@ -214,10 +214,10 @@
         out: &mut Vec<Action>,
     ) -> Option<WaitReason> {
         let advice = self.advice.entry(pending.key).or_default();
-        if advice.is_open() {
-            claim_room(cycle, pending, pending.waiting.len());
+        if advice.has_pending_request() {
+            reserve_in_cycle(cycle, pending, pending.waiting.len());
             if !self.reservations.contains_key(&pending.key) {
-                self.await_workers_for_gang(now, pending, policy, cycle, out);
+                self.reserve_expected_capacity_for_gang(now, pending, policy, cycle, out);
             }
             return Some(WaitReason::Advice);
         }
@@ -229,15 +229,15 @@
         if self.awaits_stops(now, pending, &ticketed) {
             return Some(WaitReason::Stops);
         }
-        if self.awaits_trial(now, pending, &ticketed) {
-            return Some(WaitReason::Trial);
+        if self.awaits_probation(now, pending, &ticketed) {
+            return Some(WaitReason::Probation);
         }
         // The answer has come: what was kept has been used, or is given back.
-        self.release_room(pending.key);
+        self.release_reservations(pending.key);
         if now >= self.advice[&pending.key].retry_at {
-            self.seek_for_gang(now, pending, policy, cycle, out);
+            self.find_capacity_for_gang(now, pending, policy, cycle, out);
         }
-        Some(self.reason_to_seek(now, pending))
+        Some(self.capacity_wait_reason(now, pending))
     }
 
     /// Places tasks whose queue needs advice where tickets hold, and asks for
@@ -257,16 +257,16 @@
         if missing_count == 0 {
             return None;
         }
-        if self.awaits_trial(now, pending, &ticketed) {
-            return Some(WaitReason::Trial);
+        if self.awaits_probation(now, pending, &ticketed) {
+            return Some(WaitReason::Probation);
         }
-        if self.advice[&pending.key].is_open() {
-            claim_room(cycle, pending, missing_count);
+        if self.advice[&pending.key].has_pending_request() {
+            reserve_in_cycle(cycle, pending, missing_count);
         } else {
-            self.seek_for_tasks(now, pending, policy, missing_count, cycle, out);
+            self.request_advice_for_tasks(now, pending, policy, missing_count, cycle, out);
         }
-        self.await_workers(now, pending, policy, missing_count, cycle, out);
-        Some(self.reason_to_seek(now, pending))
+        self.reserve_expected_capacity(now, pending, policy, missing_count, cycle, out);
+        Some(self.capacity_wait_reason(now, pending))
     }
 
     fn place_ticketed(
@@ -289,12 +289,17 @@
     fn awaits_stops(&self, now: Instant, pending: &PendingStep, ticketed: &[WorkerKey]) -> bool {
         pending.spec().is_gang
             && self.reservations.contains_key(&pending.key)
-            && self.is_room_coming(now, pending, ticketed)
+            && self.will_fit_after_stops(now, pending, ticketed)
     }
 
     /// Returns whether a step that holds tickets only waits for a worker on which a suspect
     /// may be tried: further tickets would not bring one.
-    fn awaits_trial(&self, now: Instant, pending: &PendingStep, ticketed: &[WorkerKey]) -> bool {
+    fn awaits_probation(
+        &self,
+        now: Instant,
+        pending: &PendingStep,
+        ticketed: &[WorkerKey],
+    ) -> bool {
         !ticketed.is_empty() && self.is_kept_for_trial(now, pending.key.job)
     }
 
@@ -306,7 +311,7 @@
         pending: &PendingStep,
         cycle: &SchedulingCycle,
     ) -> bool {
-        let is_crowded = cycle.free_milli * YIELD_FREE_SHARE < cycle.capacity_milli;
+        let is_crowded = cycle.free_milli * YIELD_FREE_DIVISOR < cycle.capacity_milli;
         if cycle.waiting_gangs_count == 0 || !is_crowded || pending.spec().is_gang {
             return false;
         }
@@ -358,9 +363,9 @@
         let spec = pending.spec();
         if spec.is_gang {
             if spec.is_same_rack {
-                candidates = one_rack_first(candidates, &pending.demand, pending.waiting.len());
+                candidates = prefer_one_rack(candidates, &pending.demand, pending.waiting.len());
             }
-            if fit_sum(&candidates, &pending.demand) < pending.waiting.len() as u64 {
+            if total_fit_count(&candidates, &pending.demand) < pending.waiting.len() as u64 {
                 return 0;
             }
         }
@@ -369,12 +374,13 @@
         for &index in &pending.waiting {
             let task = pending.key.task(index);
             let fitting = candidates.iter_mut().find(|c| {
-                let has_room = c.left_count > 0 && pending.demand.fits_in(&c.free);
-                has_room && (!is_kept || self.is_trial_site(task, c.worker))
+                let has_unreserved_capacity =
+                    c.remaining_count > 0 && pending.demand.fits_in(&c.free);
+                has_unreserved_capacity && (!is_kept || self.is_trial_site(task, c.worker))
             });
             match fitting {
                 Some(candidate) => {
-                    candidate.take(&pending.demand);
+                    candidate.subtract_task(&pending.demand);
                     chosen.push((task, candidate.worker));
                 }
                 // A worker that a suspect is kept from may do for the next task.
@@ -391,7 +397,7 @@
             self.record_start(now, pending, task, worker, run, out);
         }
         if count > 0 {
-            self.release_room(pending.key);
+            self.release_reservations(pending.key);
             // What broke was an earlier run.
             self.broken_gangs.remove(&pending.key);
         }
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -14,9 +14,9 @@
 use crate::gangs::Reservation;
 use crate::job::TaskKey;
 use crate::jobs::Job;
-use crate::order::Prospect;
-use crate::placing::PendingStep;
+use crate::placement::PendingStep;
 use crate::scheduler::Scheduler;
+use crate::scheduling_order::Prospect;
 use crate::worker::{Run, RunPhase, Worker, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
 
@@ -40,7 +40,7 @@
 }
 
 /// A worker on which a gang may make room.
-struct Site {
+struct Target {
     candidate: Candidate,
     /// Runs that may be stopped, the one that loses most last.
     victims: Vec<Victim>,
@@ -52,7 +52,7 @@
 
 /// What stopping further runs on one worker would bring.
 struct Gain {
-    site: usize,
+    target: usize,
     stopped_count: usize,
     members_count: u32,
     /// The processors of the runs to be stopped, for each member gained.
@@ -67,8 +67,8 @@
     pub(crate) victims: Vec<TaskKey>,
 }
 
-impl Site {
-    fn room_after(&self, stopped_count: usize) -> Resources {
+impl Target {
+    fn free_after(&self, stopped_count: usize) -> Resources {
         let mut room = self.candidate.free;
         for victim in &self.victims[..stopped_count] {
             room += victim.demand;
@@ -76,26 +76,26 @@
         room
     }
 
-    fn members_after(&self, stopped_count: usize, demand: &Resources) -> u32 {
+    fn fit_count_after(&self, stopped_count: usize, demand: &Resources) -> u32 {
         let mut candidate = self.candidate.clone();
-        candidate.free = self.room_after(stopped_count);
+        candidate.free = self.free_after(stopped_count);
         candidate.fit_count(demand)
     }
 
     /// Returns how many members fit once all that may be stopped has ended.
-    fn most_members(&self, demand: &Resources) -> u32 {
-        self.members_after(self.victims.len(), demand)
+    fn max_members_count(&self, demand: &Resources) -> u32 {
+        self.fit_count_after(self.victims.len(), demand)
     }
 
     /// Returns the fewest further stops that let another member fit.
-    fn next_gain(&self, site: usize, demand: &Resources) -> Option<Gain> {
+    fn next_gain(&self, target: usize, demand: &Resources) -> Option<Gain> {
         let mut cost_milli = 0;
         for stopped_count in self.stopped_count + 1..=self.victims.len() {
             cost_milli += self.victims[stopped_count - 1].demand.cores_milli;
-            let members_count = self.members_after(stopped_count, demand);
+            let members_count = self.fit_count_after(stopped_count, demand);
             if members_count > self.members_count {
                 return Some(Gain {
-                    site,
+                    target,
                     stopped_count,
                     members_count,
                     cost_milli: cost_milli / (members_count - self.members_count),
@@ -114,18 +114,18 @@
         now: Instant,
         pending: &PendingStep,
         cycle: &SchedulingCycle,
-        good: &[WorkerKey],
+        suitable: &[WorkerKey],
     ) -> Option<PreemptionPlan> {
         let job = self.jobs.get(&pending.key.job)?;
         if self.prospect(now, job) != Prospect::InTime {
             return None;
         }
-        let mut sites = self.sites(now, pending, cycle, good);
+        let mut targets = self.targets(now, pending, cycle, suitable);
         let needed_count = pending.waiting.len() as u32;
-        if !choose_stops(&mut sites, &pending.demand, needed_count) {
+        if !choose_victims(&mut targets, &pending.demand, needed_count) {
             return None;
         }
-        Some(plan_of(sites, &pending.demand, needed_count))
+        Some(build_plan(targets, &pending.demand, needed_count))
     }
 
     /// Stops less urgent runs so that as many of so many tasks as can be have
@@ -144,46 +144,46 @@
         if self.prospect(now, job) != Prospect::InTime {
             return;
         }
-        let good = self.advice[&pending.key].good();
-        let mut sites = self.sites(now, pending, cycle, &good);
-        let possible_count: u32 = sites
+        let suitable = self.advice[&pending.key].suitable();
+        let mut targets = self.targets(now, pending, cycle, &suitable);
+        let possible_count: u32 = targets
             .iter()
-            .map(|site| site.most_members(&pending.demand))
+            .map(|target| target.max_members_count(&pending.demand))
             .sum();
         let needed_count = possible_count.min(missing_count as u32);
-        if needed_count == 0 || !choose_stops(&mut sites, &pending.demand, needed_count) {
+        if needed_count == 0 || !choose_victims(&mut targets, &pending.demand, needed_count) {
             return;
         }
-        let plan = plan_of(sites, &pending.demand, needed_count);
+        let plan = build_plan(targets, &pending.demand, needed_count);
         self.preempt(now, plan.victims, out);
     }
 
     /// Returns the good workers with what may be stopped on each.
-    fn sites(
+    fn targets(
         &self,
         now: Instant,
         pending: &PendingStep,
         cycle: &SchedulingCycle,
-        good: &[WorkerKey],
-    ) -> Vec<Site> {
-        let mut sites = Vec::new();
-        for &key in good {
+        suitable: &[WorkerKey],
+    ) -> Vec<Target> {
+        let mut targets = Vec::new();
+        for &key in suitable {
             let worker = &self.workers[key];
-            if !worker.is_placeable(now) || cycle.is_kept(key) {
+            if !worker.is_placeable(now) || cycle.has_reservation_on(key) {
                 continue;
             }
             let Some(candidate) = self.candidate(pending, key, worker) else {
                 continue;
             };
             let members_count = candidate.fit_count(&pending.demand);
-            sites.push(Site {
+            targets.push(Target {
                 candidate,
                 victims: self.victims_on(now, pending, worker),
                 stopped_count: 0,
                 members_count,
             });
         }
-        sites
+        targets
     }
 
     fn victims_on(&self, now: Instant, pending: &PendingStep, worker: &Worker) -> Vec<Victim> {
@@ -231,11 +231,11 @@
         let can_wait = is_less_urgent && needed_until < job.accepted_at + job.objective;
         is_cheap
             && !is_nearly_done
-            && (can_wait || spec.saves_progress && self.gives_way(now, job, for_job))
+            && (can_wait || spec.saves_progress && self.yields_share(now, job, for_job))
     }
 
     /// Returns whether a job's customer is over its share at the expense of another's job.
-    fn gives_way(&self, now: Instant, job: &Job, for_job: &Job) -> bool {
+    fn yields_share(&self, now: Instant, job: &Job, for_job: &Job) -> bool {
         let giver = self.giver_for(now, for_job);
         job.service == for_job.service && giver == Some(job.customer)
     }
@@ -261,26 +261,29 @@
             return;
         }
         let workers: Vec<WorkerKey> = cycle.workers().collect();
-        let holds_any = |key: &&WorkerKey| {
+        let runs_any = |key: &&WorkerKey| {
             let mut runs = self.workers[**key].runs.values();
             runs.any(|run| run.charge.customer == giver)
         };
-        let givers: Vec<WorkerKey> = workers.iter().filter(holds_any).copied().collect();
-        let mut sites = self.sites(now, pending, cycle, &givers);
-        for site in &mut sites {
+        let preemptable_workers: Vec<WorkerKey> =
+            workers.iter().filter(runs_any).copied().collect();
+        let mut targets = self.targets(now, pending, cycle, &preemptable_workers);
+        for target in &mut targets {
             // What is being stopped already is as good as free.
-            let worker = &self.workers[site.candidate.worker];
-            site.candidate.free = worker.room_without_stopping() - worker.reserved(pending.key);
-            site.members_count = site.candidate.fit_count(&pending.demand);
+            let worker = &self.workers[target.candidate.worker];
+            target.candidate.free = worker.room_without_stopping() - worker.reserved(pending.key);
+            target.members_count = target.candidate.fit_count(&pending.demand);
         }
-        let possible_count = sites.iter().map(|site| site.most_members(&pending.demand));
+        let possible_count = targets
+            .iter()
+            .map(|target| target.max_members_count(&pending.demand));
         let possible_count: u32 = possible_count.sum();
         let needed_count = match pending.spec().is_gang {
             true => missing_count as u32,
             false => possible_count.min(missing_count as u32),
         };
-        if choose_stops(&mut sites, &pending.demand, needed_count) {
-            let plan = plan_of(sites, &pending.demand, needed_count);
+        if choose_victims(&mut targets, &pending.demand, needed_count) {
+            let plan = build_plan(targets, &pending.demand, needed_count);
             self.preempt(now, plan.victims, out);
         }
     }
@@ -294,7 +297,7 @@
 
     /// Returns whether a gang fits on workers once the runs that are being
     /// stopped there have ended.
-    pub(crate) fn is_room_coming(
+    pub(crate) fn will_fit_after_stops(
         &self,
         now: Instant,
         pending: &PendingStep,
@@ -317,42 +320,43 @@
 }
 
 /// Marks the cheapest stops until so many members fit; returns whether they do.
-fn choose_stops(sites: &mut [Site], demand: &Resources, needed_count: u32) -> bool {
-    let mut members_count: u32 = sites.iter().map(|site| site.members_count).sum();
+fn choose_victims(targets: &mut [Target], demand: &Resources, needed_count: u32) -> bool {
+    let mut members_count: u32 = targets.iter().map(|target| target.members_count).sum();
     while members_count < needed_count {
-        let gains = sites
+        let gains = targets
             .iter()
             .enumerate()
-            .filter_map(|(number, site)| site.next_gain(number, demand));
-        let Some(gain) = gains.min_by_key(|gain| (gain.cost_milli, gain.site)) else {
+            .filter_map(|(number, target)| target.next_gain(number, demand));
+        let Some(gain) = gains.min_by_key(|gain| (gain.cost_milli, gain.target)) else {
             return false;
         };
-        let site = &mut sites[gain.site];
-        members_count += gain.members_count - site.members_count;
-        site.stopped_count = gain.stopped_count;
-        site.members_count = gain.members_count;
+        let target = &mut targets[gain.target];
+        members_count += gain.members_count - target.members_count;
+        target.stopped_count = gain.stopped_count;
+        target.members_count = gain.members_count;
     }
     true
 }
 
-fn plan_of(sites: Vec<Site>, demand: &Resources, needed_count: u32) -> PreemptionPlan {
+fn build_plan(targets: Vec<Target>, demand: &Resources, needed_count: u32) -> PreemptionPlan {
     let mut plan = PreemptionPlan {
         reservations: Vec::new(),
         victims: Vec::new(),
     };
-    let mut left_count = needed_count;
+    let mut remaining_count = needed_count;
     // What was paid for comes first, so that nothing is stopped for nothing.
-    let (paid, free): (Vec<Site>, Vec<Site>) =
-        sites.into_iter().partition(|site| site.stopped_count > 0);
-    for site in paid.into_iter().chain(free) {
-        let count = site.members_count.min(left_count);
+    let (with_victims, free): (Vec<Target>, Vec<Target>) = targets
+        .into_iter()
+        .partition(|target| target.stopped_count > 0);
+    for target in with_victims.into_iter().chain(free) {
+        let count = target.members_count.min(remaining_count);
         if count == 0 {
             continue;
         }
-        left_count -= count;
+        remaining_count -= count;
         plan.reservations
-            .push(Reservation::new(site.candidate.worker, demand, count));
-        let victims = site.victims[..site.stopped_count].iter();
+            .push(Reservation::new(target.candidate.worker, demand, count));
+        let victims = target.victims[..target.stopped_count].iter();
         plan.victims.extend(victims.map(|victim| victim.task));
     }
     plan
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! The scheduler: its state and the dispatch of events.
 
 use crate::advice::StepAdvice;
-use crate::advisers::Advisers;
+use crate::adviser_nodes::AdviserNodes;
 use crate::backfill::LimitReservations;
 use crate::commits::CommitQueue;
 use crate::config::{Configuration, SchedulerConfig};
@@ -22,7 +22,7 @@
 use crate::shapes::Shapes;
 use crate::share_accounts::Shares;
 use crate::state::Phase;
-use crate::waiting::{WaitReason, WaitSummary, Waits};
+use crate::wait_reasons::{WaitReason, WaitSummary, Waits};
 use crate::worker::{Worker, WorkerFacts, WorkerKey};
 use cranelift_entity::PrimaryMap;
 use ospreywing_types::{Duration, Instant};
@@ -71,7 +71,7 @@
     /// What of them runs occupy.
     pub used_milli: u64,
     /// Workers that were kept free for waiting gangs when work was last placed.
-    pub awaited_workers_count: usize,
+    pub reserved_workers_count: usize,
     /// Gangs that waited then.
     pub waiting_gangs_count: usize,
     /// Workers that are known to be slower than their service's others.
@@ -93,7 +93,7 @@
     /// Queues of which a forecast is told.
     pub forecast_queues_count: usize,
     /// How broken up the free room of each service is.
-    pub service_rooms: Vec<ServiceFragmentation>,
+    pub fragmentation: Vec<ServiceFragmentation>,
     /// The steps that wait, by reason in the order of [`WaitReason::ALL`].
     pub waits: [WaitSummary; WaitReason::ALL.len()],
 }
@@ -128,7 +128,7 @@
     /// Where each task's run is.
     pub(crate) placements: HashMap<TaskKey, WorkerKey>,
     pub(crate) advice: HashMap<StepKey, StepAdvice>,
-    pub(crate) advisers: Advisers,
+    pub(crate) adviser_nodes: AdviserNodes,
     /// What this leader has learned of lengths and speeds.
     pub(crate) learning: Learning,
     /// The workers that keep room for gangs whose advice is being asked for.
@@ -136,7 +136,7 @@
     /// Gangs that have lost a member, and when.
     pub(crate) broken_gangs: BTreeMap<StepKey, Instant>,
     /// Workers found good and workers named, by queue.
-    pub(crate) goodness: HashMap<String, (f64, f64)>,
+    pub(crate) suitable_shares: HashMap<String, (f64, f64)>,
     /// The shapes of the tasks that came lately.
     pub(crate) shapes: Shapes,
     /// The steps that wait, and why.
@@ -191,11 +191,11 @@
             next_order: 0,
             placements: HashMap::new(),
             advice: HashMap::new(),
-            advisers: Advisers::default(),
+            adviser_nodes: AdviserNodes::default(),
             learning: Learning::default(),
             reservations: BTreeMap::new(),
             broken_gangs: BTreeMap::new(),
-            goodness: HashMap::new(),
+            suitable_shares: HashMap::new(),
             shapes: Shapes::default(),
             waits: Waits::default(),
             last_cycle: CycleSummary::default(),
@@ -242,7 +242,7 @@
                 run,
                 reply,
             } => self.on_stop_answered(now, worker, task, run, reply, out),
-            Event::NodesListed(nodes) => self.advisers.set_nodes(nodes),
+            Event::NodesListed(nodes) => self.adviser_nodes.set_nodes(nodes),
             Event::AdviceAnswered { step, named, reply } => {
                 self.on_advice_answered(now, step, &named, reply, out);
             }
@@ -330,7 +330,7 @@
                 .map(|w| u64::from(w.facts.capacity.cores_milli))
                 .sum(),
             used_milli: placeable().map(|w| u64::from(w.used.cores_milli)).sum(),
-            awaited_workers_count: self.last_cycle.awaited_workers_count,
+            reserved_workers_count: self.last_cycle.reserved_workers_count,
             waiting_gangs_count: self.last_cycle.waiting_gangs_count,
             slow_workers_count: placeable()
                 .filter(|w| w.speed.class == SpeedClass::Slow)
@@ -343,7 +343,7 @@
             largest_share_lag: shares.largest_lag,
             overloaded_services_count: self.overloads.len(),
             forecast_queues_count: self.forecasts.len(),
-            service_rooms: self.service_rooms(now),
+            fragmentation: self.fragmentation(now),
             waits: self.waits.summaries(now),
             active_jobs_count: self.active.len(),
             jobs_count: self.jobs.len(),
@@ -375,12 +375,12 @@
             self.next_housekeeping_at = now + HOUSEKEEPING_PERIOD;
             self.settle_ended_jobs();
             self.stop_before_departures(now, out);
-            self.tell_waits(now, out);
+            self.log_waits(now, out);
         }
         if now >= self.next_forget_at {
             self.next_forget_at = now + FORGET_PERIOD;
-            self.waits.forget_old(now);
-            self.shapes.forget_old(now);
+            self.waits.remove_stale(now);
+            self.shapes.remove_stale(now);
             self.names.forget_unused();
             self.forget_old_jobs(now);
         }
--- a/crates/scheduler/src/order.rs
+++ b/crates/scheduler/src/scheduling_order.rs
@@ -12,10 +12,10 @@
 use ospreywing_types::{Duration, Instant};
 
 /// How many times its objective a job may take and still be worth something.
-pub(crate) const LATE_FACTOR: u64 = 3;
+pub(crate) const WORTH_FACTOR: u64 = 3;
 /// The part of an estimate that is surely needed, in percent: estimates are
 /// rough, and a job must not be given up that could still make it.
-pub(crate) const SURE_PERCENT: u64 = 60;
+pub(crate) const MIN_LENGTH_PERCENT: u64 = 60;
 /// The objective's factor where the queue is no longer configured.
 const DEFAULT_STRETCH: f64 = 3.0;
 /// The objective's rest where the queue is no longer configured.
@@ -35,22 +35,22 @@
 /// A job that can be in time is patient while it has more time to spare than this:
 /// the time at which work begins to leave room to gangs, and a few times what a
 /// step usually waits for room.
-pub(crate) const PATIENT_SLACK: Duration = Duration::from_ms(4000);
+pub(crate) const DEFERRABLE_SLACK: Duration = Duration::from_ms(4000);
 
 /// A job's place in the order of service; the smallest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct ServiceRank {
+struct SchedulingRank {
     /// Work beyond its customer's rate or share comes after all else.
     share: ShareRank,
     urgency: Urgency,
     /// The priority of its queue; 0 comes first.
     priority: u32,
     /// How large its largest gang is, where it is pressing; 0 otherwise.
-    gang_size: u32,
+    gang_size_log2: u32,
     /// How much it needs, where its service is overloaded and it is not to be in time.
     size_us: u64,
     /// When it must start at the latest.
-    due: Instant,
+    start_deadline: Instant,
     /// Its number in the order of acceptance.
     number: u64,
     job: JobId,
@@ -62,9 +62,9 @@
     /// It has waited for longer than any job of an overloaded service should.
     Aged,
     /// It will soon be too late to be in time.
-    Pressing,
+    Urgent,
     /// It has time to spare, or can only be late.
-    Patient,
+    Deferrable,
     /// Its service is overloaded, and it is to be late.
     Late,
     /// Its service is overloaded, and it is in time also where it comes after late work.
@@ -75,22 +75,22 @@
     Overdue,
 }
 
-impl ServiceRank {
+impl SchedulingRank {
     /// Changes the place to that of a job whose service is overloaded.
-    fn lower(&mut self, overloaded: &OverloadRank, late_due: Instant) {
+    fn apply_overload(&mut self, overloaded: &OverloadRank, worth_start_deadline: Instant) {
         let urgency = match overloaded.selection {
             _ if overloaded.is_aged => Urgency::Aged,
             _ if self.urgency == Urgency::Overdue => return,
             Selection::InTime => return,
-            Selection::CanWait if self.urgency == Urgency::Pressing => return,
+            Selection::CanWait if self.urgency == Urgency::Urgent => return,
             Selection::CanWait => Urgency::CanWait,
             Selection::Late => Urgency::Late,
             Selection::Last => Urgency::Last,
         };
         self.urgency = urgency;
-        self.gang_size = 0;
+        self.gang_size_log2 = 0;
         match urgency {
-            Urgency::Late => self.due = late_due,
+            Urgency::Late => self.start_deadline = worth_start_deadline,
             Urgency::Last => self.size_us = overloaded.size_us,
             _ => {}
         }
@@ -100,12 +100,12 @@
 impl Scheduler {
     /// Returns the jobs with work left in the order in which they are served: by
     /// urgency, then by priority, then by the latest start at which each is in time.
-    pub(crate) fn service_order(&self, now: Instant) -> Vec<JobId> {
+    pub(crate) fn scheduling_order(&self, now: Instant) -> Vec<JobId> {
         let has_order = self.config.features.has(Feature::OverloadOrder);
         let overloaded = has_order.then(|| self.overloads.ranks());
         let ids = self.active.values();
-        let mut order: Vec<ServiceRank> = ids
-            .filter_map(|id| self.service_rank(now, *id, overloaded.and_then(|it| it.get(id))))
+        let mut order: Vec<SchedulingRank> = ids
+            .filter_map(|id| self.scheduling_rank(now, *id, overloaded.and_then(|it| it.get(id))))
             .collect();
         order.sort_unstable();
         self.rank_by_shares(&mut order);
@@ -113,7 +113,7 @@
     }
 
     /// Has work beyond its customer's share of room that is short come later.
-    fn rank_by_shares(&self, order: &mut [ServiceRank]) {
+    fn rank_by_shares(&self, order: &mut [SchedulingRank]) {
         if !self.is_room_short() {
             return;
         }
@@ -125,50 +125,52 @@
         order.sort_by_key(|rank| rank.share);
     }
 
-    fn service_rank(
+    fn scheduling_rank(
         &self,
         now: Instant,
         id: JobId,
         overloaded: Option<&OverloadRank>,
-    ) -> Option<ServiceRank> {
+    ) -> Option<SchedulingRank> {
         let job = self.jobs.get(&id)?;
         let (priority, number) = job.rank;
-        let (urgency, due) = self.urgency(now, job);
-        let mut rank = ServiceRank {
+        let (urgency, start_deadline) = self.urgency(now, job);
+        let mut rank = SchedulingRank {
             share: ShareRank::of_job(job),
             urgency,
             priority,
-            gang_size: if urgency == Urgency::Pressing {
-                gang_size(&job.record)
+            gang_size_log2: if urgency == Urgency::Urgent {
+                gang_size_log2(&job.record)
             } else {
                 0
             },
             size_us: 0,
-            due,
+            start_deadline,
             number,
             job: id,
         };
         if let Some(overloaded) = overloaded {
-            rank.lower(overloaded, late_due(job));
+            rank.apply_overload(overloaded, worth_start_deadline(job));
         }
         Some(rank)
     }
 
     /// Returns whether a job has time to spare, or can only be late.
-    pub(crate) fn is_patient(&self, now: Instant, id: JobId) -> bool {
+    pub(crate) fn is_deferrable(&self, now: Instant, id: JobId) -> bool {
         let job = self.jobs.get(&id);
-        job.is_some_and(|job| self.urgency(now, job).0 != Urgency::Pressing)
+        job.is_some_and(|job| self.urgency(now, job).0 != Urgency::Urgent)
     }
 
     /// Returns how soon a job must be served, and by when.
     fn urgency(&self, now: Instant, job: &Job) -> (Urgency, Instant) {
         let left = Duration::from_ms(job.left_ms);
-        let due = (job.accepted_at + job.objective) - left;
+        let start_deadline = (job.accepted_at + job.objective) - left;
         match self.prospect(now, job) {
-            Prospect::InTime if due < now + PATIENT_SLACK => (Urgency::Pressing, due),
-            Prospect::InTime => (Urgency::Patient, due),
-            Prospect::Late => (Urgency::Patient, late_due(job)),
-            Prospect::Overdue => (Urgency::Overdue, due),
+            Prospect::InTime if start_deadline < now + DEFERRABLE_SLACK => {
+                (Urgency::Urgent, start_deadline)
+            }
+            Prospect::InTime => (Urgency::Deferrable, start_deadline),
+            Prospect::Late => (Urgency::Deferrable, worth_start_deadline(job)),
+            Prospect::Overdue => (Urgency::Overdue, start_deadline),
         }
     }
 
@@ -181,7 +183,7 @@
         let ends_at = now + sure;
         if ends_at <= job.accepted_at + objective {
             Prospect::InTime
-        } else if ends_at <= job.accepted_at + objective.times(LATE_FACTOR) {
+        } else if ends_at <= job.accepted_at + objective.times(WORTH_FACTOR) {
             Prospect::Late
         } else {
             Prospect::Overdue
@@ -218,13 +220,13 @@
 ) -> Duration {
     let stretch = queue.map_or(DEFAULT_STRETCH, |queue| queue.stretch);
     let rest_ms = queue.map_or(DEFAULT_OBJECTIVE_MS, |queue| queue.objective_ms);
-    let chain = chain(record, None, length_ms) as f64;
-    Duration::from_ms((chain * stretch) as u64 + rest_ms)
+    let critical_path = critical_path(record, None, length_ms) as f64;
+    Duration::from_ms((critical_path * stretch) as u64 + rest_ms)
 }
 
 /// Returns when a job must start at the latest to be worth something.
-fn late_due(job: &Job) -> Instant {
-    let worth_until = job.accepted_at + job.objective.times(LATE_FACTOR);
+fn worth_start_deadline(job: &Job) -> Instant {
+    let worth_until = job.accepted_at + job.objective.times(WORTH_FACTOR);
     worth_until - Duration::from_ms(job.left_ms)
 }
 
@@ -236,7 +238,7 @@
 /// once would hold up several that need little. Gangs earned 0.70 of their worth that way
 /// in place of 0.68 (means of ten plays of five loads). What can only be late goes by time
 /// alone, so that the largest are not passed over for ever.
-fn gang_size(record: &JobRecord) -> u32 {
+fn gang_size_log2(record: &JobRecord) -> u32 {
     let gangs = record.spec.steps.iter().filter(|step| step.is_gang);
     let sizes = gangs.map(|step| step.demand.times(step.tasks_count).cores_milli);
     let largest = sizes.max().unwrap_or(0);
@@ -245,7 +247,7 @@
 
 /// Returns the length of a job's longest chain of steps that are not done, by the length of
 /// each step.
-pub(crate) fn chain(
+pub(crate) fn critical_path(
     record: &JobRecord,
     round: Option<&RoundState>,
     length_of: impl Fn(usize) -> u64,
--- a/crates/scheduler/src/shapes.rs
+++ b/crates/scheduler/src/shapes.rs
@@ -12,7 +12,7 @@
 /// The shapes that are kept of a service, so that looking at them costs next to nothing.
 const SHAPES_LIMIT_COUNT: usize = 12;
 /// What came less often than this is forgotten.
-const FORGOTTEN_COUNT: f64 = 0.1;
+const MIN_KEPT_COUNT: f64 = 0.1;
 /// The services that are kept, as many as operators set.
 const SERVICES_LIMIT_COUNT: usize = 256;
 
@@ -66,8 +66,8 @@
 
 impl ServiceShapes {
     /// Counts tasks of a demand.
-    pub(crate) fn note(&mut self, now: Instant, demand: Resources, tasks_count: u32) {
-        self.age(now);
+    pub(crate) fn record_tasks(&mut self, now: Instant, demand: Resources, tasks_count: u32) {
+        self.decay(now);
         let class = ShapeClass::of(&demand);
         let mut shapes = self.shapes.iter_mut();
         if let Some(shape) = shapes.find(|it| ShapeClass::of(&it.demand) == class) {
@@ -76,24 +76,24 @@
             return;
         }
         if self.shapes.len() >= SHAPES_LIMIT_COUNT {
-            self.drop_rarest();
+            self.remove_rarest();
         }
         let count = f64::from(tasks_count);
         self.shapes.push(Shape { demand, count });
     }
 
     /// Lets what has come before count less.
-    fn age(&mut self, now: Instant) {
+    fn decay(&mut self, now: Instant) {
         let passed_ms = now.since(self.counted_at).as_ms() as f64;
         let factor = (-passed_ms / HALF_LIFE.as_ms() as f64).exp2();
         for shape in &mut self.shapes {
             shape.count *= factor;
         }
-        self.shapes.retain(|shape| shape.count >= FORGOTTEN_COUNT);
+        self.shapes.retain(|shape| shape.count >= MIN_KEPT_COUNT);
         self.counted_at = self.counted_at.max(now);
     }
 
-    fn drop_rarest(&mut self) {
+    fn remove_rarest(&mut self) {
         let shapes = self.shapes.iter().enumerate();
         let rarest = shapes.min_by(|(_, one), (_, other)| one.count.total_cmp(&other.count));
         if let Some((index, _)) = rarest {
@@ -110,7 +110,7 @@
 
 impl Shapes {
     /// Counts tasks of a demand that came to a service.
-    pub(crate) fn note(
+    pub(crate) fn record_tasks(
         &mut self,
         now: Instant,
         service: Arc<str>,
@@ -122,7 +122,7 @@
             return;
         }
         let shapes = self.by_service.entry(service).or_default();
-        shapes.note(now, demand, tasks_count);
+        shapes.record_tasks(now, demand, tasks_count);
     }
 
     /// Returns the shapes of a service.
@@ -144,9 +144,9 @@
     }
 
     /// Forgets shapes that have not come for long, and services without any.
-    pub(crate) fn forget_old(&mut self, now: Instant) {
+    pub(crate) fn remove_stale(&mut self, now: Instant) {
         for shapes in self.by_service.values_mut() {
-            shapes.age(now);
+            shapes.decay(now);
         }
         self.by_service
             .retain(|_, shapes| !shapes.shapes.is_empty());
@@ -155,14 +155,14 @@
 
 impl Scheduler {
     /// Counts the tasks of a job that has come, by their shapes.
-    pub(crate) fn note_shapes(&mut self, now: Instant, record: &JobRecord) {
+    pub(crate) fn record_shapes(&mut self, now: Instant, record: &JobRecord) {
         let queue = self.configuration.queue(&record.queue);
         let service = queue.map_or(&record.service, |queue| &queue.service);
         let service = self.names.keep(service);
         for step in record.spec.steps.iter().filter(|step| !step.is_filler) {
             let service = service.clone();
             self.shapes
-                .note(now, service, step.demand, step.tasks_count);
+                .record_tasks(now, service, step.demand, step.tasks_count);
         }
     }
 }
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -163,8 +163,8 @@
         let left_of = |holder: Holder| holder.map_or(NO_LIMIT, |key| accounts.get(key).left());
         for service in self.shares.services.values_mut() {
             service.advance(now);
-            service.capacity = cycle.capacity_of(&service.name);
-            let free = cycle.free_of(&service.name);
+            service.capacity = cycle.total_capacity(&service.name);
+            let free = cycle.total_free(&service.name);
             service.is_short = service.asks_beyond(&free, left_of);
             service.weigh(weight_of);
         }
--- a/crates/scheduler/src/speed_wish.rs
+++ b/crates/scheduler/src/speed_preference.rs
@@ -2,9 +2,9 @@
 //! fast ones, patient work the slow ones, so that the fast ones are left to who needs them.
 
 use crate::learning::{scaled, ServiceSpeeds, SpeedClass, WorkerSpeed};
-use crate::order::{Prospect, PATIENT_SLACK};
-use crate::placing::PendingStep;
+use crate::placement::PendingStep;
 use crate::scheduler::Scheduler;
+use crate::scheduling_order::{Prospect, DEFERRABLE_SLACK};
 use crate::worker::Run;
 use ospreywing_types::{Duration, Instant};
 
@@ -16,13 +16,13 @@
 
 /// Which workers a step wants first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SpeedWish {
+pub(crate) enum SpeedPreference {
     Any,
     Fast,
     Slow,
 }
 
-impl SpeedWish {
+impl SpeedPreference {
     /// Returns a worker's rank; the smallest comes first.
     pub(crate) const fn rank(self, speed: &WorkerSpeed) -> u8 {
         if speed.is_ejected {
@@ -39,24 +39,24 @@
 
 impl Scheduler {
     /// Returns which workers a step wants first.
-    pub(crate) fn speed_wish(&self, now: Instant, pending: &PendingStep) -> SpeedWish {
+    pub(crate) fn speed_preference(&self, now: Instant, pending: &PendingStep) -> SpeedPreference {
         let speeds = self.learning.services.get(&pending.service);
         let job = self.jobs.get(&pending.key.job);
         let Some((speeds, job)) = speeds.zip(job) else {
-            return SpeedWish::Any;
+            return SpeedPreference::Any;
         };
         if pending.spec().is_perpetual || self.prospect(now, job) != Prospect::InTime {
-            return SpeedWish::Any;
+            return SpeedPreference::Any;
         }
         let left = Duration::from_ms(job.left_ms);
         let ends_by = job.accepted_at + job.objective;
-        if now + left + PATIENT_SLACK > ends_by {
-            return SpeedWish::Fast;
+        if now + left + DEFERRABLE_SLACK > ends_by {
+            return SpeedPreference::Fast;
         }
-        if now + slow_left(left, speeds) + PATIENT_SLACK <= ends_by {
-            SpeedWish::Slow
+        if now + remaining_on_slow(left, speeds) + DEFERRABLE_SLACK <= ends_by {
+            SpeedPreference::Slow
         } else {
-            SpeedWish::Any
+            SpeedPreference::Any
         }
     }
 
@@ -68,6 +68,6 @@
 }
 
 /// Returns how long what is left takes on the slow workers.
-fn slow_left(left: Duration, speeds: &ServiceSpeeds) -> Duration {
+fn remaining_on_slow(left: Duration, speeds: &ServiceSpeeds) -> Duration {
     scaled(left, 1.0 / speeds.slow)
 }
--- a/crates/scheduler/src/speeds.rs
+++ b/crates/scheduler/src/speeds.rs
@@ -275,7 +275,7 @@
     }
 
     /// Forgets the machines that were heard of longest ago, where there are too many.
-    pub fn forget_old(&mut self) {
+    pub fn remove_stale(&mut self) {
         let excess_count = self.machines.len().saturating_sub(MACHINES_LIMIT_COUNT);
         if excess_count == 0 {
             return;
--- a/crates/scheduler/src/verifier.rs
+++ b/crates/scheduler/src/verifier.rs
@@ -189,7 +189,7 @@
             return Ok(());
         }
         let mut waits = self.waits.of_last_cycle();
-        let endless = waits.find(|(step, reason)| !self.can_end(*step, *reason));
+        let endless = waits.find(|(step, reason)| !self.can_wait_end(*step, *reason));
         endless.map_or(Ok(()), |(step, reason)| {
             Err(Violation::Wait(step, reason.as_str()))
         })
@@ -228,7 +228,7 @@
         for (key, worker) in self.workers.iter() {
             for step in worker.claiming_steps() {
                 let advice = self.advice.get(&step);
-                if !advice.is_some_and(|advice| advice.is_asked_about(key)) {
+                if !advice.is_some_and(|advice| advice.is_queried(key)) {
                     return Err(Violation::Claim(step, worker.facts.id.to_string()));
                 }
             }
--- a/crates/scheduler/src/waiting.rs
+++ b/crates/scheduler/src/wait_reasons.rs
@@ -12,20 +12,20 @@
 use std::collections::BTreeMap;
 
 /// How long a step waits before that is told, and how often it is told again.
-const TOLD_AFTER: Duration = Duration::from_ms(3000);
-const TOLD_AGAIN_AFTER: Duration = Duration::from_ms(10_000);
+const LOG_AFTER: Duration = Duration::from_ms(3000);
+const LOG_PERIOD: Duration = Duration::from_ms(10_000);
 /// A step that waits is looked at within this time: a cycle looks at 400 steps, and ten
 /// thousand take 25 cycles of 20 ms or so.
-const SEEN_PERIOD: Duration = Duration::from_ms(5000);
+const EXAMINED_PERIOD: Duration = Duration::from_ms(5000);
 /// The steps that are told of at a time, ten times a second, at most: a cell may have ten
 /// thousand that wait.
-const TOLD_LIMIT_COUNT: usize = 4;
+const LOGGED_STEPS_LIMIT_COUNT: usize = 4;
 
 /// Why a step waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
     /// No worker that may run it has room; a run that ends makes some.
-    Room,
+    Capacity,
     /// Its customer has as much running as it may; an end, or the operators, change that.
     Limit,
     /// A call for advice is open; it is answered, or given up after its time.
@@ -33,17 +33,17 @@
     /// The last call for advice failed; the next one may be made after a while.
     AdviceRetry,
     /// All nodes that may ask the adviser are busy; one is free after its call.
-    AdviceNode,
+    AdviserNodes,
     /// What is left of its customer's limit is reserved for another step; that one starts, or
     /// its reservation lapses.
     Reserved,
     /// Members of its gang's last run may be alive; they end, are stopped, or their leases
     /// lapse.
-    LastRun,
+    PreviousRun,
     /// Runs that are stopped for it have not ended.
     Stops,
     /// It may have crashed a worker and waits for one of its own, up to a time.
-    Trial,
+    Probation,
     /// Gangs that need much room at once are served first, as long as it has time to spare.
     Gangs,
     /// All workers that may run it are in cordoned data centres; the operators lift cordons,
@@ -54,15 +54,15 @@
 impl WaitReason {
     /// All reasons, in the order of their indices.
     pub const ALL: [Self; 11] = [
-        Self::Room,
+        Self::Capacity,
         Self::Limit,
         Self::Advice,
         Self::AdviceRetry,
-        Self::AdviceNode,
+        Self::AdviserNodes,
         Self::Reserved,
-        Self::LastRun,
+        Self::PreviousRun,
         Self::Stops,
-        Self::Trial,
+        Self::Probation,
         Self::Gangs,
         Self::Cordon,
     ];
@@ -70,15 +70,15 @@
     /// Returns the words for logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Room => "no room on workers that may run it",
+            Self::Capacity => "no room on workers that may run it",
             Self::Limit => "limit of its customer",
             Self::Advice => "advice asked",
             Self::AdviceRetry => "advice failed",
-            Self::AdviceNode => "no node free to ask for advice",
+            Self::AdviserNodes => "no node free to ask for advice",
             Self::Reserved => "limit reserved for another step of its customer",
-            Self::LastRun => "members of its last run",
+            Self::PreviousRun => "members of its last run",
             Self::Stops => "runs being stopped for it",
-            Self::Trial => "worker of its own after a crash",
+            Self::Probation => "worker of its own after a crash",
             Self::Gangs => "gangs first",
             Self::Cordon => "cordon on every data centre that may run it",
         }
@@ -90,10 +90,10 @@
 struct Wait {
     since: Instant,
     reason: WaitReason,
-    told_at: Option<Instant>,
+    logged_at: Option<Instant>,
     /// The last cycle that looked at the step, and when that was.
     cycle: u64,
-    seen_at: Instant,
+    examined_at: Instant,
 }
 
 /// How many steps wait for one reason, and for how long the first of them does.
@@ -120,7 +120,7 @@
     }
 
     /// Notes why a step waits since the last cycle that looked at it, or that it does not.
-    pub(crate) fn note(&mut self, now: Instant, step: StepKey, reason: Option<WaitReason>) {
+    pub(crate) fn update(&mut self, now: Instant, step: StepKey, reason: Option<WaitReason>) {
         let Some(reason) = reason else {
             self.by_step.remove(&step);
             return;
@@ -128,13 +128,13 @@
         let wait = self.by_step.entry(step).or_insert(Wait {
             since: now,
             reason,
-            told_at: None,
+            logged_at: None,
             cycle: 0,
-            seen_at: now,
+            examined_at: now,
         });
         wait.reason = reason;
         wait.cycle = self.cycle;
-        wait.seen_at = now;
+        wait.examined_at = now;
     }
 
     /// Returns since when a step has waited, for whichever reasons.
@@ -143,13 +143,13 @@
     }
 
     /// Forgets steps that no cycle has looked at lately: nothing of them waits any more.
-    pub(crate) fn forget_old(&mut self, now: Instant) {
+    pub(crate) fn remove_stale(&mut self, now: Instant) {
         self.by_step
-            .retain(|_, wait| now.since(wait.seen_at) < SEEN_PERIOD);
+            .retain(|_, wait| now.since(wait.examined_at) < EXAMINED_PERIOD);
     }
 
     /// Forgets a job's steps.
-    pub(crate) fn forget_job(&mut self, job: JobId) {
+    pub(crate) fn remove_job(&mut self, job: JobId) {
         let steps = self.by_step.range(first_step(job)..);
         let steps = steps.take_while(|(step, _)| step.job == job);
         for step in steps.map(|(step, _)| *step).collect::<Vec<StepKey>>() {
@@ -158,18 +158,15 @@
     }
 
     /// Returns the steps to be told of, with their reasons and how long they wait.
-    fn take_due(&mut self, now: Instant) -> Vec<(StepKey, WaitReason, Duration)> {
+    fn mark_due_logged(&mut self, now: Instant) -> Vec<(StepKey, WaitReason, Duration)> {
         let is_due = |wait: &Wait| {
-            let is_long = now.since(wait.since) >= TOLD_AFTER;
-            is_long
-                && wait
-                    .told_at
-                    .is_none_or(|at| now.since(at) >= TOLD_AGAIN_AFTER)
+            let is_long = now.since(wait.since) >= LOG_AFTER;
+            is_long && wait.logged_at.is_none_or(|at| now.since(at) >= LOG_PERIOD)
         };
         let due = self.by_step.iter_mut().filter(|(_, wait)| is_due(wait));
-        due.take(TOLD_LIMIT_COUNT)
+        due.take(LOGGED_STEPS_LIMIT_COUNT)
             .map(|(step, wait)| {
-                wait.told_at = Some(now);
+                wait.logged_at = Some(now);
                 (*step, wait.reason, now.since(wait.since))
             })
             .collect()
@@ -204,8 +201,8 @@
 
 impl Scheduler {
     /// Tells of steps that have waited for long.
-    pub(crate) fn tell_waits(&mut self, now: Instant, out: &mut Vec<Action>) {
-        for (step, reason, age) in self.waits.take_due(now) {
+    pub(crate) fn log_waits(&mut self, now: Instant, out: &mut Vec<Action>) {
+        for (step, reason, age) in self.waits.mark_due_logged(now) {
             let line = Decision::new(DecisionKind::StepWaits, reason.as_str())
                 .with_job(step.job)
                 .with_figure(age.as_ms());
@@ -214,23 +211,23 @@
     }
 
     /// Returns whether what ends a step's wait can still come.
-    pub(crate) fn can_end(&self, step: StepKey, reason: WaitReason) -> bool {
+    pub(crate) fn can_wait_end(&self, step: StepKey, reason: WaitReason) -> bool {
         match reason {
             // Ends of other runs, workers that join, operators, and times that pass.
-            WaitReason::Room
+            WaitReason::Capacity
             | WaitReason::Gangs
             | WaitReason::Cordon
             | WaitReason::AdviceRetry
-            | WaitReason::AdviceNode
-            | WaitReason::Trial => true,
+            | WaitReason::AdviserNodes
+            | WaitReason::Probation => true,
             WaitReason::Limit => self.is_limit_reached(step),
             WaitReason::Reserved => self.is_limit_reserved(step),
             WaitReason::Advice => {
                 let advice = self.advice.get(&step);
-                advice.is_some_and(StepAdvice::is_open)
+                advice.is_some_and(StepAdvice::has_pending_request)
             }
             WaitReason::Stops => self.reservations.contains_key(&step),
-            WaitReason::LastRun => {
+            WaitReason::PreviousRun => {
                 let mut tasks = self.tasks_of(step);
                 tasks.any(|task| self.placements.contains_key(&task))
             }
--- a/crates/scheduler/tests/scheduler/packing.rs
+++ b/crates/scheduler/tests/scheduler/packing.rs
@@ -94,7 +94,7 @@
         bench.submit(number, tasks(1, demand));
     }
     let status = bench.scheduler.status(bench.now);
-    assert_eq!(status.service_rooms.len(), 1);
+    assert_eq!(status.fragmentation.len(), 1);
 }
 
 /// Operators see which of the tasks that come still fits, and in how much of what is free.
@@ -104,9 +104,9 @@
     assert_eq!(start(&mut bench, 1, 1, LARGE).len(), 1);
     assert_eq!(start(&mut bench, 2, 4, SMALL).len(), 4);
     let status = bench.scheduler.status(bench.now);
-    let room = &status.service_rooms[0];
+    let room = &status.fragmentation[0];
     assert_eq!(room.largest_fit, SMALL);
-    assert_eq!((room.fit_count, room.whole_percent), (4, 0));
+    assert_eq!((room.fit_count, room.usable_percent), (4, 0));
 }
 
 /// In a service that is half used, small tasks that can wait leave room for the largest that
--- a/crates/scheduler/tests/scheduler/waiting.rs
+++ b/crates/scheduler/tests/scheduler/waiting.rs
@@ -48,10 +48,10 @@
     bench.submit(1, vec![step(3)]);
     bench.commit_all();
     let lines = wait_for(&mut bench, LONG);
-    assert_eq!(told(&lines), [WaitReason::Room.as_str()]);
+    assert_eq!(told(&lines), [WaitReason::Capacity.as_str()]);
     assert!(lines[0].figure >= 3000, "since when it waits");
     let status = bench.scheduler.status(bench.now);
-    let room = status.waits[WaitReason::Room as usize];
+    let room = status.waits[WaitReason::Capacity as usize];
     assert_eq!(room.steps_count, 1);
     assert!(room.oldest >= Duration::from_ms(3000));
 }
