--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::job::JobRecord;
 use crate::overload::Amounts;
 use crate::placement::counted_demand;
-use crate::scheduling_order::{objective_of, WORTH_FACTOR};
+use crate::scheduling_order::{objective_of, WORTHLESS_FACTOR};
 use ospreywing_types::Duration;
 use serde::{Deserialize, Serialize};
 
@@ -85,7 +85,7 @@
         let done_ms = forecast.done_ms.saturating_sub(age.as_ms());
         let refusal = Refusal {
             done_after: Duration::from_ms(done_ms),
-            worthless_after: objective.times(WORTH_FACTOR),
+            worthless_after: objective.times(WORTHLESS_FACTOR),
             age,
         };
         (is_like_it && refusal.done_after > refusal.worthless_after).then_some(refusal)
--- a/crates/scheduler/src/backfill.rs
+++ b/crates/scheduler/src/backfill.rs
@@ -1,10 +1,10 @@
-//! Backfill under a customer's limit: a reservation for the first step that waits for the
-//! limit, and which of the customer's other work may pass it.
+//! Backfill under a customer's limit: reserves the limit for a step that waits for it, and lets
+//! other work of the customer pass.
 //!
-//! The limit is used up by what runs alone. Of the steps that don't fit what is left of it,
-//! one has a reservation: by the expected ends of the customer's runs it is known when the
-//! limit will hold the step, and what will be left beside it then. Other work passes that
-//! surely ends before, or fits into what is left.
+//! Only running tasks use up the limit. One of the steps that don't fit the rest of the limit gets
+//! a reservation. The expected ends of the customer's runs give the time at which the limit will
+//! fit the step, and the surplus that will remain then. Other work may pass if it is sure to end
+//! before that time or fits the surplus.
 
 use crate::customers::{Account, Charge, CustomerKey};
 use crate::cycle::SchedulingCycle;
@@ -16,66 +16,65 @@
 use ospreywing_types::{Duration, Instant, Resources};
 use std::collections::BTreeMap;
 
-/// The time between two forecasts for a customer: each goes over all runs. A reservation that
-/// has none yet holds nothing back.
+/// The interval between forecasts for a customer. Each forecast iterates over all runs. A
+/// reservation without a forecast holds nothing back.
 const FORECAST_PERIOD: Duration = Duration::from_ms(100);
-/// How much of its estimate a task may take, in percent, that passes because it surely ends
-/// in time: estimates are off by half.
-const MAX_LENGTH_PERCENT: u64 = 150;
-/// How long a task takes from being placed to its start, and from its end to being noted,
-/// besides.
+/// The percentage of its expected duration that a task is assumed to take at most when deciding
+/// whether it may pass a reservation. Estimates are off by half.
+const MAX_DURATION_PERCENT: u64 = 150;
+/// The additional time for a task's start after its placement, and for recording its end.
 const START_AND_END_DELAY: Duration = Duration::from_ms(300);
-/// For how long a reservation holds other work back after the time that was forecast first,
-/// or after the limit held its step: a call for advice and its room take as long. A step
-/// that waits for room reserves nothing for longer.
+/// How long a reservation holds other work back after its first due time, or after the limit first
+/// fits its step. Requesting advice and capacity takes this long. A step that waits for capacity
+/// any longer reserves nothing.
 const OVERDUE_GRACE: Duration = Duration::from_ms(2000);
-/// A step that has waited for so long holds back more urgent work too, so that a stream of
-/// it does not keep the step out for ever.
+/// After this wait, a step's reservation also holds back more urgent work. Otherwise a stream of
+/// urgent work could keep the step waiting forever.
 const STARVED_AFTER: Duration = Duration::from_ms(2000);
-/// A step that has waited for so long holds other work back also where less than half of the
-/// limit is in use, for [`FIRM_DURATION`]. Together they are the 3 s within which work is to
-/// start whose customer uses so little.
+/// After this wait, a reservation may become firm for [`FIRM_DURATION`]: it then holds other work
+/// back even while less than half of the limit is in use. Both times together are 3 s, within which
+/// work must start whose customer uses less than half.
 const FIRM_AFTER: Duration = Duration::from_ms(1000);
-/// For how long at a time: less than the 3 s within which the work that is held back is to
-/// start, by the time that its own start takes.
+/// How long a firm reservation holds other work back. That work must start within 3 s, and its own
+/// start takes part of this time.
 const FIRM_DURATION: Duration = Duration::from_ms(2000);
-/// A step whose call for advice takes longer is not held back below half of the limit: the
-/// wait and the call together would be over the 3 s.
+/// A step whose advice request takes longer than this is not held back below half of the limit: the
+/// wait and the request together would exceed 3 s.
 const FIRM_ADVICE_LIMIT: Duration = Duration::from_ms(300);
-/// For how long nothing is reserved after a reservation that lapsed, or that held work back
-/// below half of the limit: what was held back is placed meanwhile.
+/// How long a customer gets no reservation after one that expired or was firm. The work that it
+/// held back is placed in this time.
 const COOLDOWN: Duration = Duration::from_ms(4000);
 
-/// When the limit will hold a step, by the ends that are expected.
+/// When a limit will fit a step, according to the expected ends of runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Forecast {
     due: Instant,
-    /// What is left of the limit beside the step then.
+    /// What will remain of the limit beside the step at that time.
     surplus: Resources,
 }
 
-/// The end of a run that is expected, and what it frees.
+/// The expected end of a run, and the part of the limit that it frees.
 #[derive(Clone, Copy, Debug)]
 struct ExpectedEnd {
     at: Instant,
     freed: Resources,
 }
 
-/// A part of a customer's limit that is kept for a step.
+/// A reservation of a customer's limit for a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitReservation {
     pub(crate) step: StepKey,
     /// What the step needs at once.
     amount: Resources,
-    /// Since when the step has waited.
+    /// When the step began to wait.
     since: Instant,
-    /// `None` until it is worked out: nothing is held back for the step until then.
+    /// The current forecast. While it is `None`, the reservation holds nothing back.
     forecast: Option<Forecast>,
-    /// When it stops holding other work back.
+    /// When the reservation stops holding other work back.
     expires_at: Option<Instant>,
-    /// Whether the limit has held the step since.
+    /// Whether the limit has fit the step since the reservation was made.
     has_fit_limit: bool,
-    /// Whether it holds work back also below half of the limit.
+    /// Whether the reservation also holds work back while less than half of the limit is in use.
     is_firm: bool,
 }
 
@@ -92,12 +91,12 @@
         }
     }
 
-    /// Returns when the limit should hold the step, once that is worked out.
+    /// Returns when the limit is expected to fit the step, or `None` without a forecast.
     pub(crate) fn due(&self) -> Option<Instant> {
         self.forecast.map(|forecast| forecast.due)
     }
 
-    /// Returns whether it comes before more urgent work.
+    /// Returns whether the reservation also holds back more urgent work.
     fn is_starved(&self, now: Instant) -> bool {
         self.is_firm || now.since(self.since) >= STARVED_AFTER
     }
@@ -106,16 +105,16 @@
         self.expires_at.is_some_and(|at| now >= at)
     }
 
-    /// Takes in a forecast; the first one says how long other work is held back. A later
-    /// one does not put the step off: work that passed it ended before its turn, by then.
+    /// Sets the forecast. The first one determines when the reservation expires. Later ones never
+    /// postpone the due time: work that passed the step ends before that time.
     fn set_forecast(&mut self, now: Instant, new: Forecast) {
         let due = self.due().map_or(new.due, |due| due.min(new.due).max(now));
         self.forecast = Some(Forecast { due, ..new });
         self.expires_at.get_or_insert(due + OVERDUE_GRACE);
     }
 
-    /// Makes it hold where it is due within the time for which it may, and the customer has
-    /// little in use.
+    /// Makes the reservation firm if it is due within [`FIRM_DURATION`], the step has waited for
+    /// [`FIRM_AFTER`], and the customer uses less than half of its limit.
     fn make_firm_if_due(&mut self, now: Instant, account: &Account) {
         let is_near = self.due().is_some_and(|due| due <= now + FIRM_DURATION);
         let is_long = now.since(self.since) >= FIRM_AFTER;
@@ -128,28 +127,28 @@
     }
 }
 
-/// What is kept of one customer's limit.
+/// Reservation state of one customer.
 #[derive(Debug, Default)]
 struct CustomerReservation {
     reservation: Option<LimitReservation>,
-    /// What takes its place as the next cycle begins.
+    /// Replaces `reservation` when the next cycle begins.
     next: Option<LimitReservation>,
-    /// Until when nothing is reserved.
+    /// Until this time, nothing is reserved for the customer.
     cooldown_until: Instant,
-    /// What runs have of the limit that don't end by themselves.
+    /// The part of the limit used by runs that don't end by themselves.
     perpetual_used: Resources,
-    /// When the customer's runs were last gone over.
+    /// When the customer's last forecast was made.
     forecast_at: Instant,
 }
 
 impl CustomerReservation {
-    /// Returns whether the customer's runs are to be gone over from time to time.
+    /// Returns whether forecasts are needed for the customer.
     fn needs_forecast(&self) -> bool {
         self.reservation.is_some() || self.perpetual_used != Resources::ZERO
     }
 }
 
-/// The reservations of all customers, one for each at most.
+/// The limit reservations of all customers, at most one for each.
 #[derive(Debug, Default)]
 pub(crate) struct LimitReservations {
     by_customer: BTreeMap<CustomerKey, CustomerReservation>,
@@ -165,7 +164,7 @@
         self.by_customer.get_mut(&customer)?.reservation.as_mut()
     }
 
-    /// Returns how many there are.
+    /// Returns the number of reservations.
     pub(crate) fn count(&self) -> usize {
         let all = self.by_customer.values();
         all.filter(|state| state.reservation.is_some()).count()
@@ -176,8 +175,8 @@
         all.filter_map(|(customer, state)| Some((*customer, state.reservation.as_ref()?)))
     }
 
-    /// Returns the customers whose runs are to be gone over: all that ever are where it is
-    /// time for one of them, since all take one pass.
+    /// Returns the customers to make forecasts for. If a forecast is due for any customer, returns
+    /// all that need forecasts, because one pass over the runs serves all of them.
     fn due_customers(&self, now: Instant) -> Vec<CustomerKey> {
         let is_due = |state: &CustomerReservation| now >= state.forecast_at + FORECAST_PERIOD;
         let needing_forecast = || {
@@ -206,8 +205,9 @@
         state.reservation = Some(reservation);
     }
 
-    /// Has a reservation take the place of a customer's as the next cycle begins, where no
-    /// other is to whose step has waited for longer: until then it holds work back.
+    /// Sets the reservation that replaces the customer's current one when the next cycle begins,
+    /// unless a step that has waited longer is already set. The current one stays in force until
+    /// then.
     fn set_next(&mut self, customer: CustomerKey, wanted: LimitReservation) {
         let state = self.by_customer.entry(customer).or_default();
         if state.next.is_none_or(|next| wanted.since < next.since) {
@@ -215,15 +215,15 @@
         }
     }
 
-    /// Brings in what takes the place of others.
+    /// Replaces reservations by those set with [`Self::set_next`].
     fn promote_next(&mut self) {
         for state in self.by_customer.values_mut() {
             state.reservation = state.next.take().or(state.reservation);
         }
     }
 
-    /// Works out when a customer's reservation is due; one that never is ends, so that others
-    /// have theirs.
+    /// Updates the forecast of a customer's reservation. If the limit will never fit the step, ends
+    /// the reservation so that other steps can get one.
     fn forecast(
         &mut self,
         now: Instant,
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Ends a customer's reservation; it rests where the reservation lapsed or was firm.
+    /// Ends a customer's reservation. A cooldown follows if it has expired or was firm.
     fn end(&mut self, now: Instant, customer: CustomerKey) {
         let Some(state) = self.by_customer.get_mut(&customer) else {
             return;
@@ -262,8 +262,9 @@
 }
 
 impl Scheduler {
-    /// Looks at all reservations as a cycle begins: those that are over end, forecasts are
-    /// made where they are due, and those come into force that more urgent work overtakes.
+    /// Updates all reservations at the start of a cycle: ends those that have expired or whose step
+    /// is no longer ready, makes due forecasts, and enforces the starved reservations from the
+    /// start.
     pub(crate) fn begin_reservations(&mut self, now: Instant, cycle: &mut SchedulingCycle) {
         self.limit_reservations.promote_next();
         let reserved: Vec<(CustomerKey, StepKey)> = self
@@ -287,8 +288,7 @@
         }
     }
 
-    /// Works out for all reservations when they are due, in one pass over all runs, where it
-    /// is time.
+    /// Makes all due forecasts in one pass over all runs.
     fn make_forecasts(&mut self, now: Instant) {
         let due = self.limit_reservations.due_customers(now).into_iter();
         let mut ends: BTreeMap<CustomerKey, Vec<ExpectedEnd>> =
@@ -316,8 +316,8 @@
         }
     }
 
-    /// Reserves a customer's limit for a step that does not fit what is left of it, where it
-    /// is the first such step of the cycle, or has been overtaken for longest.
+    /// Reserves a customer's limit for a step that doesn't fit the rest of it, if the step is the
+    /// first such step of the cycle or the longest starved one.
     pub(crate) fn reserve_limit(
         &mut self,
         now: Instant,
@@ -349,8 +349,7 @@
         }
     }
 
-    /// Returns how many tasks of a step may start beside the reservation of its customer
-    /// that is in force.
+    /// Returns how many tasks of a step may start beside the customer's enforced reservation.
     pub(crate) fn count_beside_reservation(
         &self,
         now: Instant,
@@ -364,8 +363,8 @@
         }
     }
 
-    /// Returns what a reservation leaves of its customer's limit to a step; `None` where it
-    /// does not hold the step back.
+    /// Returns the surplus that an enforced reservation leaves to a step, or `None` if the
+    /// reservation doesn't hold the step back.
     fn surplus_for(
         &self,
         now: Instant,
@@ -386,8 +385,8 @@
         Some(forecast.surplus)
     }
 
-    /// Returns whether a step would start too late after a firm reservation: perpetual work is
-    /// to go on whatever else waits, and a long call for advice comes on top of the wait.
+    /// Returns whether a step must not be held back by a firm reservation: perpetual work must run
+    /// regardless of other waiting work, and a long advice request would add to the wait.
     fn must_start_at_once(&self, step: StepKey) -> bool {
         let Some(job) = self.jobs.get(&step.job) else {
             return false;
@@ -399,7 +398,7 @@
         has_long_advice || spec.is_some_and(|spec| spec.is_perpetual)
     }
 
-    /// Returns whether a task of the step that is placed now has surely ended by then.
+    /// Returns whether a task of the step that is placed now is sure to end by the given time.
     fn is_sure_to_end_by(&self, now: Instant, step: StepKey, until: Instant) -> bool {
         let Some(job) = self.jobs.get(&step.job) else {
             return false;
@@ -407,14 +406,14 @@
         let spec = job.record.spec.steps.get(step.step as usize);
         spec.is_some_and(|spec: &StepSpec| {
             let length_ms = self.task_length(&job.record.queue, spec).as_ms();
-            let max_length = Duration::from_ms(length_ms * MAX_LENGTH_PERCENT / 100);
+            let max_duration = Duration::from_ms(length_ms * MAX_DURATION_PERCENT / 100);
             let is_known = length_ms > 0 && !spec.is_perpetual;
-            is_known && now + max_length + START_AND_END_DELAY <= until
+            is_known && now + max_duration + START_AND_END_DELAY <= until
         })
     }
 
-    /// Takes in that the limit holds a step: its reservation stays for a while, since the
-    /// step may need advice and room.
+    /// Handles that the limit now fits a step: its reservation stays for [`OVERDUE_GRACE`], since
+    /// the step may still need advice and capacity.
     pub(crate) fn on_limit_fits(
         &mut self,
         now: Instant,
@@ -443,8 +442,8 @@
         }
     }
 
-    /// Takes the tasks of a step that were just placed off the surplus of the reservation
-    /// that they passed, or ends the step's own reservation.
+    /// Subtracts a step's newly placed tasks from the surplus of the reservation that they passed,
+    /// or ends the step's own reservation.
     pub(crate) fn on_tasks_placed(
         &mut self,
         now: Instant,
@@ -464,7 +463,7 @@
         }
         if reservation.step == pending.key {
             self.limit_reservations.end(now, customer);
-            // What it held back may go on.
+            // Work that the reservation held back may now start.
             self.is_place_due = true;
             return;
         }
@@ -477,7 +476,7 @@
         }
     }
 
-    /// Returns how many of the tasks that a cycle found waiting have been placed.
+    /// Returns how many of the tasks that the cycle found waiting have been placed.
     pub(crate) fn placed_count(&self, pending: &PendingStep) -> u32 {
         let waiting = pending.waiting.iter();
         let is_placed = |index: &&u32| self.placements.contains_key(&pending.key.task(**index));
@@ -485,8 +484,8 @@
     }
 }
 
-/// Returns how long a run should still take where its worker does not tell how far on it
-/// is.
+/// Returns the expected remaining time of a run, corrected by its age if its worker reports no
+/// progress.
 fn remaining_by_age(now: Instant, run: &Run, left: Duration) -> Duration {
     match run.begun_at {
         Some(begun_at) if run.progress_percent == 0 => {
@@ -497,8 +496,8 @@
     }
 }
 
-/// Returns when a customer's limit will hold an amount, by the expected ends of its runs,
-/// the soonest first; `None` where these don't make enough of it free.
+/// Returns when a customer's limit will fit an amount, given the expected ends of its runs in
+/// ascending order. Returns `None` if they don't free enough.
 fn forecast(
     now: Instant,
     account: &Account,
@@ -508,7 +507,7 @@
     let mut used = account.used;
     let mut due = amount.fits_in(&account.left_beside(used)).then_some(now);
     for end in ends {
-        // Runs that end together count together.
+        // Ends at the same instant are combined.
         if due.is_some_and(|due| end.at > due) {
             break;
         }
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Candidates: the workers that could take tasks of a step, with their room.
+//! Candidates: workers that could run tasks of a step, with their free capacity.
 
 use crate::cycle::SchedulingCycle;
 use crate::job::{StepKey, StepSpec};
@@ -13,25 +13,25 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A worker that could take tasks of a step.
+/// A worker that could run tasks of a step.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     pub(crate) worker: WorkerKey,
     pub(crate) free: Resources,
-    /// How many more tasks of the step it may hold.
+    /// How many more tasks of the step the worker may hold.
     pub(crate) remaining_count: u32,
     pub(crate) is_near_data: bool,
-    /// The rack of the worker, where the platform tells.
+    /// The worker's rack, if the platform reports it.
     rack: Option<Arc<str>>,
 }
 
 impl Candidate {
-    /// Returns how many tasks of this demand fit.
+    /// Returns how many tasks with this demand fit.
     pub(crate) fn fit_count(&self, demand: &Resources) -> u32 {
         count_fitting(&self.free, demand).min(self.remaining_count)
     }
 
-    /// Takes the room of one task.
+    /// Subtracts one task with this demand from the candidate's free capacity.
     pub(crate) fn subtract_task(&mut self, demand: &Resources) {
         self.free -= *demand;
         self.remaining_count -= 1;
@@ -39,7 +39,7 @@
 }
 
 impl Scheduler {
-    /// Returns whether a worker may ever run tasks of the step.
+    /// Returns whether a worker could run tasks of the step if it were empty.
     pub(crate) fn is_eligible(pending: &PendingStep, worker: &Worker) -> bool {
         let label = pending.spec().required_label.as_ref();
         worker.facts.service == pending.service
@@ -47,8 +47,8 @@
             && pending.demand.fits_in(&worker.facts.capacity)
     }
 
-    /// Returns those of the workers that could take at least one task, the
-    /// fullest first.
+    /// Returns the given workers that have capacity for at least one task, best first: near the
+    /// step's data, then of the preferred speed, then by lowest packing cost.
     pub(crate) fn candidates(
         &self,
         now: Instant,
@@ -86,9 +86,9 @@
         found
     }
 
-    /// Puts the workers of one speed first that hold a whole gang, slow ones rather than fast
-    /// ones; where none of the speeds has as much room, the fast ones come first. A gang is
-    /// as slow as its slowest member, and would waste the time of faster ones.
+    /// Moves workers of one speed class to the front if they fit the whole gang, trying slow ones
+    /// before fast ones. If no class alone fits it, sorts fast workers first. A gang is as slow as
+    /// its slowest member and would waste the time of faster workers.
     fn prefer_one_speed_class(
         &self,
         mut candidates: Vec<Candidate>,
@@ -109,7 +109,7 @@
         candidates
     }
 
-    /// Returns what a worker has for a step, where it may run the step at all.
+    /// Returns the worker as a candidate for a step, or `None` if it can't run the step at all.
     pub(crate) fn candidate(
         &self,
         pending: &PendingStep,
@@ -131,15 +131,15 @@
     }
 }
 
-/// Returns what placing a task of the step on a worker costs: where no packing is known, how
-/// many processors are free there.
+/// Returns the cost of placing a task of the step on a worker. Without packing data, the cost is
+/// the number of free processors.
 fn packing_cost(
     pending: &PendingStep,
     packing: Option<&Packing>,
     candidate: &Candidate,
 ) -> PackingCost {
     let free_milli = candidate.free.cores_milli;
-    // A filler works on what is left unused, others leave large rooms whole.
+    // Fillers go where most processors are free; other tasks preserve large free blocks.
     if RunRole::of(pending.spec()) == RunRole::Filler {
         return PackingCost::of_leftover(u32::MAX - free_milli);
     }
@@ -148,7 +148,7 @@
     })
 }
 
-/// Returns how many tasks of a demand fit on all candidates together.
+/// Returns how many tasks with this demand fit on all candidates together.
 pub(crate) fn total_fit_count(candidates: &[Candidate], demand: &Resources) -> u64 {
     candidates
         .iter()
@@ -168,7 +168,8 @@
     spec.per_worker_limit_count.saturating_sub(held as u32)
 }
 
-/// Puts the workers of one rack first, where the whole gang fits into it.
+/// Moves the workers of one rack to the front if they fit the whole gang. Of several such racks, it
+/// takes the one with the least free capacity.
 pub(crate) fn prefer_one_rack(
     candidates: Vec<Candidate>,
     demand: &Resources,
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -1,5 +1,5 @@
-//! One scheduling cycle: the free workers as it begins, and the room that steps
-//! served earlier in it have asked for or keep.
+//! State of one scheduling cycle: the workers' free capacity at its start, and the capacity
+//! reserved for steps examined earlier in the cycle.
 
 use crate::customers::CustomerKey;
 use crate::dominant::Room;
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A worker as it was when a cycle began.
+/// A worker's free capacity at the start of a cycle.
 #[derive(Clone, Copy, Debug)]
 struct FreeWorker {
     worker: WorkerKey,
@@ -23,26 +23,25 @@
     free_milli: u32,
 }
 
-/// The workers of one service that may take a run.
+/// All workers of one service that can accept runs.
 #[derive(Debug)]
 struct Pool {
     service: Arc<str>,
-    /// The processors that are free and not yet asked for, in thousandths of a
-    /// core.
+    /// Processors that are free and not yet reserved in this cycle, in thousandths of a core.
     unreserved_milli: i64,
-    /// The most that any of them holds.
+    /// The element-wise maximum of the workers' capacities.
     largest: Resources,
-    /// Whether they hold accelerators, or not all of them the same.
+    /// Whether workers differ in capacity or have accelerators.
     is_uneven: bool,
     capacity: Room,
     free: Room,
     used: Room,
-    /// How tasks are packed, where that is more than by processors.
+    /// Packing data, or `None` if processors alone decide.
     packing: Option<Packing>,
 }
 
 impl Pool {
-    /// Adds a worker that may take a run.
+    /// Adds a worker that can accept runs.
     fn add_worker(&mut self, worker: &Worker) {
         let (capacity, free) = (&worker.facts.capacity, &worker.free());
         let is_first = self.largest.is_zero();
@@ -54,16 +53,16 @@
         self.used.add(&worker.used, 1);
     }
 
-    /// Returns whether half of the processors and half of the accelerators are used: below
-    /// that, whatever has room is started at once.
+    /// Returns whether at least half of the processors and half of the accelerators are in use.
+    /// Below that, work that fits is started at once.
     fn is_half_used(&self) -> bool {
         let [free_milli, _, free_accelerators] = self.free.parts();
         let [milli, _, accelerators] = self.capacity.parts();
         free_milli * 2 <= milli && free_accelerators * 2 <= accelerators
     }
 
-    /// Returns how tasks are packed; `None` where all workers are alike and hold no
-    /// accelerators, or nothing is known of what comes.
+    /// Returns data for packing tasks. Returns `None` if all workers have the same capacity and no
+    /// accelerators, or if no task shapes are known.
     fn new_packing(&self, shapes: &[Shape]) -> Option<Packing> {
         if !self.is_uneven || shapes.is_empty() {
             return None;
@@ -73,64 +72,62 @@
     }
 }
 
-/// The room of one service, as it was when a cycle began.
+/// Capacity and usage of one service at the start of a cycle.
 pub(crate) struct ServiceUsage<'a> {
     pub(crate) service: &'a Arc<str>,
-    /// What its workers hold.
+    /// The total capacity of its workers.
     pub(crate) capacity: Amounts,
     used: Amounts,
 }
 
 impl ServiceUsage<'_> {
-    /// Returns the part of the room that is taken, by the scarcest resource.
+    /// Returns the used share of the capacity, of the resource with the highest share.
     pub(crate) fn used_share(&self) -> f64 {
         self.used.share_of(self.capacity)
     }
 }
 
-/// The state of one scheduling cycle, in which every waiting step is looked at.
+/// The state of one scheduling cycle, which examines the waiting steps.
 #[derive(Debug, Default)]
 pub(crate) struct SchedulingCycle {
-    /// The workers of each service, taken together. There are few services, so
-    /// the list is searched.
+    /// Workers grouped by service. There are few services, so lookups scan the list.
     pools: Vec<Pool>,
-    /// The workers that may take a run, those with most room first, as they
-    /// were when the cycle began.
+    /// Workers that can accept runs, sorted by descending free processors at the start of the
+    /// cycle.
     by_free_cores: Vec<FreeWorker>,
-    /// Room that is kept on workers for steps that wait for it: steps that come
-    /// later in the cycle are less urgent and don't take it.
+    /// Capacity reserved on workers for waiting steps. Steps examined later in the cycle are less
+    /// urgent and may not use it.
     reserved: BTreeMap<WorkerKey, Resources>,
-    /// Room that is kept for the largest tasks that come to a service.
+    /// Capacity left free for the largest tasks of a service.
     headroom: BTreeMap<WorkerKey, Resources>,
-    /// What of customers' limits steps wait to start that were looked at before.
+    /// Parts of customers' limits claimed by waiting steps that were examined earlier.
     claimed_limits: BTreeMap<CustomerKey, Resources>,
-    /// The customers whose reservation of their limit holds back what is looked at from
-    /// here on.
+    /// Customers whose limit reservation applies to the steps examined from here on.
     enforced_reservations: BTreeSet<CustomerKey>,
-    /// The steps of single tasks that wait for workers so far.
+    /// Steps of single tasks that wait for workers, counted so far.
     pub(crate) waiting_steps_count: usize,
-    /// What all workers that may take a run hold, and what of it is free, in
-    /// thousandths of a core.
+    /// Total and free processors of all workers that can accept runs, in thousandths of a core.
     pub(crate) capacity_milli: u64,
     pub(crate) free_milli: u64,
-    /// The gangs that wait for room so far.
+    /// Gangs that wait for capacity, counted so far.
     pub(crate) waiting_gangs_count: usize,
-    /// The steps that were looked at so far.
+    /// Steps examined so far.
     pub(crate) examined_count: usize,
 }
 
 impl SchedulingCycle {
-    /// Returns the workers that may take a run, those with most room first.
+    /// Returns the workers that can accept runs, most free processors first.
     pub(crate) fn workers(&self) -> impl Iterator<Item = WorkerKey> + '_ {
         self.by_free_cores.iter().map(|free| free.worker)
     }
 
-    /// Returns those of them that had room for a demand: a cycle only takes room.
+    /// Returns the workers that had enough free processors for a demand when the cycle began. Free
+    /// capacity only shrinks during a cycle.
     pub(crate) fn workers_for(&self, demand: &Resources) -> impl Iterator<Item = WorkerKey> + '_ {
         self.freest_for(demand, 0)
     }
 
-    /// Returns the same without so many of the fullest.
+    /// Returns the same workers without the `skipped_count` fullest ones.
     pub(crate) fn freest_for(
         &self,
         demand: &Resources,
@@ -141,7 +138,7 @@
         workers[..remaining_count].iter().map(|free| free.worker)
     }
 
-    /// Returns the workers that had room for a demand, the fullest first.
+    /// Returns the workers that had enough free processors for a demand, fullest first.
     pub(crate) fn fullest_for(&self, demand: &Resources) -> impl Iterator<Item = WorkerKey> + '_ {
         let workers = self.workers_with_cores(demand).iter().rev();
         workers.map(|free| free.worker)
@@ -155,89 +152,89 @@
         &self.by_free_cores[..workers_count]
     }
 
-    /// Takes a part of a customer's limit for a step that waits to start.
+    /// Claims a part of a customer's limit for a waiting step.
     pub(crate) fn claim_limit(&mut self, customer: CustomerKey, amount: Resources) {
         *self.claimed_limits.entry(customer).or_default() += amount;
     }
 
-    /// Returns what of a customer's limit steps wait to start.
+    /// Returns the part of a customer's limit claimed by waiting steps.
     pub(crate) fn claimed_limit(&self, customer: CustomerKey) -> Resources {
         let claimed = self.claimed_limits.get(&customer);
         claimed.copied().unwrap_or_default()
     }
 
-    /// Brings a customer's reservation into force for the rest of the cycle.
+    /// Applies a customer's limit reservation to the rest of the cycle.
     pub(crate) fn enforce_reservation(&mut self, customer: CustomerKey) {
         self.enforced_reservations.insert(customer);
     }
 
-    /// Returns whether a customer's reservation is in force.
+    /// Returns whether a customer's limit reservation applies.
     pub(crate) fn is_reservation_enforced(&self, customer: CustomerKey) -> bool {
         self.enforced_reservations.contains(&customer)
     }
 
-    /// Keeps room on a worker for a step that waits for it.
-    pub(crate) fn reserve_on(&mut self, worker: WorkerKey, room: Resources) {
-        *self.reserved.entry(worker).or_default() += room;
+    /// Reserves capacity on a worker for a waiting step.
+    pub(crate) fn reserve_on(&mut self, worker: WorkerKey, amount: Resources) {
+        *self.reserved.entry(worker).or_default() += amount;
     }
 
-    /// Returns the room that is kept on a worker.
+    /// Returns the capacity reserved on a worker in this cycle.
     pub(crate) fn reserved_on(&self, worker: WorkerKey) -> Resources {
         self.reserved.get(&worker).copied().unwrap_or_default()
     }
 
-    /// Returns the room that is kept on a worker for the largest tasks of its service, which
-    /// smaller ones leave that can wait.
+    /// Returns the headroom on a worker for the largest tasks of its service. Smaller deferrable
+    /// tasks may not use it.
     pub(crate) fn headroom_on(&self, worker: WorkerKey) -> Resources {
         self.headroom.get(&worker).copied().unwrap_or_default()
     }
 
-    /// Returns whether room is kept on a worker.
+    /// Returns whether any capacity is reserved on a worker in this cycle.
     pub(crate) fn has_reservation_on(&self, worker: WorkerKey) -> bool {
         self.reserved.contains_key(&worker)
     }
 
-    /// Returns on how many workers room is kept.
+    /// Returns the number of workers with reserved capacity.
     pub(crate) fn reserved_workers_count(&self) -> usize {
         self.reserved.len()
     }
 
-    /// Returns the most that any worker of a service holds.
+    /// Returns the element-wise maximum of the capacities of a service's workers.
     pub(crate) fn largest_capacity(&self, service: &Arc<str>) -> Resources {
         let pool = self.pool(service);
         pool.map_or(Resources::ZERO, |pool| pool.largest)
     }
 
-    /// Returns how tasks of a service are packed, where that is more than by processors.
+    /// Returns packing data of a service, or `None` if processors alone decide.
     pub(crate) fn packing(&self, service: &Arc<str>) -> Option<&Packing> {
         self.pool(service).and_then(|pool| pool.packing.as_ref())
     }
 
-    /// Returns whether room may be kept for the largest tasks of a service: it is packed, and
-    /// half used.
+    /// Returns whether capacity may be reserved for large tasks of a service: packing is in use,
+    /// and at least half of the service's capacity is.
     pub(crate) fn may_reserve_for_large_tasks(&self, service: &Arc<str>) -> bool {
         let pool = self.pool(service);
         pool.is_some_and(|pool| pool.packing.is_some() && pool.is_half_used())
     }
 
-    /// Returns the processors of a service's workers that are free and not yet
-    /// asked for, in thousandths of a core.
+    /// Returns a service's processors that are free and not yet reserved in this cycle, in
+    /// thousandths of a core.
     pub(crate) fn unreserved_milli(&self, service: &Arc<str>) -> i64 {
         self.pool(service).map_or(0, |pool| pool.unreserved_milli)
     }
 
-    /// Returns what a service's workers hold together.
+    /// Returns the total capacity of a service's workers.
     pub(crate) fn total_capacity(&self, service: &Arc<str>) -> Room {
         self.pool(service)
             .map_or(Room::default(), |pool| pool.capacity)
     }
 
-    /// Returns what of it was free when the cycle began.
+    /// Returns how much of it was free when the cycle began.
     pub(crate) fn total_free(&self, service: &Arc<str>) -> Room {
         self.pool(service).map_or(Room::default(), |pool| pool.free)
     }
 
-    /// Takes processors off what is free and not yet asked for.
+    /// Subtracts processors from those that are free and not yet reserved.
     pub(crate) fn subtract_unreserved(&mut self, service: &Arc<str>, reserved_milli: i64) {
         let mut pools = self.pools.iter_mut();
         if let Some(pool) = pools.find(|pool| pool.service == *service) {
@@ -245,7 +242,7 @@
         }
     }
 
-    /// Returns the rooms of all services, as they were when the cycle began.
+    /// Returns the capacity and usage of all services at the start of the cycle.
     pub(crate) fn service_usage(&self) -> impl Iterator<Item = ServiceUsage<'_>> {
         self.pools.iter().map(|pool| ServiceUsage {
             service: &pool.service,
@@ -276,30 +273,30 @@
         &mut self.pools[index]
     }
 
-    /// Keeps room on a worker for the largest tasks that come.
-    pub(crate) fn set_headroom(&mut self, worker: WorkerKey, room: Resources) {
-        self.headroom.insert(worker, room);
+    /// Sets the headroom on a worker for the largest tasks of its service.
+    pub(crate) fn set_headroom(&mut self, worker: WorkerKey, amount: Resources) {
+        self.headroom.insert(worker, amount);
     }
 
-    /// Returns what each service that is half used should keep for its largest tasks.
+    /// Returns the headroom needed for each service that is at least half used.
     pub(crate) fn wanted_headroom(&self) -> Vec<(Arc<str>, Headroom)> {
         let wanted = self.pools.iter().filter_map(|pool| {
             let largest = pool.packing.as_ref()?.largest()?;
             let capacity_count = pool.capacity.fit_count(&largest.demand);
-            let service_usage = Headroom::new(largest.demand, largest.per_s, capacity_count)?;
+            let headroom = Headroom::new(largest.demand, largest.per_s, capacity_count)?;
             pool.is_half_used()
-                .then(|| (pool.service.clone(), service_usage))
+                .then(|| (pool.service.clone(), headroom))
         });
         wanted.collect()
     }
 
-    /// Returns how many workers may take a run.
+    /// Returns the number of workers that can accept runs.
     pub(crate) const fn workers_count(&self) -> usize {
         self.by_free_cores.len()
     }
 }
 
-/// What a cycle ended with, for metrics.
+/// Results of a cycle, for metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CycleSummary {
     pub(crate) reserved_workers_count: usize,
@@ -307,7 +304,7 @@
 }
 
 impl Scheduler {
-    /// Begins a cycle.
+    /// Starts a cycle from the current state of the workers.
     pub(crate) fn new_cycle(&self, now: Instant) -> SchedulingCycle {
         let mut cycle = SchedulingCycle::default();
         for (key, worker) in self.workers.iter() {
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -8,7 +8,7 @@
 use crate::jobs::Job;
 use crate::learning::scaled;
 use crate::scheduler::Scheduler;
-use crate::scheduling_order::{critical_path, MIN_LENGTH_PERCENT};
+use crate::scheduling_order::{critical_path, MIN_DURATION_PERCENT};
 use crate::state::RoundState;
 use crate::worker::{Run, RunPhase, WorkerKey};
 use ospreywing_types::{Duration, Instant};
@@ -201,7 +201,7 @@
         // In hundredths, so that parts of estimates are not rounded one by one.
         let sure = |number: usize| {
             let sure = learned[number].map(|length| length.sure.as_ms() * 100);
-            sure.unwrap_or(steps[number].estimate_ms * MIN_LENGTH_PERCENT)
+            sure.unwrap_or(steps[number].estimate_ms * MIN_DURATION_PERCENT)
         };
         RoundLeft {
             left_ms: critical_path(&job.record, Some(round), likely_ms),
--- a/crates/scheduler/src/limits.rs
+++ b/crates/scheduler/src/limits.rs
@@ -1,11 +1,11 @@
-//! Customers' limits, as a scheduling cycle keeps them.
+//! Enforces customers' limits in a scheduling cycle.
 //!
-//! Steps are looked at in the order in which they are served. A limit is used up by what
-//! runs, and by what is reserved for one step of the customer that waits for the limit
-//! itself. A step that waits for room takes nothing of it.
+//! Steps are examined in scheduling order. A limit is used up by running tasks, and by a
+//! reservation for one step of the customer that waits for the limit itself. A step that waits for
+//! worker capacity uses none of it.
 //!
-//! With [`Feature::Backfill`] off, what each step waits for is taken off the limit for the
-//! steps behind it.
+//! Without [`Feature::Backfill`], each waiting step claims its demand from the limit ahead of the
+//! steps examined after it.
 
 use crate::customers::{Charge, CustomerKey};
 use crate::cycle::SchedulingCycle;
@@ -19,17 +19,17 @@
 use crate::wait_reasons::WaitReason;
 use ospreywing_types::Instant;
 
-/// How many runs of a step its customer's limit lets start.
+/// How many tasks of a step may start under its customer's limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Allowance {
-    /// How many the limit itself holds.
+    /// The number that the limit itself allows.
     limit_count: u32,
-    /// How many of them what is reserved for another step leaves.
+    /// The number that may start beside the reservation for another step, at most `limit_count`.
     pub(crate) allowed_count: u32,
 }
 
 impl Scheduler {
-    /// Returns how many runs of a step its customer's limit lets start.
+    /// Returns how many tasks of a step may start under its customer's limit.
     pub(crate) fn allowance(
         &self,
         now: Instant,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Returns why a step is held back by its customer's limit, which lets so many of its
-    /// tasks start; `None` where it is not. Going on would cost a cycle more, for nothing.
+    /// Returns why the customer's limit prevents a step from starting, or `None` if it doesn't.
+    /// Examining such a step further would only lengthen the cycle.
     pub(crate) fn limit_wait_reason(
         &mut self,
         now: Instant,
@@ -71,7 +71,7 @@
             return None;
         }
         if !job.is_waiting_whole(step) {
-            // Members of its last run are still there, and count.
+            // Members of the step's previous run are still alive and use up the limit.
             return Some(WaitReason::PreviousRun);
         }
         let customer = charge.customer?;
@@ -88,7 +88,8 @@
         Some(reason)
     }
 
-    /// Tells that a step is held back: once, and again once something of its job was placed.
+    /// Logs that a step is held back by the limit: once, and again after another task of its job
+    /// was placed.
     fn log_job_held(
         &mut self,
         now: Instant,
@@ -117,7 +118,8 @@
         out.push(Action::Log(line));
     }
 
-    /// Notes what became of a step that the limit let start.
+    /// Updates the customer's reservation or claims after a step was examined that the limit
+    /// allowed to start.
     pub(crate) fn update_limit_reservations(
         &mut self,
         now: Instant,
@@ -135,15 +137,15 @@
         self.on_tasks_placed(now, pending, charge, cycle);
     }
 
-    /// Returns whether what a job's customer has running, recorded starts with it, is within
-    /// its limit.
+    /// Returns whether the customer of a job is within its limit, counting recorded starts as
+    /// running.
     pub(crate) fn is_within_limit(&self, job: JobId) -> bool {
         let customer = self.jobs.get(&job).and_then(|job| job.customer);
         customer.is_none_or(|customer| self.accounts.get(customer).is_within_limit())
     }
 
-    /// Returns whether a step waits for its customer's limit: less of it is left than the
-    /// step needs at once.
+    /// Returns whether a step waits for its customer's limit: less is left than the step needs at
+    /// once.
     pub(crate) fn is_limit_reached(&self, step: StepKey) -> bool {
         let charge = self.charge_of(step);
         let Some(customer) = charge.customer else {
@@ -163,7 +165,7 @@
         reservation.is_some_and(|it| it.step != step && it.due().is_some())
     }
 
-    /// Takes what a step still waits for off its customer's limit for this cycle.
+    /// Claims the demand of a step's unplaced tasks from its customer's limit for this cycle.
     fn claim_limit(
         &self,
         customer: CustomerKey,
@@ -178,11 +180,11 @@
         pending.waiting.len() as u32 - self.placed_count(pending)
     }
 
-    /// Keeps what is left of a customer's limit for a step that does not fit it yet, so
-    /// that the customer's less urgent tasks don't keep it out for ever.
+    /// Reserves or claims the customer's remaining limit for a step that doesn't fit it yet.
+    /// Otherwise the customer's less urgent tasks could keep the step waiting forever.
     ///
-    /// Not while the customer has less than half of its limit in use: its tasks are to
-    /// start then, whatever waits before them.
+    /// Nothing is claimed while the customer uses less than half of its limit, because its tasks
+    /// must then start regardless of other waiting work.
     fn reserve_or_claim_limit(
         &mut self,
         now: Instant,
@@ -203,7 +205,7 @@
     }
 }
 
-/// Returns how many tasks of a step must be let start for any to be placed.
+/// Returns the number of tasks that must be allowed to start before any can be placed.
 pub(crate) const fn min_start_count(spec: &StepSpec) -> u32 {
     if spec.is_gang {
         spec.tasks_count
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -11,7 +11,7 @@
 };
 use crate::placement::counted_demand;
 use crate::scheduler::Scheduler;
-use crate::scheduling_order::WORTH_FACTOR;
+use crate::scheduling_order::WORTHLESS_FACTOR;
 use crate::state::{StepState, TaskStatus};
 use ospreywing_types::{Duration, Instant};
 use std::collections::HashMap;
@@ -338,6 +338,6 @@
         work: need.waiting,
         chain: Duration::from_ms(job.left_ms * LIKELY_PERCENT / 100) + WAYS,
         time_left: left_until(job.accepted_at + job.objective),
-        worth_left: left_until(job.accepted_at + job.objective.times(WORTH_FACTOR)),
+        worth_left: left_until(job.accepted_at + job.objective.times(WORTHLESS_FACTOR)),
     }
 }
--- a/crates/scheduler/src/packing.rs
+++ b/crates/scheduler/src/packing.rs
@@ -62,10 +62,10 @@
     }
 
     /// Returns the worth of the part of a room that is worth most.
-    pub(crate) fn dominant_weight(&self, room: &Resources) -> f64 {
-        let cores = self.per_milli * f64::from(room.cores_milli);
-        let memory = self.per_mib * f64::from(room.memory_mib);
-        let accelerators = self.per_accelerator * f64::from(room.accelerators_count);
+    pub(crate) fn dominant_weight(&self, amount: &Resources) -> f64 {
+        let cores = self.per_milli * f64::from(amount.cores_milli);
+        let memory = self.per_mib * f64::from(amount.memory_mib);
+        let accelerators = self.per_accelerator * f64::from(amount.accelerators_count);
         cores.max(memory).max(accelerators)
     }
 }
@@ -184,9 +184,9 @@
 }
 
 /// Returns how many tasks of a demand fit into a room.
-pub(crate) fn count_fitting(room: &Resources, demand: &Resources) -> u32 {
+pub(crate) fn count_fitting(free: &Resources, demand: &Resources) -> u32 {
     let by = |free: u32, need: u32| free.checked_div(need).unwrap_or(u32::MAX);
-    by(room.cores_milli, demand.cores_milli)
-        .min(by(room.memory_mib, demand.memory_mib))
-        .min(by(room.accelerators_count, demand.accelerators_count))
+    by(free.cores_milli, demand.cores_milli)
+        .min(by(free.memory_mib, demand.memory_mib))
+        .min(by(free.accelerators_count, demand.accelerators_count))
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which waiting task goes to which worker.
+//! Assigns waiting tasks to workers.
 
 use crate::advice_requests::{has_unreserved_capacity, reserve_in_cycle};
 use crate::candidate::{prefer_one_rack, total_fit_count, Candidate};
@@ -16,20 +16,20 @@
 use ospreywing_types::{Duration, Instant, Resources};
 use std::sync::Arc;
 
-/// The most steps that one cycle looks at; the rest has its turn in the next.
+/// Limits how many steps one cycle examines; the next cycle takes the rest.
 const EXAMINED_STEPS_LIMIT_COUNT: usize = 400;
 
-/// A step with this much time to spare leaves room to gangs that wait.
+/// A step with more slack than this leaves free capacity to waiting gangs.
 const YIELD_SLACK: Duration = Duration::from_ms(4000);
-/// Only where less than one of so many parts of the processors is free. The platform asks
-/// that whatever has room twice over is started within 3 s while more than half is free, so
-/// patient work must not wait then. Room that is free in sum need not hold a gang whose
-/// members take a third of a worker: with a third in place of half, wide gangs earned 0.44
-/// of their worth in place of 0.59 on 350 workers of 16 cores (mean of 15 plays of five
+/// Steps yield to gangs only while less than 1/`YIELD_FREE_DIVISOR` of the processors is free. The
+/// platform requires that work which fits twice over starts within 3 s while more than half is
+/// free, so deferrable work must not wait then. Free capacity in total need not fit a gang whose
+/// members each take a third of a worker: with a third instead of half, wide gangs achieved 0.44 of
+/// their value instead of 0.59 on 350 workers with 16 cores (mean of 15 simulated runs of five
 /// loads).
 const YIELD_FREE_DIVISOR: u64 = 2;
 
-/// Returns what a task counts against a worker's room.
+/// Returns the capacity that a task occupies on its worker. Fillers occupy no processors.
 pub(crate) fn counted_demand(spec: &StepSpec) -> Resources {
     let mut demand = spec.demand;
     if spec.is_filler {
@@ -38,14 +38,14 @@
     demand
 }
 
-/// A step with tasks that wait to be placed, as a cycle looks at it.
+/// A step with tasks that wait for placement, as seen by a scheduling cycle.
 pub(crate) struct PendingStep {
     pub(crate) key: StepKey,
     pub(crate) record: Arc<JobRecord>,
     pub(crate) waiting: Vec<u32>,
     pub(crate) demand: Resources,
     pub(crate) advice: Option<AdvicePolicy>,
-    /// The service whose workers run the step now.
+    /// The service on whose workers the step currently runs.
     pub(crate) service: Arc<str>,
 }
 
@@ -56,8 +56,9 @@
 }
 
 impl Scheduler {
-    /// Places what can be placed; returns how many steps were looked at.
-    pub(crate) fn place(&mut self, now: Instant, out: &mut Vec<Action>) -> usize {
+    /// Runs a scheduling cycle: places all tasks that can be placed. Returns the number of steps
+    /// examined.
+    pub(crate) fn run_scheduling_cycle(&mut self, now: Instant, out: &mut Vec<Action>) -> usize {
         self.waits.begin_cycle();
         if self.are_starts_held {
             self.shares.rest(now);
@@ -65,8 +66,8 @@
             self.end_overloads(now, out);
             return 0;
         }
-        // Most cycles find nothing that waits, and going over all workers is what a cycle
-        // costs.
+        // Most cycles find no waiting step, and iterating over all workers is the main cost of a
+        // cycle.
         if !self.has_ready_step() {
             self.shares.rest(now);
             self.last_cycle = CycleSummary::default();
@@ -78,7 +79,7 @@
         self.refresh_shares(now, &cycle, out);
         self.rank_overloaded(now, &cycle, out);
         let order = self.scheduling_order(now);
-        self.place_all(now, order, &mut cycle, out);
+        self.place_steps(now, order, &mut cycle, out);
         self.last_cycle = CycleSummary {
             reserved_workers_count: cycle.reserved_workers_count(),
             waiting_gangs_count: cycle.waiting_gangs_count,
@@ -86,7 +87,7 @@
         cycle.examined_count
     }
 
-    /// Returns whether a step of any job may be started.
+    /// Returns whether any job has a step that is ready to start.
     fn has_ready_step(&mut self) -> bool {
         let mut jobs = self.active.values();
         jobs.any(|id| {
@@ -95,7 +96,7 @@
         })
     }
 
-    fn place_all(
+    fn place_steps(
         &mut self,
         now: Instant,
         order: Vec<JobId>,
@@ -126,7 +127,7 @@
         self.waits.update(now, key, reason);
     }
 
-    /// Serves a step; returns why it waits, where anything of it still does.
+    /// Tries to place a step. Returns why it waits if any of its tasks still do.
     fn examine_step(
         &mut self,
         now: Instant,
@@ -141,7 +142,7 @@
         }
         cycle.examined_count += 1;
         let Some(pending) = self.pending_step(key, allowance.allowed_count) else {
-            // Its other members may be alive.
+            // Other members of the previous run may be alive.
             return Some(WaitReason::PreviousRun);
         };
         if self.yields_to_gangs(now, &pending, cycle) {
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Places what of a step can be placed, and brings the rest nearer to its room; returns
-    /// why that waits.
+    /// Places as many tasks of a step as possible. For the rest, preempts runs, reserves capacity
+    /// or requests advice, and returns why they wait.
     fn place_or_reserve(
         &mut self,
         now: Instant,
@@ -204,7 +205,8 @@
         }
     }
 
-    /// Places a gang whose queue needs advice, or brings it nearer to its room.
+    /// Places a gang whose queue needs advice. If it can't be placed, searches for capacity or
+    /// waits for what it has requested.
     fn place_gang(
         &mut self,
         now: Instant,
@@ -232,7 +234,7 @@
         if self.awaits_probation(now, pending, &ticketed) {
             return Some(WaitReason::Probation);
         }
-        // The answer has come: what was kept has been used, or is given back.
+        // The reply has arrived: the reserved capacity has been used or is released.
         self.release_reservations(pending.key);
         if now >= self.advice[&pending.key].retry_at {
             self.find_capacity_for_gang(now, pending, policy, cycle, out);
@@ -240,8 +242,8 @@
         Some(self.capacity_wait_reason(now, pending))
     }
 
-    /// Places tasks whose queue needs advice where tickets hold, and asks for
-    /// more of them.
+    /// Places tasks whose queue needs advice on workers with valid tickets, and requests advice for
+    /// the rest.
     fn place_tasks(
         &mut self,
         now: Instant,
@@ -284,16 +286,15 @@
         self.allocate(now, pending, candidates, out)
     }
 
-    /// Returns whether a gang that holds its tickets only waits for runs that
-    /// are being stopped for it.
+    /// Returns whether a gang with valid tickets waits only for runs that are being stopped for it.
     fn awaits_stops(&self, now: Instant, pending: &PendingStep, ticketed: &[WorkerKey]) -> bool {
         pending.spec().is_gang
             && self.reservations.contains_key(&pending.key)
             && self.will_fit_after_stops(now, pending, ticketed)
     }
 
-    /// Returns whether a step that holds tickets only waits for a worker on which a suspect
-    /// may be tried: further tickets would not bring one.
+    /// Returns whether a step with valid tickets waits only for a worker on which a suspected task
+    /// may run on probation. Further tickets would not provide one.
     fn awaits_probation(
         &self,
         now: Instant,
@@ -303,8 +304,8 @@
         !ticketed.is_empty() && self.is_kept_for_trial(now, pending.key.job)
     }
 
-    /// Returns whether a step leaves room to gangs that wait for it: a gang needs
-    /// much room at once, which tasks that can wait would take away bit by bit.
+    /// Returns whether a step leaves free capacity to waiting gangs. A gang needs a large amount at
+    /// once, which deferrable tasks would otherwise use up piece by piece.
     fn yields_to_gangs(
         &self,
         now: Instant,
@@ -322,8 +323,8 @@
         needed_until < job.accepted_at + job.objective
     }
 
-    /// Returns what is to be placed of a step, where anything is: as many tasks as its
-    /// customer's limit lets start, or a whole gang.
+    /// Returns the tasks of a step that may be placed: as many as its customer's limit allows, or a
+    /// whole gang. Returns `None` if there are none.
     fn pending_step(&mut self, key: StepKey, allowed_count: u32) -> Option<PendingStep> {
         let job = self.jobs.get(&key.job)?;
         let spec = job.record.spec.steps.get(key.step as usize)?;
@@ -351,8 +352,8 @@
         queue.is_some_and(|queue| queue.advice.is_some())
     }
 
-    /// Places as many waiting tasks as fit, or a whole gang or nothing;
-    /// returns how many.
+    /// Places as many waiting tasks as fit; a gang is placed whole or not at all. Returns the
+    /// number of tasks placed.
     fn allocate(
         &mut self,
         now: Instant,
@@ -383,7 +384,8 @@
                     candidate.subtract_task(&pending.demand);
                     chosen.push((task, candidate.worker));
                 }
-                // A worker that a suspect is kept from may do for the next task.
+                // A worker that isn't allowed for this suspected task may be allowed for the next
+                // one.
                 None if is_kept => {}
                 None => break,
             }
@@ -398,13 +400,13 @@
         }
         if count > 0 {
             self.release_reservations(pending.key);
-            // What broke was an earlier run.
+            // The gang that broke was an earlier run.
             self.broken_gangs.remove(&pending.key);
         }
         count
     }
 
-    /// Returns the run that all members of a gang will share.
+    /// Returns the run number shared by all members of a gang, or `None` for single tasks.
     fn next_run(&self, pending: &PendingStep) -> Option<u32> {
         if !pending.spec().is_gang {
             return None;
@@ -415,7 +417,7 @@
         step.tasks.iter().map(|task| task.last_run + 1).max()
     }
 
-    /// Records a start; it is sent once the record is in the store.
+    /// Records the start of a run. The start is sent once the record is in the store.
     fn record_start(
         &mut self,
         now: Instant,
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -1,12 +1,13 @@
-//! Preemption: room that less urgent work gives up to a gang.
+//! Preemption: stops less urgent runs to free capacity for gangs and large tasks.
 //!
-//! A gang needs much room at once, on the few workers that are good for it.
-//! Tasks of less urgent queues lose little when they are stopped where they save
-//! checkpoints, since one is written at the stop, or have barely begun. So a gang that can still be in time takes their room, while its call for
-//! advice is on the way.
+//! A gang needs much capacity at once, on the few workers that are suitable for it. Tasks of less
+//! urgent queues lose little if they have barely begun, or if they save checkpoints, since one is
+//! written at the stop. A gang that can still be on time therefore takes their capacity while its
+//! advice request is pending.
 //!
-//! Where room that is short is shared, runs that save checkpoints give way whose customer is
-//! furthest over its share, to what a customer well under its own would miss.
+//! Under fair sharing of scarce capacity, runs that save checkpoints may also be stopped if their
+//! customer is the furthest over its share. They are stopped for jobs that would otherwise miss
+//! their objective and whose customer is well under its share.
 
 use crate::candidate::Candidate;
 use crate::cycle::SchedulingCycle;
@@ -20,18 +21,18 @@
 use crate::worker::{Run, RunPhase, Worker, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
 
-/// A job with less time to spare than this keeps its room.
+/// Runs of jobs with less slack than this are not preempted.
 const VICTIM_SLACK: Duration = Duration::from_ms(3000);
-/// A run that is further on than this ends soon by itself.
+/// A run with more progress than this will soon end by itself.
 const VICTIM_PROGRESS_PERCENT: u32 = 70;
-/// A run that saves nothing and is further on than this loses too much.
+/// A run without checkpoints and with more progress than this would lose too much.
 const UNSAVED_PROGRESS_PERCENT: u32 = 25;
 
-/// A task that was started this often is not stopped again, so that none is
-/// stopped for ever.
+/// A task that has been started this often is not preempted again, so that every task eventually
+/// ends.
 const VICTIM_RUNS_COUNT: u32 = 3;
 
-/// A run that may be stopped for a gang.
+/// A run that may be preempted.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
     task: TaskKey,
@@ -39,41 +40,41 @@
     progress_percent: u32,
 }
 
-/// A worker on which a gang may make room.
-struct Target {
+/// A worker on which capacity may be freed.
+struct PreemptionTarget {
     candidate: Candidate,
-    /// Runs that may be stopped, the one that loses most last.
+    /// Runs that may be preempted, least progress first.
     victims: Vec<Victim>,
-    /// How many of the victims are to be stopped.
+    /// How many of the victims are to be stopped, from the front.
     stopped_count: usize,
-    /// The members that fit once they have been.
+    /// The members that fit once those have stopped.
     members_count: u32,
 }
 
-/// What stopping further runs on one worker would bring.
+/// The gain from stopping further runs on one worker.
 struct Gain {
     target: usize,
     stopped_count: usize,
     members_count: u32,
-    /// The processors of the runs to be stopped, for each member gained.
+    /// The processors of the further runs to be stopped, per member gained.
     cost_milli: u32,
 }
 
-/// How a gang gets its room.
+/// A plan that frees capacity for a gang.
 pub(crate) struct PreemptionPlan {
-    /// The room to be kept for it.
+    /// The capacity to reserve for it.
     pub(crate) reservations: Vec<Reservation>,
-    /// The tasks to be stopped.
+    /// The tasks to stop.
     pub(crate) victims: Vec<TaskKey>,
 }
 
-impl Target {
+impl PreemptionTarget {
     fn free_after(&self, stopped_count: usize) -> Resources {
-        let mut room = self.candidate.free;
+        let mut free = self.candidate.free;
         for victim in &self.victims[..stopped_count] {
-            room += victim.demand;
+            free += victim.demand;
         }
-        room
+        free
     }
 
     fn fit_count_after(&self, stopped_count: usize, demand: &Resources) -> u32 {
@@ -82,12 +83,12 @@
         candidate.fit_count(demand)
     }
 
-    /// Returns how many members fit once all that may be stopped has ended.
+    /// Returns how many members fit if all victims are stopped.
     fn max_members_count(&self, demand: &Resources) -> u32 {
         self.fit_count_after(self.victims.len(), demand)
     }
 
-    /// Returns the fewest further stops that let another member fit.
+    /// Returns the gain from the fewest further stops that let another member fit.
     fn next_gain(&self, target: usize, demand: &Resources) -> Option<Gain> {
         let mut cost_milli = 0;
         for stopped_count in self.stopped_count + 1..=self.victims.len() {
@@ -107,8 +108,8 @@
 }
 
 impl Scheduler {
-    /// Plans room for a whole gang on the workers known to be good for it,
-    /// stopping as little as possible; `None` where that can't be had.
+    /// Plans capacity for a whole gang on its suitable workers with as few stops as possible.
+    /// Returns `None` if the gang can't be on time or can't fit.
     pub(crate) fn plan_preemption(
         &self,
         now: Instant,
@@ -128,8 +129,8 @@
         Some(build_plan(targets, &pending.demand, needed_count))
     }
 
-    /// Stops less urgent runs so that as many of so many tasks as can be have
-    /// room on the workers known to be good for them.
+    /// Stops less urgent runs so that as many of `missing_count` tasks as possible fit on the
+    /// workers known to be suitable for them.
     pub(crate) fn preempt_for_tasks(
         &mut self,
         now: Instant,
@@ -158,14 +159,14 @@
         self.preempt(now, plan.victims, out);
     }
 
-    /// Returns the good workers with what may be stopped on each.
+    /// Returns the given workers that can accept runs, with the runs that may be preempted on each.
     fn targets(
         &self,
         now: Instant,
         pending: &PendingStep,
         cycle: &SchedulingCycle,
         suitable: &[WorkerKey],
-    ) -> Vec<Target> {
+    ) -> Vec<PreemptionTarget> {
         let mut targets = Vec::new();
         for &key in suitable {
             let worker = &self.workers[key];
@@ -176,7 +177,7 @@
                 continue;
             };
             let members_count = candidate.fit_count(&pending.demand);
-            targets.push(Target {
+            targets.push(PreemptionTarget {
                 candidate,
                 victims: self.victims_on(now, pending, worker),
                 stopped_count: 0,
@@ -201,8 +202,8 @@
         victims
     }
 
-    /// Returns whether a run may be stopped for the step: it is less urgent,
-    /// loses little, and its job has time to spare.
+    /// Returns whether a run may be preempted for the step: it loses little, and it is less urgent
+    /// and has slack, or its customer is over its share.
     fn is_victim(&self, now: Instant, pending: &PendingStep, task: TaskKey, run: &Run) -> bool {
         if !matches!(run.phase, RunPhase::Running { .. }) {
             return false;
@@ -234,14 +235,14 @@
             && (can_wait || spec.saves_progress && self.yields_share(now, job, for_job))
     }
 
-    /// Returns whether a job's customer is over its share at the expense of another's job.
+    /// Returns whether a job's customer is over its share at the expense of the job `for_job`.
     fn yields_share(&self, now: Instant, job: &Job, for_job: &Job) -> bool {
         let giver = self.giver_for(now, for_job);
         job.service == for_job.service && giver == Some(job.customer)
     }
 
-    /// Stops runs of the customer that is furthest over its share, as few as make room for
-    /// so many tasks of a step that would otherwise miss its objective.
+    /// Stops as few runs as possible of the customer that is furthest over its share, to fit
+    /// `missing_count` tasks of a step that would otherwise miss its objective.
     pub(crate) fn preempt_for_share(
         &mut self,
         now: Instant,
@@ -269,7 +270,7 @@
             workers.iter().filter(runs_any).copied().collect();
         let mut targets = self.targets(now, pending, cycle, &preemptable_workers);
         for target in &mut targets {
-            // What is being stopped already is as good as free.
+            // Runs that are already being stopped count as free.
             let worker = &self.workers[target.candidate.worker];
             target.candidate.free = worker.room_without_stopping() - worker.reserved(pending.key);
             target.members_count = target.candidate.fit_count(&pending.demand);
@@ -288,15 +289,14 @@
         }
     }
 
-    /// Stops the runs that a gang's room is taken from.
+    /// Stops the chosen runs.
     pub(crate) fn preempt(&mut self, now: Instant, victims: Vec<TaskKey>, out: &mut Vec<Action>) {
         for task in victims {
             self.stop_task(now, task, "preempted", out);
         }
     }
 
-    /// Returns whether a gang fits on workers once the runs that are being
-    /// stopped there have ended.
+    /// Returns whether a gang fits on the workers once the runs being stopped there have ended.
     pub(crate) fn will_fit_after_stops(
         &self,
         now: Instant,
@@ -319,8 +319,8 @@
     }
 }
 
-/// Marks the cheapest stops until so many members fit; returns whether they do.
-fn choose_victims(targets: &mut [Target], demand: &Resources, needed_count: u32) -> bool {
+/// Chooses the cheapest victims until `needed_count` members fit. Returns whether they do.
+fn choose_victims(targets: &mut [PreemptionTarget], demand: &Resources, needed_count: u32) -> bool {
     let mut members_count: u32 = targets.iter().map(|target| target.members_count).sum();
     while members_count < needed_count {
         let gains = targets
@@ -338,14 +338,18 @@
     true
 }
 
-fn build_plan(targets: Vec<Target>, demand: &Resources, needed_count: u32) -> PreemptionPlan {
+fn build_plan(
+    targets: Vec<PreemptionTarget>,
+    demand: &Resources,
+    needed_count: u32,
+) -> PreemptionPlan {
     let mut plan = PreemptionPlan {
         reservations: Vec::new(),
         victims: Vec::new(),
     };
     let mut remaining_count = needed_count;
-    // What was paid for comes first, so that nothing is stopped for nothing.
-    let (with_victims, free): (Vec<Target>, Vec<Target>) = targets
+    // Workers with victims come first, so that no run is stopped needlessly.
+    let (with_victims, free): (Vec<PreemptionTarget>, Vec<PreemptionTarget>) = targets
         .into_iter()
         .partition(|target| target.stopped_count > 0);
     for target in with_victims.into_iter().chain(free) {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -273,7 +273,7 @@
     pub fn settle(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.is_place_due && now >= self.next_place_at {
             self.is_place_due = false;
-            let examined_count = self.place(now, out);
+            let examined_count = self.run_scheduling_cycle(now, out);
             let pace = self.config.place_pace;
             let rest_ms = examined_count as u64 / self.config.place_steps_per_ms;
             self.next_place_at = now + pace.max(Duration::from_ms(rest_ms));
--- a/crates/scheduler/src/scheduling_order.rs
+++ b/crates/scheduler/src/scheduling_order.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting jobs are served.
+//! The order in which waiting jobs are scheduled.
 
 use crate::config::Queue;
 use crate::features::Feature;
@@ -11,73 +11,73 @@
 use crate::state::{RoundState, StepState};
 use ospreywing_types::{Duration, Instant};
 
-/// How many times its objective a job may take and still be worth something.
-pub(crate) const WORTH_FACTOR: u64 = 3;
-/// The part of an estimate that is surely needed, in percent: estimates are
-/// rough, and a job must not be given up that could still make it.
-pub(crate) const MIN_LENGTH_PERCENT: u64 = 60;
-/// The objective's factor where the queue is no longer configured.
+/// A job that takes longer than this many times its objective is worthless.
+pub(crate) const WORTHLESS_FACTOR: u64 = 3;
+/// The percentage of its estimate that a step is assumed to take at least. Estimates are rough, and
+/// a job must not be treated as late while it could still be on time.
+pub(crate) const MIN_DURATION_PERCENT: u64 = 60;
+/// The objective's stretch factor for queues that are no longer configured.
 const DEFAULT_STRETCH: f64 = 3.0;
-/// The objective's rest where the queue is no longer configured.
+/// The objective's fixed part for queues that are no longer configured, in milliseconds.
 const DEFAULT_OBJECTIVE_MS: u64 = 1000;
 
-/// What can still become of a waiting job.
+/// The best possible outcome for a waiting job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Prospect {
-    /// It can be done within its objective.
+    /// The job can end within its objective.
     InTime,
-    /// It can be done late.
+    /// The job can end late, but before it is worthless.
     Late,
-    /// It will be too late to be worth much; it is done all the same.
+    /// The job will end too late to be of much value. It still runs.
     Overdue,
 }
 
-/// A job that can be in time is patient while it has more time to spare than this:
-/// the time at which work begins to leave room to gangs, and a few times what a
-/// step usually waits for room.
+/// A job that can be on time is deferrable while its slack exceeds this. It equals the slack at
+/// which work starts to yield to gangs, and is a few times the usual wait of a step for capacity.
 pub(crate) const DEFERRABLE_SLACK: Duration = Duration::from_ms(4000);
 
-/// A job's place in the order of service; the smallest is served first.
+/// A job's position in the scheduling order; the smallest is scheduled first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SchedulingRank {
-    /// Work beyond its customer's rate or share comes after all else.
+    /// Jobs over their customer's rate or share come after all others.
     share: ShareRank,
     urgency: Urgency,
-    /// The priority of its queue; 0 comes first.
+    /// The priority of the job's queue; 0 is the highest.
     priority: u32,
-    /// How large its largest gang is, where it is pressing; 0 otherwise.
+    /// The size of the job's largest gang if the job is urgent; 0 otherwise.
     gang_size_log2: u32,
-    /// How much it needs, where its service is overloaded and it is not to be in time.
+    /// The job's demand if its service is overloaded and it is scheduled last; 0 otherwise.
     size_us: u64,
-    /// When it must start at the latest.
+    /// The latest start for the job to meet its objective, or to be worth something if it will be
+    /// late.
     start_deadline: Instant,
-    /// Its number in the order of acceptance.
+    /// The job's number in order of acceptance.
     number: u64,
     job: JobId,
 }
 
-/// How soon a job must be served.
+/// How soon a job must be scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It has waited for longer than any job of an overloaded service should.
+    /// The job has waited longer than any job of an overloaded service should.
     Aged,
-    /// It will soon be too late to be in time.
+    /// The job will miss its objective unless it starts soon.
     Urgent,
-    /// It has time to spare, or can only be late.
+    /// The job has slack, or will be late in any case.
     Deferrable,
-    /// Its service is overloaded, and it is to be late.
+    /// The service is overloaded, and the job is selected to be late.
     Late,
-    /// Its service is overloaded, and it is in time also where it comes after late work.
+    /// The service is overloaded, and the job will be on time even after late jobs.
     CanWait,
-    /// Its service is overloaded, and it is to be later than it is worth anything.
+    /// The service is overloaded, and the job is selected to end after it is worthless.
     Last,
-    /// It is worth little whenever it is done.
+    /// The job has little value whenever it ends.
     Overdue,
 }
 
 impl SchedulingRank {
-    /// Changes the place to that of a job whose service is overloaded.
-    fn apply_overload(&mut self, overloaded: &OverloadRank, worth_start_deadline: Instant) {
+    /// Changes the rank of a job whose service is overloaded.
+    fn apply_overload(&mut self, overloaded: &OverloadRank, last_worthwhile_start: Instant) {
         let urgency = match overloaded.selection {
             _ if overloaded.is_aged => Urgency::Aged,
             _ if self.urgency == Urgency::Overdue => return,
@@ -90,7 +90,7 @@
         self.urgency = urgency;
         self.gang_size_log2 = 0;
         match urgency {
-            Urgency::Late => self.start_deadline = worth_start_deadline,
+            Urgency::Late => self.start_deadline = last_worthwhile_start,
             Urgency::Last => self.size_us = overloaded.size_us,
             _ => {}
         }
@@ -98,8 +98,8 @@
 }
 
 impl Scheduler {
-    /// Returns the jobs with work left in the order in which they are served: by
-    /// urgency, then by priority, then by the latest start at which each is in time.
+    /// Returns the jobs with remaining work in scheduling order: by urgency, then by priority, then
+    /// by the latest start that meets the objective.
     pub(crate) fn scheduling_order(&self, now: Instant) -> Vec<JobId> {
         let has_order = self.config.features.has(Feature::OverloadOrder);
         let overloaded = has_order.then(|| self.overloads.ranks());
@@ -112,7 +112,7 @@
         order.into_iter().map(|rank| rank.job).collect()
     }
 
-    /// Has work beyond its customer's share of room that is short come later.
+    /// Moves work over its customer's share of scarce capacity back.
     fn rank_by_shares(&self, order: &mut [SchedulingRank]) {
         if !self.is_room_short() {
             return;
@@ -121,7 +121,7 @@
         for (rank, share) in order.iter_mut().zip(self.share_ranks(&ids)) {
             rank.share = share;
         }
-        // Each customer's own work stays in its order.
+        // The sort is stable, so each customer's own jobs keep their order.
         order.sort_by_key(|rank| rank.share);
     }
 
@@ -149,18 +149,18 @@
             job: id,
         };
         if let Some(overloaded) = overloaded {
-            rank.apply_overload(overloaded, worth_start_deadline(job));
+            rank.apply_overload(overloaded, last_worthwhile_start(job));
         }
         Some(rank)
     }
 
-    /// Returns whether a job has time to spare, or can only be late.
+    /// Returns whether a job has slack or will be late in any case.
     pub(crate) fn is_deferrable(&self, now: Instant, id: JobId) -> bool {
         let job = self.jobs.get(&id);
         job.is_some_and(|job| self.urgency(now, job).0 != Urgency::Urgent)
     }
 
-    /// Returns how soon a job must be served, and by when.
+    /// Returns a job's urgency and the latest instant at which it should start.
     fn urgency(&self, now: Instant, job: &Job) -> (Urgency, Instant) {
         let left = Duration::from_ms(job.left_ms);
         let start_deadline = (job.accepted_at + job.objective) - left;
@@ -169,7 +169,7 @@
                 (Urgency::Urgent, start_deadline)
             }
             Prospect::InTime => (Urgency::Deferrable, start_deadline),
-            Prospect::Late => (Urgency::Deferrable, worth_start_deadline(job)),
+            Prospect::Late => (Urgency::Deferrable, last_worthwhile_start(job)),
             Prospect::Overdue => (Urgency::Overdue, start_deadline),
         }
     }
@@ -183,20 +183,19 @@
         let ends_at = now + sure;
         if ends_at <= job.accepted_at + objective {
             Prospect::InTime
-        } else if ends_at <= job.accepted_at + objective.times(WORTH_FACTOR) {
+        } else if ends_at <= job.accepted_at + objective.times(WORTHLESS_FACTOR) {
             Prospect::Late
         } else {
             Prospect::Overdue
         }
     }
 
-    /// Returns the time within which a job should be done, by its estimates.
+    /// Returns a job's objective, the time within which it should end, from its estimates.
     pub(crate) fn estimated_objective(&self, record: &JobRecord) -> Duration {
         objective_of(record, self.configuration.queue(&record.queue))
     }
 
-    /// Returns the time within which a job should be done, by the length of each step in
-    /// milliseconds.
+    /// Returns a job's objective, given the duration of each step in milliseconds.
     pub(crate) fn objective(
         &self,
         record: &JobRecord,
@@ -206,7 +205,7 @@
     }
 }
 
-/// Returns the time within which a job of a queue should be done, by its estimates.
+/// Returns the objective of a job in a queue, from its estimates.
 pub(crate) fn objective_of(record: &JobRecord, queue: Option<&Queue>) -> Duration {
     objective_by(record, queue, |number| {
         record.spec.steps[number].estimate_ms
@@ -224,20 +223,20 @@
     Duration::from_ms((critical_path * stretch) as u64 + rest_ms)
 }
 
-/// Returns when a job must start at the latest to be worth something.
-fn worth_start_deadline(job: &Job) -> Instant {
-    let worth_until = job.accepted_at + job.objective.times(WORTH_FACTOR);
+/// Returns the latest start after which a job is worthless.
+fn last_worthwhile_start(job: &Job) -> Instant {
+    let worth_until = job.accepted_at + job.objective.times(WORTHLESS_FACTOR);
     worth_until - Duration::from_ms(job.left_ms)
 }
 
-/// Returns how large a job's largest gang is, in powers of two of a thousandth of a core; 0
-/// without any, since single tasks find room one by one.
+/// Returns the binary logarithm of the processors that a job's largest gang needs, in thousandths
+/// of a core. Returns 0 for jobs without gangs, since single tasks are placed one by one.
 ///
-/// Of gangs that are equally urgent the smaller goes first, and of about as large ones the
-/// one that must start earlier: where not all can be in time, one that needs much room at
-/// once would hold up several that need little. Gangs earned 0.70 of their worth that way
-/// in place of 0.68 (means of ten plays of five loads). What can only be late goes by time
-/// alone, so that the largest are not passed over for ever.
+/// Of equally urgent gangs the smaller goes first; of gangs of similar size, the one that must
+/// start earlier. If not all can be on time, a gang that needs much capacity at once would delay
+/// several that need little. With this rule, gangs achieved 0.70 of their value instead of 0.68
+/// (mean of ten simulated runs of five loads). Gangs that will be late are ordered by time alone,
+/// so that the largest are not passed over forever.
 fn gang_size_log2(record: &JobRecord) -> u32 {
     let gangs = record.spec.steps.iter().filter(|step| step.is_gang);
     let sizes = gangs.map(|step| step.demand.times(step.tasks_count).cores_milli);
@@ -245,8 +244,8 @@
     largest.checked_ilog2().unwrap_or(0)
 }
 
-/// Returns the length of a job's longest chain of steps that are not done, by the length of
-/// each step.
+/// Returns the length of the critical path of a job's unfinished steps, given the length of each
+/// step.
 pub(crate) fn critical_path(
     record: &JobRecord,
     round: Option<&RoundState>,
--- a/crates/scheduler/src/speed_preference.rs
+++ b/crates/scheduler/src/speed_preference.rs
@@ -1,5 +1,5 @@
-//! Which workers a step wants where their speeds differ: one that must soon be served the
-//! fast ones, patient work the slow ones, so that the fast ones are left to who needs them.
+//! Which workers a step prefers if their speeds differ. Urgent steps prefer fast workers;
+//! deferrable steps prefer slow ones and leave the fast ones to urgent steps.
 
 use crate::learning::{scaled, ServiceSpeeds, SpeedClass, WorkerSpeed};
 use crate::placement::PendingStep;
@@ -8,13 +8,13 @@
 use crate::worker::Run;
 use ospreywing_types::{Duration, Instant};
 
-/// A run that ends within this by its own pace is not stopped for another: a stop takes
-/// nearly as long, and the work is not lost.
+/// A run that is expected to end within this time is not preempted: stopping it takes nearly as
+/// long, and its work would be lost.
 const NEARLY_DONE: Duration = Duration::from_ms(500);
-/// Workers that are slow of late come behind those of all classes.
+/// The rank of workers that have been slow recently; they come after all speed classes.
 const EJECTED_RANK: u8 = 3;
 
-/// Which workers a step wants first.
+/// The speed class that a step prefers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SpeedPreference {
     Any,
@@ -23,7 +23,7 @@
 }
 
 impl SpeedPreference {
-    /// Returns a worker's rank; the smallest comes first.
+    /// Returns a worker's rank; smaller ranks are preferred.
     pub(crate) const fn rank(self, speed: &WorkerSpeed) -> u8 {
         if speed.is_ejected {
             return EJECTED_RANK;
@@ -38,7 +38,7 @@
 }
 
 impl Scheduler {
-    /// Returns which workers a step wants first.
+    /// Returns the speed class that a step prefers.
     pub(crate) fn speed_preference(&self, now: Instant, pending: &PendingStep) -> SpeedPreference {
         let speeds = self.learning.services.get(&pending.service);
         let job = self.jobs.get(&pending.key.job);
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Returns whether a run ends soon by its own pace.
+    /// Returns whether a run is expected to end soon, judged by its progress so far.
     pub(crate) fn is_nearly_done(&self, run: &Run) -> bool {
         let left = run.left_by_steady_pace().filter(|_| self.is_learning());
         left.is_some_and(|left| left <= NEARLY_DONE)
     }
 }
 
-/// Returns how long what is left takes on the slow workers.
+/// Returns the remaining time of a task on slow workers.
 fn remaining_on_slow(left: Duration, speeds: &ServiceSpeeds) -> Duration {
     scaled(left, 1.0 / speeds.slow)
 }
--- a/crates/scheduler/src/wait_reasons.rs
+++ b/crates/scheduler/src/wait_reasons.rs
@@ -1,7 +1,7 @@
-//! Why steps wait, as the last scheduling cycle that looked at them found.
+//! Reasons why steps wait, as found by the last scheduling cycle that examined them.
 //!
-//! A step that waits for something that nothing ends would wait for ever, so each reason
-//! names what ends it, and the verifier refuses one whose end can't come.
+//! A step must not wait for an event that can't occur. Each reason therefore names the event that
+//! ends the wait, and the verifier rejects reasons whose event is impossible.
 
 use crate::advice::StepAdvice;
 use crate::decision::{Decision, DecisionKind};
@@ -11,48 +11,48 @@
 use ospreywing_types::{Duration, Instant};
 use std::collections::BTreeMap;
 
-/// How long a step waits before that is told, and how often it is told again.
+/// How long a step waits before its wait is logged, and the interval between further log lines.
 const LOG_AFTER: Duration = Duration::from_ms(3000);
 const LOG_PERIOD: Duration = Duration::from_ms(10_000);
-/// A step that waits is looked at within this time: a cycle looks at 400 steps, and ten
-/// thousand take 25 cycles of 20 ms or so.
+/// Each waiting step is examined within this time: a cycle examines 400 steps, and 10,000 steps
+/// take 25 cycles of about 20 ms.
 const EXAMINED_PERIOD: Duration = Duration::from_ms(5000);
-/// The steps that are told of at a time, ten times a second, at most: a cell may have ten
-/// thousand that wait.
+/// Limits the steps logged at once, ten times per second: a cell may have 10,000 waiting steps.
 const LOGGED_STEPS_LIMIT_COUNT: usize = 4;
 
 /// Why a step waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// No worker that may run it has room; a run that ends makes some.
+    /// No worker that may run the step has enough free capacity, until a run ends.
     Capacity,
-    /// Its customer has as much running as it may; an end, or the operators, change that.
+    /// The customer's limit is used up, until one of its runs ends or an operator raises the limit.
     Limit,
-    /// A call for advice is open; it is answered, or given up after its time.
+    /// An advice request is pending, until it is answered or times out.
     Advice,
-    /// The last call for advice failed; the next one may be made after a while.
+    /// The last advice request failed, and the retry delay has not passed.
     AdviceRetry,
-    /// All nodes that may ask the adviser are busy; one is free after its call.
+    /// All nodes that may send advice requests are busy, until one of their requests ends.
     AdviserNodes,
-    /// What is left of its customer's limit is reserved for another step; that one starts, or
-    /// its reservation lapses.
+    /// The rest of the customer's limit is reserved for another step, until that step starts or the
+    /// reservation expires.
     Reserved,
-    /// Members of its gang's last run may be alive; they end, are stopped, or their leases
-    /// lapse.
+    /// Members of the gang's previous run may be alive, until they end, are stopped or their leases
+    /// expire.
     PreviousRun,
-    /// Runs that are stopped for it have not ended.
+    /// Runs that are being stopped for the step have not ended.
     Stops,
-    /// It may have crashed a worker and waits for one of its own, up to a time.
+    /// The step's task is suspected of crashing a worker and waits for a worker of its own, up to a
+    /// time limit.
     Probation,
-    /// Gangs that need much room at once are served first, as long as it has time to spare.
+    /// The step has slack and yields to gangs that need much capacity at once.
     Gangs,
-    /// All workers that may run it are in cordoned data centres; the operators lift cordons,
-    /// and other workers may join.
+    /// All workers that may run the step are in cordoned data centres, until operators lift a
+    /// cordon or other workers join.
     Cordon,
 }
 
 impl WaitReason {
-    /// All reasons, in the order of their indices.
+    /// All reasons, in declaration order.
     pub const ALL: [Self; 11] = [
         Self::Capacity,
         Self::Limit,
@@ -67,7 +67,7 @@
         Self::Cordon,
     ];
 
-    /// Returns the words for logs and metrics.
+    /// Returns the text for logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Capacity => "no room on workers that may run it",
@@ -91,35 +91,35 @@
     since: Instant,
     reason: WaitReason,
     logged_at: Option<Instant>,
-    /// The last cycle that looked at the step, and when that was.
+    /// The last cycle that examined the step, and its time.
     cycle: u64,
     examined_at: Instant,
 }
 
-/// How many steps wait for one reason, and for how long the first of them does.
+/// Summary of the steps that wait for one reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitSummary {
-    /// The steps.
+    /// The number of steps.
     pub steps_count: usize,
-    /// How long the one has waited that has waited longest, for whichever reasons.
+    /// The longest time that any of them has waited, for this and earlier reasons together.
     pub oldest: Duration,
 }
 
-/// The steps that wait.
+/// All waiting steps.
 #[derive(Debug, Default)]
 pub(crate) struct Waits {
     by_step: BTreeMap<StepKey, Wait>,
-    /// The number of the last cycle.
+    /// The number of the current or last cycle.
     cycle: u64,
 }
 
 impl Waits {
-    /// Notes that a cycle begins.
+    /// Starts a new cycle.
     pub(crate) const fn begin_cycle(&mut self) {
         self.cycle += 1;
     }
 
-    /// Notes why a step waits since the last cycle that looked at it, or that it does not.
+    /// Sets why a step waits, or removes it if it no longer does (`None`).
     pub(crate) fn update(&mut self, now: Instant, step: StepKey, reason: Option<WaitReason>) {
         let Some(reason) = reason else {
             self.by_step.remove(&step);
@@ -137,18 +137,18 @@
         wait.examined_at = now;
     }
 
-    /// Returns since when a step has waited, for whichever reasons.
+    /// Returns when a step began to wait, for its current and earlier reasons together.
     pub(crate) fn since(&self, step: StepKey) -> Option<Instant> {
         self.by_step.get(&step).map(|wait| wait.since)
     }
 
-    /// Forgets steps that no cycle has looked at lately: nothing of them waits any more.
+    /// Removes steps that no recent cycle has examined: they no longer have waiting tasks.
     pub(crate) fn remove_stale(&mut self, now: Instant) {
         self.by_step
             .retain(|_, wait| now.since(wait.examined_at) < EXAMINED_PERIOD);
     }
 
-    /// Forgets a job's steps.
+    /// Removes a job's steps.
     pub(crate) fn remove_job(&mut self, job: JobId) {
         let steps = self.by_step.range(first_step(job)..);
         let steps = steps.take_while(|(step, _)| step.job == job);
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Returns the steps to be told of, with their reasons and how long they wait.
+    /// Returns the steps whose wait is due to be logged, with the reason and time waited, and marks
+    /// them as logged.
     fn mark_due_logged(&mut self, now: Instant) -> Vec<(StepKey, WaitReason, Duration)> {
         let is_due = |wait: &Wait| {
             let is_long = now.since(wait.since) >= LOG_AFTER;
@@ -172,7 +173,7 @@
             .collect()
     }
 
-    /// Returns how many steps wait for each reason.
+    /// Returns a summary for each reason.
     pub(crate) fn summaries(&self, now: Instant) -> [WaitSummary; WaitReason::ALL.len()] {
         let mut summaries = [WaitSummary::default(); WaitReason::ALL.len()];
         for wait in self.by_step.values() {
@@ -183,7 +184,7 @@
         summaries
     }
 
-    /// Returns the steps that the last cycle has looked at, and why they wait.
+    /// Returns the steps that the last cycle examined and why they wait.
     pub(crate) fn of_last_cycle(&self) -> impl Iterator<Item = (StepKey, WaitReason)> + '_ {
         let waits = self.by_step.iter();
         let waits = waits.filter(|(_, wait)| wait.cycle == self.cycle);
@@ -200,7 +201,7 @@
 }
 
 impl Scheduler {
-    /// Tells of steps that have waited for long.
+    /// Logs steps that have waited for long.
     pub(crate) fn log_waits(&mut self, now: Instant, out: &mut Vec<Action>) {
         for (step, reason, age) in self.waits.mark_due_logged(now) {
             let line = Decision::new(DecisionKind::StepWaits, reason.as_str())
@@ -210,10 +211,10 @@
         }
     }
 
-    /// Returns whether what ends a step's wait can still come.
+    /// Returns whether the event that ends a step's wait can still occur.
     pub(crate) fn can_wait_end(&self, step: StepKey, reason: WaitReason) -> bool {
         match reason {
-            // Ends of other runs, workers that join, operators, and times that pass.
+            // Ended by other runs, new workers, operators or elapsed time.
             WaitReason::Capacity
             | WaitReason::Gangs
             | WaitReason::Cordon
