--- a/crates/scheduler/src/advice.rs
+++ b/crates/scheduler/src/advice.rs
@@ -1,14 +1,14 @@
-//! Tickets for steps whose queue needs advice.
+//! Advice for steps whose queue needs it: which workers are suitable, and their tickets.
 
 use crate::worker::WorkerKey;
 use ospreywing_types::{Duration, Instant};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What is taken off a ticket's validity for the ways between.
+/// Subtracted from a ticket's validity to allow for network delays.
 const TICKET_MARGIN: Duration = Duration::from_ms(150);
 
-/// What is known of one worker for one step.
+/// Whether a worker may run a step.
 #[derive(Clone, Debug)]
 enum Suitability {
     Suitable {
@@ -18,33 +18,33 @@
     Unsuitable,
 }
 
-/// A part of a call for advice, which one node makes.
+/// One request to the adviser, sent by one node. A query may be split into several requests.
 #[derive(Clone, Debug)]
 pub(crate) struct AdviceRequest {
-    /// When it was made.
+    /// When the request was sent.
     pub(crate) sent_at: Instant,
-    /// The node that makes it.
+    /// The node that sends it.
     pub(crate) node: Arc<str>,
-    /// The workers that it names; no two parts name the same.
+    /// The queried workers. Requests for the same step never overlap.
     pub(crate) queried: Box<[WorkerKey]>,
 }
 
-/// The advice for one step. Who may run a step never changes, tickets expire.
+/// The advice for one step. Whether a worker is suitable never changes, but tickets expire.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepAdvice {
     suitability_by_worker: BTreeMap<WorkerKey, Suitability>,
-    /// The parts of the open call that have not been answered.
+    /// The requests that have not been answered.
     pub(crate) pending_requests: Vec<AdviceRequest>,
-    /// When the last call was answered.
+    /// When the last request was answered.
     pub(crate) answered_at: Instant,
-    /// When the next call may be made after one that failed.
+    /// When the next request may be sent after a failed one.
     pub(crate) retry_at: Instant,
-    /// When a gang may next search for room.
+    /// When a gang may next search for capacity.
     pub(crate) next_search_at: Instant,
 }
 
 impl StepAdvice {
-    /// Takes in an answer that named `queried` and found `suitable` of them.
+    /// Records a reply about the `queried` workers that found the `suitable` ones among them.
     pub(crate) fn record_reply(
         &mut self,
         now: Instant,
@@ -64,19 +64,19 @@
         }
     }
 
-    /// Returns whether a call is open.
+    /// Returns whether a request is pending.
     pub(crate) fn has_pending_request(&self) -> bool {
         !self.pending_requests.is_empty()
     }
 
-    /// Returns whether the open call names a worker.
+    /// Returns whether a pending request queries a worker.
     pub(crate) fn is_queried(&self, worker: WorkerKey) -> bool {
         self.pending_requests
             .iter()
             .any(|request| request.queried.contains(&worker))
     }
 
-    /// Takes out the part of the open call that names these workers.
+    /// Removes and returns the pending request for the given workers.
     pub(crate) fn remove_request(&mut self, queried: &[WorkerKey]) -> Option<AdviceRequest> {
         let first = queried.first()?;
         let index = self
@@ -86,7 +86,7 @@
         Some(self.pending_requests.swap_remove(index))
     }
 
-    /// Returns the worker's ticket, where one holds.
+    /// Returns the worker's ticket if it is valid.
     pub(crate) fn ticket(&self, now: Instant, worker: WorkerKey) -> Option<Arc<str>> {
         match self.suitability_by_worker.get(&worker) {
             Some(Suitability::Suitable { ticket, expires_at }) if now < *expires_at => {
@@ -96,17 +96,17 @@
         }
     }
 
-    /// Returns the workers whose tickets hold.
+    /// Returns the workers with valid tickets.
     pub(crate) fn ticketed(&self, now: Instant) -> Vec<WorkerKey> {
-        let holds = |suitability: &Suitability| matches!(suitability, Suitability::Suitable { expires_at, .. } if now < *expires_at);
-        let holding = self
+        let is_valid = |suitability: &Suitability| matches!(suitability, Suitability::Suitable { expires_at, .. } if now < *expires_at);
+        let valid = self
             .suitability_by_worker
             .iter()
-            .filter(|(_, suitability)| holds(suitability));
-        holding.map(|(worker, _)| *worker).collect()
+            .filter(|(_, suitability)| is_valid(suitability));
+        valid.map(|(worker, _)| *worker).collect()
     }
 
-    /// Returns the workers known to be fit, whether or not their tickets hold.
+    /// Returns the workers known to be suitable, with or without a valid ticket.
     pub(crate) fn suitable(&self) -> Vec<WorkerKey> {
         let is_suitable =
             |suitability: &Suitability| matches!(suitability, Suitability::Suitable { .. });
@@ -117,17 +117,17 @@
         suitable.map(|(worker, _)| *worker).collect()
     }
 
-    /// Returns whether nothing is known of any worker.
+    /// Returns whether no worker's suitability is known.
     pub(crate) fn is_empty(&self) -> bool {
         self.suitability_by_worker.is_empty()
     }
 
-    /// Returns whether anything is known of the worker.
+    /// Returns whether the worker's suitability is known.
     pub(crate) fn is_known(&self, worker: WorkerKey) -> bool {
         self.suitability_by_worker.contains_key(&worker)
     }
 
-    /// Ends the ticket of a worker that refused it.
+    /// Expires the ticket of a worker that refused it.
     pub(crate) fn expire_ticket(&mut self, worker: WorkerKey) {
         if let Some(Suitability::Suitable { expires_at, .. }) =
             self.suitability_by_worker.get_mut(&worker)
--- a/crates/scheduler/src/advice_requests.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -1,9 +1,9 @@
-//! Asking for advice: about which workers, for which steps, and when.
+//! Advice requests: when to send them, for which steps, and about which workers.
 //!
-//! Who may run a step never changes, while a ticket holds for a moment only
-//! and the adviser's time is scarce. So a step asks when it could be placed at
-//! once; a gang asks once about all workers, then waits for room on those that
-//! are good, keeps that room, and asks again about these alone.
+//! Whether a worker may run a step never changes, but a ticket expires soon and the adviser's time
+//! is scarce. A step therefore requests advice when it could be placed at once. A gang first
+//! queries all workers, then waits for capacity on the suitable ones, reserves it, and queries only
+//! these again.
 
 use crate::advice::AdviceRequest;
 use crate::candidate::Candidate;
@@ -20,34 +20,32 @@
 use ospreywing_types::{Duration, Instant};
 use std::sync::Arc;
 
-/// The most workers that one part of a call for advice names, by the platform's own
-/// limit.
+/// The platform's limit on the workers in one request.
 pub(crate) const QUERIED_PER_REQUEST_LIMIT_COUNT: usize = 100;
-/// The idle nodes that there must be for each part of a call: the others stay free for other
-/// steps.
+/// Idle nodes needed for each request of a query. The others stay free for other steps.
 pub(crate) const IDLE_NODES_PER_REQUEST: usize = 8;
-/// The part of a call's own time that the workers named in a part of it take at least: more
-/// parts would bring next to nothing.
+/// Each request queries at least as many workers as add this share to its fixed cost. Splitting a
+/// query further would gain almost nothing.
 const REQUEST_COST_SHARE: f64 = 0.25;
-/// How many times the room that is needed the named workers should have.
+/// The capacity of the queried workers, as a multiple of the capacity needed.
 const QUERIED_CAPACITY_FACTOR: f64 = 1.5;
-/// The workers that a small task weighs before it asks, the fullest ones with enough
-/// processors: more would take too long where there are thousands. The others follow, those
-/// with most room first.
+/// How many workers are examined for packing a small task: the fullest ones with enough free
+/// processors. Examining more would take too long with thousands of workers. The others follow,
+/// most free processors first.
 const PACKED_EXAMINED_COUNT: usize = 200;
-/// The share of good workers that is assumed before anything is known.
+/// The share of workers assumed to be suitable before any reply.
 const INITIAL_SUITABLE_SHARE: f64 = 0.5;
-/// The least share of good workers that is assumed.
+/// The lower bound of the assumed share of suitable workers.
 const MIN_SUITABLE_SHARE: f64 = 0.05;
-/// The time until advice is asked for again after a call that failed.
+/// The delay before the next request after a failed one.
 const ADVICE_RETRY_DELAY: Duration = Duration::from_ms(100);
-/// The same where the budget of such calls is used up.
+/// The same delay once the retry budget is used up.
 const ADVICE_OVER_BUDGET_DELAY: Duration = Duration::from_ms(500);
-/// The weight of what was learned before, so that the estimate can follow.
+/// The weight kept by earlier replies with each new one, so that the estimate adapts.
 const SUITABLE_SHARE_DECAY: f64 = 0.98;
 
 impl Scheduler {
-    /// Asks for advice on tasks that could not be placed, where that serves.
+    /// Requests advice for tasks that could not be placed, if workers with capacity are found.
     pub(crate) fn request_advice_for_tasks(
         &mut self,
         now: Instant,
@@ -60,10 +58,10 @@
         if now < self.advice[&pending.key].retry_at {
             return;
         }
-        // Choosing workers takes far longer than to see that nobody can be asked about them;
-        // a call about more of them takes no less.
-        let can_wait = self.is_deferrable(now, pending.key.job);
-        if can_wait && self.adviser_nodes.must_defer(now, policy.cost(1)) {
+        // Choosing workers takes much longer than checking that no node is idle. The cost for one
+        // worker is a lower bound for larger requests.
+        let is_deferrable = self.is_deferrable(now, pending.key.job);
+        if is_deferrable && self.adviser_nodes.must_defer(now, policy.cost(1)) {
             return;
         }
         let mut queried = if has_unreserved_capacity(cycle, pending) {
@@ -82,10 +80,10 @@
         }
     }
 
-    /// Chooses workers with room until enough of them should be good: those
-    /// known to be good first, then those with most room. Room that steps
-    /// count on whose calls are open is left to them: many would otherwise
-    /// name the same workers, and most of them in vain.
+    /// Chooses workers with capacity until enough of them are expected to be suitable: first those
+    /// known to be suitable, then those with most free capacity. Skips capacity that steps with
+    /// pending requests count on. Otherwise many steps would query the same workers, most of them
+    /// in vain.
     fn choose_workers_to_query(
         &self,
         now: Instant,
@@ -141,8 +139,8 @@
         queried
     }
 
-    /// Returns those of the fullest workers that are unknown and have room for a small task,
-    /// in the order in which it should take them; `None` where it should ask about those with most room.
+    /// Returns the fullest unknown workers with capacity for a small task, lowest packing cost
+    /// first. Returns `None` if the step should query the workers with most free capacity instead.
     fn packed_order(
         &self,
         pending: &PendingStep,
@@ -158,7 +156,7 @@
             .fullest_for(&pending.demand)
             .take(PACKED_EXAMINED_COUNT)
             .filter(|key| !advice.is_known(*key));
-        let able = unknown.filter_map(|key| {
+        let fitting = unknown.filter_map(|key| {
             let mut candidate = self.candidate(pending, key, &self.workers[key])?;
             candidate.free -= cycle.reserved_on(key) + self.workers[key].claimed();
             if must_leave_headroom {
@@ -166,20 +164,19 @@
             }
             (candidate.fit_count(&pending.demand) > 0).then_some(candidate)
         });
-        let mut able: Vec<Candidate> = able.collect();
-        able.sort_by_cached_key(|it| (packing.cost(&it.free, &pending.demand), it.worker));
-        Some(able.into_iter().map(|it| it.worker).collect())
+        let mut fitting: Vec<Candidate> = fitting.collect();
+        fitting.sort_by_cached_key(|it| (packing.cost(&it.free, &pending.demand), it.worker));
+        Some(fitting.into_iter().map(|it| it.worker).collect())
     }
 
-    /// Returns how many tasks fit beside what other steps count on.
+    /// Returns how many tasks fit beside the soft reservations of other steps.
     fn unreserved_fit_count(&self, candidate: &Candidate, pending: &PendingStep) -> u32 {
         let mut candidate = candidate.clone();
         candidate.free -= self.workers[candidate.worker].claimed();
         candidate.fit_count(&pending.demand)
     }
 
-    /// Notes that a step counts on room for its tasks on the workers that its
-    /// call names, the first ones first.
+    /// Adds soft reservations for a step's tasks on the queried workers, in their order.
     fn add_soft_reservations(
         &mut self,
         pending: &PendingStep,
@@ -197,7 +194,7 @@
         }
     }
 
-    /// Puts unknown workers near the step's data before the others.
+    /// Moves unknown workers near the step's data to the front.
     fn prefer_near_data(
         &self,
         now: Instant,
@@ -223,8 +220,8 @@
         *queried = preferred;
     }
 
-    /// Has nodes ask about workers, each about as many as one may name; returns
-    /// whether one could.
+    /// Sends requests about the given workers, split among nodes. Returns whether at least one
+    /// request was sent.
     pub(crate) fn request_advice(
         &mut self,
         now: Instant,
@@ -239,14 +236,19 @@
         asked.count() > 0
     }
 
-    /// Returns how many workers each part of a call names. Where many nodes have nothing to
-    /// do, several ask about fewer workers each, and the answers are there sooner.
-    fn workers_per_request(&self, now: Instant, policy: AdvicePolicy, named_count: usize) -> usize {
+    /// Returns how many workers each request queries. With many idle nodes, several query fewer
+    /// workers each, and the replies arrive sooner.
+    fn workers_per_request(
+        &self,
+        now: Instant,
+        policy: AdvicePolicy,
+        queried_count: usize,
+    ) -> usize {
         let idle_nodes_count = self.adviser_nodes.idle_nodes_count(now, policy.cost(1));
         let requests_count = (idle_nodes_count / IDLE_NODES_PER_REQUEST).max(1);
         let cheap_count = policy.decision_ms * REQUEST_COST_SHARE / policy.per_worker_ms.max(0.01);
         let least_count = (cheap_count as usize).clamp(1, QUERIED_PER_REQUEST_LIMIT_COUNT);
-        let even_count = named_count.div_ceil(requests_count);
+        let even_count = queried_count.div_ceil(requests_count);
         even_count.clamp(least_count, QUERIED_PER_REQUEST_LIMIT_COUNT)
     }
 
@@ -259,8 +261,8 @@
         out: &mut Vec<Action>,
     ) -> bool {
         let cost = policy.cost(queried.len());
-        let can_wait = self.is_deferrable(now, pending.key.job);
-        let Some(assignment) = self.adviser_nodes.assign(now, cost, can_wait) else {
+        let is_deferrable = self.is_deferrable(now, pending.key.job);
+        let Some(assignment) = self.adviser_nodes.assign(now, cost, is_deferrable) else {
             return false;
         };
         let Some(advice) = self.advice.get_mut(&pending.key) else {
@@ -287,9 +289,8 @@
         true
     }
 
-    /// Forgets what is known of workers for a step of which nothing is to be started any more,
-    /// and what it counted on.
-    pub(crate) fn forget_advice(&mut self, step: StepKey) {
+    /// Removes the advice for a step without tasks left to start, and its soft reservations.
+    pub(crate) fn remove_advice(&mut self, step: StepKey) {
         let Some(advice) = self.advice.remove(&step) else {
             return;
         };
@@ -346,12 +347,12 @@
         let suitable: Vec<(WorkerKey, Arc<str>)> = tickets
             .into_iter()
             .filter_map(|ticket| {
-                // A life that has begun since was not asked about.
+                // An incarnation that began after the request was sent was not queried.
                 let worker = self.workers_by_id.get(&ticket.worker)?;
                 queried.contains(worker).then_some((*worker, ticket.text))
             })
             .collect();
-        // What was known before tells nothing of workers that are not.
+        // Only workers that were unknown before indicate how many unknown ones are suitable.
         let newly_queried: Vec<WorkerKey> = queried
             .iter()
             .filter(|worker| !advice.is_known(**worker))
@@ -370,7 +371,12 @@
         self.record_suitable_share(step, newly_suitable, newly_queried.len());
     }
 
-    fn record_suitable_share(&mut self, step: StepKey, suitable_count: usize, named_count: usize) {
+    fn record_suitable_share(
+        &mut self,
+        step: StepKey,
+        suitable_count: usize,
+        queried_count: usize,
+    ) {
         let queue = self.jobs.get(&step.job).map(|job| job.record.queue.clone());
         let Some(queue) = queue else {
             return;
@@ -380,16 +386,16 @@
             .entry(queue)
             .or_insert((INITIAL_SUITABLE_SHARE, 1.0));
         known.0 = known.0 * SUITABLE_SHARE_DECAY + suitable_count as f64;
-        known.1 = known.1 * SUITABLE_SHARE_DECAY + named_count as f64;
+        known.1 = known.1 * SUITABLE_SHARE_DECAY + queried_count as f64;
     }
 }
 
-/// Returns whether the cycle has room left for at least one task.
+/// Returns whether the cycle has unreserved processors for at least one task.
 pub(crate) fn has_unreserved_capacity(cycle: &SchedulingCycle, pending: &PendingStep) -> bool {
     cycle.unreserved_milli(&pending.service) >= i64::from(pending.demand.cores_milli)
 }
 
-/// Takes a step's demand off the room that the cycle has left.
+/// Subtracts the demand of a step's tasks from the cycle's unreserved processors.
 pub(crate) fn reserve_in_cycle(
     cycle: &mut SchedulingCycle,
     pending: &PendingStep,
--- a/crates/scheduler/src/adviser_nodes.rs
+++ b/crates/scheduler/src/adviser_nodes.rs
@@ -1,42 +1,41 @@
-//! Which node asks the adviser.
+//! Chooses the node that sends each advice request.
 //!
-//! The adviser works for each machine on one call at a time, so the calls are
-//! spread over all nodes. Calls that take long would hold up the short ones
-//! behind them, so some nodes take short calls alone: as many as the short calls of the
-//! last seconds need.
+//! The adviser processes one request per node at a time, so requests are spread over all nodes.
+//! Long requests would delay short ones behind them, so some nodes only take short requests: as
+//! many as the short requests of the last seconds need.
 
 use crate::adviser_load::AdviserLoad;
 use ospreywing_types::{Duration, Instant};
 use std::sync::Arc;
 
-/// A call that takes at least this long goes to the nodes for long calls.
+/// A request that takes at least this long is a long request.
 const LONG_REQUEST: Duration = Duration::from_ms(150);
-/// The part of the nodes that take short calls alone, at most.
+/// The largest share of the nodes that only take short requests.
 const SHORT_NODES_NUMERATOR: usize = 3;
 const SHORT_NODES_DENOMINATOR: usize = 8;
-/// How busy the nodes for short calls may be, as a share: a short call seldom waits for
-/// another then. With three of eight nodes always for short calls, gangs whose calls take
-/// a second had 19 of 30 nodes, all busy, and earned 0.57 of their worth in place of 0.66
-/// (mean of ten plays of five loads); the others were busy for a seventh of the time.
+/// The target load of the nodes that only take short requests, at which these seldom wait for each
+/// other. With three of eight nodes always taking only short requests, gangs whose requests take 1
+/// s had 19 of 30 nodes, all of them busy, and achieved 0.57 of their value instead of 0.66 (mean
+/// of ten simulated runs of five loads). The other nodes were busy a seventh of the time.
 const SHORT_NODES_LOAD: f64 = 0.3;
-/// The longest that a long call waits for its turn.
+/// The longest time that a long request waits at a node.
 const LONG_BACKLOG_LIMIT: Duration = Duration::from_ms(900);
-/// The longest that a short call waits for its turn: what waits can't be
-/// overtaken by what is more urgent.
+/// The longest time that a short request waits at a node. More urgent requests can't overtake those
+/// that wait there.
 const SHORT_BACKLOG_LIMIT: Duration = Duration::from_ms(120);
-/// How long a node that did not answer is passed over.
+/// How long a node gets no requests after one that failed.
 const FAILED_NODE_PAUSE: Duration = Duration::from_ms(1500);
 
-/// A node that has been given a call.
+/// A node chosen for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Assignment {
     /// The node's name.
     pub(crate) node: Arc<str>,
-    /// How long the call will take, with what is before it.
+    /// How long the request will take, including the ones before it.
     pub(crate) expected: Duration,
 }
 
-/// A node, and the calls that it has been given.
+/// A node and its load with requests.
 #[derive(Clone, Debug)]
 struct AdviserNode {
     name: Arc<str>,
@@ -54,17 +53,17 @@
     }
 }
 
-/// The nodes' loads with calls for advice.
+/// The nodes that send advice requests, with their load.
 #[derive(Debug, Default)]
 pub(crate) struct AdviserNodes {
-    /// The nodes in the order of their names.
+    /// The nodes, sorted by name.
     nodes: Vec<AdviserNode>,
-    /// What short calls take.
+    /// The load by short requests.
     short_load: AdviserLoad,
 }
 
 impl AdviserNodes {
-    /// Takes in which nodes there are.
+    /// Replaces the set of nodes, keeping the state of those that stay.
     pub(crate) fn set_nodes(&mut self, mut names: Vec<Arc<str>>) {
         names.sort_unstable();
         let known = core::mem::take(&mut self.nodes);
@@ -78,13 +77,13 @@
         self.nodes = nodes.collect();
     }
 
-    /// Returns whether a node that takes such calls has nothing to do.
+    /// Returns whether a node eligible for requests of this cost is idle.
     pub(crate) fn has_idle_node(&self, now: Instant, cost: Duration) -> bool {
         let mut eligible_nodes = self.eligible_nodes(now, cost);
         eligible_nodes.any(|index| self.nodes[index].busy_until <= now)
     }
 
-    /// Returns how many nodes that take such calls have nothing to do.
+    /// Returns how many nodes eligible for requests of this cost are idle.
     pub(crate) fn idle_nodes_count(&self, now: Instant, cost: Duration) -> usize {
         let eligible_nodes = self.eligible_nodes(now, cost);
         eligible_nodes
@@ -92,27 +91,26 @@
             .count()
     }
 
-    /// Returns whether a call of this cost is made only where a node has nothing to do, if
-    /// it can wait, and none has.
+    /// Returns whether a deferrable request of this cost must wait: it is long and no eligible node
+    /// is idle.
     pub(crate) fn must_defer(&self, now: Instant, cost: Duration) -> bool {
         cost >= LONG_REQUEST && !self.has_idle_node(now, cost)
     }
 
-    /// Gives a call to the node that will have answered first; `None` where
-    /// all have too much before it.
+    /// Assigns a request to the node that will finish it first. Returns `None` if the backlog of
+    /// all nodes is too long.
     ///
-    /// A long call that can wait is made only where a node has nothing to do: what waits at
-    /// a node can't be overtaken by what is more urgent. Gangs earned 0.66 of their worth
-    /// that way in place of 0.57, and patient work 0.87 in place of 0.94 (mean of ten plays
-    /// of five loads).
+    /// A long deferrable request is only sent by an idle node, because more urgent requests can't
+    /// overtake those that wait at a node. This way gangs achieved 0.66 of their value instead of
+    /// 0.57, and deferrable work 0.87 instead of 0.94 (mean of ten simulated runs of five loads).
     pub(crate) fn assign(
         &mut self,
         now: Instant,
         cost: Duration,
-        can_wait: bool,
+        is_deferrable: bool,
     ) -> Option<Assignment> {
         let is_long = cost >= LONG_REQUEST;
-        // Of nodes that can begin at once, short calls take the last, where no long ones go.
+        // Of nodes that can start at once, short requests prefer the last, which take no long ones.
         let preference = |index: &usize| {
             let starts_at = self.nodes[*index].busy_until.max(now);
             let position = if is_long { *index } else { usize::MAX - *index };
@@ -120,7 +118,7 @@
         };
         let index = self.eligible_nodes(now, cost).min_by_key(preference)?;
         let (starts_at, _) = preference(&index);
-        if starts_at.since(now) > backlog_limit(cost, can_wait) {
+        if starts_at.since(now) > backlog_limit(cost, is_deferrable) {
             return None;
         }
         if !is_long {
@@ -134,8 +132,8 @@
         })
     }
 
-    /// Returns the nodes that take calls of this cost, by their places in the
-    /// list. Asked for each step of each cycle, so without making a list.
+    /// Returns the indices of the nodes that may take a request of this cost. This runs for each
+    /// step of each cycle and therefore doesn't allocate.
     fn eligible_nodes(&self, now: Instant, cost: Duration) -> impl Iterator<Item = usize> + '_ {
         let is_active = move |node: &AdviserNode| now >= node.paused_until;
         let active_count = self.nodes.iter().filter(|node| is_active(node)).count();
@@ -149,14 +147,14 @@
         active.map(|(index, _)| index).take(count)
     }
 
-    /// Returns how many of so many nodes take short calls alone.
+    /// Returns how many of the active nodes only take short requests.
     fn short_nodes_count(&self, now: Instant, active_count: usize) -> usize {
         let most = (active_count * SHORT_NODES_NUMERATOR).div_ceil(SHORT_NODES_DENOMINATOR);
         let needed = (self.short_load.busy_nodes(now) / SHORT_NODES_LOAD).ceil() as usize;
         (needed + 1).min(most)
     }
 
-    /// Passes over a node that did not answer, for a while.
+    /// Pauses a node after a failed request.
     pub(crate) fn pause_node(&mut self, now: Instant, name: &Arc<str>) {
         let found = self.nodes.binary_search_by(|node| node.name.cmp(name));
         if let Ok(index) = found {
@@ -166,11 +164,11 @@
     }
 }
 
-/// Returns how long a call may wait at a node.
-const fn backlog_limit(cost: Duration, can_wait: bool) -> Duration {
+/// Returns how long a request may wait at a node.
+const fn backlog_limit(cost: Duration, is_deferrable: bool) -> Duration {
     if cost.as_ms() < LONG_REQUEST.as_ms() {
         SHORT_BACKLOG_LIMIT
-    } else if can_wait {
+    } else if is_deferrable {
         Duration::ZERO
     } else {
         LONG_BACKLOG_LIMIT
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -147,7 +147,7 @@
             if self.is_step_done(step) {
                 self.learn_step(now, step);
                 self.note_left(step.job);
-                self.forget_advice(step);
+                self.remove_advice(step);
             }
             self.check_complete(now, step.job, out);
             return;
--- a/crates/scheduler/src/expected_capacity.rs
+++ b/crates/scheduler/src/expected_capacity.rs
@@ -1,10 +1,9 @@
-//! Waiting for room on workers that are known to be good for a step.
+//! Reserves capacity that will become free on workers known to be suitable for a step.
 //!
-//! Who may run a step never changes, so a step whose tasks fill much of a worker
-//! learns early which workers are good for it. Such a step, and every gang, keeps
-//! later work off as much room as it needs where that will be free first, and
-//! renews its tickets shortly before, so that tasks start as soon as their room is
-//! there.
+//! Whether a worker may run a step never changes, so a step with large tasks learns early which
+//! workers are suitable. For such a step, and for every gang, this module reserves the workers on
+//! which enough capacity will be free first, so that work examined later in the cycle doesn't use
+//! it. It renews their tickets shortly before, so that tasks start as soon as the capacity is free.
 
 use crate::advice_requests::QUERIED_PER_REQUEST_LIMIT_COUNT;
 use crate::candidate::remaining_count;
@@ -17,32 +16,32 @@
 use crate::worker::{Worker, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
 
-/// A step waits for workers only where so few of its tasks fill one: room for
-/// smaller tasks comes up all the time. A judgement, not measured against others.
+/// A step has large tasks if at most this many fill a worker. Capacity for smaller tasks becomes
+/// free all the time.
 const LARGE_TASKS_PER_WORKER_LIMIT_COUNT: u32 = 4;
-/// The steps that may wait for workers at a time. A judgement: more would keep too
-/// much of a small site's room.
+/// Limits the steps that may reserve workers in one cycle. More would reserve too much of a small
+/// site.
 const WAITING_STEPS_LIMIT_COUNT: usize = 6;
-/// The gangs that may wait for workers at a time; the others have their turn later.
-/// With ten, worth fell on two grown sites (docs/worth.md).
+/// Limits the gangs that may reserve workers in one cycle; the others do so in later cycles. With
+/// ten, the achieved value fell on two enlarged sites.
 pub(crate) const WAITING_GANGS_LIMIT_COUNT: usize = 4;
-/// The part of the workers on which room is kept for gangs that wait, at most: the
-/// rest stays for work that is no gang's.
+/// Limits the share of the workers reserved for gangs. The rest stays for other work.
 const GANG_RESERVED_WORKERS_PERCENT: usize = 60;
-/// Tickets are asked for so long before the room is expected, besides the time
-/// that the call takes: expectations come from estimates that are off by half.
+/// Tickets are requested this long before the capacity is expected, in addition to the time that
+/// the request takes. The expected time is based on estimates that are off by half.
 const TICKET_LEAD: Duration = Duration::from_ms(700);
-/// Less urgent runs are stopped for room that would come later than this: a stop
-/// itself takes up to 400 ms (the platform's bound at the first deployments).
+/// Less urgent runs are preempted if capacity would become free later than this. Stopping a run
+/// takes up to 400 ms, the platform's bound in the first deployments.
 const PREEMPTION_MIN_DELAY: Duration = Duration::from_ms(500);
-/// How many times the room that is needed the known good workers should hold, as
-/// for gangs.
+/// The capacity of the workers known to be suitable should be at least this multiple of the
+/// capacity needed, as for gangs.
 const SUITABLE_CAPACITY_FACTOR: u32 = 2;
-/// The workers beyond one for each task that a step without advice weighs, those with most
-/// room: estimates of all runs of thousands of workers would take longer than a cycle.
+/// How many workers beyond one per task are examined for a step without advice, most free
+/// processors first. Estimating the ends of all runs on thousands of workers would take longer than
+/// a cycle.
 const EXTRA_WORKERS_COUNT: usize = 64;
 
-/// A worker that will have room for tasks of a step.
+/// A worker that will have capacity for one task of a step, and the delay until then.
 #[derive(Clone, Copy, Debug)]
 struct ExpectedCapacity {
     worker: WorkerKey,
@@ -50,8 +49,8 @@
 }
 
 impl Scheduler {
-    /// Keeps later work off the workers on which the step's tasks will have room
-    /// first, and asks for tickets for them where the room is near.
+    /// Reserves the workers on which the step's tasks will fit first, and requests tickets for them
+    /// shortly before. Only steps with large tasks do this.
     pub(crate) fn reserve_expected_capacity(
         &mut self,
         now: Instant,
@@ -84,8 +83,8 @@
         self.renew_tickets(now, pending, policy, &expected, min_delay, out);
     }
 
-    /// Keeps later work off the workers on which a gang will have room first, and
-    /// asks for tickets for them where the room of all members is near.
+    /// Reserves the workers on which a gang will fit first, and requests tickets for them shortly
+    /// before all its members fit.
     pub(crate) fn reserve_expected_capacity_for_gang(
         &mut self,
         now: Instant,
@@ -110,8 +109,8 @@
         }
     }
 
-    /// Keeps later work off the workers on which a step that needs no advice will have room
-    /// first, where its tasks fill workers of a service that is packed and half used.
+    /// Reserves the workers on which a step without advice will fit first. Only steps with large
+    /// tasks do this, in services that use packing and are at least half used.
     pub(crate) fn reserve_expected_capacity_unadvised(
         &self,
         now: Instant,
@@ -149,8 +148,8 @@
         }
     }
 
-    /// Returns unknown workers to ask about, with or without room, where those
-    /// known to be good hold too few of the step's tasks.
+    /// Returns unknown workers to query, with or without free capacity, if those known to be
+    /// suitable fit too few of the step's tasks.
     pub(crate) fn unknown_workers_to_query(
         &self,
         now: Instant,
@@ -187,8 +186,8 @@
         )
     }
 
-    /// Returns where and when so many tasks will have room on these workers, the
-    /// soonest first; a worker is there once for each task.
+    /// Returns where and when the tasks will fit on the given workers, earliest first, with one
+    /// entry per task.
     fn expected_capacity(
         &self,
         now: Instant,
@@ -215,9 +214,9 @@
         found
     }
 
-    /// Returns when a worker will have room for a first, a second task and so on,
-    /// up to a limit, by the estimates of its runs. `taken` is what is kept for
-    /// others on it.
+    /// Returns when a worker will have capacity for the first, the second and further tasks, up to
+    /// a limit, based on the estimates of its runs. `taken` is the capacity reserved for other
+    /// steps on the worker.
     fn capacity_delays(
         &self,
         worker: &Worker,
@@ -243,7 +242,7 @@
         delays
     }
 
-    /// Asks for tickets for workers that will soon have room, where none holds
+    /// Requests tickets for workers that will soon have capacity, unless their tickets are valid
     /// until then.
     fn renew_tickets(
         &mut self,
@@ -271,7 +270,7 @@
     }
 }
 
-/// Keeps room for a gang where it will be free first, on a part of the workers at most.
+/// Reserves the capacity expected first for a gang, on a limited share of the workers.
 fn reserve_for_gang(
     pending: &PendingStep,
     expected: &[ExpectedCapacity],
--- a/crates/scheduler/src/fragmentation.rs
+++ b/crates/scheduler/src/fragmentation.rs
@@ -1,4 +1,4 @@
-//! How broken up the free room of each service is, for operators.
+//! Fragmentation of each service's free capacity, for operators.
 
 use crate::dominant::Room;
 use crate::packing::{count_fitting, Packing, Scarcity};
@@ -7,21 +7,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The free room of one service, seen by the shapes of the tasks that came to it lately.
+/// How well the free capacity of a service fits the shapes of its recent tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceFragmentation {
     /// The service.
     pub service: Arc<str>,
-    /// The largest of the shapes that fits somewhere; nothing where none does.
+    /// The largest shape that fits on a worker; zero if none does.
     pub largest_fit: Resources,
-    /// How many tasks of it fit.
+    /// How many tasks of that shape fit.
     pub fit_count: u64,
-    /// The part of the free room, by accelerators or else by processors, in which the
-    /// largest of the shapes fits, in percent.
+    /// The percentage of the free capacity that tasks of the largest recent shape can use, measured
+    /// in accelerators if the shape needs them, otherwise in processors.
     pub usable_percent: u32,
 }
 
-/// What the workers of a service that may take a run hold, and what of it is free.
+/// The capacity of a service's workers that can accept runs, and its free part.
 #[derive(Debug, Default)]
 struct FreeCapacity {
     capacity: Room,
@@ -37,7 +37,7 @@
             .sum()
     }
 
-    /// Returns the part of the free room that so many tasks of a demand take, in percent.
+    /// Returns the percentage of the free capacity that `count` tasks of a demand use.
     fn percent(&self, demand: &Resources, count: u64) -> u32 {
         let (taken, free) = if demand.accelerators_count > 0 {
             (demand.accelerators_count, self.free.accelerators_count)
@@ -50,7 +50,7 @@
 }
 
 impl Scheduler {
-    /// Returns how broken up the free room of each service is to which tasks came lately.
+    /// Returns the fragmentation of each service's free capacity.
     pub(crate) fn fragmentation(&self, now: Instant) -> Vec<ServiceFragmentation> {
         let mut by_service: BTreeMap<Arc<str>, FreeCapacity> = BTreeMap::new();
         for worker in self.workers.values().filter(|it| it.is_placeable(now)) {
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -1,7 +1,8 @@
-//! How a gang finds its room: on good workers that are free, on those that
-//! less urgent work can leave, or on workers of which nothing is known yet.
+//! Finds capacity for a gang: on suitable workers with free capacity, on suitable workers where
+//! less urgent runs can be preempted, or on workers that have yet to be queried.
 //!
-//! Whoever is not served keeps later work off enough of its good workers.
+//! A gang for which no capacity is found reserves suitable workers, so that work examined later in
+//! the cycle doesn't use them.
 
 use crate::advice_requests::{
     reserve_in_cycle, IDLE_NODES_PER_REQUEST, QUERIED_PER_REQUEST_LIMIT_COUNT,
@@ -18,45 +19,46 @@
 use crate::worker::WorkerKey;
 use ospreywing_types::{Duration, Instant, Resources};
 
-/// The part of a call's own time that naming further workers may add.
+/// A query may be extended by unknown workers that add up to this share of a request's fixed cost.
 const QUERY_COST_SHARE: f64 = 0.25;
-/// How many times the room that a gang needs its good workers should have.
+/// The capacity of a gang's suitable workers should be at least this multiple of the capacity it
+/// needs.
 const GANG_CAPACITY_FACTOR: f64 = 2.0;
-/// The same, and the part of a call's time, where advisers have nothing to do.
+/// Replace [`GANG_CAPACITY_FACTOR`] and [`QUERY_COST_SHARE`] while an adviser node is idle.
 const IDLE_CAPACITY_FACTOR: f64 = 4.0;
 const IDLE_COST_SHARE: f64 = 1.0;
-/// The parts that a gang's call may have at most, and the idle nodes that there must
-/// be for each further one: the others stay free for other gangs.
+/// Limits the requests that a gang's query is split into. Each needs [`IDLE_NODES_PER_REQUEST`]
+/// idle nodes; the others stay free for other gangs.
 const REQUESTS_LIMIT_COUNT: usize = 4;
-/// How long a gang waits for its good workers before it asks about others
-/// that have room: a long call holds up those of other gangs.
+/// How long a gang waits for its suitable workers before it queries unknown ones with free
+/// capacity. A long request delays those of other gangs.
 const QUERY_UNKNOWN_AFTER: Duration = Duration::from_ms(2500);
-/// How many times the room that a gang lacks the workers should have that it
-/// asks about because they are free.
+/// The expected capacity of the queried workers with free capacity, as a multiple of the capacity
+/// that the gang lacks.
 const FREE_CAPACITY_FACTOR: f64 = 1.5;
-/// The time between two searches of a gang for room.
+/// The interval between a gang's searches for capacity.
 const SEARCH_PERIOD: Duration = Duration::from_ms(100);
 
-/// What a gang knows of the workers.
+/// What is known about the workers for a gang.
 struct KnownWorkers<'a> {
-    /// Those that are good for it.
+    /// Workers known to be suitable.
     suitable: &'a [WorkerKey],
-    /// Those of which nothing is known.
+    /// Workers whose suitability is unknown.
     unknown: Vec<WorkerKey>,
 }
 
-/// Unknown workers that have room for members of a gang.
+/// Workers of unknown suitability with capacity for members of a gang.
 #[derive(Default)]
 struct UnknownFreeWorkers {
     queried: Vec<WorkerKey>,
-    /// The members that they hold where all of them are good.
+    /// The members that fit if all of the workers are suitable.
     max_count: f64,
-    /// The members that they should hold.
+    /// The members that are expected to fit.
     expected_count: f64,
 }
 
 impl Scheduler {
-    /// Brings a gang that could not be placed nearer to its room.
+    /// Tries to find capacity for a gang that could not be placed.
     pub(crate) fn find_capacity_for_gang(
         &mut self,
         now: Instant,
@@ -79,8 +81,8 @@
         self.reserve_expected_capacity_for_gang(now, pending, policy, cycle, out);
     }
 
-    /// Keeps free room on good workers for a gang and asks for its tickets;
-    /// returns whether there is enough.
+    /// Reserves free capacity on suitable workers for a gang and requests its tickets. Returns
+    /// whether there is enough.
     fn reserve_free_capacity(
         &mut self,
         now: Instant,
@@ -108,9 +110,8 @@
         true
     }
 
-    /// Returns whether a gang without room may search for some now: searching
-    /// takes long on large sites, so it is done now and then, and by the most
-    /// urgent gangs alone unless advisers have nothing to do.
+    /// Returns whether a gang may search for capacity now. A search takes long on large sites, so
+    /// it is done at intervals, and only for the most urgent gangs unless an adviser node is idle.
     fn is_search_due(
         &mut self,
         now: Instant,
@@ -133,8 +134,8 @@
         true
     }
 
-    /// Takes the room of less urgent work for a gang and asks for its tickets;
-    /// returns whether there is enough.
+    /// Preempts less urgent runs for a gang and requests its tickets. Returns whether that frees
+    /// enough capacity.
     fn preempt_for_gang(
         &mut self,
         now: Instant,
@@ -155,8 +156,8 @@
         true
     }
 
-    /// Asks about workers of which nothing is known for a gang, where its good
-    /// ones hold too little or stay busy; returns whether it did.
+    /// Queries unknown workers for a gang if its suitable ones have too little capacity or stay
+    /// busy. Returns whether it did.
     fn query_unknown_workers(
         &mut self,
         now: Instant,
@@ -207,9 +208,8 @@
         )
     }
 
-    /// Asks about unknown workers that have room now, where those that should
-    /// be good among them complete the gang's room; keeps what its good workers
-    /// have free meanwhile.
+    /// Queries unknown workers with free capacity if those expected to be suitable complete the
+    /// gang. Meanwhile reserves the free capacity of its suitable workers.
     fn query_free_workers(
         &mut self,
         now: Instant,
@@ -228,7 +228,7 @@
         let fitting = self.candidates(now, pending, cycle, known.suitable.iter().copied());
         let missing_count = needed_count as f64 - total_fit_count(&fitting, &pending.demand) as f64;
         let found = self.choose_free_workers(pending, known.unknown, missing_count, cycle);
-        // Each call leaves fewer unknown, so in the end a small chance will do.
+        // Each query leaves fewer unknown workers, so after a while a small chance is enough.
         let is_worth_it =
             found.expected_count >= missing_count || has_waited && found.max_count >= missing_count;
         if !is_worth_it {
@@ -243,8 +243,7 @@
         true
     }
 
-    /// Chooses unknown workers with room until those that should be good hold
-    /// enough members.
+    /// Chooses unknown workers with free capacity until enough members are expected to fit.
     fn choose_free_workers(
         &self,
         pending: &PendingStep,
@@ -270,8 +269,7 @@
         found
     }
 
-    /// Returns the workers of which nothing is known for the step, the
-    /// freest first.
+    /// Returns the workers whose suitability for the step is unknown, most free processors first.
     pub(crate) fn unknown_workers(
         &self,
         pending: &PendingStep,
@@ -284,9 +282,9 @@
             .collect()
     }
 
-    /// Returns how many workers a gang may ask about at once to learn of them: with
-    /// several idle nodes, as many as a few calls name. A gang of 91 members learned of
-    /// 400 workers in five calls of 1.2 to 1.5 s, one after the other.
+    /// Returns how many workers a gang may query at once: with several idle nodes, as many as fit
+    /// several requests. Otherwise a gang of 91 members would query 400 workers in five requests of
+    /// 1.2 to 1.5 s, one after the other.
     fn query_limit_count(&self, now: Instant, policy: AdvicePolicy) -> usize {
         let cost = policy.cost(QUERIED_PER_REQUEST_LIMIT_COUNT);
         let requests_count =
@@ -294,8 +292,8 @@
         QUERIED_PER_REQUEST_LIMIT_COUNT * requests_count.clamp(1, REQUESTS_LIMIT_COUNT)
     }
 
-    /// Chooses unknown workers until enough of them should be good, whether
-    /// or not they have room now.
+    /// Chooses unknown workers until enough members are expected to fit, with or without free
+    /// capacity now.
     pub(crate) fn choose_unknown_workers(
         &self,
         now: Instant,
@@ -306,9 +304,8 @@
         limit_count: usize,
     ) -> Vec<WorkerKey> {
         let suitable_share = self.suitable_share_of(&pending.record.queue);
-        // Naming more costs little beside the call itself, and nothing that
-        // anybody waits for where the advisers are idle: what is learned of
-        // a worker never changes.
+        // Further workers add little to the fixed cost of a request, and delay nobody while a node
+        // is idle. The reply stays useful, because the suitability of a worker never changes.
         let has_idle_node = self.adviser_nodes.has_idle_node(now, policy.cost(1));
         let (factor, cost_share) = if has_idle_node {
             (IDLE_CAPACITY_FACTOR, IDLE_COST_SHARE)
@@ -316,8 +313,8 @@
             (GANG_CAPACITY_FACTOR, QUERY_COST_SHARE)
         };
         let wanted_count = missing_count.max(1.0) * factor;
-        // Further parts of the call only learn of what is needed.
-        let wanted_in_requests = missing_count.max(1.0) * GANG_CAPACITY_FACTOR;
+        // Requests after the first only query the workers that are needed.
+        let wanted_beyond_first_request = missing_count.max(1.0) * GANG_CAPACITY_FACTOR;
         let cheap_count = policy.decision_ms * cost_share / policy.per_worker_ms.max(0.01);
         let least_count = cheap_count as usize;
         let mut expected_count = 0.0;
@@ -326,7 +323,7 @@
             let wanted_count = if queried.len() < QUERIED_PER_REQUEST_LIMIT_COUNT {
                 wanted_count
             } else {
-                wanted_in_requests
+                wanted_beyond_first_request
             };
             let is_enough = expected_count >= wanted_count && queried.len() >= least_count;
             if is_enough || queried.len() >= limit_count {
@@ -340,7 +337,7 @@
     }
 }
 
-/// Keeps room for a whole gang on the fullest workers that fit.
+/// Reserves capacity for a whole gang on the candidates, in their order.
 fn plan_reservations(
     candidates: Vec<Candidate>,
     demand: &Resources,
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: room kept for them, and what follows when a member is lost.
+//! Capacity reservations for gangs, and handling of gangs that lose a member.
 
 use crate::event::Action;
 use crate::job::{JobId, StepKey, TaskKey};
@@ -6,11 +6,11 @@
 use crate::worker::{Claim, RunPhase, WorkerKey};
 use ospreywing_types::{Duration, Instant, Resources};
 
-/// How long the members of a gang that has lost one are given to end by
-/// themselves, which spares the stops.
+/// How long the other members of a gang that lost one may take to end by themselves, which often
+/// makes stopping them unnecessary.
 const BROKEN_GANG_STOP_DELAY: Duration = Duration::from_ms(400);
 
-/// Room on a worker that is kept for a gang.
+/// Capacity on a worker reserved for a gang.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) worker: WorkerKey,
@@ -18,7 +18,7 @@
 }
 
 impl Reservation {
-    /// Creates a reservation for so many members.
+    /// Creates a reservation for `members_count` members.
     pub(crate) fn new(worker: WorkerKey, demand: &Resources, members_count: u32) -> Self {
         let room = demand.times(members_count);
         Self { worker, room }
@@ -26,7 +26,7 @@
 }
 
 impl Scheduler {
-    /// Keeps room for a gang, in the place of what was kept for it before.
+    /// Reserves capacity for a gang, replacing its earlier reservations.
     pub(crate) fn set_reservations(&mut self, step: StepKey, reservations: Vec<Reservation>) {
         self.release_reservations(step);
         let mut workers = Vec::with_capacity(reservations.len());
@@ -37,7 +37,7 @@
         self.reservations.insert(step, workers);
     }
 
-    /// Gives back the room that was kept for a gang.
+    /// Releases the capacity reserved for a gang.
     pub(crate) fn release_reservations(&mut self, step: StepKey) {
         let workers = self.reservations.remove(&step).unwrap_or_default();
         for worker in workers {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Gives back the room that was kept for a job's gangs.
+    /// Releases the capacity reserved for all gangs of a job.
     pub(crate) fn release_reservations_of_job(&mut self, job: JobId) {
         let steps = self.reservations.keys().copied();
         let steps: Vec<StepKey> = steps.filter(|step| step.job == job).collect();
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Takes in that a gang has lost a member: the others end by themselves
-    /// or are stopped after a while.
+    /// Handles the loss of a gang member. The other members end by themselves or are stopped after
+    /// [`BROKEN_GANG_STOP_DELAY`].
     pub(crate) fn break_gang(&mut self, now: Instant, step: StepKey) {
         if !self.is_gang(step) {
             return;
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -1,5 +1,5 @@
-//! Room for the largest tasks that come to a service: smaller tasks that can wait leave as
-//! much whole as the largest ones that come in a short time need.
+//! Headroom for the largest tasks of a service: smaller deferrable tasks leave as much capacity
+//! free as the largest tasks arriving within a short time need.
 
 use crate::cycle::SchedulingCycle;
 use crate::packing::count_fitting;
@@ -7,14 +7,14 @@
 use crate::scheduler::Scheduler;
 use ospreywing_types::{Duration, Instant, Resources};
 
-/// Room is kept for the largest tasks that come within so long: about the time in which
-/// ends of runs bring as much new room.
+/// Headroom covers the largest tasks expected within this time, in which ending runs free about as
+/// much capacity again.
 const HEADROOM_PERIOD: Duration = Duration::from_ms(6000);
-/// The part of the largest tasks that a service holds for which room is kept, at most: the
-/// rest is for whoever comes first.
+/// Limits headroom to this share of the largest tasks that fit a service's workers when empty. The
+/// rest may be used by any task.
 const HEADROOM_LIMIT_SHARE: f64 = 0.25;
 
-/// The room to be kept whole in one service.
+/// The headroom still to be set aside in one service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Headroom {
     pub(crate) demand: Resources,
@@ -22,8 +22,8 @@
 }
 
 impl Headroom {
-    /// Returns how much is to be kept where so many tasks of the largest shape fit into the
-    /// empty workers and so many come within a time; `None` for nothing.
+    /// Returns the headroom for the largest shape, or `None` if it is zero. `expected_per_s` is the
+    /// arrival rate of its tasks, and `capacity_count` is the number that fits the empty workers.
     pub(crate) fn new(demand: Resources, expected_per_s: f64, capacity_count: u64) -> Option<Self> {
         let expected = expected_per_s * HEADROOM_PERIOD.as_ms() as f64 / 1000.0;
         let most = capacity_count as f64 * HEADROOM_LIMIT_SHARE;
@@ -36,8 +36,8 @@
 }
 
 impl Scheduler {
-    /// Keeps room for the largest tasks on the freest workers of each service that is half
-    /// used.
+    /// Sets headroom for the largest tasks on the workers with most free processors, in each
+    /// service that is at least half used.
     pub(crate) fn reserve_headroom(&self, cycle: &mut SchedulingCycle) {
         let mut wanted = cycle.wanted_headroom();
         if wanted.is_empty() {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Returns whether a step leaves the room that is kept for the largest tasks: it is
-    /// smaller, its job has time to spare, and it does not run for ever.
+    /// Returns whether a step must not use headroom: its tasks are smaller than the largest, its
+    /// job is deferrable, and it is not perpetual.
     pub(crate) fn must_leave_headroom(
         &self,
         now: Instant,
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -345,7 +345,7 @@
             self.stop_job(now, id, out);
         }
         for step in self.steps_of(id) {
-            self.forget_advice(step);
+            self.remove_advice(step);
         }
         self.waits.remove_job(id);
         self.release_reservations_of_job(id);
--- a/crates/scheduler/src/packing.rs
+++ b/crates/scheduler/src/packing.rs
@@ -1,20 +1,20 @@
-//! Packing: which of the workers that have room for a task lose least by it.
+//! Packing: ranks workers by how little capacity for other tasks is lost by placing a task there.
 //!
-//! Workers hold processors, memory and accelerators, and a task that fits leaves some of each
-//! behind. Room is of use only where whole tasks fit into it, so a worker is chosen on which
-//! room for the fewest larger tasks is lost; of equal ones, that with the least left of what
-//! is scarce. Plain values in, plain values out.
+//! Workers have processors, memory and accelerators, and a task leaves some of each. What is left
+//! is only useful if whole tasks fit. The best worker is therefore the one that loses capacity for
+//! the fewest larger tasks; of equal ones, the one with the least left of the scarce resources.
+//! This module depends only on its arguments.
 
 use crate::dominant::Room;
 use crate::shapes::Shape;
 use ospreywing_types::Resources;
 
-/// What a whole share counts in costs, which are whole numbers so that they have an order.
+/// The cost of a whole share. Costs are integers so that they are totally ordered.
 const SHARE_UNIT: f64 = 1_000_000.0;
-/// The least pressure on a resource, so that one that nobody uses yet still counts a little.
+/// The lower bound of the pressure on a resource, so that an unused resource still has some weight.
 const PRESSURE_FLOOR: f64 = 0.01;
 
-/// How much one unit of each resource is worth where a worker is left with it.
+/// The weight of one unit of each resource.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Scarcity {
     per_milli: f64,
@@ -23,8 +23,8 @@
 }
 
 impl Scarcity {
-    /// Returns the worth of what is free, from what a service holds, what of it is free and
-    /// what has come lately: a unit is worth its share of the whole times the pressure.
+    /// Computes weights from a service's capacity, its free part, and the shapes of recent tasks.
+    /// The weight of a unit is its share of the capacity times the pressure on the resource.
     pub(crate) fn new(capacity: &Room, free: &Room, shapes: &[Shape]) -> Self {
         let lately = |part: fn(&Resources) -> u32| -> f64 {
             let parts = shapes.iter();
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Returns whether the service holds accelerators.
+    /// Returns whether the service has accelerators.
     const fn has_accelerators(&self) -> bool {
         self.per_accelerator > 0.0
     }
 
-    /// Returns the worth of the part of a room that is worth most.
+    /// Returns the highest weight among the resources of an amount.
     pub(crate) fn dominant_weight(&self, amount: &Resources) -> f64 {
         let cores = self.per_milli * f64::from(amount.cores_milli);
         let memory = self.per_mib * f64::from(amount.memory_mib);
@@ -70,19 +70,19 @@
     }
 }
 
-/// What placing a task on a worker costs; the least is best.
+/// The cost of placing a task on a worker. Lower is better.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PackingCost {
-    /// Whether it takes processors that free accelerators need.
+    /// Whether the task uses processors that free accelerators need.
     strands_accelerators: bool,
-    /// The room for larger tasks that is lost, by how often such come.
+    /// The capacity lost for larger tasks, weighted by how often they arrive.
     lost_capacity: u64,
-    /// What is left unused.
+    /// The capacity left unused.
     leftover: u64,
 }
 
 impl PackingCost {
-    /// Creates a cost that only tells how much is left.
+    /// Creates a cost that depends only on the capacity left unused.
     pub(crate) fn of_leftover(leftover: u32) -> Self {
         Self {
             leftover: u64::from(leftover),
@@ -91,33 +91,33 @@
     }
 }
 
-/// A shape that needs room.
+/// A shape with its weight.
 #[derive(Clone, Copy, Debug)]
-struct WeighedShape {
+struct WeightedShape {
     demand: Resources,
-    /// What all of it counts that came lately, in whole units of a cost.
+    /// The shape's share of recent demand, in units of `1 / SHARE_UNIT`.
     demand_share: u64,
     weight: f64,
     per_s: f64,
 }
 
-/// The shape that takes most of what is scarce.
+/// The shape with the highest weight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LargestShape {
     pub(crate) demand: Resources,
-    /// How many tasks of it come in a second.
+    /// The arrival rate of its tasks, per second.
     pub(crate) per_s: f64,
 }
 
-/// What one service's tasks and workers look like, as a cycle begins.
+/// The data for packing tasks of one service, from the start of a cycle.
 #[derive(Clone, Debug)]
 pub(crate) struct Packing {
     scarcity: Scarcity,
-    shapes: Vec<WeighedShape>,
+    shapes: Vec<WeightedShape>,
 }
 
 impl Packing {
-    /// Creates the view of a service to which these shapes came lately.
+    /// Creates the packing data of a service from the shapes of its recent tasks.
     pub(crate) fn new(scarcity: Scarcity, shapes: &[Shape]) -> Self {
         let total: f64 = shapes
             .iter()
@@ -126,7 +126,7 @@
         let weighed = shapes.iter().map(|shape| {
             let weight = scarcity.dominant_weight(&shape.demand);
             let share = shape.count * weight / total.max(f64::MIN_POSITIVE);
-            WeighedShape {
+            WeightedShape {
                 demand: shape.demand,
                 demand_share: (share * SHARE_UNIT) as u64,
                 weight,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Returns the shape that takes most of what is scarce.
+    /// Returns the shape with the highest weight.
     pub(crate) fn largest(&self) -> Option<LargestShape> {
         let shapes = self.shapes.iter();
         let largest = shapes.max_by(|one, other| one.weight.total_cmp(&other.weight));
@@ -149,20 +149,20 @@
         })
     }
 
-    /// Returns all shapes, those first that take most of what is scarce.
+    /// Returns the demands of all shapes, highest weight first.
     pub(crate) fn largest_first(&self) -> Vec<Resources> {
         let mut shapes = self.shapes.clone();
         shapes.sort_by(|one, other| other.weight.total_cmp(&one.weight));
         shapes.into_iter().map(|shape| shape.demand).collect()
     }
 
-    /// Returns whether a demand is smaller than another by what is scarce.
+    /// Returns whether a demand has a lower weight than another.
     pub(crate) fn is_smaller(&self, demand: &Resources, than: &Resources) -> bool {
         self.scarcity.dominant_weight(demand) < self.scarcity.dominant_weight(than)
     }
 
-    /// Returns what a task costs on a worker with this room, into which it fits. Without
-    /// accelerators, processors decide alone.
+    /// Returns the cost of a task on a worker with enough free capacity. Without accelerators, only
+    /// processors count.
     pub(crate) fn cost(&self, free: &Resources, demand: &Resources) -> PackingCost {
         if !self.scarcity.has_accelerators() {
             return PackingCost::of_leftover(free.cores_milli);
@@ -183,7 +183,7 @@
     }
 }
 
-/// Returns how many tasks of a demand fit into a room.
+/// Returns how many tasks with this demand fit into the free capacity.
 pub(crate) fn count_fitting(free: &Resources, demand: &Resources) -> u32 {
     let by = |free: u32, need: u32| free.checked_div(need).unwrap_or(u32::MAX);
     by(free.cores_milli, demand.cores_milli)
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -371,7 +371,7 @@
             }
         }
         let is_kept = self.is_kept_for_trial(now, pending.key.job);
-        let mut chosen = Vec::new();
+        let mut assigned = Vec::new();
         for &index in &pending.waiting {
             let task = pending.key.task(index);
             let fitting = candidates.iter_mut().find(|c| {
@@ -382,7 +382,7 @@
             match fitting {
                 Some(candidate) => {
                     candidate.subtract_task(&pending.demand);
-                    chosen.push((task, candidate.worker));
+                    assigned.push((task, candidate.worker));
                 }
                 // A worker that isn't allowed for this suspected task may be allowed for the next
                 // one.
@@ -390,12 +390,12 @@
                 None => break,
             }
         }
-        let count = chosen.len();
+        let count = assigned.len();
         if spec.is_gang && count < pending.waiting.len() {
             return 0;
         }
         let run = self.next_run(pending);
-        for (task, worker) in chosen {
+        for (task, worker) in assigned {
             self.record_start(now, pending, task, worker, run, out);
         }
         if count > 0 {
--- a/crates/scheduler/src/shapes.rs
+++ b/crates/scheduler/src/shapes.rs
@@ -1,4 +1,4 @@
-//! The shapes of the tasks that come to a service, and how often each has come lately.
+//! Shapes of the tasks that arrive at each service, and how often each arrived recently.
 
 use crate::job::JobRecord;
 use crate::scheduler::Scheduler;
@@ -6,33 +6,33 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The time in which what has come counts half: several times the length of a task, and
-/// short enough to follow a load that changes within minutes.
+/// The half-life of arrival counts: several times the duration of a task, and short enough to
+/// follow a load that changes within minutes.
 const HALF_LIFE: Duration = Duration::from_ms(30_000);
-/// The shapes that are kept of a service, so that looking at them costs next to nothing.
+/// Limits the shapes per service, so that iterating over them is cheap.
 const SHAPES_LIMIT_COUNT: usize = 12;
-/// What came less often than this is forgotten.
+/// Shapes with a lower count are removed.
 const MIN_KEPT_COUNT: f64 = 0.1;
-/// The services that are kept, as many as operators set.
+/// Limits the services, to the number that operators may configure.
 const SERVICES_LIMIT_COUNT: usize = 256;
 
-/// A shape, and how many tasks of it have come lately, older ones counting less.
+/// A shape, and the number of recent tasks with it, decaying exponentially.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shape {
-    /// The most that any of them needed.
+    /// The element-wise maximum of the tasks' demands.
     pub(crate) demand: Resources,
     pub(crate) count: f64,
 }
 
 impl Shape {
-    /// Returns how many of it come in a second.
+    /// Returns the arrival rate of tasks with the shape, per second.
     pub(crate) fn per_s(&self) -> f64 {
         let lifetime_ms = HALF_LIFE.as_ms() as f64 / core::f64::consts::LN_2;
         self.count * 1000.0 / lifetime_ms
     }
 }
 
-/// What tasks of one shape have in common: powers of two of their needs.
+/// Classifies demands by powers of two. Tasks of one class have the same shape.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ShapeClass {
     cores_log2: u32,
@@ -48,8 +48,8 @@
     }
 }
 
-/// Returns the bits of a number less one, so that a power of two is in the class below it;
-/// nothing at all has a class of its own.
+/// Returns one more than the binary logarithm rounded up, or 0 for 0. A power of two is in the
+/// class of the numbers just below it.
 const fn ceil_log2(number: u32) -> u32 {
     match number.checked_sub(1) {
         None => 0,
@@ -65,7 +65,7 @@
 }
 
 impl ServiceShapes {
-    /// Counts tasks of a demand.
+    /// Counts tasks with a demand.
     pub(crate) fn record_tasks(&mut self, now: Instant, demand: Resources, tasks_count: u32) {
         self.decay(now);
         let class = ShapeClass::of(&demand);
@@ -82,7 +82,7 @@
         self.shapes.push(Shape { demand, count });
     }
 
-    /// Lets what has come before count less.
+    /// Decays the counts and removes rare shapes.
     fn decay(&mut self, now: Instant) {
         let passed_ms = now.since(self.counted_at).as_ms() as f64;
         let factor = (-passed_ms / HALF_LIFE.as_ms() as f64).exp2();
@@ -109,7 +109,7 @@
 }
 
 impl Shapes {
-    /// Counts tasks of a demand that came to a service.
+    /// Counts tasks with a demand that arrived at a service.
     pub(crate) fn record_tasks(
         &mut self,
         now: Instant,
@@ -131,7 +131,8 @@
         shapes.map_or(&[], |shapes| &shapes.shapes)
     }
 
-    /// Returns whether what is kept is within its bounds.
+    /// Returns whether the number of shapes and services is within its limits and all counts are
+    /// valid.
     pub(crate) fn are_bounded(&self) -> bool {
         let is_sound = |shape: &Shape| {
             shape.count.is_finite() && shape.count >= 0.0 && !shape.demand.is_zero()
@@ -143,7 +144,7 @@
         self.by_service.len() <= SERVICES_LIMIT_COUNT && self.by_service.values().all(is_bounded)
     }
 
-    /// Forgets shapes that have not come for long, and services without any.
+    /// Decays all counts, and removes rare shapes and services without shapes.
     pub(crate) fn remove_stale(&mut self, now: Instant) {
         for shapes in self.by_service.values_mut() {
             shapes.decay(now);
@@ -154,7 +155,7 @@
 }
 
 impl Scheduler {
-    /// Counts the tasks of a job that has come, by their shapes.
+    /// Counts the tasks of an accepted job by shape. Fillers are not counted.
     pub(crate) fn record_shapes(&mut self, now: Instant, record: &JobRecord) {
         let queue = self.configuration.queue(&record.queue);
         let service = queue.map_or(&record.service, |queue| &queue.service);
