--- a/crates/scheduler/src/advice.rs
+++ b/crates/scheduler/src/advice.rs
@@ -97,8 +97,8 @@
     }
 
     /// Returns the workers with valid tickets.
-    pub(crate) fn ticketed(&self, now: Instant) -> Vec<WorkerKey> {
-        let is_valid = |suitability: &Suitability| matches!(suitability, Suitability::Suitable { expires_at, .. } if now < *expires_at);
+    pub(crate) fn ticketed_workers(&self, now: Instant) -> Vec<WorkerKey> {
+        let is_valid = |it: &Suitability| matches!(it, Suitability::Suitable { expires_at, .. } if now < *expires_at);
         let valid = self
             .suitability_by_worker
             .iter()
@@ -107,7 +107,7 @@
     }
 
     /// Returns the workers known to be suitable, with or without a valid ticket.
-    pub(crate) fn suitable(&self) -> Vec<WorkerKey> {
+    pub(crate) fn suitable_workers(&self) -> Vec<WorkerKey> {
         let is_suitable =
             |suitability: &Suitability| matches!(suitability, Suitability::Suitable { .. });
         let suitable = self
--- a/crates/scheduler/src/advice_requests.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -51,7 +51,7 @@
         now: Instant,
         pending: &PendingStep,
         policy: AdvicePolicy,
-        needed: usize,
+        needed_count: usize,
         cycle: &mut SchedulingCycle,
         out: &mut Vec<Action>,
     ) {
@@ -65,18 +65,18 @@
             return;
         }
         let mut queried = if has_unreserved_capacity(cycle, pending) {
-            self.choose_workers_to_query(now, pending, cycle, needed)
+            self.choose_workers_to_query(now, pending, cycle, needed_count)
         } else {
             Vec::new()
         };
-        for key in self.unknown_workers_to_query(now, pending, policy, needed, cycle) {
+        for key in self.unknown_workers_to_query(now, pending, policy, needed_count, cycle) {
             if queried.len() < QUERIED_PER_REQUEST_LIMIT_COUNT && !queried.contains(&key) {
                 queried.push(key);
             }
         }
         if self.request_advice(now, pending, policy, queried.clone(), out) {
-            self.add_soft_reservations(pending, &queried, needed);
-            reserve_in_cycle(cycle, pending, needed);
+            self.add_soft_reservations(pending, &queried, needed_count);
+            reserve_in_cycle(cycle, pending, needed_count);
         }
     }
 
@@ -89,19 +89,20 @@
         now: Instant,
         pending: &PendingStep,
         cycle: &SchedulingCycle,
-        needed: usize,
+        needed_count: usize,
     ) -> Vec<WorkerKey> {
         let suitable_share = self.suitable_share_of(&pending.record.queue);
         let advice = &self.advice[&pending.key];
-        let mut wanted = needed as f64 * QUERIED_CAPACITY_FACTOR;
+        let mut wanted = needed_count as f64 * QUERIED_CAPACITY_FACTOR;
         let mut queried = Vec::new();
-        for candidate in self.candidates(now, pending, cycle, advice.suitable().into_iter()) {
+        for candidate in self.candidates(now, pending, cycle, advice.suitable_workers().into_iter())
+        {
             if wanted <= 0.0 || queried.len() >= QUERIED_PER_REQUEST_LIMIT_COUNT {
                 return queried;
             }
             let fit_count = self
                 .unreserved_fit_count(&candidate, pending)
-                .min(needed as u32);
+                .min(needed_count as u32);
             if fit_count > 0 {
                 wanted -= f64::from(fit_count);
                 queried.push(candidate.worker);
@@ -127,7 +128,7 @@
             }
             let fit_count = self
                 .unreserved_fit_count(&candidate, pending)
-                .min(needed as u32);
+                .min(needed_count as u32);
             if fit_count > 0 {
                 wanted -= suitable_share * f64::from(fit_count);
                 queried.push(key);
@@ -181,9 +182,9 @@
         &mut self,
         pending: &PendingStep,
         queried: &[WorkerKey],
-        needed: usize,
+        needed_count: usize,
     ) {
-        let mut remaining_count = needed as u32;
+        let mut remaining_count = needed_count as u32;
         for &key in queried {
             let fit_count = count_fitting(&self.workers[key].free(), &pending.demand);
             let count = fit_count.min(remaining_count);
@@ -231,9 +232,9 @@
         out: &mut Vec<Action>,
     ) -> bool {
         let requests = queried.chunks(self.workers_per_request(now, policy, queried.len()));
-        let asked = requests
+        let sent = requests
             .take_while(|request| self.send_advice_request(now, pending, policy, request, out));
-        asked.count() > 0
+        sent.count() > 0
     }
 
     /// Returns how many workers each request queries. With many idle nodes, several query fewer
@@ -252,6 +253,7 @@
         even_count.clamp(least_count, QUERIED_PER_REQUEST_LIMIT_COUNT)
     }
 
+    /// Sends one request through a node. Returns whether a node could take it.
     fn send_advice_request(
         &mut self,
         now: Instant,
@@ -303,12 +305,14 @@
         }
     }
 
+    /// Returns the expected share of suitable workers among unknown ones, for steps of a queue.
     pub(crate) fn suitable_share_of(&self, queue: &str) -> f64 {
         let known = self.suitable_shares.get(queue);
         let (suitable, queried) = known.copied().unwrap_or((INITIAL_SUITABLE_SHARE, 1.0));
         (suitable / queried).max(MIN_SUITABLE_SHARE)
     }
 
+    /// Handles the reply to an advice request, or its failure.
     pub(crate) fn on_advice_answered(
         &mut self,
         now: Instant,
--- a/crates/scheduler/src/adviser_nodes.rs
+++ b/crates/scheduler/src/adviser_nodes.rs
@@ -14,9 +14,9 @@
 const SHORT_NODES_NUMERATOR: usize = 3;
 const SHORT_NODES_DENOMINATOR: usize = 8;
 /// The target load of the nodes that only take short requests, at which these seldom wait for each
-/// other. With three of eight nodes always taking only short requests, gangs whose requests take 1
-/// s had 19 of 30 nodes, all of them busy, and achieved 0.57 of their value instead of 0.66 (mean
-/// of ten simulated runs of five loads). The other nodes were busy a seventh of the time.
+/// other. With three of eight nodes always taking only short requests, gangs whose requests take a
+/// second had 19 of 30 nodes, all of them busy, and achieved 0.57 of their value instead of 0.66
+/// (mean of ten simulated runs of five loads). The other nodes were busy a seventh of the time.
 const SHORT_NODES_LOAD: f64 = 0.3;
 /// The longest time that a long request waits at a node.
 const LONG_BACKLOG_LIMIT: Duration = Duration::from_ms(900);
@@ -149,9 +149,9 @@
 
     /// Returns how many of the active nodes only take short requests.
     fn short_nodes_count(&self, now: Instant, active_count: usize) -> usize {
-        let most = (active_count * SHORT_NODES_NUMERATOR).div_ceil(SHORT_NODES_DENOMINATOR);
-        let needed = (self.short_load.busy_nodes(now) / SHORT_NODES_LOAD).ceil() as usize;
-        (needed + 1).min(most)
+        let max_count = (active_count * SHORT_NODES_NUMERATOR).div_ceil(SHORT_NODES_DENOMINATOR);
+        let needed_count = (self.short_load.busy_nodes(now) / SHORT_NODES_LOAD).ceil() as usize;
+        (needed_count + 1).min(max_count)
     }
 
     /// Pauses a node after a failed request.
--- a/crates/scheduler/src/backfill.rs
+++ b/crates/scheduler/src/backfill.rs
@@ -25,15 +25,15 @@
 /// The additional time for a task's start after its placement, and for recording its end.
 const START_AND_END_DELAY: Duration = Duration::from_ms(300);
 /// How long a reservation holds other work back after its first due time, or after the limit first
-/// fits its step. Requesting advice and capacity takes this long. A step that waits for capacity
-/// any longer reserves nothing.
+/// fits its step. The step needs about this long to get advice and capacity. If it waits for
+/// capacity longer, it loses the reservation.
 const OVERDUE_GRACE: Duration = Duration::from_ms(2000);
 /// After this wait, a step's reservation also holds back more urgent work. Otherwise a stream of
 /// urgent work could keep the step waiting forever.
 const STARVED_AFTER: Duration = Duration::from_ms(2000);
 /// After this wait, a reservation may become firm for [`FIRM_DURATION`]: it then holds other work
-/// back even while less than half of the limit is in use. Both times together are 3 s, within which
-/// work must start whose customer uses less than half.
+/// back even while less than half of the limit is in use. The two times add up to 3 s: work of a
+/// customer that uses less than half of its limit must start within that time.
 const FIRM_AFTER: Duration = Duration::from_ms(1000);
 /// How long a firm reservation holds other work back. That work must start within 3 s, and its own
 /// start takes part of this time.
@@ -301,9 +301,9 @@
             let Some(ends) = customer.and_then(|customer| ends.get_mut(&customer)) else {
                 continue;
             };
-            if let Some(left) = self.time_left(*task, run) {
+            if let Some(remaining) = self.time_left(*task, run) {
                 ends.push(ExpectedEnd {
-                    at: now + remaining_by_age(now, run, left),
+                    at: now + remaining_by_age(now, run, remaining),
                     freed: run.charge.amount,
                 });
             }
@@ -405,9 +405,9 @@
         };
         let spec = job.record.spec.steps.get(step.step as usize);
         spec.is_some_and(|spec: &StepSpec| {
-            let length_ms = self.task_length(&job.record.queue, spec).as_ms();
-            let max_duration = Duration::from_ms(length_ms * MAX_DURATION_PERCENT / 100);
-            let is_known = length_ms > 0 && !spec.is_perpetual;
+            let duration_ms = self.task_length(&job.record.queue, spec).as_ms();
+            let max_duration = Duration::from_ms(duration_ms * MAX_DURATION_PERCENT / 100);
+            let is_known = duration_ms > 0 && !spec.is_perpetual;
             is_known && now + max_duration + START_AND_END_DELAY <= until
         })
     }
@@ -424,7 +424,7 @@
         let Some(customer) = charge.customer else {
             return;
         };
-        let left = self.accounts.get(customer).left();
+        let remaining = self.accounts.get(customer).left();
         let reservation = self.limit_reservations.get_mut(customer);
         let Some(reservation) = reservation.filter(|it| it.step == step) else {
             return;
@@ -432,7 +432,7 @@
         cycle.enforce_reservation(customer);
         reservation.forecast = Some(Forecast {
             due: now,
-            surplus: left - reservation.amount,
+            surplus: remaining - reservation.amount,
         });
         if !reservation.has_fit_limit {
             reservation.has_fit_limit = true;
@@ -486,13 +486,13 @@
 
 /// Returns the expected remaining time of a run, corrected by its age if its worker reports no
 /// progress.
-fn remaining_by_age(now: Instant, run: &Run, left: Duration) -> Duration {
+fn remaining_by_age(now: Instant, run: &Run, remaining: Duration) -> Duration {
     match run.begun_at {
         Some(begun_at) if run.progress_percent == 0 => {
             let age_ms = now.since(begun_at).as_ms();
-            Duration::from_ms(left.as_ms().saturating_sub(age_ms))
+            Duration::from_ms(remaining.as_ms().saturating_sub(age_ms))
         }
-        _ => left,
+        _ => remaining,
     }
 }
 
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -17,9 +17,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     pub(crate) worker: WorkerKey,
+    /// The worker's capacity that is free for the step.
     pub(crate) free: Resources,
     /// How many more tasks of the step the worker may hold.
     pub(crate) remaining_count: u32,
+    /// Whether the worker is in the rack of the step's data, or the step names no such rack.
     pub(crate) is_near_data: bool,
     /// The worker's rack, if the platform reports it.
     rack: Option<Arc<str>>,
@@ -94,13 +96,13 @@
         mut candidates: Vec<Candidate>,
         pending: &PendingStep,
     ) -> Vec<Candidate> {
-        let needed = pending.waiting.len() as u64;
+        let needed_count = pending.waiting.len() as u64;
         let speed_of = |c: &Candidate| self.workers[c.worker].speed;
         for class in [SpeedClass::Slow, SpeedClass::Usual, SpeedClass::Fast] {
             let is_other = |c: &Candidate| speed_of(c).class != class || speed_of(c).is_ejected;
             let alike = candidates.iter().filter(|c| !is_other(c));
             let alike: Vec<Candidate> = alike.cloned().collect();
-            if total_fit_count(&alike, &pending.demand) >= needed {
+            if total_fit_count(&alike, &pending.demand) >= needed_count {
                 candidates.sort_by_key(is_other);
                 return candidates;
             }
@@ -173,7 +175,7 @@
 pub(crate) fn prefer_one_rack(
     candidates: Vec<Candidate>,
     demand: &Resources,
-    needed: usize,
+    needed_count: usize,
 ) -> Vec<Candidate> {
     let racks: BTreeSet<Arc<str>> = candidates.iter().filter_map(|c| c.rack.clone()).collect();
     let in_rack = |rack: &Arc<str>| -> Vec<Candidate> {
@@ -183,7 +185,7 @@
     let fitting = racks
         .iter()
         .map(in_rack)
-        .filter(|here| total_fit_count(here, demand) >= needed as u64)
+        .filter(|here| total_fit_count(here, demand) >= needed_count as u64)
         .min_by_key(|here| total_fit_count(here, demand));
     fitting.unwrap_or(candidates)
 }
--- a/crates/scheduler/src/expected_capacity.rs
+++ b/crates/scheduler/src/expected_capacity.rs
@@ -65,7 +65,7 @@
         {
             return;
         }
-        let suitable = self.advice[&pending.key].suitable();
+        let suitable = self.advice[&pending.key].suitable_workers();
         let expected = self.expected_capacity(now, pending, suitable, missing_count, cycle);
         let Some(min_delay) = expected.first().map(|capacity| capacity.delay) else {
             return;
@@ -98,14 +98,14 @@
         }
         cycle.waiting_gangs_count += 1;
         let needed_count = pending.waiting.len();
-        let suitable = self.advice[&pending.key].suitable();
+        let suitable = self.advice[&pending.key].suitable_workers();
         let expected = self.expected_capacity(now, pending, suitable, needed_count, cycle);
         reserve_for_gang(pending, &expected, cycle);
         if expected.len() == needed_count {
-            let last = expected
+            let max_delay = expected
                 .last()
                 .map_or(Duration::ZERO, |capacity| capacity.delay);
-            self.renew_tickets(now, pending, policy, &expected, last, out);
+            self.renew_tickets(now, pending, policy, &expected, max_delay, out);
         }
     }
 
@@ -132,14 +132,12 @@
             return;
         }
         *waiting_count += 1;
-        let placeable = cycle.workers().filter(|key| {
+        let eligible = cycle.workers().filter(|key| {
             let worker = &self.workers[*key];
             Self::is_eligible(pending, worker)
         });
-        let placeable = placeable
-            .take(missing_count + EXTRA_WORKERS_COUNT)
-            .collect();
-        let expected = self.expected_capacity(now, pending, placeable, missing_count, cycle);
+        let eligible = eligible.take(missing_count + EXTRA_WORKERS_COUNT).collect();
+        let expected = self.expected_capacity(now, pending, eligible, missing_count, cycle);
         if is_gang {
             return reserve_for_gang(pending, &expected, cycle);
         }
@@ -163,7 +161,7 @@
         {
             return Vec::new();
         }
-        let suitable = self.advice[&pending.key].suitable();
+        let suitable = self.advice[&pending.key].suitable_workers();
         let placeable = suitable
             .iter()
             .filter(|key| self.workers[**key].is_placeable(now));
@@ -202,10 +200,10 @@
             if !worker.is_placeable(now) || !Self::is_eligible(pending, worker) {
                 continue;
             }
-            let taken = worker.reserved(pending.key) + cycle.reserved_on(key);
+            let reserved = worker.reserved(pending.key) + cycle.reserved_on(key);
             let remaining_count = remaining_count(worker, pending.key, pending.spec());
             let limit_count = remaining_count.min(tasks_count as u32);
-            let delays = self.capacity_delays(worker, taken, &pending.demand, limit_count);
+            let delays = self.capacity_delays(worker, reserved, &pending.demand, limit_count);
             let capacities = delays.into_iter();
             found.extend(capacities.map(|delay| ExpectedCapacity { worker: key, delay }));
         }
@@ -215,12 +213,12 @@
     }
 
     /// Returns when a worker will have capacity for the first, the second and further tasks, up to
-    /// a limit, based on the estimates of its runs. `taken` is the capacity reserved for other
+    /// a limit, based on the estimates of its runs. `reserved` is the capacity reserved for other
     /// steps on the worker.
     fn capacity_delays(
         &self,
         worker: &Worker,
-        taken: Resources,
+        reserved: Resources,
         demand: &Resources,
         limit_count: u32,
     ) -> Vec<Duration> {
@@ -229,14 +227,14 @@
             .iter()
             .filter_map(|(task, run)| Some((self.time_left(*task, run)?, run.demand)))
             .collect();
-        runs.sort_by_key(|(left, _)| *left);
-        let mut used = worker.used + taken;
+        runs.sort_by_key(|(remaining, _)| *remaining);
+        let mut used = worker.used + reserved;
         let mut fit_count = count_fitting(&(worker.facts.capacity - used), demand).min(limit_count);
         let mut delays = vec![Duration::ZERO; fit_count as usize];
-        for (left, freed) in runs {
+        for (remaining, freed) in runs {
             used -= freed;
             let count = count_fitting(&(worker.facts.capacity - used), demand).min(limit_count);
-            delays.extend((fit_count..count).map(|_| left));
+            delays.extend((fit_count..count).map(|_| remaining));
             fit_count = fit_count.max(count);
         }
         delays
@@ -259,9 +257,9 @@
         let cost = policy.cost(queried.len());
         let is_near = delay <= cost + TICKET_LEAD;
         let advice = &self.advice[&pending.key];
-        let holds = |key: &WorkerKey| advice.ticket(now + cost, *key).is_some();
-        let is_held = queried.iter().all(holds);
-        if advice.has_pending_request() || now < advice.retry_at || !is_near || is_held {
+        let is_valid = |key: &WorkerKey| advice.ticket(now + cost, *key).is_some();
+        let are_valid = queried.iter().all(is_valid);
+        if advice.has_pending_request() || now < advice.retry_at || !is_near || are_valid {
             return;
         }
         if self.adviser_nodes.has_idle_node(now, policy.cost(1)) {
--- a/crates/scheduler/src/fragmentation.rs
+++ b/crates/scheduler/src/fragmentation.rs
@@ -31,20 +31,20 @@
 
 impl FreeCapacity {
     fn fit_count(&self, demand: &Resources) -> u64 {
-        let free_by_worker = self.free_by_worker.iter();
-        free_by_worker
-            .map(|capacity| u64::from(count_fitting(capacity, demand)))
+        let workers = self.free_by_worker.iter();
+        workers
+            .map(|free| u64::from(count_fitting(free, demand)))
             .sum()
     }
 
     /// Returns the percentage of the free capacity that `count` tasks of a demand use.
     fn percent(&self, demand: &Resources, count: u64) -> u32 {
-        let (taken, free) = if demand.accelerators_count > 0 {
+        let (used, free) = if demand.accelerators_count > 0 {
             (demand.accelerators_count, self.free.accelerators_count)
         } else {
             (demand.cores_milli, self.free.cores_milli)
         };
-        let percent = u64::from(taken).saturating_mul(count).saturating_mul(100);
+        let percent = u64::from(used).saturating_mul(count).saturating_mul(100);
         percent.checked_div(free).unwrap_or(0).min(100) as u32
     }
 }
@@ -60,25 +60,25 @@
             of_service.free.add(&free, 1);
             of_service.free_by_worker.push(free);
         }
-        let free_by_worker = by_service.into_iter();
-        free_by_worker
-            .filter_map(|(service, capacity)| self.fragmentation_of(service, &capacity))
+        let services = by_service.into_iter();
+        services
+            .filter_map(|(service, free_capacity)| self.fragmentation_of(service, &free_capacity))
             .collect()
     }
 
     fn fragmentation_of(
         &self,
         service: Arc<str>,
-        capacity: &FreeCapacity,
+        free_capacity: &FreeCapacity,
     ) -> Option<ServiceFragmentation> {
         let shapes = self.shapes.of(&service);
-        let scarcity = Scarcity::new(&capacity.capacity, &capacity.free, shapes);
+        let scarcity = Scarcity::new(&free_capacity.capacity, &free_capacity.free, shapes);
         let by_size = Packing::new(scarcity, shapes).largest_first();
         let largest = by_size.first()?;
-        let usable_percent = capacity.percent(largest, capacity.fit_count(largest));
+        let usable_percent = free_capacity.percent(largest, free_capacity.fit_count(largest));
         let fitting = by_size
             .iter()
-            .map(|shape| (*shape, capacity.fit_count(shape)));
+            .map(|shape| (*shape, free_capacity.fit_count(shape)));
         let (largest_fit, fit_count) = fitting
             .into_iter()
             .find(|(_, count)| *count > 0)
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -24,7 +24,7 @@
 /// The capacity of a gang's suitable workers should be at least this multiple of the capacity it
 /// needs.
 const GANG_CAPACITY_FACTOR: f64 = 2.0;
-/// Replace [`GANG_CAPACITY_FACTOR`] and [`QUERY_COST_SHARE`] while an adviser node is idle.
+/// These replace [`GANG_CAPACITY_FACTOR`] and [`QUERY_COST_SHARE`] while an adviser node is idle.
 const IDLE_CAPACITY_FACTOR: f64 = 4.0;
 const IDLE_COST_SHARE: f64 = 1.0;
 /// Limits the requests that a gang's query is split into. Each needs [`IDLE_NODES_PER_REQUEST`]
@@ -67,7 +67,7 @@
         cycle: &mut SchedulingCycle,
         out: &mut Vec<Action>,
     ) {
-        let suitable = self.advice[&pending.key].suitable();
+        let suitable = self.advice[&pending.key].suitable_workers();
         if self.reserve_free_capacity(now, pending, policy, &suitable, cycle, out) {
             return;
         }
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -26,8 +26,8 @@
     /// arrival rate of its tasks, and `capacity_count` is the number that fits the empty workers.
     pub(crate) fn new(demand: Resources, expected_per_s: f64, capacity_count: u64) -> Option<Self> {
         let expected = expected_per_s * HEADROOM_PERIOD.as_ms() as f64 / 1000.0;
-        let most = capacity_count as f64 * HEADROOM_LIMIT_SHARE;
-        let remaining_count = expected.min(most).round() as u32;
+        let max_count = capacity_count as f64 * HEADROOM_LIMIT_SHARE;
+        let remaining_count = expected.min(max_count).round() as u32;
         (remaining_count > 0).then_some(Self {
             demand,
             remaining_count,
--- a/crates/scheduler/src/packing.rs
+++ b/crates/scheduler/src/packing.rs
@@ -2,14 +2,14 @@
 //!
 //! Workers have processors, memory and accelerators, and a task leaves some of each. What is left
 //! is only useful if whole tasks fit. The best worker is therefore the one that loses capacity for
-//! the fewest larger tasks; of equal ones, the one with the least left of the scarce resources.
-//! This module depends only on its arguments.
+//! the fewest larger tasks; of equal ones, the one with the least left of the scarce resources. The
+//! functions here depend only on their arguments.
 
 use crate::dominant::Room;
 use crate::shapes::Shape;
 use ospreywing_types::Resources;
 
-/// The cost of a whole share. Costs are integers so that they are totally ordered.
+/// The cost of a share of 1. Costs are integers so that they are totally ordered.
 const SHARE_UNIT: f64 = 1_000_000.0;
 /// The lower bound of the pressure on a resource, so that an unused resource still has some weight.
 const PRESSURE_FLOOR: f64 = 0.01;
@@ -26,32 +26,32 @@
     /// Computes weights from a service's capacity, its free part, and the shapes of recent tasks.
     /// The weight of a unit is its share of the capacity times the pressure on the resource.
     pub(crate) fn new(capacity: &Room, free: &Room, shapes: &[Shape]) -> Self {
-        let lately = |part: fn(&Resources) -> u32| -> f64 {
+        let recent_sum = |part: fn(&Resources) -> u32| -> f64 {
             let parts = shapes.iter();
             parts.map(|it| it.count * f64::from(part(&it.demand))).sum()
         };
-        let unit_weight = |capacity: u64, free: u64, lately: f64| {
+        let unit_weight = |capacity: u64, free: u64, recent_sum: f64| {
             if capacity == 0 {
                 return 0.0;
             }
-            let needed = capacity.saturating_sub(free) as f64 + lately;
+            let needed = capacity.saturating_sub(free) as f64 + recent_sum;
             (needed / capacity as f64).max(PRESSURE_FLOOR) / capacity as f64
         };
         Self {
             per_milli: unit_weight(
                 capacity.cores_milli,
                 free.cores_milli,
-                lately(|it| it.cores_milli),
+                recent_sum(|it| it.cores_milli),
             ),
             per_mib: unit_weight(
                 capacity.memory_mib,
                 free.memory_mib,
-                lately(|it| it.memory_mib),
+                recent_sum(|it| it.memory_mib),
             ),
             per_accelerator: unit_weight(
                 capacity.accelerators_count,
                 free.accelerators_count,
-                lately(|it| it.accelerators_count),
+                recent_sum(|it| it.accelerators_count),
             ),
         }
     }
@@ -123,7 +123,7 @@
             .iter()
             .map(|it| it.count * scarcity.dominant_weight(&it.demand))
             .sum();
-        let weighed = shapes.iter().map(|shape| {
+        let weighted = shapes.iter().map(|shape| {
             let weight = scarcity.dominant_weight(&shape.demand);
             let share = shape.count * weight / total.max(f64::MIN_POSITIVE);
             WeightedShape {
@@ -135,7 +135,7 @@
         });
         Self {
             scarcity,
-            shapes: weighed.collect(),
+            shapes: weighted.collect(),
         }
     }
 
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -42,8 +42,11 @@
 pub(crate) struct PendingStep {
     pub(crate) key: StepKey,
     pub(crate) record: Arc<JobRecord>,
+    /// The indices of the tasks that wait.
     pub(crate) waiting: Vec<u32>,
+    /// What each task occupies on a worker, see [`counted_demand`].
     pub(crate) demand: Resources,
+    /// The queue's advice policy, if it needs advice.
     pub(crate) advice: Option<AdvicePolicy>,
     /// The service on whose workers the step currently runs.
     pub(crate) service: Arc<str>,
@@ -223,15 +226,16 @@
             }
             return Some(WaitReason::Advice);
         }
-        let ticketed = advice.ticketed(now);
-        let placed_count = self.place_ticketed(now, pending, &ticketed, cycle, out);
+        let ticketed_workers = advice.ticketed_workers(now);
+        let placed_count =
+            self.place_on_ticketed_workers(now, pending, &ticketed_workers, cycle, out);
         if placed_count > 0 {
             return None;
         }
-        if self.awaits_stops(now, pending, &ticketed) {
+        if self.awaits_stops(now, pending, &ticketed_workers) {
             return Some(WaitReason::Stops);
         }
-        if self.awaits_probation(now, pending, &ticketed) {
+        if self.awaits_probation(now, pending, &ticketed_workers) {
             return Some(WaitReason::Probation);
         }
         // The reply has arrived: the reserved capacity has been used or is released.
@@ -253,13 +257,14 @@
         out: &mut Vec<Action>,
     ) -> Option<WaitReason> {
         let advice = self.advice.entry(pending.key).or_default();
-        let ticketed = advice.ticketed(now);
-        let placed_count = self.place_ticketed(now, pending, &ticketed, cycle, out);
+        let ticketed_workers = advice.ticketed_workers(now);
+        let placed_count =
+            self.place_on_ticketed_workers(now, pending, &ticketed_workers, cycle, out);
         let missing_count = pending.waiting.len() - placed_count;
         if missing_count == 0 {
             return None;
         }
-        if self.awaits_probation(now, pending, &ticketed) {
+        if self.awaits_probation(now, pending, &ticketed_workers) {
             return Some(WaitReason::Probation);
         }
         if self.advice[&pending.key].has_pending_request() {
@@ -271,26 +276,31 @@
         Some(self.capacity_wait_reason(now, pending))
     }
 
-    fn place_ticketed(
+    fn place_on_ticketed_workers(
         &mut self,
         now: Instant,
         pending: &PendingStep,
-        ticketed: &[WorkerKey],
+        ticketed_workers: &[WorkerKey],
         cycle: &SchedulingCycle,
         out: &mut Vec<Action>,
     ) -> usize {
-        if ticketed.is_empty() {
+        if ticketed_workers.is_empty() {
             return 0;
         }
-        let candidates = self.candidates(now, pending, cycle, ticketed.iter().copied());
+        let candidates = self.candidates(now, pending, cycle, ticketed_workers.iter().copied());
         self.allocate(now, pending, candidates, out)
     }
 
     /// Returns whether a gang with valid tickets waits only for runs that are being stopped for it.
-    fn awaits_stops(&self, now: Instant, pending: &PendingStep, ticketed: &[WorkerKey]) -> bool {
+    fn awaits_stops(
+        &self,
+        now: Instant,
+        pending: &PendingStep,
+        ticketed_workers: &[WorkerKey],
+    ) -> bool {
         pending.spec().is_gang
             && self.reservations.contains_key(&pending.key)
-            && self.will_fit_after_stops(now, pending, ticketed)
+            && self.will_fit_after_stops(now, pending, ticketed_workers)
     }
 
     /// Returns whether a step with valid tickets waits only for a worker on which a suspected task
@@ -299,9 +309,9 @@
         &self,
         now: Instant,
         pending: &PendingStep,
-        ticketed: &[WorkerKey],
+        ticketed_workers: &[WorkerKey],
     ) -> bool {
-        !ticketed.is_empty() && self.is_kept_for_trial(now, pending.key.job)
+        !ticketed_workers.is_empty() && self.is_kept_for_trial(now, pending.key.job)
     }
 
     /// Returns whether a step leaves free capacity to waiting gangs. A gang needs a large amount at
@@ -312,15 +322,15 @@
         pending: &PendingStep,
         cycle: &SchedulingCycle,
     ) -> bool {
-        let is_crowded = cycle.free_milli * YIELD_FREE_DIVISOR < cycle.capacity_milli;
-        if cycle.waiting_gangs_count == 0 || !is_crowded || pending.spec().is_gang {
+        let is_scarce = cycle.free_milli * YIELD_FREE_DIVISOR < cycle.capacity_milli;
+        if cycle.waiting_gangs_count == 0 || !is_scarce || pending.spec().is_gang {
             return false;
         }
         let Some(job) = self.jobs.get(&pending.key.job) else {
             return false;
         };
-        let needed_until = now + Duration::from_ms(job.left_ms) + YIELD_SLACK;
-        needed_until < job.accepted_at + job.objective
+        let end_with_slack = now + Duration::from_ms(job.left_ms) + YIELD_SLACK;
+        end_with_slack < job.accepted_at + job.objective
     }
 
     /// Returns the tasks of a step that may be placed: as many as its customer's limit allows, or a
@@ -346,6 +356,7 @@
         })
     }
 
+    /// Returns whether tasks of a step need a ticket to start on a worker.
     pub(crate) fn needs_ticket(&self, step: StepKey) -> bool {
         let job = self.jobs.get(&step.job);
         let queue = job.and_then(|job| self.configuration.queue(&job.record.queue));
@@ -370,14 +381,13 @@
                 return 0;
             }
         }
-        let is_kept = self.is_kept_for_trial(now, pending.key.job);
+        let is_awaiting_probation = self.is_kept_for_trial(now, pending.key.job);
         let mut assigned = Vec::new();
         for &index in &pending.waiting {
             let task = pending.key.task(index);
             let fitting = candidates.iter_mut().find(|c| {
-                let has_unreserved_capacity =
-                    c.remaining_count > 0 && pending.demand.fits_in(&c.free);
-                has_unreserved_capacity && (!is_kept || self.is_trial_site(task, c.worker))
+                let can_hold_task = c.remaining_count > 0 && pending.demand.fits_in(&c.free);
+                can_hold_task && (!is_awaiting_probation || self.is_trial_site(task, c.worker))
             });
             match fitting {
                 Some(candidate) => {
@@ -386,7 +396,7 @@
                 }
                 // A worker that isn't allowed for this suspected task may be allowed for the next
                 // one.
-                None if is_kept => {}
+                None if is_awaiting_probation => {}
                 None => break,
             }
         }
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -24,13 +24,13 @@
 /// Runs of jobs with less slack than this are not preempted.
 const VICTIM_SLACK: Duration = Duration::from_ms(3000);
 /// A run with more progress than this will soon end by itself.
-const VICTIM_PROGRESS_PERCENT: u32 = 70;
+const VICTIM_PROGRESS_LIMIT_PERCENT: u32 = 70;
 /// A run without checkpoints and with more progress than this would lose too much.
-const UNSAVED_PROGRESS_PERCENT: u32 = 25;
+const UNSAVED_PROGRESS_LIMIT_PERCENT: u32 = 25;
 
 /// A task that has been started this often is not preempted again, so that every task eventually
 /// ends.
-const VICTIM_RUNS_COUNT: u32 = 3;
+const VICTIM_RUNS_LIMIT_COUNT: u32 = 3;
 
 /// A run that may be preempted.
 #[derive(Clone, Copy, Debug)]
@@ -145,7 +145,7 @@
         if self.prospect(now, job) != Prospect::InTime {
             return;
         }
-        let suitable = self.advice[&pending.key].suitable();
+        let suitable = self.advice[&pending.key].suitable_workers();
         let mut targets = self.targets(now, pending, cycle, &suitable);
         let possible_count: u32 = targets
             .iter()
@@ -165,10 +165,10 @@
         now: Instant,
         pending: &PendingStep,
         cycle: &SchedulingCycle,
-        suitable: &[WorkerKey],
+        workers: &[WorkerKey],
     ) -> Vec<PreemptionTarget> {
         let mut targets = Vec::new();
-        for &key in suitable {
+        for &key in workers {
             let worker = &self.workers[key];
             if !worker.is_placeable(now) || cycle.has_reservation_on(key) {
                 continue;
@@ -218,21 +218,21 @@
             return false;
         };
         let limit_percent = if spec.saves_progress {
-            VICTIM_PROGRESS_PERCENT
+            VICTIM_PROGRESS_LIMIT_PERCENT
         } else {
-            UNSAVED_PROGRESS_PERCENT
+            UNSAVED_PROGRESS_LIMIT_PERCENT
         };
         let is_cheap = run.progress_percent <= limit_percent
-            && run.run <= VICTIM_RUNS_COUNT
+            && run.run <= VICTIM_RUNS_LIMIT_COUNT
             && !spec.is_gang
             && !spec.is_perpetual;
         let is_less_urgent = job.rank.0 > for_job.rank.0;
-        let needed_until = now + Duration::from_ms(job.left_ms) + VICTIM_SLACK;
+        let end_with_slack = now + Duration::from_ms(job.left_ms) + VICTIM_SLACK;
         let is_nearly_done = self.is_nearly_done(run);
-        let can_wait = is_less_urgent && needed_until < job.accepted_at + job.objective;
+        let can_be_delayed = is_less_urgent && end_with_slack < job.accepted_at + job.objective;
         is_cheap
             && !is_nearly_done
-            && (can_wait || spec.saves_progress && self.yields_share(now, job, for_job))
+            && (can_be_delayed || spec.saves_progress && self.yields_share(now, job, for_job))
     }
 
     /// Returns whether a job's customer is over its share at the expense of the job `for_job`.
--- a/crates/scheduler/src/scheduling_order.rs
+++ b/crates/scheduler/src/scheduling_order.rs
@@ -46,7 +46,8 @@
     priority: u32,
     /// The size of the job's largest gang if the job is urgent; 0 otherwise.
     gang_size_log2: u32,
-    /// The job's demand if its service is overloaded and it is scheduled last; 0 otherwise.
+    /// How long the job would take the whole service, in microseconds, if the service is overloaded
+    /// and the job is scheduled last; 0 otherwise.
     size_us: u64,
     /// The latest start for the job to meet its objective, or to be worth something if it will be
     /// late.
@@ -112,7 +113,7 @@
         order.into_iter().map(|rank| rank.job).collect()
     }
 
-    /// Moves work over its customer's share of scarce capacity back.
+    /// Ranks jobs lower whose customer is over its share of scarce capacity.
     fn rank_by_shares(&self, order: &mut [SchedulingRank]) {
         if !self.is_room_short() {
             return;
@@ -162,8 +163,8 @@
 
     /// Returns a job's urgency and the latest instant at which it should start.
     fn urgency(&self, now: Instant, job: &Job) -> (Urgency, Instant) {
-        let left = Duration::from_ms(job.left_ms);
-        let start_deadline = (job.accepted_at + job.objective) - left;
+        let remaining = Duration::from_ms(job.left_ms);
+        let start_deadline = (job.accepted_at + job.objective) - remaining;
         match self.prospect(now, job) {
             Prospect::InTime if start_deadline < now + DEFERRABLE_SLACK => {
                 (Urgency::Urgent, start_deadline)
@@ -174,13 +175,14 @@
         }
     }
 
+    /// Returns the best possible outcome for a job that is placed now.
     pub(crate) fn prospect(&self, now: Instant, job: &Job) -> Prospect {
         if !job.may_be_late() {
             return Prospect::InTime;
         }
-        let sure = Duration::from_ms(job.sure_ms);
+        let min_remaining = Duration::from_ms(job.sure_ms);
         let objective = job.objective;
-        let ends_at = now + sure;
+        let ends_at = now + min_remaining;
         if ends_at <= job.accepted_at + objective {
             Prospect::InTime
         } else if ends_at <= job.accepted_at + objective.times(WORTHLESS_FACTOR) {
@@ -199,9 +201,9 @@
     pub(crate) fn objective(
         &self,
         record: &JobRecord,
-        length_ms: impl Fn(usize) -> u64,
+        duration_ms: impl Fn(usize) -> u64,
     ) -> Duration {
-        objective_by(record, self.configuration.queue(&record.queue), length_ms)
+        objective_by(record, self.configuration.queue(&record.queue), duration_ms)
     }
 }
 
@@ -215,15 +217,15 @@
 fn objective_by(
     record: &JobRecord,
     queue: Option<&Queue>,
-    length_ms: impl Fn(usize) -> u64,
+    duration_ms: impl Fn(usize) -> u64,
 ) -> Duration {
     let stretch = queue.map_or(DEFAULT_STRETCH, |queue| queue.stretch);
-    let rest_ms = queue.map_or(DEFAULT_OBJECTIVE_MS, |queue| queue.objective_ms);
-    let critical_path = critical_path(record, None, length_ms) as f64;
-    Duration::from_ms((critical_path * stretch) as u64 + rest_ms)
+    let fixed_ms = queue.map_or(DEFAULT_OBJECTIVE_MS, |queue| queue.objective_ms);
+    let critical_path = critical_path(record, None, duration_ms) as f64;
+    Duration::from_ms((critical_path * stretch) as u64 + fixed_ms)
 }
 
-/// Returns the latest start after which a job is worthless.
+/// Returns the latest start at which a job still ends before it is worthless.
 fn last_worthwhile_start(job: &Job) -> Instant {
     let worth_until = job.accepted_at + job.objective.times(WORTHLESS_FACTOR);
     worth_until - Duration::from_ms(job.left_ms)
@@ -244,16 +246,16 @@
     largest.checked_ilog2().unwrap_or(0)
 }
 
-/// Returns the length of the critical path of a job's unfinished steps, given the length of each
-/// step.
+/// Returns the duration of the critical path of a job's unfinished steps, given the duration of
+/// each step.
 pub(crate) fn critical_path(
     record: &JobRecord,
     round: Option<&RoundState>,
-    length_of: impl Fn(usize) -> u64,
+    duration_of: impl Fn(usize) -> u64,
 ) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(record.spec.steps.len());
     for (number, step) in record.spec.steps.iter().enumerate() {
-        let begin = step
+        let start = step
             .depends_on
             .iter()
             .filter_map(|earlier| ends.get(*earlier as usize))
@@ -263,8 +265,8 @@
         let is_done = round
             .and_then(|round| round.steps.get(number))
             .is_some_and(StepState::is_done);
-        let length = if is_done { 0 } else { length_of(number) };
-        ends.push(begin + length);
+        let duration = if is_done { 0 } else { duration_of(number) };
+        ends.push(start + duration);
     }
     ends.into_iter().max().unwrap_or(0)
 }
--- a/crates/scheduler/src/speed_preference.rs
+++ b/crates/scheduler/src/speed_preference.rs
@@ -48,12 +48,12 @@
         if pending.spec().is_perpetual || self.prospect(now, job) != Prospect::InTime {
             return SpeedPreference::Any;
         }
-        let left = Duration::from_ms(job.left_ms);
+        let remaining = Duration::from_ms(job.left_ms);
         let ends_by = job.accepted_at + job.objective;
-        if now + left + DEFERRABLE_SLACK > ends_by {
+        if now + remaining + DEFERRABLE_SLACK > ends_by {
             return SpeedPreference::Fast;
         }
-        if now + remaining_on_slow(left, speeds) + DEFERRABLE_SLACK <= ends_by {
+        if now + remaining_on_slow(remaining, speeds) + DEFERRABLE_SLACK <= ends_by {
             SpeedPreference::Slow
         } else {
             SpeedPreference::Any
@@ -62,12 +62,12 @@
 
     /// Returns whether a run is expected to end soon, judged by its progress so far.
     pub(crate) fn is_nearly_done(&self, run: &Run) -> bool {
-        let left = run.left_by_steady_pace().filter(|_| self.is_learning());
-        left.is_some_and(|left| left <= NEARLY_DONE)
+        let remaining = run.left_by_steady_pace().filter(|_| self.is_learning());
+        remaining.is_some_and(|remaining| remaining <= NEARLY_DONE)
     }
 }
 
 /// Returns the remaining time of a task on slow workers.
-fn remaining_on_slow(left: Duration, speeds: &ServiceSpeeds) -> Duration {
-    scaled(left, 1.0 / speeds.slow)
+fn remaining_on_slow(remaining: Duration, speeds: &ServiceSpeeds) -> Duration {
+    scaled(remaining, 1.0 / speeds.slow)
 }
--- a/crates/scheduler/src/wait_reasons.rs
+++ b/crates/scheduler/src/wait_reasons.rs
@@ -39,7 +39,7 @@
     /// Members of the gang's previous run may be alive, until they end, are stopped or their leases
     /// expire.
     PreviousRun,
-    /// Runs that are being stopped for the step have not ended.
+    /// Runs are being stopped for the step and have not ended.
     Stops,
     /// The step's task is suspected of crashing a worker and waits for a worker of its own, up to a
     /// time limit.
