--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -72,7 +72,7 @@
         };
         leading.tell(Event::AdviceAnswered {
             step,
-            named: workers.iter().map(|to| to.worker).collect(),
+            queried: workers.iter().map(|to| to.worker).collect(),
             reply,
         });
     });
--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -218,8 +218,12 @@
                     tickets: tickets.collect(),
                     validity: Duration::from_ms(2500),
                 };
-                let named = workers.iter().map(|to| to.worker).collect();
-                let event = Event::AdviceAnswered { step, named, reply };
+                let queried = workers.iter().map(|to| to.worker).collect();
+                let event = Event::AdviceAnswered {
+                    step,
+                    queried,
+                    reply,
+                };
                 self.tell_after(expected.as_ms(), event);
             }
             Action::Log(_) | Action::StepDown => {}
--- a/crates/scheduler/src/advice.rs
+++ b/crates/scheduler/src/advice.rs
@@ -11,10 +11,7 @@
 /// Whether a worker may run a step.
 #[derive(Clone, Debug)]
 enum Suitability {
-    Suitable {
-        ticket: Arc<str>,
-        expires_at: Instant,
-    },
+    Suitable { ticket: Arc<str>, expiry: Instant },
     Unsuitable,
 }
 
@@ -56,11 +53,11 @@
             self.suitability_by_worker
                 .insert(worker, Suitability::Unsuitable);
         }
-        let expires_at = (now + validity) - TICKET_MARGIN;
+        let expiry = (now + validity) - TICKET_MARGIN;
         for (worker, ticket) in suitable {
             let ticket = ticket.clone();
             self.suitability_by_worker
-                .insert(*worker, Suitability::Suitable { ticket, expires_at });
+                .insert(*worker, Suitability::Suitable { ticket, expiry });
         }
     }
 
@@ -89,16 +86,15 @@
     /// Returns the worker's ticket if it is valid.
     pub(crate) fn ticket(&self, now: Instant, worker: WorkerKey) -> Option<Arc<str>> {
         match self.suitability_by_worker.get(&worker) {
-            Some(Suitability::Suitable { ticket, expires_at }) if now < *expires_at => {
-                Some(ticket.clone())
-            }
+            Some(Suitability::Suitable { ticket, expiry }) if now < *expiry => Some(ticket.clone()),
             _ => None,
         }
     }
 
     /// Returns the workers with valid tickets.
     pub(crate) fn ticketed_workers(&self, now: Instant) -> Vec<WorkerKey> {
-        let is_valid = |it: &Suitability| matches!(it, Suitability::Suitable { expires_at, .. } if now < *expires_at);
+        let is_valid =
+            |it: &Suitability| matches!(it, Suitability::Suitable { expiry, .. } if now < *expiry);
         let valid = self
             .suitability_by_worker
             .iter()
@@ -129,10 +125,10 @@
 
     /// Expires the ticket of a worker that refused it.
     pub(crate) fn expire_ticket(&mut self, worker: WorkerKey) {
-        if let Some(Suitability::Suitable { expires_at, .. }) =
+        if let Some(Suitability::Suitable { expiry, .. }) =
             self.suitability_by_worker.get_mut(&worker)
         {
-            *expires_at = Instant::default();
+            *expiry = Instant::default();
         }
     }
 }
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -267,7 +267,7 @@
         /// The step.
         step: StepKey,
         /// The workers that were named.
-        named: Vec<WorkerKey>,
+        queried: Vec<WorkerKey>,
         /// What became of it.
         reply: AdviceReply,
     },
--- a/crates/scheduler/src/expected_capacity.rs
+++ b/crates/scheduler/src/expected_capacity.rs
@@ -20,10 +20,10 @@
 /// free all the time.
 const LARGE_TASKS_PER_WORKER_LIMIT_COUNT: u32 = 4;
 /// Limits the steps that may reserve workers in one cycle. More would reserve too much of a small
-/// site.
+/// cluster.
 const WAITING_STEPS_LIMIT_COUNT: usize = 6;
 /// Limits the gangs that may reserve workers in one cycle; the others do so in later cycles. With
-/// ten, the achieved value fell on two enlarged sites.
+/// ten, the achieved value fell on two enlarged clusters.
 pub(crate) const WAITING_GANGS_LIMIT_COUNT: usize = 4;
 /// Limits the share of the workers reserved for gangs. The rest stays for other work.
 const GANG_RESERVED_WORKERS_PERCENT: usize = 60;
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -110,8 +110,9 @@
         true
     }
 
-    /// Returns whether a gang may search for capacity now. A search takes long on large sites, so
-    /// it is done at intervals, and only for the most urgent gangs unless an adviser node is idle.
+    /// Returns whether a gang may search for capacity now. A search takes long on large clusters,
+    /// so it is done at intervals, and only for the most urgent gangs unless an adviser node is
+    /// idle.
     fn is_search_due(
         &mut self,
         now: Instant,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -243,8 +243,12 @@
                 reply,
             } => self.on_stop_answered(now, worker, task, run, reply, out),
             Event::NodesListed(nodes) => self.adviser_nodes.set_nodes(nodes),
-            Event::AdviceAnswered { step, named, reply } => {
-                self.on_advice_answered(now, step, &named, reply, out);
+            Event::AdviceAnswered {
+                step,
+                queried,
+                reply,
+            } => {
+                self.on_advice_answered(now, step, &queried, reply, out);
             }
             Event::Committed { lane } => self.on_committed(now, lane as usize, out),
             Event::StoreTrouble(has_trouble) => {
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -67,12 +67,16 @@
     for action in taken {
         match action {
             Action::Advise { step, workers, .. } => {
-                let named = workers.iter().map(|to| to.worker).collect();
+                let queried = workers.iter().map(|to| to.worker).collect();
                 let reply = AdviceReply::Good {
                     tickets: Vec::new(),
                     validity: Duration::from_ms(1500),
                 };
-                bench.tell(Event::AdviceAnswered { step, named, reply });
+                bench.tell(Event::AdviceAnswered {
+                    step,
+                    queried,
+                    reply,
+                });
             }
             other => bench.actions.push(other),
         }
@@ -150,9 +154,9 @@
 #[case::large(64, 4)]
 #[case::larger(640, 4)]
 fn ask_in_parts_where_nodes_are_idle(#[case] nodes_count: usize, #[case] parts_count: usize) {
-    let named = named_in_cell(nodes_count);
-    assert_eq!(named.iter().sum::<usize>(), WORKERS_COUNT);
-    assert_eq!(named.len(), parts_count, "{named:?}");
+    let queried = named_in_cell(nodes_count);
+    assert_eq!(queried.iter().sum::<usize>(), WORKERS_COUNT);
+    assert_eq!(queried.len(), parts_count, "{queried:?}");
 }
 
 /// The room on which a job counts whose call for advice is open is others' as soon as the job
--- a/crates/scheduler/tests/scheduler/awaiting.rs
+++ b/crates/scheduler/tests/scheduler/awaiting.rs
@@ -57,8 +57,8 @@
 fn seek_for_tasks_learns_of_all_workers_at_once() {
     let (mut bench, _) = full_workers(80);
     bench.submit(LARGE, vec![filling_step()]);
-    let named: usize = bench.advise(&["w4"]).into_iter().sum();
-    assert_eq!(named, WORKERS_COUNT, "also those without room");
+    let queried: usize = bench.advise(&["w4"]).into_iter().sum();
+    assert_eq!(queried, WORKERS_COUNT, "also those without room");
 }
 
 #[test]
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -161,7 +161,7 @@
     let mut bench = Bench::with_advice(Recovered::default(), &workers(300), Some(advice()));
     list_nodes(&mut bench, nodes_count);
     bench.submit(1, vec![filling_gang(120)]);
-    let named = bench.advise(&[]);
-    assert_eq!(named.len(), calls_count, "{named:?}");
-    assert_eq!(named.iter().sum::<usize>(), named_count, "{named:?}");
+    let queried = bench.advise(&[]);
+    assert_eq!(queried.len(), calls_count, "{queried:?}");
+    assert_eq!(queried.iter().sum::<usize>(), named_count, "{queried:?}");
 }
--- a/crates/scheduler/tests/scheduler/support/bench.rs
+++ b/crates/scheduler/tests/scheduler/support/bench.rs
@@ -268,8 +268,12 @@
                 tickets: tickets.collect(),
                 validity: Duration::from_ms(1500),
             };
-            let named = workers.iter().map(|to| to.worker).collect();
-            self.tell(Event::AdviceAnswered { step, named, reply });
+            let queried = workers.iter().map(|to| to.worker).collect();
+            self.tell(Event::AdviceAnswered {
+                step,
+                queried,
+                reply,
+            });
         }
         named_counts
     }
--- a/crates/scheduler/tests/scheduler/support/world/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/world/mod.rs
@@ -539,8 +539,12 @@
                     tickets,
                     validity: Duration::from_ms(1500),
                 };
-                let named = workers.iter().map(|to| to.worker).collect();
-                let event = Event::AdviceAnswered { step, named, reply };
+                let queried = workers.iter().map(|to| to.worker).collect();
+                let event = Event::AdviceAnswered {
+                    step,
+                    queried,
+                    reply,
+                };
                 self.post(expected.as_ms(), Message::Tell { term, event });
             }
             Action::StepDown => {
