--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -550,8 +550,8 @@
             };
             let steps = self.waiting_steps.get_or_create(&labels);
             steps.set(wait.steps_count as i64);
-            let oldest = self.oldest_wait_ms.get_or_create(&labels);
-            oldest.set(wait.oldest.as_ms() as i64);
+            let oldest_wait = self.oldest_wait_ms.get_or_create(&labels);
+            oldest_wait.set(wait.oldest_wait.as_ms() as i64);
         }
     }
 
--- a/crates/scheduler/src/advice_requests.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -247,10 +247,11 @@
     ) -> usize {
         let idle_nodes_count = self.adviser_nodes.idle_nodes_count(now, policy.cost(1));
         let requests_count = (idle_nodes_count / IDLE_NODES_PER_REQUEST).max(1);
-        let cheap_count = policy.decision_ms * REQUEST_COST_SHARE / policy.per_worker_ms.max(0.01);
-        let least_count = (cheap_count as usize).clamp(1, QUERIED_PER_REQUEST_LIMIT_COUNT);
+        let cheap_extra_count =
+            policy.decision_ms * REQUEST_COST_SHARE / policy.per_worker_ms.max(0.01);
+        let min_count = (cheap_extra_count as usize).clamp(1, QUERIED_PER_REQUEST_LIMIT_COUNT);
         let even_count = queried_count.div_ceil(requests_count);
-        even_count.clamp(least_count, QUERIED_PER_REQUEST_LIMIT_COUNT)
+        even_count.clamp(min_count, QUERIED_PER_REQUEST_LIMIT_COUNT)
     }
 
     /// Sends one request through a node. Returns whether a node could take it.
@@ -307,8 +308,8 @@
 
     /// Returns the expected share of suitable workers among unknown ones, for steps of a queue.
     pub(crate) fn suitable_share_of(&self, queue: &str) -> f64 {
-        let known = self.suitable_shares.get(queue);
-        let (suitable, queried) = known.copied().unwrap_or((INITIAL_SUITABLE_SHARE, 1.0));
+        let counts = self.suitable_shares.get(queue);
+        let (suitable, queried) = counts.copied().unwrap_or((INITIAL_SUITABLE_SHARE, 1.0));
         (suitable / queried).max(MIN_SUITABLE_SHARE)
     }
 
@@ -385,12 +386,12 @@
         let Some(queue) = queue else {
             return;
         };
-        let known = self
+        let counts = self
             .suitable_shares
             .entry(queue)
             .or_insert((INITIAL_SUITABLE_SHARE, 1.0));
-        known.0 = known.0 * SUITABLE_SHARE_DECAY + suitable_count as f64;
-        known.1 = known.1 * SUITABLE_SHARE_DECAY + queried_count as f64;
+        counts.0 = counts.0 * SUITABLE_SHARE_DECAY + suitable_count as f64;
+        counts.1 = counts.1 * SUITABLE_SHARE_DECAY + queried_count as f64;
     }
 }
 
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -32,7 +32,7 @@
     /// The element-wise maximum of the workers' capacities.
     largest: Resources,
     /// Whether workers differ in capacity or have accelerators.
-    is_uneven: bool,
+    is_heterogeneous: bool,
     capacity: Room,
     free: Room,
     used: Room,
@@ -45,7 +45,8 @@
     fn add_worker(&mut self, worker: &Worker) {
         let (capacity, free) = (&worker.facts.capacity, &worker.free());
         let is_first = self.largest.is_zero();
-        self.is_uneven |= capacity.accelerators_count > 0 || !is_first && *capacity != self.largest;
+        self.is_heterogeneous |=
+            capacity.accelerators_count > 0 || !is_first && *capacity != self.largest;
         self.largest = self.largest.max(*capacity);
         self.unreserved_milli += i64::from(free.cores_milli);
         self.capacity.add(capacity, 1);
@@ -64,7 +65,7 @@
     /// Returns data for packing tasks. Returns `None` if all workers have the same capacity and no
     /// accelerators, or if no task shapes are known.
     fn new_packing(&self, shapes: &[Shape]) -> Option<Packing> {
-        if !self.is_uneven || shapes.is_empty() {
+        if !self.is_heterogeneous || shapes.is_empty() {
             return None;
         }
         let scarcity = Scarcity::new(&self.capacity, &self.free, shapes);
@@ -262,7 +263,7 @@
                 service: service.clone(),
                 unreserved_milli: 0,
                 largest: Resources::ZERO,
-                is_uneven: false,
+                is_heterogeneous: false,
                 capacity: Room::default(),
                 free: Room::default(),
                 used: Room::default(),
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -316,8 +316,8 @@
         let wanted_count = missing_count.max(1.0) * factor;
         // Requests after the first only query the workers that are needed.
         let wanted_beyond_first_request = missing_count.max(1.0) * GANG_CAPACITY_FACTOR;
-        let cheap_count = policy.decision_ms * cost_share / policy.per_worker_ms.max(0.01);
-        let least_count = cheap_count as usize;
+        let cheap_extra_count = policy.decision_ms * cost_share / policy.per_worker_ms.max(0.01);
+        let min_count = cheap_extra_count as usize;
         let mut expected_count = 0.0;
         let mut queried = Vec::new();
         for key in unknown {
@@ -326,7 +326,7 @@
             } else {
                 wanted_beyond_first_request
             };
-            let is_enough = expected_count >= wanted_count && queried.len() >= least_count;
+            let is_enough = expected_count >= wanted_count && queried.len() >= min_count;
             if is_enough || queried.len() >= limit_count {
                 break;
             }
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -237,8 +237,8 @@
 
     /// Returns whether a job's customer is over its share at the expense of the job `for_job`.
     fn yields_share(&self, now: Instant, job: &Job, for_job: &Job) -> bool {
-        let giver = self.giver_for(now, for_job);
-        job.service == for_job.service && giver == Some(job.customer)
+        let preempted_customer = self.giver_for(now, for_job);
+        job.service == for_job.service && preempted_customer == Some(job.customer)
     }
 
     /// Stops as few runs as possible of the customer that is furthest over its share, to fit
@@ -255,7 +255,7 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(giver) = self.giver_for(now, job) else {
+        let Some(preempted_customer) = self.giver_for(now, job) else {
             return;
         };
         if self.prospect(now, job) != Prospect::InTime || !self.begin_search_for_share(now, id) {
@@ -264,7 +264,7 @@
         let workers: Vec<WorkerKey> = cycle.workers().collect();
         let runs_any = |key: &&WorkerKey| {
             let mut runs = self.workers[**key].runs.values();
-            runs.any(|run| run.charge.customer == giver)
+            runs.any(|run| run.charge.customer == preempted_customer)
         };
         let preemptable_workers: Vec<WorkerKey> =
             workers.iter().filter(runs_any).copied().collect();
--- a/crates/scheduler/src/scheduling_order.rs
+++ b/crates/scheduler/src/scheduling_order.rs
@@ -29,7 +29,7 @@
     /// The job can end late, but before it is worthless.
     Late,
     /// The job will end too late to be of much value. It still runs.
-    Overdue,
+    Worthless,
 }
 
 /// A job that can be on time is deferrable while its slack exceeds this. It equals the slack at
@@ -73,7 +73,7 @@
     /// The service is overloaded, and the job is selected to end after it is worthless.
     Last,
     /// The job has little value whenever it ends.
-    Overdue,
+    Worthless,
 }
 
 impl SchedulingRank {
@@ -81,7 +81,7 @@
     fn apply_overload(&mut self, overloaded: &OverloadRank, last_worthwhile_start: Instant) {
         let urgency = match overloaded.selection {
             _ if overloaded.is_aged => Urgency::Aged,
-            _ if self.urgency == Urgency::Overdue => return,
+            _ if self.urgency == Urgency::Worthless => return,
             Selection::InTime => return,
             Selection::CanWait if self.urgency == Urgency::Urgent => return,
             Selection::CanWait => Urgency::CanWait,
@@ -171,7 +171,7 @@
             }
             Prospect::InTime => (Urgency::Deferrable, start_deadline),
             Prospect::Late => (Urgency::Deferrable, last_worthwhile_start(job)),
-            Prospect::Overdue => (Urgency::Overdue, start_deadline),
+            Prospect::Worthless => (Urgency::Worthless, start_deadline),
         }
     }
 
@@ -188,7 +188,7 @@
         } else if ends_at <= job.accepted_at + objective.times(WORTHLESS_FACTOR) {
             Prospect::Late
         } else {
-            Prospect::Overdue
+            Prospect::Worthless
         }
     }
 
--- a/crates/scheduler/src/wait_reasons.rs
+++ b/crates/scheduler/src/wait_reasons.rs
@@ -102,7 +102,7 @@
     /// The number of steps.
     pub steps_count: usize,
     /// The longest time that any of them has waited, for this and earlier reasons together.
-    pub oldest: Duration,
+    pub oldest_wait: Duration,
 }
 
 /// All waiting steps.
@@ -179,7 +179,7 @@
         for wait in self.by_step.values() {
             let summary = &mut summaries[wait.reason as usize];
             summary.steps_count += 1;
-            summary.oldest = summary.oldest.max(now.since(wait.since));
+            summary.oldest_wait = summary.oldest_wait.max(now.since(wait.since));
         }
         summaries
     }
--- a/crates/scheduler/tests/scheduler/waiting.rs
+++ b/crates/scheduler/tests/scheduler/waiting.rs
@@ -53,7 +53,7 @@
     let status = bench.scheduler.status(bench.now);
     let room = status.waits[WaitReason::Capacity as usize];
     assert_eq!(room.steps_count, 1);
-    assert!(room.oldest >= Duration::from_ms(3000));
+    assert!(room.oldest_wait >= Duration::from_ms(3000));
 }
 
 #[test]
