--- a/crates/scheduler/src/advice_requests.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -81,9 +81,9 @@
     }
 
     /// Chooses workers with capacity until enough of them are expected to be suitable: first those
-    /// known to be suitable, then those with most free capacity. Skips capacity that steps with
-    /// pending requests count on. Otherwise many steps would query the same workers, most of them
-    /// in vain.
+    /// known to be suitable, then those with most free capacity. Skips capacity that is softly
+    /// reserved for steps with pending requests. Otherwise many steps would query the same workers,
+    /// and most of them would not get the capacity.
     fn choose_workers_to_query(
         &self,
         now: Instant,
@@ -177,7 +177,8 @@
         candidate.fit_count(&pending.demand)
     }
 
-    /// Adds soft reservations for a step's tasks on the queried workers, in their order.
+    /// Adds soft reservations for a step's tasks on the queried workers, in their order. They keep
+    /// other steps from querying the workers for this capacity, but not from using it.
     fn add_soft_reservations(
         &mut self,
         pending: &PendingStep,
