--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -2,7 +2,7 @@
 //!
 //! The scheduler is driven by workers, a store and an adviser that answer at set times.
 //! Counted are the processor time in its code (the least of three plays), what it allocates and the
-//! bytes of what it commits. Run it with `cargo bench -p ospreywing-scheduler`; the table
+//! bytes of what it commits. Run it with `cargo harness -p ospreywing-scheduler`; the table
 //! stands in docs/design/scale.md.
 
 use ospreywing_scheduler::{
@@ -152,7 +152,7 @@
         self.cost.busy_ns += busy_ns() - begun_ns;
         self.cost.allocations_count += ALLOCATIONS_COUNT.load(Ordering::Relaxed) - allocated;
         for action in core::mem::take(&mut self.actions) {
-            self.carry_out(action);
+            self.perform(action);
         }
     }
 
@@ -165,7 +165,7 @@
         self.post(self.now_ms + after_ms, Due::Tell(Box::new(event)));
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Commit { lane, changes } => {
                 let bytes = changes.iter().map(|change| match &change.kind {
--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -1,6 +1,6 @@
 //! Which jobs are refused at once, and that only those are which would be done too late.
 
-use crate::support::world::{Faults, World};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::{configuration, job, step, QUEUE};
 use ospreywing_scheduler::overload::{Amounts, Demand, LastingRun, Occupancy};
 use ospreywing_scheduler::{
@@ -66,19 +66,19 @@
 
     /// Plays a load of short jobs beside long tasks that take all room.
     fn run(&self, seed: u64) -> Outcome {
-        let mut world = World::new(seed, WORKERS_COUNT, Faults::default(), None);
-        world.run_lengths_percent = Some(self.lengths_percent.clone());
-        world.elect_with_features(self.features);
-        world.run_for(8_000);
+        let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
+        simulation.run_durations_percent = Some(self.lengths_percent.clone());
+        simulation.elect_with_features(self.features);
+        simulation.run_for(8_000);
         let long = StepSpec {
             estimate_ms: LONG_MS,
             ..step(2 * WORKERS_COUNT as u32)
         };
         let (id, mut record) = job(1_000_000, vec![long]);
-        record.accepted_ms = world.now_ms;
-        world.submit((id, record));
-        world.run_for(500);
-        let begun_ms = world.now_ms;
+        record.accepted_ms = simulation.now_ms;
+        simulation.submit((id, record));
+        simulation.run_for(500);
+        let begun_ms = simulation.now_ms;
         let mut outcome = Outcome::default();
         // The jobs by when they are handed in, and when that was for the first time.
         let mut callers: BTreeMap<(u64, u64), u64> = (0..LOAD_MS / PERIOD_MS)
@@ -88,43 +88,43 @@
             })
             .collect();
         let mut handed_in: BTreeMap<JobId, u64> = BTreeMap::new();
-        while !callers.is_empty() || world.done_ms.len() < handed_in.len() + 1 {
-            assert!(world.now_ms < begun_ms + LOAD_MS + DONE_WITHIN_MS);
-            let is_due = self.takeover_at_ms == Some(world.now_ms - begun_ms);
+        while !callers.is_empty() || simulation.done_ms.len() < handed_in.len() + 1 {
+            assert!(simulation.now_ms < begun_ms + LOAD_MS + DONE_WITHIN_MS);
+            let is_due = self.takeover_at_ms == Some(simulation.now_ms - begun_ms);
             if is_due {
-                world.elect();
+                simulation.elect();
             }
-            let later = callers.split_off(&(world.now_ms + 1, 0));
+            let later = callers.split_off(&(simulation.now_ms + 1, 0));
             for ((at_ms, number), first_ms) in core::mem::replace(&mut callers, later) {
-                let (id, record) = short_job(number, world.now_ms);
+                let (id, record) = short_job(number, simulation.now_ms);
                 let draw = number * 7919;
-                match refusal(&world, &record) {
+                match refusal(&simulation, &record) {
                     Some(refusal) => {
                         let since_ms = at_ms - begun_ms;
                         outcome.refused_ms.entry(id).or_insert(since_ms);
-                        let back_ms = world.now_ms + refusal.come_back(draw).as_ms();
+                        let back_ms = simulation.now_ms + refusal.come_back(draw).as_ms();
                         outcome.returns_ms.push(back_ms);
                         callers.insert((back_ms, number), first_ms);
                     }
                     None => {
                         handed_in.insert(id, first_ms);
-                        world.submit((id, record));
+                        simulation.submit((id, record));
                     }
                 }
             }
-            world.run_for(TURN_MS);
-            world.note_outcomes();
+            simulation.run_for(TURN_MS);
+            simulation.record_outcomes();
         }
         let took = handed_in
             .iter()
-            .map(|(id, at_ms)| (*id, world.done_ms[id] - at_ms));
+            .map(|(id, at_ms)| (*id, simulation.done_ms[id] - at_ms));
         outcome.took_ms = took.collect();
         outcome
     }
 }
 
-fn refusal(world: &World, record: &JobRecord) -> Option<ospreywing_scheduler::Refusal> {
-    let forecast = world.forecast()?;
+fn refusal(simulation: &Simulation, record: &JobRecord) -> Option<ospreywing_scheduler::Refusal> {
+    let forecast = simulation.forecast()?;
     forecast.refusal(record, &configuration(None), Duration::ZERO)
 }
 
@@ -254,7 +254,7 @@
         interval_ms: 0,
     });
     let mut elsewhere = record;
-    elsewhere.queue = crate::support::PATIENT_QUEUE.to_owned();
+    elsewhere.queue = crate::support::LOW_PRIORITY_QUEUE.to_owned();
     for record in [smaller, endless, scheduled, elsewhere] {
         assert!(!is_refused(&forecast, &record, 0));
     }
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -1,7 +1,7 @@
 //! Which nodes make calls for advice, and which calls wait.
 
-use crate::support::bench::{workers, Bench};
-use crate::support::{configuration, job, patient_job, step, PATIENT_QUEUE, QUEUE};
+use crate::support::harness::{workers, Harness};
+use crate::support::{configuration, job, low_priority_job, step, LOW_PRIORITY_QUEUE, QUEUE};
 use ospreywing_scheduler::{
     Action, AdvicePolicy, AdviceReply, Configuration, Event, JobId, Recovered, StepSpec,
 };
@@ -28,29 +28,29 @@
 fn queues(urgent: Duration, patient: Duration) -> Configuration {
     let mut configuration = configuration(None);
     configuration.version = 2;
-    for (name, cost) in [(QUEUE, urgent), (PATIENT_QUEUE, patient)] {
+    for (name, cost) in [(QUEUE, urgent), (LOW_PRIORITY_QUEUE, patient)] {
         let queue = configuration.queues.get_mut(name).expect("the queue");
         queue.advice = Some(policy(cost));
     }
     configuration
 }
 
-fn bench_with(nodes_count: usize, configuration: Configuration) -> Bench {
-    let mut bench = Bench::new(Recovered::default(), &workers(WORKERS_COUNT));
+fn harness_with(nodes_count: usize, configuration: Configuration) -> Harness {
+    let mut harness = Harness::new(Recovered::default(), &workers(WORKERS_COUNT));
     let nodes = (0..nodes_count).map(|number| Arc::from(format!("n{number}")));
-    bench.tell(Event::NodesListed(nodes.collect()));
-    bench.tell(Event::Configured(configuration));
-    bench
+    harness.tell(Event::NodesListed(nodes.collect()));
+    harness.tell(Event::Configured(configuration));
+    harness
 }
 
 /// Takes the calls that were made: whose each is, and which node makes it.
-fn calls(bench: &mut Bench) -> Vec<(JobId, Arc<str>)> {
-    let taken = core::mem::take(&mut bench.actions);
+fn calls(harness: &mut Harness) -> Vec<(JobId, Arc<str>)> {
+    let taken = core::mem::take(&mut harness.actions);
     let mut calls = Vec::new();
     for action in taken {
         match action {
             Action::Advise { step, node, .. } => calls.push((step.job, node)),
-            other => bench.actions.push(other),
+            other => harness.actions.push(other),
         }
     }
     calls
@@ -62,8 +62,8 @@
 }
 
 /// Answers a call that named whatever it did: nothing is good.
-fn answer_nothing(bench: &mut Bench) {
-    let taken = core::mem::take(&mut bench.actions);
+fn answer_nothing(harness: &mut Harness) {
+    let taken = core::mem::take(&mut harness.actions);
     for action in taken {
         match action {
             Action::Advise { step, workers, .. } => {
@@ -72,9 +72,9 @@
                     tickets: Vec::new(),
                     validity: Duration::from_ms(1500),
                 };
-                bench.tell(Event::AdviceAnswered { step, named, reply });
+                harness.tell(Event::AdviceAnswered { step, named, reply });
             }
-            other => bench.actions.push(other),
+            other => harness.actions.push(other),
         }
     }
 }
@@ -85,18 +85,18 @@
 #[case::no_short_calls(0, 7)]
 #[case::many_short_calls(60, 5)]
 fn ask_on_nodes_by_load(#[case] short_calls_count: u64, #[case] nodes_count: usize) {
-    let mut bench = bench_with(NODES_COUNT, queues(SHORT, LONG));
+    let mut harness = harness_with(NODES_COUNT, queues(SHORT, LONG));
     for number in 0..short_calls_count {
-        bench.submit_job(job(1000 + number, vec![step(1)]));
-        answer_nothing(&mut bench);
+        harness.submit_job(job(1000 + number, vec![step(1)]));
+        answer_nothing(&mut harness);
     }
-    bench.commit_all();
-    calls(&mut bench);
+    harness.commit_all();
+    calls(&mut harness);
     for number in 0..12 {
-        bench.submit_job(patient_job(number, 1));
+        harness.submit_job(low_priority_job(number, 1));
     }
-    bench.commit_all();
-    let made = calls(&mut bench);
+    harness.commit_all();
+    let made = calls(&mut harness);
     let long: Vec<_> = made
         .into_iter()
         .filter(|(job, _)| job.number() < 1000)
@@ -108,17 +108,17 @@
 /// there for its turn.
 #[test]
 fn ask_patient_calls_do_not_wait_at_nodes() {
-    let mut bench = bench_with(2, queues(LONG, LONG));
+    let mut harness = harness_with(2, queues(LONG, LONG));
     let urgent = StepSpec {
         estimate_ms: 1_000,
         ..step(1)
     };
     for number in 1..=2 {
-        bench.submit_job(patient_job(number, 1));
+        harness.submit_job(low_priority_job(number, 1));
     }
-    bench.submit_job(job(3, vec![urgent]));
-    bench.commit_all();
-    let made = calls(&mut bench);
+    harness.submit_job(job(3, vec![urgent]));
+    harness.commit_all();
+    let made = calls(&mut harness);
     let by: Vec<u64> = made.iter().map(|(job, _)| job.number()).collect();
     assert_eq!(by, [1, 3], "one node takes long calls, and has one to make");
 }
@@ -132,10 +132,10 @@
         per_worker_ms: 5.0,
         validity: Duration::from_ms(1500),
     });
-    let mut bench = bench_with(nodes_count, configuration);
-    bench.submit_job(job(1, vec![step(60)]));
-    bench.commit_all();
-    let made = bench.actions.iter().filter_map(|action| match action {
+    let mut harness = harness_with(nodes_count, configuration);
+    harness.submit_job(job(1, vec![step(60)]));
+    harness.commit_all();
+    let made = harness.actions.iter().filter_map(|action| match action {
         Action::Advise { workers, .. } => Some(workers.len()),
         _ => None,
     });
@@ -159,19 +159,22 @@
 /// is cancelled, also where the call is answered much later.
 #[test]
 fn cancel_frees_room_counted_on_at_once() {
-    let mut bench = bench_with(NODES_COUNT, queues(LONG, LONG));
+    let mut harness = harness_with(NODES_COUNT, queues(LONG, LONG));
     // Eight of them fill a worker, so that nothing is learned ahead.
     let small = |tasks_count| StepSpec {
         demand: Resources::new(500, 100, 0),
         ..step(tasks_count)
     };
     // It counts on all workers.
-    bench.submit(1, vec![small(8 * WORKERS_COUNT as u32)]);
-    assert!(!calls(&mut bench).is_empty());
-    bench.submit(2, vec![small(4)]);
-    assert!(calls(&mut bench).is_empty(), "no room is left to ask about");
-    bench.now = bench.now + Duration::from_ms(20);
-    bench.cancel(1);
-    let calls = calls(&mut bench);
+    harness.submit(1, vec![small(8 * WORKERS_COUNT as u32)]);
+    assert!(!calls(&mut harness).is_empty());
+    harness.submit(2, vec![small(4)]);
+    assert!(
+        calls(&mut harness).is_empty(),
+        "no room is left to ask about"
+    );
+    harness.now = harness.now + Duration::from_ms(20);
+    harness.cancel(1);
+    let calls = calls(&mut harness);
     assert!(calls.iter().any(|(job, _)| *job == JobId::new(2)));
 }
--- a/crates/scheduler/tests/scheduler/awaiting.rs
+++ b/crates/scheduler/tests/scheduler/awaiting.rs
@@ -1,7 +1,7 @@
 //! Steps that wait for room on workers known to be good.
 
-use crate::support::bench::{end, workers, Bench};
-use crate::support::{advice, patient_job, step};
+use crate::support::harness::{end, workers, Harness};
+use crate::support::{advice, low_priority_job, step};
 use ospreywing_scheduler::{EndKind, Event, JobId, Recovered, StepSpec, TaskKey, WorkerKey};
 use ospreywing_types::{Duration, Resources};
 
@@ -21,69 +21,69 @@
 
 /// Returns a scheduler whose workers are filled by a patient job's tasks that are
 /// so far on, and the starts of these.
-fn full_workers(progress_percent: u32) -> (Bench, Vec<(WorkerKey, TaskKey, u32)>) {
-    let mut bench = Bench::with_advice(
+fn full_workers(progress_percent: u32) -> (Harness, Vec<(WorkerKey, TaskKey, u32)>) {
+    let mut harness = Harness::with_advice(
         Recovered::default(),
         &workers(WORKERS_COUNT),
         Some(advice()),
     );
     let nodes = (0..4).map(|number| format!("n{number}").into());
-    bench.tell(Event::NodesListed(nodes.collect()));
-    bench.submit_job(patient_job(1, 2 * WORKERS_COUNT as u32));
+    harness.tell(Event::NodesListed(nodes.collect()));
+    harness.submit_job(low_priority_job(1, 2 * WORKERS_COUNT as u32));
     let ids: Vec<String> = (0..WORKERS_COUNT)
         .map(|number| format!("w{number}"))
         .collect();
     let good: Vec<&str> = ids.iter().map(String::as_str).collect();
-    bench.advise(&good);
-    bench.commit_all();
-    let starts = bench.starts();
+    harness.answer_advice_calls(&good);
+    harness.commit_all();
+    let starts = harness.starts();
     assert_eq!(starts.len(), 2 * WORKERS_COUNT);
     for start in &starts {
-        bench.started(*start);
+        harness.started(*start);
     }
-    bench.list_progress(&starts, progress_percent);
-    (bench, starts)
+    harness.answer_polls_with_progress(&starts, progress_percent);
+    (harness, starts)
 }
 
-fn tick(bench: &mut Bench, good: &[&str]) -> Vec<usize> {
-    bench.now = bench.now + Duration::from_ms(20);
-    bench.tell(Event::Tick);
-    bench.advise(good)
+fn tick(harness: &mut Harness, good: &[&str]) -> Vec<usize> {
+    harness.now = harness.now + Duration::from_ms(20);
+    harness.tell(Event::Tick);
+    harness.answer_advice_calls(good)
 }
 
 /// Found on bluemahoe-ops trouble-1 and scale-1: a task that needs a whole worker
 /// asked about one worker with room at a time, and never began.
 #[test]
 fn seek_for_tasks_learns_of_all_workers_at_once() {
-    let (mut bench, _) = full_workers(80);
-    bench.submit(LARGE, vec![filling_step()]);
-    let named: usize = bench.advise(&["w4"]).into_iter().sum();
+    let (mut harness, _) = full_workers(80);
+    harness.submit(LARGE, vec![filling_step()]);
+    let named: usize = harness.answer_advice_calls(&["w4"]).into_iter().sum();
     assert_eq!(named, WORKERS_COUNT, "also those without room");
 }
 
 #[test]
 fn await_workers_keeps_later_work_off() {
-    let (mut bench, starts) = full_workers(80);
-    bench.submit(LARGE, vec![filling_step()]);
-    bench.advise(&["w4"]);
+    let (mut harness, starts) = full_workers(80);
+    harness.submit(LARGE, vec![filling_step()]);
+    harness.answer_advice_calls(&["w4"]);
     // One half of the good worker is free, and something small wants it.
-    let w4 = bench.scheduler.worker_key("w4").expect("a listed worker");
+    let w4 = harness.scheduler.worker_key("w4").expect("a listed worker");
     let mut on_w4 = starts.iter().filter(|(worker, ..)| *worker == w4);
     let (_, first, run) = *on_w4.next().expect("a run");
     let (_, second, second_run) = *on_w4.next().expect("another run");
-    bench.list(w4, vec![end(1, first, run, EndKind::Done)]);
-    bench.submit_job(patient_job(2, 1));
+    harness.list(w4, vec![end(1, first, run, EndKind::Done)]);
+    harness.submit_job(low_priority_job(2, 1));
     for _ in 0..5 {
-        tick(&mut bench, &["w4"]);
+        tick(&mut harness, &["w4"]);
     }
-    bench.commit_all();
-    assert_eq!(bench.starts(), vec![], "the room is kept");
-    bench.list(w4, vec![end(2, second, second_run, EndKind::Done)]);
+    harness.commit_all();
+    assert_eq!(harness.starts(), vec![], "the room is kept");
+    harness.list(w4, vec![end(2, second, second_run, EndKind::Done)]);
     for _ in 0..5 {
-        tick(&mut bench, &["w4"]);
+        tick(&mut harness, &["w4"]);
     }
-    bench.commit_all();
-    let starts = bench.starts();
+    harness.commit_all();
+    let starts = harness.starts();
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].0, w4);
     assert_eq!(starts[0].1.step.job, JobId::new(LARGE));
@@ -91,21 +91,21 @@
 
 #[test]
 fn preempt_for_tasks_stops_what_loses_little() {
-    let (mut bench, _) = full_workers(10);
-    bench.submit(LARGE, vec![filling_step()]);
-    bench.advise(&["w4"]);
-    tick(&mut bench, &["w4"]);
-    let w4 = bench.scheduler.worker_key("w4").expect("a listed worker");
-    let stops = bench.stops();
+    let (mut harness, _) = full_workers(10);
+    harness.submit(LARGE, vec![filling_step()]);
+    harness.answer_advice_calls(&["w4"]);
+    tick(&mut harness, &["w4"]);
+    let w4 = harness.scheduler.worker_key("w4").expect("a listed worker");
+    let stops = harness.stops();
     assert_eq!(stops.len(), 2, "both runs of the good worker");
     assert!(stops.iter().all(|(worker, ..)| *worker == w4));
 }
 
 #[test]
 fn preempt_for_tasks_spares_what_is_nearly_done() {
-    let (mut bench, _) = full_workers(80);
-    bench.submit(LARGE, vec![filling_step()]);
-    bench.advise(&["w4"]);
-    tick(&mut bench, &["w4"]);
-    assert_eq!(bench.stops(), vec![]);
+    let (mut harness, _) = full_workers(80);
+    harness.submit(LARGE, vec![filling_step()]);
+    harness.answer_advice_calls(&["w4"]);
+    tick(&mut harness, &["w4"]);
+    assert_eq!(harness.stops(), vec![]);
 }
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -1,9 +1,9 @@
 //! Limits of customers that only what runs uses up, and the reservation for what waits for
 //! one.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
 use crate::support::{
-    configuration_with, customer, job_of, step, with_other_service, OTHER_QUEUE, PATIENT_QUEUE,
+    configuration_with, customer, job_of, step, with_other_service, LOW_PRIORITY_QUEUE, OTHER_QUEUE,
 };
 use ospreywing_scheduler::{
     Action, Decision, DecisionKind, EndKind, EndedRun, Event, Feature, Features, StepSpec, TaskKey,
@@ -20,48 +20,48 @@
 
 type Start = (WorkerKey, TaskKey, u32);
 
-fn bench_with(tasks_count: u32, is_on: bool) -> Bench {
+fn harness_with(tasks_count: u32, is_on: bool) -> Harness {
     let features = match is_on {
         true => Features::all(),
         false => Features::all().without(Feature::Backfill),
     };
-    let mut bench = Bench::with_features(features, &workers(WORKERS_COUNT));
-    limit(&mut bench, 2, tasks_count);
-    bench
+    let mut harness = Harness::with_features(features, &workers(WORKERS_COUNT));
+    limit(&mut harness, 2, tasks_count);
+    harness
 }
 
-fn limit(bench: &mut Bench, version: u64, tasks_count: u32) {
+fn limit(harness: &mut Harness, version: u64, tasks_count: u32) {
     let customers = vec![customer("one", tasks_count, 100.0)];
     let configuration = configuration_with(version, None, customers);
-    bench.tell(Event::Configured(with_other_service(configuration)));
+    harness.tell(Event::Configured(with_other_service(configuration)));
 }
 
 /// Takes the starts that were sent and answers them.
-fn start_all(bench: &mut Bench) -> Vec<Start> {
+fn start_all(harness: &mut Harness) -> Vec<Start> {
     for _ in 0..6 {
-        bench.now = bench.now + Duration::from_ms(10);
-        bench.tell(Event::Tick);
-        bench.answer_commits();
+        harness.now = harness.now + Duration::from_ms(10);
+        harness.tell(Event::Tick);
+        harness.answer_commits();
     }
-    let starts = bench.starts();
+    let starts = harness.starts();
     for start in &starts {
-        bench.started(*start);
+        harness.started(*start);
     }
     starts
 }
 
 /// Lets time pass; returns how many starts were sent meanwhile.
-fn wait(bench: &mut Bench, length_ms: u64) -> usize {
-    let until = bench.now + Duration::from_ms(length_ms);
+fn wait(harness: &mut Harness, length_ms: u64) -> usize {
+    let until = harness.now + Duration::from_ms(length_ms);
     let mut started_count = 0;
-    while bench.now < until {
-        started_count += start_all(bench).len();
+    while harness.now < until {
+        started_count += start_all(harness).len();
     }
     started_count
 }
 
 /// Has all workers list the ends of these runs.
-fn end_all(bench: &mut Bench, starts: &[Start]) {
+fn end_all(harness: &mut Harness, starts: &[Start]) {
     let mut by_worker: BTreeMap<WorkerKey, Vec<EndedRun>> = BTreeMap::new();
     for (worker, task, run) in starts {
         let ended = by_worker.entry(*worker).or_default();
@@ -69,7 +69,7 @@
         ended.push(end(number, *task, *run, EndKind::Done));
     }
     for (worker, ended) in by_worker {
-        bench.list_after(Duration::from_ms(1), worker, ended);
+        harness.answer_poll_after(Duration::from_ms(1), worker, ended);
     }
 }
 
@@ -88,14 +88,14 @@
 }
 
 /// Hands in a job of the patient queue, which comes after all of the other.
-fn submit_patient(bench: &mut Bench, number: u64, spec: StepSpec) {
+fn submit_low_priority(harness: &mut Harness, number: u64, spec: StepSpec) {
     let (id, mut record) = job_of("one", number, vec![spec]);
-    record.queue = PATIENT_QUEUE.to_owned();
-    bench.submit_job((id, record));
+    record.queue = LOW_PRIORITY_QUEUE.to_owned();
+    harness.submit_job((id, record));
 }
 
-fn held_lines(bench: &Bench) -> Vec<Decision> {
-    let lines = bench.actions.iter().filter_map(|action| match action {
+fn held_lines(harness: &Harness) -> Vec<Decision> {
+    let lines = harness.actions.iter().filter_map(|action| match action {
         Action::Log(line) if line.kind == DecisionKind::JobHeld => Some(line.clone()),
         _ => None,
     });
@@ -108,12 +108,12 @@
 #[case::off(false, 0)]
 #[case::on(true, 3)]
 fn place_gang_beside_other_service_without_room(#[case] is_on: bool, #[case] started_count: usize) {
-    let mut bench = bench_with(10, is_on);
+    let mut harness = harness_with(10, is_on);
     let (id, mut record) = job_of("one", 1, vec![step(10)]);
     record.queue = OTHER_QUEUE.to_owned();
-    bench.submit_job((id, record));
-    submit_patient(&mut bench, 2, gang(3));
-    assert_eq!(start_all(&mut bench).len(), started_count);
+    harness.submit_job((id, record));
+    submit_low_priority(&mut harness, 2, gang(3));
+    assert_eq!(start_all(&mut harness).len(), started_count);
 }
 
 /// A gang without room, which fits the limit, holds nothing of it for less urgent work.
@@ -121,12 +121,12 @@
 #[case::off(false, 0)]
 #[case::on(true, 3)]
 fn place_behind_gang_without_room(#[case] is_on: bool, #[case] started_count: usize) {
-    let mut bench = bench_with(7, is_on);
-    bench.submit(1, vec![step(12)]);
-    assert_eq!(start_all(&mut bench).len(), 12);
-    bench.submit_job(job_of("one", 2, vec![gang(6)]));
-    submit_patient(&mut bench, 3, gang(3));
-    assert_eq!(start_all(&mut bench).len(), started_count);
+    let mut harness = harness_with(7, is_on);
+    harness.submit(1, vec![step(12)]);
+    assert_eq!(start_all(&mut harness).len(), 12);
+    harness.submit_job(job_of("one", 2, vec![gang(6)]));
+    submit_low_priority(&mut harness, 3, gang(3));
+    assert_eq!(start_all(&mut harness).len(), started_count);
 }
 
 /// Behind a gang that waits for the limit starts what surely ends before its turn, or what
@@ -143,49 +143,52 @@
     #[case] behind: StepSpec,
     #[case] started_count: usize,
 ) {
-    let mut bench = bench_with(5, true);
-    bench.submit_job(job_of("one", 1, vec![step(3)]));
-    start_all(&mut bench);
-    bench.submit_job(job_of("one", 2, vec![gang(members_count)]));
-    submit_patient(&mut bench, 3, behind);
-    assert_eq!(start_all(&mut bench).len(), started_count);
+    let mut harness = harness_with(5, true);
+    harness.submit_job(job_of("one", 1, vec![step(3)]));
+    start_all(&mut harness);
+    harness.submit_job(job_of("one", 2, vec![gang(members_count)]));
+    submit_low_priority(&mut harness, 3, behind);
+    assert_eq!(start_all(&mut harness).len(), started_count);
 }
 
 /// The customers' other tasks don't take what a gang has waited for, once that is there.
 #[test]
 fn place_gang_at_end_of_reservation() {
-    let mut bench = bench_with(5, true);
-    bench.submit_job(job_of("one", 1, vec![step(3)]));
-    let first = start_all(&mut bench);
-    bench.submit_job(job_of("one", 2, vec![gang(5)]));
-    submit_patient(&mut bench, 3, step(4));
-    assert_eq!(start_all(&mut bench).len(), 0);
-    end_all(&mut bench, &first);
-    let started = start_all(&mut bench);
+    let mut harness = harness_with(5, true);
+    harness.submit_job(job_of("one", 1, vec![step(3)]));
+    let first = start_all(&mut harness);
+    harness.submit_job(job_of("one", 2, vec![gang(5)]));
+    submit_low_priority(&mut harness, 3, step(4));
+    assert_eq!(start_all(&mut harness).len(), 0);
+    end_all(&mut harness, &first);
+    let started = start_all(&mut harness);
     assert_eq!(started.len(), 5);
     assert!(started
         .iter()
         .all(|(_, task, _)| task.step.job.number() == 2));
     assert_eq!(
-        bench.scheduler.status(bench.now).limit_reservations_count,
+        harness
+            .scheduler
+            .status(harness.now)
+            .limit_reservations_count,
         1
     );
-    end_all(&mut bench, &started);
-    assert_eq!(start_all(&mut bench).len(), 4);
+    end_all(&mut harness, &started);
+    assert_eq!(start_all(&mut harness).len(), 4);
 }
 
 /// Runs that take far longer than estimated don't keep up the customer's other work for
 /// ever.
 #[test]
 fn place_behind_reservation_estimates_wrong() {
-    let mut bench = bench_with(5, true);
-    bench.submit_job(job_of("one", 1, vec![step(3)]));
-    start_all(&mut bench);
-    bench.submit_job(job_of("one", 2, vec![gang(5)]));
-    submit_patient(&mut bench, 3, step(1));
-    assert_eq!(start_all(&mut bench).len(), 0);
+    let mut harness = harness_with(5, true);
+    harness.submit_job(job_of("one", 1, vec![step(3)]));
+    start_all(&mut harness);
+    harness.submit_job(job_of("one", 2, vec![gang(5)]));
+    submit_low_priority(&mut harness, 3, step(1));
+    assert_eq!(start_all(&mut harness).len(), 0);
     // A second until it is due, and two beyond.
-    assert_eq!(wait(&mut bench, 3_200), 1);
+    assert_eq!(wait(&mut harness, 3_200), 1);
 }
 
 /// More urgent work goes first, until a gang has waited for long.
@@ -193,77 +196,77 @@
 #[case::soon(400, 1)]
 #[case::late(2_400, 0)]
 fn place_before_reservation(#[case] after_ms: u64, #[case] started_count: usize) {
-    let mut bench = bench_with(4, true);
+    let mut harness = harness_with(4, true);
     let long = StepSpec {
         estimate_ms: 4_000,
         ..step(3)
     };
-    bench.submit_job(job_of("one", 1, vec![long]));
-    start_all(&mut bench);
-    submit_patient(&mut bench, 2, gang(4));
-    wait(&mut bench, after_ms);
+    harness.submit_job(job_of("one", 1, vec![long]));
+    start_all(&mut harness);
+    submit_low_priority(&mut harness, 2, gang(4));
+    wait(&mut harness, after_ms);
     let urgent = StepSpec {
         estimate_ms: 2_900,
         ..step(1)
     };
-    bench.submit_job(job_of("one", 3, vec![urgent]));
-    assert_eq!(start_all(&mut bench).len(), started_count);
+    harness.submit_job(job_of("one", 3, vec![urgent]));
+    assert_eq!(start_all(&mut harness).len(), started_count);
 }
 
 /// Below half of the limit a gang holds other work back for two seconds, and then for a while
 /// not at all.
 #[test]
 fn place_behind_large_gang_below_half() {
-    let mut bench = bench_with(6, true);
-    bench.submit_job(job_of("one", 1, vec![step(2)]));
-    start_all(&mut bench);
-    bench.submit_job(job_of("one", 2, vec![gang(6)]));
-    assert_eq!(wait(&mut bench, 1_200), 0);
-    submit_patient(&mut bench, 3, step(1));
-    assert_eq!(wait(&mut bench, 1_500), 0);
-    assert_eq!(wait(&mut bench, 500), 1);
-    submit_patient(&mut bench, 4, step(1));
-    assert_eq!(wait(&mut bench, 300), 1);
+    let mut harness = harness_with(6, true);
+    harness.submit_job(job_of("one", 1, vec![step(2)]));
+    start_all(&mut harness);
+    harness.submit_job(job_of("one", 2, vec![gang(6)]));
+    assert_eq!(wait(&mut harness, 1_200), 0);
+    submit_low_priority(&mut harness, 3, step(1));
+    assert_eq!(wait(&mut harness, 1_500), 0);
+    assert_eq!(wait(&mut harness, 500), 1);
+    submit_low_priority(&mut harness, 4, step(1));
+    assert_eq!(wait(&mut harness, 300), 1);
 }
 
 /// A gang that can never fit the limit, since it was lowered, holds nothing back.
 #[test]
 fn place_behind_gang_beyond_lowered_limit() {
-    let mut bench = bench_with(6, true);
-    bench.submit_job(job_of("one", 1, vec![step(3)]));
-    start_all(&mut bench);
-    bench.submit_job(job_of("one", 2, vec![gang(6)]));
-    start_all(&mut bench);
-    limit(&mut bench, 3, 5);
-    submit_patient(&mut bench, 3, step(1));
-    assert_eq!(start_all(&mut bench).len(), 1);
+    let mut harness = harness_with(6, true);
+    harness.submit_job(job_of("one", 1, vec![step(3)]));
+    start_all(&mut harness);
+    harness.submit_job(job_of("one", 2, vec![gang(6)]));
+    start_all(&mut harness);
+    limit(&mut harness, 3, 5);
+    submit_low_priority(&mut harness, 3, step(1));
+    assert_eq!(start_all(&mut harness).len(), 1);
 }
 
 /// A gang that runs without an end keep out leaves the reservation to one that comes later.
 #[test]
 fn place_behind_gang_beside_endless_runs() {
-    let mut bench = bench_with(5, true);
+    let mut harness = harness_with(5, true);
     let endless = StepSpec {
         is_perpetual: true,
         ..step(2)
     };
-    bench.submit_job(job_of("one", 1, vec![endless]));
-    bench.submit_job(job_of("one", 2, vec![step(1)]));
-    let running = start_all(&mut bench);
-    bench.submit_job(job_of("one", 3, vec![gang(4)]));
-    bench.submit_job(job_of("one", 4, vec![gang(3)]));
+    harness.submit_job(job_of("one", 1, vec![endless]));
+    harness.submit_job(job_of("one", 2, vec![step(1)]));
+    let running = start_all(&mut harness);
+    harness.submit_job(job_of("one", 3, vec![gang(4)]));
+    harness.submit_job(job_of("one", 4, vec![gang(3)]));
     // Until both have been worked out.
     for _ in 0..4 {
-        assert_eq!(start_all(&mut bench).len(), 0);
+        assert_eq!(start_all(&mut harness).len(), 0);
     }
-    submit_patient(&mut bench, 5, step(1));
-    assert_eq!(start_all(&mut bench).len(), 0);
+    submit_low_priority(&mut harness, 5, step(1));
+    assert_eq!(start_all(&mut harness).len(), 0);
     let of_two: Vec<Start> = running
         .into_iter()
         .filter(|(_, task, _)| task.step.job.number() == 2)
         .collect();
-    end_all(&mut bench, &of_two);
-    let started = start_all(&mut bench);
+    end_all(&mut harness, &of_two);
+    let started = start_all(&mut harness);
     let is_gangs = |start: &Start| start.1.step.job.number() == 4;
     assert!(started.len() == 3 && started.iter().all(is_gangs));
 }
@@ -271,13 +274,13 @@
 /// What is held back is told with the reservation that holds it back.
 #[test]
 fn place_behind_reservation_is_told() {
-    let mut bench = bench_with(5, true);
-    bench.submit_job(job_of("one", 1, vec![step(3)]));
-    start_all(&mut bench);
-    bench.submit_job(job_of("one", 2, vec![gang(5)]));
-    submit_patient(&mut bench, 3, step(1));
-    start_all(&mut bench);
-    let lines = held_lines(&bench);
+    let mut harness = harness_with(5, true);
+    harness.submit_job(job_of("one", 1, vec![step(3)]));
+    start_all(&mut harness);
+    harness.submit_job(job_of("one", 2, vec![gang(5)]));
+    submit_low_priority(&mut harness, 3, step(1));
+    start_all(&mut harness);
+    let lines = held_lines(&harness);
     let told: Vec<(u64, &str)> = lines
         .iter()
         .map(|line| (line.job.map_or(0, |job| job.number()), line.reason))
@@ -298,20 +301,20 @@
 #[case::plain(false, 0)]
 #[case::perpetual(true, 1)]
 fn place_beside_firm_reservation(#[case] is_perpetual: bool, #[case] started_count: usize) {
-    let mut bench = bench_with(8, true);
+    let mut harness = harness_with(8, true);
     let running = StepSpec {
         estimate_ms: 2_500,
         ..step(3)
     };
-    bench.submit_job(job_of("one", 1, vec![running]));
-    assert_eq!(start_all(&mut bench).len(), 3);
-    bench.submit_job(job_of("one", 2, vec![gang(8)]));
-    wait(&mut bench, 1_300);
+    harness.submit_job(job_of("one", 1, vec![running]));
+    assert_eq!(start_all(&mut harness).len(), 3);
+    harness.submit_job(job_of("one", 2, vec![gang(8)]));
+    wait(&mut harness, 1_300);
     let late = StepSpec {
         estimate_ms: 5_000,
         is_perpetual,
         ..step(1)
     };
-    bench.submit_job(job_of("one", 3, vec![late]));
-    assert_eq!(wait(&mut bench, 300), started_count);
+    harness.submit_job(job_of("one", 3, vec![late]));
+    assert_eq!(wait(&mut harness, 300), started_count);
 }
--- a/crates/scheduler/tests/scheduler/backfill_load.rs
+++ b/crates/scheduler/tests/scheduler/backfill_load.rs
@@ -1,9 +1,9 @@
 //! Loads of one customer that its limit binds: short jobs beside gangs.
 
-use crate::support::world::{Faults, World};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::{
     advice, configuration_with, customer, first_task, job_of, step, with_other_service,
-    OTHER_QUEUE, PATIENT_QUEUE,
+    LOW_PRIORITY_QUEUE, OTHER_QUEUE,
 };
 use ospreywing_scheduler::{AdvicePolicy, JobId, JobRecord, StepSpec};
 use ospreywing_types::Resources;
@@ -20,7 +20,7 @@
 
 /// A world with one customer, and what was handed in of it.
 struct Play {
-    world: World,
+    simulation: Simulation,
     shorts: Vec<Sent>,
     gangs: Vec<Sent>,
 }
@@ -32,13 +32,13 @@
         limit_tasks_count: u32,
         policy: Option<AdvicePolicy>,
     ) -> Self {
-        let mut world = World::new(seed, workers_count, Faults::default(), policy);
-        world.run_lengths_ms = 600..1_200;
+        let mut simulation = Simulation::new(seed, workers_count, Faults::default(), policy);
+        simulation.run_durations_ms = 600..1_200;
         let customers = vec![customer("one", limit_tasks_count, 1000.0)];
         let configuration = configuration_with(2, policy, customers);
-        world.configure(with_other_service(configuration));
+        simulation.configure(with_other_service(configuration));
         Self {
-            world,
+            simulation,
             shorts: Vec::new(),
             gangs: Vec::new(),
         }
@@ -51,7 +51,7 @@
         if let Some(queue) = queue {
             record.queue = queue.to_owned();
         }
-        record.accepted_ms = self.world.now_ms;
+        record.accepted_ms = self.simulation.now_ms;
         let list = if is_gang {
             &mut self.gangs
         } else {
@@ -59,14 +59,14 @@
         };
         list.push(Sent {
             id,
-            at_ms: self.world.now_ms,
+            at_ms: self.simulation.now_ms,
         });
-        self.world.submit((id, record));
+        self.simulation.submit((id, record));
     }
 
     /// Returns how long each of the jobs waited for its first start, in order.
     fn waits_ms(&self, sent: &[Sent]) -> Vec<u64> {
-        let started = &self.world.rules.first_started_ms;
+        let started = &self.simulation.rules.first_started_ms;
         let mut waits_ms: Vec<u64> = sent
             .iter()
             .map(|sent| {
@@ -121,14 +121,14 @@
             play.send(None, short(2000));
         }
         if at_ms == STREAM_GANG_AT_MS {
-            play.send(Some(PATIENT_QUEUE), gang(STREAM_GANG_COUNT));
+            play.send(Some(LOW_PRIORITY_QUEUE), gang(STREAM_GANG_COUNT));
         }
         if takeover_after_ms.is_some_and(|after_ms| at_ms == STREAM_GANG_AT_MS + after_ms) {
-            play.world.elect();
+            play.simulation.elect();
         }
-        play.world.run_for(50);
+        play.simulation.run_for(50);
     }
-    play.world.run_for(STREAM_SHORT_BOUND_MS);
+    play.simulation.run_for(STREAM_SHORT_BOUND_MS);
     play
 }
 
@@ -170,8 +170,8 @@
 
 fn play_flood(seed: u64, factor: u64, policy: Option<AdvicePolicy>) -> Play {
     let mut play = Play::new(seed, FLOOD_WORKERS_COUNT, FLOOD_LIMIT_COUNT, policy);
-    play.world.good_one_in = 1;
-    play.world.lay_out_services();
+    play.simulation.good_one_in = 1;
+    play.simulation.lay_out_services();
     for at_ms in (0..FLOOD_MS).step_by(50) {
         if at_ms % FLOOD_SHORT_PERIOD_MS == 0 {
             for _ in 0..factor {
@@ -184,9 +184,9 @@
                 play.send(Some(OTHER_QUEUE), gang(members_count));
             }
         }
-        play.world.run_for(50);
+        play.simulation.run_for(50);
     }
-    play.world.run_for(FLOOD_GANG_BOUND_MS);
+    play.simulation.run_for(FLOOD_GANG_BOUND_MS);
     play
 }
 
--- a/crates/scheduler/tests/scheduler/cases.rs
+++ b/crates/scheduler/tests/scheduler/cases.rs
@@ -1,8 +1,8 @@
 //! Single cases, most of them failures that were found on the users' bench.
 
-use crate::support::bench::{end, failed, workers, Bench};
-use crate::support::world::{Faults, World};
-use crate::support::{self, advice, job, patient_job, step};
+use crate::support::harness::{end, failed, workers, Harness};
+use crate::support::simulation::{Faults, Simulation};
+use crate::support::{self, advice, job, low_priority_job, step};
 use ospreywing_scheduler::{
     Action, AdvicePolicy, ChangeKind, EndKind, EndedRun, Event, JobId, JobRecord, JobState, Phase,
     Recovered, StepSpec, TaskStatus, LANES_COUNT,
@@ -21,22 +21,22 @@
         ..Recovered::default()
     };
     for _leader in 0..4 {
-        let mut bench = Bench::new(kept.clone(), &workers(1));
-        let worker = bench.scheduler.worker_key("w0").unwrap();
+        let mut harness = Harness::new(kept.clone(), &workers(1));
+        let worker = harness.scheduler.worker_key("w0").unwrap();
         if state == JobState::default() {
-            bench.commit_all();
-            let start = bench.starts()[0];
-            bench.started(start);
-            bench.list(worker, vec![failed(1, start.1, start.2)]);
+            harness.commit_all();
+            let start = harness.starts()[0];
+            harness.started(start);
+            harness.list(worker, vec![failed(1, start.1, start.2)]);
         } else {
             let task = ospreywing_scheduler::StepKey {
                 job: id,
                 round: 0,
                 step: 0,
             };
-            bench.list(worker, vec![failed(1, task.task(0), 1)]);
+            harness.list(worker, vec![failed(1, task.task(0), 1)]);
         }
-        if let Some(last) = bench.commit_all().pop() {
+        if let Some(last) = harness.commit_all().pop() {
             state = last;
         }
         assert_eq!(state.phase, Phase::Active);
@@ -51,25 +51,25 @@
 /// lease, so a silent worker's runs were never given up.
 #[test]
 fn renew_leases_silent_worker() {
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let first = bench.starts()[0];
-    bench.started(first);
-    bench.be_silent(first.0);
-    bench.actions.clear();
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let first = harness.starts()[0];
+    harness.started(first);
+    harness.leave_poll_unanswered(first.0);
+    harness.actions.clear();
     for _ in 0..4 {
-        bench.be_silent(first.0);
+        harness.leave_poll_unanswered(first.0);
     }
-    let granted = bench.actions.iter().any(|action| {
+    let granted = harness.actions.iter().any(|action| {
         matches!(action, Action::Hold { to, until_ms: Some(_), .. } if to.worker == first.0)
     });
     assert!(!granted, "a silent worker is granted nothing");
     for _ in 0..6 {
-        bench.be_silent(first.0);
+        harness.leave_poll_unanswered(first.0);
     }
-    bench.commit_all();
-    let again = bench.starts();
+    harness.commit_all();
+    let again = harness.starts();
     let (worker, task, run) = again[0];
     assert_eq!((task, run), (first.1, 2));
     assert_ne!(worker, first.0);
@@ -78,32 +78,32 @@
 /// A silent worker's runs are not given up while a lease may hold.
 #[test]
 fn give_up_lapsed_lease_that_may_hold() {
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let first = bench.starts()[0];
-    bench.started(first);
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let first = harness.starts()[0];
+    harness.started(first);
     for _ in 0..3 {
-        bench.be_silent(first.0);
+        harness.leave_poll_unanswered(first.0);
     }
-    bench.commit_all();
-    assert_eq!(bench.starts(), vec![]);
+    harness.commit_all();
+    assert_eq!(harness.starts(), vec![]);
 }
 
 /// Found on scale-2 of both sites: goodness was learned from workers known to
 /// be good, so that a gang asked about two unknown workers at a time.
 #[test]
 fn seek_for_gang_few_good_workers() {
-    let mut world = World::new(3, 16, Faults::default(), Some(advice()));
-    world.good_one_in = 4;
+    let mut simulation = Simulation::new(3, 16, Faults::default(), Some(advice()));
+    simulation.good_one_in = 4;
     for number in 1..=6 {
         let gang = StepSpec {
             is_gang: true,
             ..step(6)
         };
-        world.submit(job(number, vec![gang]));
+        simulation.submit(job(number, vec![gang]));
     }
-    world.run_until_done(40_000);
+    simulation.run_until_done(40_000);
 }
 
 /// Found on swaramala-ow mix 516891905458: a gang waited for its good workers,
@@ -115,37 +115,41 @@
         per_worker_ms: 10.0,
         validity: Duration::from_ms(1500),
     };
-    let mut bench = Bench::with_advice(Recovered::default(), &workers(10), Some(policy));
-    bench.tell(Event::NodesListed(vec!["n1".into()]));
+    let mut harness = Harness::with_advice(Recovered::default(), &workers(10), Some(policy));
+    harness.tell(Event::NodesListed(vec!["n1".into()]));
     let gang = StepSpec {
         is_gang: true,
         ..step(2)
     };
     for number in 1..=3 {
-        bench.submit(number, vec![gang.clone()]);
+        harness.submit(number, vec![gang.clone()]);
     }
-    let first = bench.advise(&["w0", "w1", "w9"]);
+    let first = harness.answer_advice_calls(&["w0", "w1", "w9"]);
     assert_eq!(
         first,
         vec![8, 4, 4],
         "each call names a part of the workers, more while advisers are idle"
     );
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), 4, "two gangs fill their good workers");
+    harness.commit_all();
+    assert_eq!(
+        harness.starts().len(),
+        4,
+        "two gangs fill their good workers"
+    );
     // The gang waits a while before it looks further, after each call.
     for _ in 0..20 {
-        bench.advise(&["w0", "w1", "w9"]);
-        bench.commit_all();
+        harness.answer_advice_calls(&["w0", "w1", "w9"]);
+        harness.commit_all();
     }
-    assert_eq!(bench.starts().len(), 2, "the third starts on another");
+    assert_eq!(harness.starts().len(), 2, "the third starts on another");
 }
 
 /// Found on swaramala-ow scale-2: tasks that could wait took the room away bit
 /// by bit that gangs needed at once.
 #[test]
 fn yields_to_gangs_while_there_is_time() {
-    let mut bench = Bench::with_advice(Recovered::default(), &workers(3), Some(advice()));
-    bench.tell(Event::NodesListed(vec!["n1".into()]));
+    let mut harness = Harness::with_advice(Recovered::default(), &workers(3), Some(advice()));
+    harness.tell(Event::NodesListed(vec!["n1".into()]));
     let gang = StepSpec {
         is_gang: true,
         ..step(4)
@@ -156,72 +160,72 @@
     };
     let good = [["w0", "w1"], ["w2", "w2"], ["w0", "w1"]];
     for (steps, good) in [gang.clone(), step(1), gang].into_iter().zip(good) {
-        bench.submit(bench.now.as_ms(), vec![steps]);
-        bench.advise(&good);
-        bench.commit_all();
+        harness.submit(harness.now.as_ms(), vec![steps]);
+        harness.answer_advice_calls(&good);
+        harness.commit_all();
     }
-    assert_eq!(bench.starts().len(), 5, "the second gang waits");
-    bench.submit(9, vec![patient]);
-    bench.commit_all();
-    assert_eq!(bench.advise(&["w0", "w1", "w2"]), vec![]);
+    assert_eq!(harness.starts().len(), 5, "the second gang waits");
+    harness.submit(9, vec![patient]);
+    harness.commit_all();
+    assert_eq!(harness.answer_advice_calls(&["w0", "w1", "w2"]), vec![]);
     // Its objective is 21 s, of which it needs 10 and keeps 4 in hand.
-    bench.now = bench.now + Duration::from_ms(8_000);
-    bench.commit_all();
-    assert_eq!(bench.advise(&["w0", "w1", "w2"]).len(), 1);
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), 1);
+    harness.now = harness.now + Duration::from_ms(8_000);
+    harness.commit_all();
+    assert_eq!(harness.answer_advice_calls(&["w0", "w1", "w2"]).len(), 1);
+    harness.commit_all();
+    assert_eq!(harness.starts().len(), 1);
 }
 
 /// Fills two workers with four tasks of the job, which are so far on, and has a
 /// gang of two ask for room there.
-fn gang_before_full_workers((id, record): (JobId, JobRecord), progress_percent: u32) -> Bench {
-    let mut bench = Bench::with_advice(Recovered::default(), &workers(2), Some(advice()));
-    bench.tell(Event::NodesListed(vec!["n1".into()]));
-    bench.submit_job((id, record));
-    bench.advise(&["w0", "w1"]);
-    bench.commit_all();
-    let starts = bench.starts();
+fn gang_before_full_workers((id, record): (JobId, JobRecord), progress_percent: u32) -> Harness {
+    let mut harness = Harness::with_advice(Recovered::default(), &workers(2), Some(advice()));
+    harness.tell(Event::NodesListed(vec!["n1".into()]));
+    harness.submit_job((id, record));
+    harness.answer_advice_calls(&["w0", "w1"]);
+    harness.commit_all();
+    let starts = harness.starts();
     assert_eq!(starts.len(), 4);
     for start in &starts {
-        bench.started(*start);
+        harness.started(*start);
     }
-    bench.list_progress(&starts, progress_percent);
+    harness.answer_polls_with_progress(&starts, progress_percent);
     let gang = StepSpec {
         is_gang: true,
         ..step(2)
     };
-    bench.submit(99, vec![gang]);
-    bench.advise(&["w0", "w1"]);
-    bench.commit_all();
-    bench
+    harness.submit(99, vec![gang]);
+    harness.answer_advice_calls(&["w0", "w1"]);
+    harness.commit_all();
+    harness
 }
 
 /// Found on the grown swaramala-ow: gangs came too late although less urgent
 /// work, which could have gone on later from its checkpoints, had their room.
 #[test]
 fn plan_preemption_saving_work() {
-    let mut bench = gang_before_full_workers(patient_job(1, 4), 50);
-    let stops = bench.stops();
+    let mut harness = gang_before_full_workers(low_priority_job(1, 4), 50);
+    let stops = harness.stops();
     assert_eq!(stops.len(), 2, "as many as the gang needs");
-    assert_eq!(bench.starts(), vec![], "the room is not free yet");
-    bench.advise(&["w0", "w1"]);
-    bench.commit_all();
-    assert_eq!(bench.starts(), vec![], "nor with the tickets there");
+    assert_eq!(harness.starts(), vec![], "the room is not free yet");
+    harness.answer_advice_calls(&["w0", "w1"]);
+    harness.commit_all();
+    assert_eq!(harness.starts(), vec![], "nor with the tickets there");
     for (number, (worker, task, run)) in (1..).zip(stops.iter().copied()) {
         let checkpoint = Some("half".to_owned());
         let end = EndedRun {
             checkpoint,
             ..end(number, task, run, EndKind::Stopped)
         };
-        bench.list(worker, vec![end]);
+        harness.list(worker, vec![end]);
     }
-    bench.commit_all();
-    let starts = bench.starts();
+    harness.commit_all();
+    let starts = harness.starts();
     assert_eq!(starts.len(), 2);
     assert!(starts
         .iter()
         .all(|(_, task, _)| task.step.job == JobId::new(99)));
-    assert_eq!(bench.stops(), vec![], "nothing else is stopped");
+    assert_eq!(harness.stops(), vec![], "nothing else is stopped");
 }
 
 /// What would lose much, is as urgent, has no time to spare or is nearly done
@@ -236,44 +240,44 @@
     #[case] change: fn(&mut JobRecord),
     #[case] progress_percent: u32,
 ) {
-    let (id, mut record) = patient_job(1, 4);
+    let (id, mut record) = low_priority_job(1, 4);
     change(&mut record);
-    let mut bench = gang_before_full_workers((id, record), progress_percent);
-    assert_eq!(bench.stops(), vec![]);
+    let mut harness = gang_before_full_workers((id, record), progress_percent);
+    assert_eq!(harness.stops(), vec![]);
 }
 
 /// Work that saves nothing is preempted where it has barely begun.
 #[test]
 fn plan_preemption_barely_begun() {
-    let (id, mut record) = patient_job(1, 4);
+    let (id, mut record) = low_priority_job(1, 4);
     record.spec.steps[0].saves_progress = false;
-    let mut bench = gang_before_full_workers((id, record), 10);
-    assert_eq!(bench.stops().len(), 2);
+    let mut harness = gang_before_full_workers((id, record), 10);
+    assert_eq!(harness.stops().len(), 2);
 }
 
 /// Found on the grown swaramala-ow: gangs beyond those that wait for room were
 /// not looked at, though their good workers were free.
 #[test]
 fn seek_for_gang_beyond_those_that_wait() {
-    let mut bench = Bench::with_advice(Recovered::default(), &workers(24), Some(advice()));
+    let mut harness = Harness::with_advice(Recovered::default(), &workers(24), Some(advice()));
     // Enough of them that no call waits for another.
     let nodes = (0..60).map(|number| format!("n{number}").into());
-    bench.tell(Event::NodesListed(nodes.collect()));
+    harness.tell(Event::NodesListed(nodes.collect()));
     let gang = |tasks_count| StepSpec {
         is_gang: true,
         ..step(tasks_count)
     };
     // More than all good workers hold.
     for number in 1..=20 {
-        bench.submit(number, vec![gang(20)]);
-        bench.advise(&["w0", "w1"]);
+        harness.submit(number, vec![gang(20)]);
+        harness.answer_advice_calls(&["w0", "w1"]);
     }
-    bench.submit(21, vec![gang(2)]);
+    harness.submit(21, vec![gang(2)]);
     for _ in 0..4 {
-        bench.advise(&["w2", "w3"]);
-        bench.commit_all();
+        harness.answer_advice_calls(&["w2", "w3"]);
+        harness.commit_all();
     }
-    let starts = bench.starts();
+    let starts = harness.starts();
     assert_eq!(starts.len(), 2);
     assert!(starts
         .iter()
@@ -284,14 +288,14 @@
 /// same three workers, the freest, in call after call, and most of them in vain.
 #[test]
 fn choose_named_beside_open_calls() {
-    let mut bench = Bench::with_advice(Recovered::default(), &workers(12), Some(advice()));
+    let mut harness = Harness::with_advice(Recovered::default(), &workers(12), Some(advice()));
     let nodes = (0..6).map(|number| format!("n{number}").into());
-    bench.tell(Event::NodesListed(nodes.collect()));
+    harness.tell(Event::NodesListed(nodes.collect()));
     for number in 1..=6 {
-        bench.submit(number, vec![step(2)]);
+        harness.submit(number, vec![step(2)]);
     }
     let mut first_named = Vec::new();
-    for action in &bench.actions {
+    for action in &harness.actions {
         if let Action::Advise { workers, .. } = action {
             first_named.push(workers[0].id.clone());
         }
@@ -299,18 +303,18 @@
     first_named.sort();
     first_named.dedup();
     assert_eq!(first_named.len(), 6, "each call begins with another worker");
-    bench.advise(&["w0", "w1", "w2", "w3", "w4", "w5"]);
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), 12, "no step needs another call");
+    harness.answer_advice_calls(&["w0", "w1", "w2", "w3", "w4", "w5"]);
+    harness.commit_all();
+    assert_eq!(harness.starts().len(), 12, "no step needs another call");
     // What was counted on is free again for later calls.
-    bench.submit(7, vec![step(2)]);
-    assert!(!bench.advise(&["w11"]).is_empty());
+    harness.submit(7, vec![step(2)]);
+    assert!(!harness.answer_advice_calls(&["w11"]).is_empty());
 }
 
 /// A filler is evicted for a task that serves users, and none is placed beside one.
 #[test]
 fn evict_fillers_serving_task_comes() {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
     let filler = StepSpec {
         is_filler: true,
         is_perpetual: true,
@@ -321,18 +325,18 @@
         is_perpetual: true,
         ..step(1)
     };
-    bench.submit(1, vec![filler.clone()]);
-    bench.commit_all();
-    let first = bench.starts()[0];
-    bench.started(first);
-    bench.submit(2, vec![serving]);
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), 1, "the serving task starts");
-    assert_eq!(bench.stops(), vec![first], "the filler is stopped");
-    bench.list(first.0, vec![end(1, first.1, first.2, EndKind::Stopped)]);
-    bench.submit(3, vec![filler]);
-    bench.commit_all();
-    assert_eq!(bench.starts(), vec![], "no filler comes beside it");
+    harness.submit(1, vec![filler.clone()]);
+    harness.commit_all();
+    let first = harness.starts()[0];
+    harness.started(first);
+    harness.submit(2, vec![serving]);
+    harness.commit_all();
+    assert_eq!(harness.starts().len(), 1, "the serving task starts");
+    assert_eq!(harness.stops(), vec![first], "the filler is stopped");
+    harness.list(first.0, vec![end(1, first.1, first.2, EndKind::Stopped)]);
+    harness.submit(3, vec![filler]);
+    harness.commit_all();
+    assert_eq!(harness.starts(), vec![], "no filler comes beside it");
 }
 
 /// Found on the grown gallery's trouble-1: a gang whose good workers others had
@@ -344,48 +348,52 @@
         per_worker_ms: 10.0,
         validity: Duration::from_ms(1500),
     };
-    let mut bench = Bench::with_advice(Recovered::default(), &workers(24), Some(policy));
+    let mut harness = Harness::with_advice(Recovered::default(), &workers(24), Some(policy));
     let nodes = (0..6).map(|number| format!("n{number}").into());
-    bench.tell(Event::NodesListed(nodes.collect()));
+    harness.tell(Event::NodesListed(nodes.collect()));
     let gang = StepSpec {
         is_gang: true,
         ..step(2)
     };
     for number in 1..=3 {
-        bench.submit(number, vec![gang.clone()]);
+        harness.submit(number, vec![gang.clone()]);
     }
     let good = ["w0", "w1", "w9"];
-    assert_eq!(bench.advise(&good), vec![8, 8, 8]);
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), 4, "two gangs fill their good workers");
-    let begun = bench.now;
+    assert_eq!(harness.answer_advice_calls(&good), vec![8, 8, 8]);
+    harness.commit_all();
+    assert_eq!(
+        harness.starts().len(),
+        4,
+        "two gangs fill their good workers"
+    );
+    let begun = harness.now;
     for _ in 0..20 {
-        bench.now = bench.now + Duration::from_ms(20);
-        bench.advise(&good);
-        bench.tell(Event::Tick);
+        harness.now = harness.now + Duration::from_ms(20);
+        harness.answer_advice_calls(&good);
+        harness.tell(Event::Tick);
     }
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), 2, "the third starts on another");
-    assert!(bench.now.since(begun) < Duration::from_ms(1500));
+    harness.commit_all();
+    assert_eq!(harness.starts().len(), 2, "the third starts on another");
+    assert!(harness.now.since(begun) < Duration::from_ms(1500));
 }
 
 /// Found on the grown gallery's trouble-1: beside a store that took 0.24 s for
 /// an answer, three commits at a time were too few and jobs waited for seconds.
 #[test]
 fn flush_commits_slow_store() {
-    let mut bench = Bench::new(Recovered::default(), &workers(60));
+    let mut harness = Harness::new(Recovered::default(), &workers(60));
     let mut jobs = Vec::new();
     let mut lanes = Vec::new();
     for number in 1..=12 {
-        bench.submit(number, vec![step(2)]);
-        bench.now = bench.now + Duration::from_ms(30);
-        bench.tell(Event::Tick);
+        harness.submit(number, vec![step(2)]);
+        harness.now = harness.now + Duration::from_ms(30);
+        harness.tell(Event::Tick);
         // A state that changes again waits for the commit that is on its way.
-        bench.tell(Event::CancelAccepted {
+        harness.tell(Event::CancelAccepted {
             job: JobId::new(number),
         });
     }
-    for action in &bench.actions {
+    for action in &harness.actions {
         if let Action::Commit { lane, changes } = action {
             lanes.push(*lane);
             jobs.extend(changes.iter().map(|change| change.job));
@@ -401,23 +409,23 @@
 /// Found on reading: an outcome that was on its way was written once more.
 #[test]
 fn settle_ended_jobs_outcome_on_its_way() {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
     // Nothing of it is placed, so that only the outcome is to be written.
     let huge = StepSpec {
         demand: Resources::new(64_000, 1000, 0),
         ..step(1)
     };
-    bench.submit(1, vec![huge]);
+    harness.submit(1, vec![huge]);
     let job = JobId::new(1);
-    bench.tell(Event::CancelAccepted { job });
+    harness.tell(Event::CancelAccepted { job });
     let mut outcomes_count = 0;
     for _ in 0..20 {
         // The store takes 300 ms for each answer.
         let mut lanes = Vec::new();
         for _ in 0..10 {
-            bench.now = bench.now + Duration::from_ms(30);
-            bench.tell(Event::Tick);
-            for action in bench.actions.drain(..) {
+            harness.now = harness.now + Duration::from_ms(30);
+            harness.tell(Event::Tick);
+            for action in harness.actions.drain(..) {
                 if let Action::Commit { lane, changes } = action {
                     lanes.push(lane);
                     let outcomes = changes.iter();
@@ -428,65 +436,68 @@
             }
         }
         for lane in lanes {
-            bench.tell(Event::Committed { lane });
+            harness.tell(Event::Committed { lane });
         }
     }
     assert_eq!(outcomes_count, 1);
-    let view = bench.scheduler.job(job).map(|view| view.phase);
+    let view = harness.scheduler.job(job).map(|view| view.phase);
     assert_eq!(view, Some(Phase::Canceled));
 }
 
 /// A task that can't be started anywhere doesn't keep others from it.
 #[test]
 fn place_impossible_demand() {
-    let mut world = World::new(5, 3, Faults::default(), None);
+    let mut simulation = Simulation::new(5, 3, Faults::default(), None);
     let huge = StepSpec {
         demand: Resources::new(64_000, 1000, 0),
         ..step(1)
     };
     let (id, record) = job(1, vec![huge]);
-    world.submit((id, record));
-    world.submit(job(2, vec![step(3)]));
-    world.run_for(8_000);
+    simulation.submit((id, record));
+    simulation.submit(job(2, vec![step(3)]));
+    simulation.run_for(8_000);
     assert_eq!(
-        world.phase(ospreywing_scheduler::JobId::new(2)),
+        simulation.phase(ospreywing_scheduler::JobId::new(2)),
         Some(Phase::Complete)
     );
-    world.cancel(id);
-    world.run_until_done(5_000);
+    simulation.cancel(id);
+    simulation.run_until_done(5_000);
 }
 
 #[rstest]
 #[case::before_start(0)]
 #[case::while_running(300)]
 fn cancel_job_stops_its_runs(#[case] after_ms: u64) {
-    let mut world = World::new(9, 3, Faults::default(), None);
+    let mut simulation = Simulation::new(9, 3, Faults::default(), None);
     let (id, record) = job(1, vec![step(4)]);
-    world.submit((id, record));
-    world.run_for(after_ms);
-    world.cancel(id);
-    world.run_for(1_000);
-    assert_eq!(world.phase(id), Some(Phase::Canceled));
-    assert!(world.workers.iter().all(|worker| worker.runs.is_empty()));
+    simulation.submit((id, record));
+    simulation.run_for(after_ms);
+    simulation.cancel(id);
+    simulation.run_for(1_000);
+    assert_eq!(simulation.phase(id), Some(Phase::Canceled));
+    assert!(simulation
+        .workers
+        .iter()
+        .all(|worker| worker.runs.is_empty()));
 }
 
 /// Suspected on swaramala-ow scale-2 974114645300: a worker that once listed a
 /// run that nobody can account for was never asked again, nor given anything.
 #[test]
 fn take_running_unknown_job() {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
-    let worker = bench.scheduler.worker_key("w0").unwrap();
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
+    let worker = harness.scheduler.worker_key("w0").unwrap();
     let stray = job(77, Vec::new()).0;
     let stray = ospreywing_scheduler::StepKey {
         job: stray,
         round: 0,
         step: 0,
     };
-    bench.commit_all();
-    bench.actions.clear();
-    bench.list_running(worker, stray.task(0));
-    bench.commit_all();
-    let is_asked = bench
+    harness.commit_all();
+    harness.actions.clear();
+    harness.answer_poll_running(worker, stray.task(0));
+    harness.commit_all();
+    let is_asked = harness
         .actions
         .iter()
         .any(|action| matches!(action, Action::Hold { to, .. } if to.worker == worker));
@@ -496,14 +507,14 @@
 /// The advice for a step's other tasks outlives the end of one of them.
 #[test]
 fn after_end_one_of_many() {
-    let mut world = World::new(2, 6, Faults::default(), Some(advice()));
-    world.submit(job(1, vec![step(40)]));
-    world.run_until_done(60_000);
+    let mut simulation = Simulation::new(2, 6, Faults::default(), Some(advice()));
+    simulation.submit(job(1, vec![step(40)]));
+    simulation.run_until_done(60_000);
     // One call per wave of tasks, not one per task.
     assert!(
-        world.advice_calls_count < 20,
+        simulation.advice_calls_count < 20,
         "{} calls",
-        world.advice_calls_count
+        simulation.advice_calls_count
     );
 }
 
@@ -514,12 +525,15 @@
         failing_run: 1000,
         ..Faults::default()
     };
-    let mut world = World::new(1, 3, faults, None);
+    let mut simulation = Simulation::new(1, 3, faults, None);
     let (id, record) = job(1, vec![step(1)]);
-    world.submit((id, record));
-    world.run_until_done(20_000);
-    assert_eq!(world.phase(id), Some(Phase::Failed));
-    assert_eq!(world.rules.starts_count, support::ATTEMPTS_COUNT as usize);
+    simulation.submit((id, record));
+    simulation.run_until_done(20_000);
+    assert_eq!(simulation.phase(id), Some(Phase::Failed));
+    assert_eq!(
+        simulation.rules.starts_count,
+        support::ATTEMPTS_COUNT as usize
+    );
 }
 
 /// A worker that does not list a recorded run under the new fence never
@@ -527,15 +541,15 @@
 #[test]
 fn release_unlisted_start_never_sent() {
     let (id, record) = job(1, vec![step(1)]);
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
-    bench.submit(1, vec![step(1)]);
-    let state = bench.commit_all().pop().expect("a recorded start");
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
+    harness.submit(1, vec![step(1)]);
+    let state = harness.commit_all().pop().expect("a recorded start");
     let kept = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, state)],
         ..Recovered::default()
     };
-    let mut next = Bench::new(kept, &workers(1));
+    let mut next = Harness::new(kept, &workers(1));
     next.commit_all();
     let starts = next.starts();
     assert_eq!(starts.len(), 1);
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -5,7 +5,7 @@
 //! number of workers, all rules are played on as many, and the figures are printed; they
 //! stand in docs/design/crashes.md.
 
-use crate::support::world::{Faults, World};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::{job, step};
 use ospreywing_scheduler::{CrashPolicy, JobId, Phase, StepSpec, TrialRule};
 use ospreywing_types::{Duration, Resources};
@@ -42,7 +42,7 @@
     crashes_count: usize,
     /// The crashes of the task that caused most.
     most_crashes_count: usize,
-    runs_lost_beside_count: usize,
+    innocent_runs_lost_count: usize,
     bad_jobs_count: usize,
     mean_ms: u64,
 }
@@ -55,7 +55,7 @@
 }
 
 /// Takes down what the loss says, in the middle of the load.
-fn strike(world: &mut World, loss: Loss, workers_count: usize) {
+fn strike(simulation: &mut Simulation, loss: Loss, workers_count: usize) {
     let struck: Vec<usize> = match loss {
         Loss::Nothing => Vec::new(),
         Loss::Percent(percent) => (0..workers_count)
@@ -63,7 +63,7 @@
             .collect(),
         Loss::Rack => (0..RACK_COUNT).collect(),
     };
-    world.lose(&struck);
+    simulation.lose(&struck);
 }
 
 fn play(
@@ -73,57 +73,57 @@
     loss: Loss,
     policy: CrashPolicy,
 ) -> Figures {
-    let mut world = World::new(seed, workers_count, Faults::default(), None);
-    world.lay_out_racks(RACK_COUNT);
-    world.elect_with(policy);
-    world.run_for(1_000);
+    let mut simulation = Simulation::new(seed, workers_count, Faults::default(), None);
+    simulation.lay_out_racks(RACK_COUNT);
+    simulation.elect_with(policy);
+    simulation.run_for(1_000);
     let places_count = workers_count * TASKS_PER_WORKER_COUNT * LOAD_PERCENT / 100;
     let gap_us = (MEAN_RUN_MS * TASKS_PER_JOB_COUNT * 1000 / places_count) as u64;
     let jobs_count = LOAD_MS * 1000 / gap_us;
     let bad_every = jobs_count / (bad_jobs_count as u64 + 1);
-    let (mut due_us, mut taken_ms) = (world.now_ms * 1000, Vec::new());
+    let (mut due_us, mut taken_ms) = (simulation.now_ms * 1000, Vec::new());
     for number in 1..=jobs_count {
         if bad_jobs_count > 0 && number % bad_every == 0 {
-            world.crashing.insert(JobId::new(number));
+            simulation.crashing_jobs.insert(JobId::new(number));
         }
-        world.submit(job(number, vec![small_step()]));
-        taken_ms.push(world.now_ms);
+        simulation.submit(job(number, vec![small_step()]));
+        taken_ms.push(simulation.now_ms);
         due_us += gap_us;
-        let wait_ms = (due_us / 1000).saturating_sub(world.now_ms);
-        world.run_for(wait_ms);
-        world.note_outcomes();
+        let wait_ms = (due_us / 1000).saturating_sub(simulation.now_ms);
+        simulation.run_for(wait_ms);
+        simulation.record_outcomes();
         if number == jobs_count / 2 {
-            strike(&mut world, loss, workers_count);
+            strike(&mut simulation, loss, workers_count);
         }
     }
-    let until_ms = world.now_ms + DRAIN_LIMIT_MS;
-    while world.done_ms.len() < jobs_count as usize {
+    let until_ms = simulation.now_ms + DRAIN_LIMIT_MS;
+    while simulation.done_ms.len() < jobs_count as usize {
         assert!(
-            world.now_ms < until_ms,
+            simulation.now_ms < until_ms,
             "seed {seed}: jobs without an outcome"
         );
-        world.run_for(NOTE_PERIOD_MS);
-        world.note_outcomes();
+        simulation.run_for(NOTE_PERIOD_MS);
+        simulation.record_outcomes();
     }
     let mut figures = Figures {
-        runs_lost_beside_count: world.runs_lost_beside_count,
-        bad_jobs_count: world.crashing.len(),
+        innocent_runs_lost_count: simulation.innocent_runs_lost_count,
+        bad_jobs_count: simulation.crashing_jobs.len(),
         ..Figures::default()
     };
-    let crashes = world.rules.crashes.values();
+    let crashes = simulation.rules.crashes.values();
     let crashes = crashes.map(|count| count.crashes_count);
     figures.most_crashes_count = crashes.clone().max().unwrap_or(0);
     figures.crashes_count = crashes.sum();
     let mut sum_ms = 0;
     for number in 1..=jobs_count {
         let id = JobId::new(number);
-        if world.crashing.contains(&id) {
+        if simulation.crashing_jobs.contains(&id) {
             continue;
         }
-        figures.innocents_failed_count += usize::from(world.phase(id) == Some(Phase::Failed));
-        sum_ms += world.done_ms[&id] - taken_ms[number as usize - 1];
+        figures.innocents_failed_count += usize::from(simulation.phase(id) == Some(Phase::Failed));
+        sum_ms += simulation.done_ms[&id] - taken_ms[number as usize - 1];
     }
-    figures.mean_ms = sum_ms / (jobs_count - world.crashing.len() as u64).max(1);
+    figures.mean_ms = sum_ms / (jobs_count - simulation.crashing_jobs.len() as u64).max(1);
     figures
 }
 
@@ -135,7 +135,7 @@
         "| {name} | {bad_jobs_count} | {loss:?} | {} | {:.2} | {:.2} | {mean_ms} |",
         sum(|row| row.innocents_failed_count),
         sum(|row| row.crashes_count) as f64 / bad_count,
-        sum(|row| row.runs_lost_beside_count) as f64 / bad_count,
+        sum(|row| row.innocent_runs_lost_count) as f64 / bad_count,
     );
 }
 
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -13,7 +13,7 @@
 //! run after run of the task ends as `run lost, another life answers`, none as `failed`,
 //! and the count of failed runs that bounds its attempts stays at zero.
 
-use crate::support::bench::{failed, workers, Bench};
+use crate::support::harness::{failed, workers, Harness};
 use crate::support::worker::FakeWorker;
 use crate::support::{advice, first_task, job, placed_state, step};
 use ospreywing_scheduler::{
@@ -34,20 +34,20 @@
 
 /// A cell in which each worker that starts anything crashes.
 struct CrashingCell {
-    bench: Bench,
+    harness: Harness,
     workers: Vec<FakeWorker>,
-    lives_count: usize,
+    incarnations_count: usize,
 }
 
 impl CrashingCell {
     fn new(advice: Option<AdvicePolicy>) -> Self {
         let workers = workers(4);
-        let mut bench = Bench::with_advice(Recovered::default(), &workers, advice);
-        bench.tell(Event::NodesListed(vec!["n1".into()]));
+        let mut harness = Harness::with_advice(Recovered::default(), &workers, advice);
+        harness.tell(Event::NodesListed(vec!["n1".into()]));
         Self {
-            bench,
+            harness,
             workers,
-            lives_count: 0,
+            incarnations_count: 0,
         }
     }
 
@@ -59,11 +59,11 @@
     /// Lets time pass until starts are sent.
     fn next_starts(&mut self) -> Option<Vec<(WorkerKey, TaskKey, u32)>> {
         for _ in 0..100 {
-            self.bench.now = self.bench.now + Duration::from_ms(30);
-            self.bench.tell(Event::Tick);
-            self.bench.answer_commits();
+            self.harness.now = self.harness.now + Duration::from_ms(30);
+            self.harness.tell(Event::Tick);
+            self.harness.answer_commits();
             self.answer_advice();
-            let starts = self.bench.starts();
+            let starts = self.harness.starts();
             if !starts.is_empty() {
                 return Some(starts);
             }
@@ -75,20 +75,20 @@
     fn answer_advice(&mut self) {
         let ids: Vec<String> = self.workers.iter().map(|w| w.id.to_string()).collect();
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-        self.bench.advise(&ids);
+        self.harness.answer_advice_calls(&ids);
     }
 
     /// Has the worker crash under a start, and its next life come up.
     fn crash(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         let refused = StartReply::Refused(RefusedStart::NotSent);
         for reply in [StartReply::Unanswered, refused, refused] {
-            self.bench.tell(Event::StartAnswered {
+            self.harness.tell(Event::StartAnswered {
                 worker,
                 task,
                 run,
                 reply,
             });
-            self.bench.starts();
+            self.harness.starts();
         }
         self.be_replaced(worker);
     }
@@ -103,7 +103,7 @@
     /// Leaves a start and its stop unanswered; a later look lists no run.
     fn leave_unanswered(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         for _ in 0..3 {
-            self.bench.tell(Event::StartAnswered {
+            self.harness.tell(Event::StartAnswered {
                 worker,
                 task,
                 run,
@@ -111,17 +111,17 @@
             });
         }
         // The stop gets no answer either.
-        self.bench.actions.clear();
-        self.bench.now = self.bench.now + Duration::from_ms(100);
-        self.bench.list(worker, Vec::new());
+        self.harness.actions.clear();
+        self.harness.now = self.harness.now + Duration::from_ms(100);
+        self.harness.list(worker, Vec::new());
     }
 
     /// Has another life answer at a worker's address.
     fn be_replaced(&mut self, worker: WorkerKey) {
-        self.bench.be_silent(worker);
-        self.bench.now = self.bench.now + AWAY;
-        let sent_at = self.bench.now;
-        self.bench.tell(Event::HoldAnswered {
+        self.harness.leave_poll_unanswered(worker);
+        self.harness.now = self.harness.now + AWAY;
+        let sent_at = self.harness.now;
+        self.harness.tell(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::OtherLife,
@@ -131,17 +131,17 @@
 
     fn bring_back(&mut self, worker: WorkerKey) {
         let is_dead =
-            |known: &FakeWorker| self.bench.scheduler.worker_key(&known.id) == Some(worker);
+            |known: &FakeWorker| self.harness.scheduler.worker_key(&known.id) == Some(worker);
         let index = self.workers.iter().position(is_dead);
         let dead = &mut self.workers[index.expect("a worker of this cell")];
-        self.lives_count += 1;
-        let mut next = FakeWorker::new(&format!("life{}", self.lives_count), 1000);
+        self.incarnations_count += 1;
+        let mut next = FakeWorker::new(&format!("life{}", self.incarnations_count), 1000);
         next.address = dead.address.clone();
         *dead = next;
-        self.bench.list_workers(&self.workers);
-        let id = format!("life{}", self.lives_count);
-        let key = self.bench.scheduler.worker_key(&id);
-        self.bench.list(key.expect("a listed worker"), Vec::new());
+        self.harness.list_workers(&self.workers);
+        let id = format!("life{}", self.incarnations_count);
+        let key = self.harness.scheduler.worker_key(&id);
+        self.harness.list(key.expect("a listed worker"), Vec::new());
     }
 }
 
@@ -149,13 +149,17 @@
 #[test]
 fn record_crash_run_was_not_there() {
     let mut cell = CrashingCell::new(None);
-    cell.bench.submit(1, vec![step(1)]);
+    cell.harness.submit(1, vec![step(1)]);
     for round in 1..=ROUNDS_COUNT {
         let start = cell.next_start();
         let start = start.unwrap_or_else(|| panic!("no start after {round} crashes"));
         cell.crash_without_run(start);
     }
-    let phase = cell.bench.scheduler.job(JobId::new(1)).map(|job| job.phase);
+    let phase = cell
+        .harness
+        .scheduler
+        .job(JobId::new(1))
+        .map(|job| job.phase);
     assert_eq!(phase, Some(Phase::Active));
 }
 
@@ -164,12 +168,12 @@
 #[test]
 fn record_crash_run_came_late() {
     let mut cell = CrashingCell::new(None);
-    cell.bench.submit(1, vec![step(1)]);
+    cell.harness.submit(1, vec![step(1)]);
     let (worker, task, run) = cell.next_start().expect("a start");
     cell.leave_unanswered((worker, task, run));
-    cell.bench.list_running(worker, task);
+    cell.harness.answer_poll_running(worker, task);
     cell.be_replaced(worker);
-    let states = cell.bench.commit_all();
+    let states = cell.harness.commit_all();
     let crashes = states.iter().flat_map(|state| &state.crashes);
     let recorded: Vec<TaskKey> = crashes.map(|crash| crash.task).collect();
     assert_eq!(recorded, [task]);
@@ -182,7 +186,7 @@
 #[case::with_advice(Some(advice()))]
 fn release_all_run_crashes_its_worker(#[case] policy: Option<AdvicePolicy>) {
     let mut cell = CrashingCell::new(policy);
-    cell.bench.submit(1, vec![step(1)]);
+    cell.harness.submit(1, vec![step(1)]);
     let mut starts_count = 0;
     for _ in 0..ROUNDS_COUNT {
         let Some(start) = cell.next_start() else {
@@ -195,33 +199,33 @@
         starts_count < CRASHES_COUNT + STARTS_LIMIT_COUNT,
         "a task that crashed each of its workers was started {starts_count} times"
     );
-    let job = cell.bench.scheduler.job(JobId::new(1));
+    let job = cell.harness.scheduler.job(JobId::new(1));
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
 /// Returns a leader with a job whose run has outlived its start, and another one whose
 /// run has just begun on the same worker.
-fn beside_a_new_run() -> (Bench, WorkerKey) {
-    let mut bench = Bench::new(Recovered::default(), &workers(3));
+fn beside_a_new_run() -> (Harness, WorkerKey) {
+    let mut harness = Harness::new(Recovered::default(), &workers(3));
     let mut runs = Vec::new();
     for number in 1..=2 {
-        bench.submit(number, vec![step(1)]);
-        bench.commit_all();
-        let start = bench.starts()[0];
-        bench.started(start);
+        harness.submit(number, vec![step(1)]);
+        harness.commit_all();
+        let start = harness.starts()[0];
+        harness.started(start);
         runs.push(start);
         if number == 1 {
-            bench.now = bench.now + Duration::from_s(1);
-            bench.list_running(start.0, start.1);
+            harness.now = harness.now + Duration::from_s(1);
+            harness.answer_poll_running(start.0, start.1);
         }
     }
     assert_eq!(runs[0].0, runs[1].0, "both are on the fullest worker");
-    (bench, runs[0].0)
+    (harness, runs[0].0)
 }
 
-fn other_life(bench: &mut Bench, worker: WorkerKey) {
-    let sent_at = bench.now;
-    bench.tell(Event::HoldAnswered {
+fn other_incarnation(harness: &mut Harness, worker: WorkerKey) {
+    let sent_at = harness.now;
+    harness.tell(Event::HoldAnswered {
         worker,
         sent_at,
         reply: HoldReply::OtherLife,
@@ -240,17 +244,17 @@
 /// nothing joins it there before it has outlived its start.
 #[test]
 fn record_crash_new_run_beside_old_one() {
-    let (mut bench, worker) = beside_a_new_run();
-    other_life(&mut bench, worker);
-    let states = bench.commit_all();
+    let (mut harness, worker) = beside_a_new_run();
+    other_incarnation(&mut harness, worker);
+    let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), vec![Suspicion::Bystander]);
     assert_eq!(suspicions(&states, 2), vec![Suspicion::Suspect]);
-    let starts = bench.starts();
+    let starts = harness.starts();
     assert_eq!(starts.len(), 2);
     assert_ne!(starts[0].0, starts[1].0, "the suspect is tried alone");
-    bench.submit(3, vec![step(1)]);
-    bench.commit_all();
-    let joined = bench.starts();
+    harness.submit(3, vec![step(1)]);
+    harness.commit_all();
+    let joined = harness.starts();
     let suspect = starts
         .iter()
         .find(|start| start.1 == first_task(JobId::new(2)));
@@ -261,20 +265,20 @@
 /// A worker that leaves by plan takes its runs with it and crashes under none.
 #[test]
 fn record_crash_worker_was_draining() {
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    bench.started(start);
-    bench.now = bench.now + Duration::from_s(1);
-    bench.list_running(start.0, start.1);
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    harness.started(start);
+    harness.now = harness.now + Duration::from_s(1);
+    harness.answer_poll_running(start.0, start.1);
     let mut listed = workers(2);
     listed[0].is_draining = true;
-    bench.list_workers(&listed);
-    other_life(&mut bench, start.0);
-    let states = bench.commit_all();
+    harness.list_workers(&listed);
+    other_incarnation(&mut harness, start.0);
+    let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), Vec::new());
-    assert_eq!(bench.starts().len(), 1, "it goes on elsewhere");
+    assert_eq!(harness.starts().len(), 1, "it goes on elsewhere");
 }
 
 /// A suspect that holds tickets waits for a worker of its own; further advice would not
@@ -282,25 +286,25 @@
 #[test]
 fn place_tasks_suspect_waits() {
     let mut cell = CrashingCell::new(Some(advice()));
-    cell.bench.submit(1, vec![step(1)]);
+    cell.harness.submit(1, vec![step(1)]);
     let bad = cell.next_start().expect("a start");
     // One run on each worker: there is room, and none is free for a trial.
     let spread = StepSpec {
         per_worker_limit_count: 1,
         ..step(4)
     };
-    cell.bench.submit(2, vec![spread]);
+    cell.harness.submit(2, vec![spread]);
     for start in cell.next_starts().expect("starts") {
-        cell.bench.started(start);
+        cell.harness.started(start);
     }
     cell.crash(bad);
     let mut calls_count = 0;
     for _ in 0..25 {
-        cell.bench.now = cell.bench.now + Duration::from_ms(30);
-        cell.bench.tell(Event::Tick);
-        cell.bench.answer_commits();
+        cell.harness.now = cell.harness.now + Duration::from_ms(30);
+        cell.harness.tell(Event::Tick);
+        cell.harness.answer_commits();
         let asks = |action: &&Action| matches!(action, Action::Advise { step, .. } if step.job == bad.1.step.job);
-        calls_count += cell.bench.actions.iter().filter(asks).count();
+        calls_count += cell.harness.actions.iter().filter(asks).count();
         cell.answer_advice();
     }
     assert!(calls_count <= 1, "asked {calls_count} times");
@@ -310,26 +314,26 @@
 /// what was recorded of its runs goes again where the same life answers.
 #[test]
 fn retract_silence_worker_answers() {
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    bench.started(start);
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    harness.started(start);
     for _ in 0..8 {
-        bench.be_silent(start.0);
+        harness.leave_poll_unanswered(start.0);
     }
-    let states = bench.commit_all();
+    let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), vec![Suspicion::Suspect]);
-    let again = bench.starts()[0];
+    let again = harness.starts()[0];
     assert_ne!(again.0, start.0);
-    bench.started(again);
-    bench.list(start.0, Vec::new());
-    bench.list_after(
+    harness.started(again);
+    harness.list(start.0, Vec::new());
+    harness.answer_poll_after(
         Duration::from_ms(60),
         again.0,
         vec![failed(1, again.1, again.2)],
     );
-    let states = bench.commit_all();
+    let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), Vec::new());
 }
 
@@ -359,15 +363,15 @@
         states: vec![(id, state_of_suspect())],
         ..Recovered::default()
     };
-    let mut bench = Bench::new(kept, &[]);
-    bench.list_workers(&workers(2));
-    let worker = bench.scheduler.worker_key("w0").expect("a listed worker");
-    let other = bench.scheduler.worker_key("w1").expect("a listed worker");
-    bench.list(other, Vec::new());
-    other_life(&mut bench, worker);
-    bench.commit_all();
-    assert!(bench.starts().is_empty(), "started after three crashes");
-    let job = bench.scheduler.job(id);
+    let mut harness = Harness::new(kept, &[]);
+    harness.list_workers(&workers(2));
+    let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
+    let other = harness.scheduler.worker_key("w1").expect("a listed worker");
+    harness.list(other, Vec::new());
+    other_incarnation(&mut harness, worker);
+    harness.commit_all();
+    assert!(harness.starts().is_empty(), "started after three crashes");
+    let job = harness.scheduler.job(id);
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
@@ -379,7 +383,7 @@
         is_gang: true,
         ..step(3)
     };
-    cell.bench.submit(1, vec![gang]);
+    cell.harness.submit(1, vec![gang]);
     let mut runs_count = 0;
     for _ in 0..ROUNDS_COUNT {
         let Some(starts) = cell.next_starts() else {
@@ -389,20 +393,20 @@
         let bad = starts.iter().find(|start| start.1.index == 0);
         let bad = *bad.expect("the whole gang starts");
         cell.crash(bad);
-        cell.bench.now = cell.bench.now + Duration::from_ms(500);
-        cell.bench.tell(Event::Tick);
-        cell.bench.stops();
-        cell.bench.now = cell.bench.now + Duration::from_ms(10);
+        cell.harness.now = cell.harness.now + Duration::from_ms(500);
+        cell.harness.tell(Event::Tick);
+        cell.harness.stops();
+        cell.harness.now = cell.harness.now + Duration::from_ms(10);
         let others = starts.iter().filter(|start| start.0 != bad.0);
         for (worker, _, _) in others {
-            cell.bench.list(*worker, Vec::new());
+            cell.harness.list(*worker, Vec::new());
         }
     }
     assert!(
         runs_count < CRASHES_COUNT + STARTS_LIMIT_COUNT,
         "{runs_count} runs"
     );
-    let job = cell.bench.scheduler.job(JobId::new(1));
+    let job = cell.harness.scheduler.job(JobId::new(1));
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
--- a/crates/scheduler/tests/scheduler/customers.rs
+++ b/crates/scheduler/tests/scheduler/customers.rs
@@ -1,7 +1,7 @@
 //! Customers: what each may have running, whose job is whose, and stored forms.
 
-use crate::support::bench::{end, workers, Bench};
-use crate::support::{configuration_with, customer, job_of, step, PATIENT_QUEUE};
+use crate::support::harness::{end, workers, Harness};
+use crate::support::{configuration_with, customer, job_of, step, LOW_PRIORITY_QUEUE};
 use ospreywing_scheduler::{
     Action, Customer, CustomerUse, DecisionKind, EndKind, Event, JobOutcome, JobRecord, JobState,
     Phase, Recovered, RoundState, StepSpec, StoredJob, TaskStatus,
@@ -13,25 +13,25 @@
 /// The workers in these cases hold two tasks each.
 const WORKERS_COUNT: usize = 10;
 
-fn bench_with(tasks_count: u32) -> Bench {
-    let mut bench = Bench::new(Recovered::default(), &workers(WORKERS_COUNT));
-    limit(&mut bench, 2, tasks_count);
-    bench
+fn harness_with(tasks_count: u32) -> Harness {
+    let mut harness = Harness::new(Recovered::default(), &workers(WORKERS_COUNT));
+    limit(&mut harness, 2, tasks_count);
+    harness
 }
 
-fn limit(bench: &mut Bench, version: u64, tasks_count: u32) {
+fn limit(harness: &mut Harness, version: u64, tasks_count: u32) {
     let customers = vec![customer("one", tasks_count, 100.0)];
-    bench.tell(Event::Configured(configuration_with(
+    harness.tell(Event::Configured(configuration_with(
         version, None, customers,
     )));
 }
 
 /// Takes the starts that were sent and answers them; returns how many there were.
-fn start_all(bench: &mut Bench) -> usize {
-    bench.commit_all();
-    let starts = bench.starts();
+fn start_all(harness: &mut Harness) -> usize {
+    harness.commit_all();
+    let starts = harness.starts();
     for start in &starts {
-        bench.started(*start);
+        harness.started(*start);
     }
     starts.len()
 }
@@ -45,30 +45,30 @@
 
 #[test]
 fn place_within_limit() {
-    let mut bench = bench_with(3);
-    bench.submit_job(job_of("one", 1, vec![step(5)]));
-    bench.commit_all();
-    let starts = bench.starts();
+    let mut harness = harness_with(3);
+    harness.submit_job(job_of("one", 1, vec![step(5)]));
+    harness.commit_all();
+    let starts = harness.starts();
     assert_eq!(starts.len(), 3);
     for start in &starts {
-        bench.started(*start);
+        harness.started(*start);
     }
     // Nobody else's work is held back by it.
-    bench.submit(2, vec![step(4)]);
-    assert_eq!(start_all(&mut bench), 4);
+    harness.submit(2, vec![step(4)]);
+    assert_eq!(start_all(&mut harness), 4);
     let (worker, task, run) = starts[0];
-    bench.list(worker, vec![end(1, task, run, EndKind::Done)]);
-    assert_eq!(start_all(&mut bench), 1);
+    harness.list(worker, vec![end(1, task, run, EndKind::Done)]);
+    assert_eq!(start_all(&mut harness), 1);
 }
 
 /// What is held back is told once, with what the customer has and may have.
 #[test]
 fn place_beyond_limit_is_told() {
-    let mut bench = bench_with(2);
-    bench.submit_job(job_of("one", 1, vec![step(5)]));
-    bench.commit_all();
-    bench.commit_all();
-    let held = bench.actions.iter().filter_map(|action| match action {
+    let mut harness = harness_with(2);
+    harness.submit_job(job_of("one", 1, vec![step(5)]));
+    harness.commit_all();
+    harness.commit_all();
+    let held = harness.actions.iter().filter_map(|action| match action {
         Action::Log(line) if line.kind == DecisionKind::JobHeld => line.customer.clone(),
         _ => None,
     });
@@ -85,28 +85,28 @@
 /// A gang that has lost a member waits for the others to end, not for its customer's limit.
 #[test]
 fn place_broken_gang_is_not_held() {
-    let mut bench = bench_with(3);
-    bench.submit_job(job_of("one", 1, vec![gang(3)]));
-    bench.commit_all();
-    let starts = bench.starts();
-    starts.iter().for_each(|start| bench.started(*start));
+    let mut harness = harness_with(3);
+    harness.submit_job(job_of("one", 1, vec![gang(3)]));
+    harness.commit_all();
+    let starts = harness.starts();
+    starts.iter().for_each(|start| harness.started(*start));
     let (worker, task, run) = starts[0];
-    bench.list(worker, vec![end(1, task, run, EndKind::Broken)]);
-    bench.commit_all();
+    harness.list(worker, vec![end(1, task, run, EndKind::Broken)]);
+    harness.commit_all();
     let is_held =
         |action: &Action| matches!(action, Action::Log(line) if line.kind == DecisionKind::JobHeld);
-    assert!(!bench.actions.iter().any(is_held));
+    assert!(!harness.actions.iter().any(is_held));
 }
 
 #[rstest]
 #[case::fits_beside(1, 3)]
 #[case::waits(2, 0)]
 fn place_gang_within_limit(#[case] before_count: u32, #[case] started_count: usize) {
-    let mut bench = bench_with(4);
-    bench.submit_job(job_of("one", 1, vec![step(before_count)]));
-    assert_eq!(start_all(&mut bench), before_count as usize);
-    bench.submit_job(job_of("one", 2, vec![gang(3)]));
-    assert_eq!(start_all(&mut bench), started_count);
+    let mut harness = harness_with(4);
+    harness.submit_job(job_of("one", 1, vec![step(before_count)]));
+    assert_eq!(start_all(&mut harness), before_count as usize);
+    harness.submit_job(job_of("one", 2, vec![gang(3)]));
+    assert_eq!(start_all(&mut harness), started_count);
 }
 
 /// A gang that waits for its customer's limit is not kept out by less urgent tasks of the
@@ -115,37 +115,37 @@
 #[case::most_is_in_use(3, 0)]
 #[case::little_is_in_use(1, 2)]
 fn place_behind_gang_at_limit(#[case] before_count: u32, #[case] started_count: usize) {
-    let mut bench = bench_with(4);
-    bench.submit_job(job_of("one", 1, vec![step(before_count)]));
-    start_all(&mut bench);
-    bench.submit_job(job_of("one", 2, vec![gang(4)]));
+    let mut harness = harness_with(4);
+    harness.submit_job(job_of("one", 1, vec![step(before_count)]));
+    start_all(&mut harness);
+    harness.submit_job(job_of("one", 2, vec![gang(4)]));
     let (id, mut less_urgent) = job_of("one", 3, vec![step(2)]);
-    less_urgent.queue = PATIENT_QUEUE.to_owned();
-    bench.submit_job((id, less_urgent));
-    assert_eq!(start_all(&mut bench), started_count);
+    less_urgent.queue = LOW_PRIORITY_QUEUE.to_owned();
+    harness.submit_job((id, less_urgent));
+    assert_eq!(start_all(&mut harness), started_count);
 }
 
 #[test]
 fn place_limit_lowered_and_raised() {
-    let mut bench = bench_with(4);
-    bench.submit_job(job_of("one", 1, vec![step(6)]));
-    assert_eq!(start_all(&mut bench), 4);
-    limit(&mut bench, 5, 1);
-    bench.submit_job(job_of("one", 2, vec![step(2)]));
-    assert_eq!(start_all(&mut bench), 0);
-    assert!(bench.stops().is_empty(), "what runs is let run");
-    limit(&mut bench, 9, 7);
-    assert_eq!(start_all(&mut bench), 3);
+    let mut harness = harness_with(4);
+    harness.submit_job(job_of("one", 1, vec![step(6)]));
+    assert_eq!(start_all(&mut harness), 4);
+    limit(&mut harness, 5, 1);
+    harness.submit_job(job_of("one", 2, vec![step(2)]));
+    assert_eq!(start_all(&mut harness), 0);
+    assert!(harness.stops().is_empty(), "what runs is let run");
+    limit(&mut harness, 9, 7);
+    assert_eq!(start_all(&mut harness), 3);
 }
 
 /// A start that was recorded before its customer's limit was lowered is not sent after it.
 #[test]
 fn send_start_limit_lowered() {
-    let mut bench = bench_with(4);
-    bench.submit_job(job_of("one", 1, vec![step(4)]));
-    limit(&mut bench, 3, 1);
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), 1);
+    let mut harness = harness_with(4);
+    harness.submit_job(job_of("one", 1, vec![step(4)]));
+    limit(&mut harness, 3, 1);
+    harness.commit_all();
+    assert_eq!(harness.starts().len(), 1);
 }
 
 /// What an earlier leader recorded counts from the first moment, also where its worker has
@@ -170,20 +170,20 @@
         states: vec![(id, state)],
         ..Recovered::default()
     };
-    let mut bench = Bench::new(recovered, &workers(WORKERS_COUNT));
-    limit(&mut bench, 2, 1);
-    assert_eq!(start_all(&mut bench), 0);
-    limit(&mut bench, 3, 2);
-    assert_eq!(start_all(&mut bench), 1);
+    let mut harness = Harness::new(recovered, &workers(WORKERS_COUNT));
+    limit(&mut harness, 2, 1);
+    assert_eq!(start_all(&mut harness), 0);
+    limit(&mut harness, 3, 2);
+    assert_eq!(start_all(&mut harness), 1);
 }
 
 /// A customer that the operators have removed keeps its last limit, and its jobs run.
 #[test]
 fn place_customer_removed() {
-    let mut bench = bench_with(2);
-    bench.submit_job(job_of("one", 1, vec![step(3)]));
-    bench.tell(Event::Configured(configuration_with(3, None, Vec::new())));
-    assert_eq!(start_all(&mut bench), 2);
+    let mut harness = harness_with(2);
+    harness.submit_job(job_of("one", 1, vec![step(3)]));
+    harness.tell(Event::Configured(configuration_with(3, None, Vec::new())));
+    assert_eq!(start_all(&mut harness), 2);
 }
 
 #[rstest]
@@ -220,15 +220,15 @@
     #[case] caller: Option<&str>,
     #[case] is_open: bool,
 ) {
-    let mut bench = bench_with(4);
+    let mut harness = harness_with(4);
     let (id, mut record) = job_of("one", 1, vec![step(1)]);
     record.customer = owner.map(str::to_owned);
-    bench.submit_job((id, record));
-    assert_eq!(bench.scheduler.job_for(caller, id).is_some(), is_open);
+    harness.submit_job((id, record));
+    assert_eq!(harness.scheduler.job_for(caller, id).is_some(), is_open);
     // It stays whose it is once only its outcome is kept.
-    bench.tell(Event::CancelAccepted { job: id });
-    bench.commit_all();
-    assert_eq!(bench.scheduler.job_for(caller, id).is_some(), is_open);
+    harness.tell(Event::CancelAccepted { job: id });
+    harness.commit_all();
+    assert_eq!(harness.scheduler.job_for(caller, id).is_some(), is_open);
 }
 
 #[rstest]
@@ -264,12 +264,12 @@
 /// before the service was dropped.
 #[test]
 fn place_worker_without_service() {
-    let mut bench = bench_with(4);
+    let mut harness = harness_with(4);
     let mut configuration = configuration_with(5, None, Vec::new());
     configuration.services.clear();
-    bench.tell(Event::Configured(configuration));
-    bench.submit(1, vec![step(1)]);
-    assert_eq!(start_all(&mut bench), 0);
-    bench.tell(Event::Configured(configuration_with(6, None, Vec::new())));
-    assert_eq!(start_all(&mut bench), 1);
+    harness.tell(Event::Configured(configuration));
+    harness.submit(1, vec![step(1)]);
+    assert_eq!(start_all(&mut harness), 0);
+    harness.tell(Event::Configured(configuration_with(6, None, Vec::new())));
+    assert_eq!(start_all(&mut harness), 1);
 }
--- a/crates/scheduler/tests/scheduler/customers_load.rs
+++ b/crates/scheduler/tests/scheduler/customers_load.rs
@@ -1,6 +1,6 @@
 //! A load of many customers, one of which sends many times its usual: what the others get.
 
-use crate::support::world::{Faults, World};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::{advice, configuration_with, customer, job_of, step};
 use ospreywing_scheduler::{AdvicePolicy, Customer, Feature, Features, JobId, StepSpec};
 use ospreywing_types::Resources;
@@ -99,18 +99,18 @@
     }
 
     /// Strikes, where its time has come.
-    fn strike(self, at_ms: u64, world: &mut World, load: &Load) {
+    fn strike(self, at_ms: u64, simulation: &mut Simulation, load: &Load) {
         let is_middle = at_ms == LOAD_MS / 2;
         match self {
-            Self::LeadersLost if is_middle || at_ms == LOAD_MS * 2 / 3 => world.elect(),
+            Self::LeadersLost if is_middle || at_ms == LOAD_MS * 2 / 3 => simulation.elect(),
             Self::WeightRaised if is_middle => {
                 let mut customers = customers();
                 customers[0].jobs_per_s *= 2.0;
-                world.configure(configuration_with(3, load.policy, customers));
+                simulation.configure(configuration_with(3, load.policy, customers));
             }
             Self::CustomerRemoved if is_middle => {
                 let customers = customers().split_off(1);
-                world.configure(configuration_with(3, load.policy, customers));
+                simulation.configure(configuration_with(3, load.policy, customers));
             }
             _ => {}
         }
@@ -163,22 +163,22 @@
     customers.collect()
 }
 
-fn world_of(seed: u64, load: &Load) -> World {
-    let mut world = World::new(seed, WORKERS_COUNT, Faults::default(), load.policy);
-    world.elect_with_features(load.features);
-    world.run_lengths_ms = 600..1_200;
-    world.configure(configuration_with(2, load.policy, customers()));
-    world
+fn simulation_of(seed: u64, load: &Load) -> Simulation {
+    let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), load.policy);
+    simulation.elect_with_features(load.features);
+    simulation.run_durations_ms = 600..1_200;
+    simulation.configure(configuration_with(2, load.policy, customers()));
+    simulation
 }
 
 /// Plays a load.
 fn play(seed: u64, load: &Load) -> Outcome {
-    let mut world = world_of(seed, load);
-    let begun_ms = world.now_ms;
+    let mut simulation = simulation_of(seed, load);
+    let begun_ms = simulation.now_ms;
     let mut handed_in: Vec<(JobId, u64, u64)> = Vec::new();
     let mut largest_lag_ms = 0;
     for at_ms in (0..LOAD_MS).step_by(50) {
-        load.trouble.strike(at_ms, &mut world, load);
+        load.trouble.strike(at_ms, &mut simulation, load);
         for number in 0..CUSTOMERS_COUNT {
             let is_due = (at_ms + 50 * number).is_multiple_of(PERIOD_MS);
             let (count, mut spec) = match number {
@@ -190,30 +190,30 @@
             for _ in 0..count * u64::from(is_due) {
                 let id = handed_in.len() as u64 + 1;
                 let (id, mut record) = job_of(&name_of(number), id, vec![spec.clone()]);
-                record.accepted_ms = world.now_ms;
-                handed_in.push((id, number, world.now_ms));
-                world.submit((id, record));
+                record.accepted_ms = simulation.now_ms;
+                handed_in.push((id, number, simulation.now_ms));
+                simulation.submit((id, record));
             }
         }
-        world.run_for(begun_ms + at_ms + 50 - world.now_ms.min(begun_ms + at_ms + 50));
-        world.note_outcomes();
-        let lags = (1..CUSTOMERS_COUNT).filter_map(|number| world.share_of(&name_of(number)));
+        simulation.run_for(begun_ms + at_ms + 50 - simulation.now_ms.min(begun_ms + at_ms + 50));
+        simulation.record_outcomes();
+        let lags = (1..CUSTOMERS_COUNT).filter_map(|number| simulation.share_of(&name_of(number)));
         let lag_ms = lags.map(|view| view.lag.as_ms()).max();
         largest_lag_ms = largest_lag_ms.max(lag_ms.unwrap_or(0));
     }
-    let done_count = world.done_ms.len();
+    let done_count = simulation.done_ms.len();
     for _ in 0..100 {
-        world.run_for(50);
-        world.note_outcomes();
+        simulation.run_for(50);
+        simulation.record_outcomes();
     }
     let others: Vec<_> = handed_in.iter().filter(|(_, by, _)| *by != 0).collect();
     let in_time = others.iter().filter(|(id, _, since_ms)| {
-        let done_ms = world.done_ms.get(id);
+        let done_ms = simulation.done_ms.get(id);
         done_ms.is_some_and(|done_ms| done_ms - since_ms <= OBJECTIVE_MS)
     });
-    let end_ms = world.now_ms;
+    let end_ms = simulation.now_ms;
     let waits_ms = others.iter().map(|(id, _, since_ms)| {
-        let started_ms = world.started_ms.get(id).copied();
+        let started_ms = simulation.started_ms.get(id).copied();
         started_ms.unwrap_or(end_ms) - since_ms
     });
     Outcome {
--- a/crates/scheduler/tests/scheduler/departures.rs
+++ b/crates/scheduler/tests/scheduler/departures.rs
@@ -1,7 +1,7 @@
 //! Workers that leave by plan: what would be lost with them is stopped before, and goes on
 //! elsewhere.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
 use crate::support::step;
 use crate::support::worker::FakeWorker;
 use ospreywing_scheduler::{
@@ -34,57 +34,57 @@
     }
 }
 
-fn begin(bench: &mut Bench, spec: StepSpec) -> Vec<Start> {
-    bench.submit(1, vec![spec]);
-    bench.commit_all();
-    let starts = bench.starts();
+fn begin(harness: &mut Harness, spec: StepSpec) -> Vec<Start> {
+    harness.submit(1, vec![spec]);
+    harness.commit_all();
+    let starts = harness.starts();
     for start in &starts {
-        bench.started(*start);
+        harness.started(*start);
     }
     starts
 }
 
 /// Has a worker's entry say that it leaves after a time.
-fn leave(bench: &mut Bench, worker: &FakeWorker, after_ms: u64) {
+fn leave(harness: &mut Harness, worker: &FakeWorker, after_ms: u64) {
     let mut leaving = FakeWorker::new(&worker.id, 1000);
     leaving.is_draining = true;
     // The workers of these tests tell the time of the bench.
-    leaving.leaves_clock_ms = Some(bench.now.as_ms() + after_ms);
+    leaving.leaves_clock_ms = Some(harness.now.as_ms() + after_ms);
     let change = WorkerChange::Listed(leaving.facts());
-    bench.tell(Event::WorkersChanged(vec![change]));
+    harness.tell(Event::WorkersChanged(vec![change]));
 }
 
-fn wait(bench: &mut Bench, length_ms: u64) {
+fn wait(harness: &mut Harness, length_ms: u64) {
     for _ in 0..length_ms / 100 {
-        bench.now = bench.now + Duration::from_ms(100);
-        bench.tell(Event::Tick);
+        harness.now = harness.now + Duration::from_ms(100);
+        harness.tell(Event::Tick);
     }
 }
 
-fn stops_after(bench: &mut Bench, length_ms: u64) -> usize {
-    wait(bench, length_ms);
-    bench.stops().len()
+fn stops_after(harness: &mut Harness, length_ms: u64) -> usize {
+    wait(harness, length_ms);
+    harness.stops().len()
 }
 
 /// A run that saves loses nothing by a stop just before its worker goes.
 #[test]
 fn stop_before_departures_saving_run() {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    begin(&mut bench, saving(1));
-    leave(&mut bench, &listed[0], 5000);
-    assert_eq!(stops_after(&mut bench, 3000), 0, "it works on");
-    assert_eq!(stops_after(&mut bench, 1000), 1, "in time for its end");
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    begin(&mut harness, saving(1));
+    leave(&mut harness, &listed[0], 5000);
+    assert_eq!(stops_after(&mut harness, 3000), 0, "it works on");
+    assert_eq!(stops_after(&mut harness, 1000), 1, "in time for its end");
 }
 
 /// What a run that saves nothing still does is lost, so it is stopped at once.
 #[test]
 fn stop_before_departures_run_without_checkpoints() {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    begin(&mut bench, lengthy(1));
-    leave(&mut bench, &listed[0], 5000);
-    assert_eq!(stops_after(&mut bench, 200), 1);
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    begin(&mut harness, lengthy(1));
+    leave(&mut harness, &listed[0], 5000);
+    assert_eq!(stops_after(&mut harness, 200), 1);
 }
 
 /// By its pace a run ends in time, whatever its estimate says.
@@ -93,43 +93,43 @@
 #[case::too_slow(20, 1)]
 fn stop_before_departures_by_pace(#[case] percent: u32, #[case] stops_count: usize) {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    let starts = begin(&mut bench, lengthy(1));
-    wait(&mut bench, 3000);
-    bench.list_progress(&starts, percent);
-    leave(&mut bench, &listed[0], 4000);
-    assert_eq!(stops_after(&mut bench, 200), stops_count);
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    let starts = begin(&mut harness, lengthy(1));
+    wait(&mut harness, 3000);
+    harness.answer_polls_with_progress(&starts, percent);
+    leave(&mut harness, &listed[0], 4000);
+    assert_eq!(stops_after(&mut harness, 200), stops_count);
 }
 
 #[test]
 fn stop_before_departures_short_run() {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    begin(&mut bench, step(2));
-    leave(&mut bench, &listed[0], 5000);
-    assert_eq!(stops_after(&mut bench, 500), 0, "it ends in time");
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    begin(&mut harness, step(2));
+    leave(&mut harness, &listed[0], 5000);
+    assert_eq!(stops_after(&mut harness, 500), 0, "it ends in time");
 }
 
 /// All members of a gang are stopped together: one that ends alone breaks the others.
 #[test]
 fn stop_before_departures_gang() {
     let listed = workers(3);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    let starts = begin(&mut bench, gang(saving(5)));
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    let starts = begin(&mut harness, gang(saving(5)));
     assert_eq!(starts.len(), 5);
-    leave(&mut bench, &listed[0], 5000);
-    assert_eq!(stops_after(&mut bench, 3000), 0);
-    assert_eq!(stops_after(&mut bench, 1000), 5);
+    leave(&mut harness, &listed[0], 5000);
+    assert_eq!(stops_after(&mut harness, 3000), 0);
+    assert_eq!(stops_after(&mut harness, 1000), 5);
 }
 
 /// A member that is broken off tells an older checkpoint than one that was stopped.
 #[test]
 fn record_end_gang_stopped_then_broken() {
     let listed = workers(3);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    let starts = begin(&mut bench, gang(saving(5)));
-    leave(&mut bench, &listed[0], 1000);
-    assert_eq!(stops_after(&mut bench, 200), 5);
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    let starts = begin(&mut harness, gang(saving(5)));
+    leave(&mut harness, &listed[0], 1000);
+    assert_eq!(stops_after(&mut harness, 200), 5);
     for (number, (worker, task, run)) in starts.iter().enumerate() {
         let kind = if number == 0 {
             EndKind::Stopped
@@ -140,10 +140,10 @@
             checkpoint: Some(format!("{kind:?}")),
             ..end(number as u64 + 1, *task, *run, kind)
         };
-        bench.list(*worker, vec![ended]);
+        harness.list(*worker, vec![ended]);
     }
-    bench.commit_all();
-    let again = bench.actions.iter().filter_map(|action| match action {
+    harness.commit_all();
+    let again = harness.actions.iter().filter_map(|action| match action {
         Action::Start { order, .. } => Some(order.checkpoint.clone()),
         _ => None,
     });
@@ -152,11 +152,11 @@
     assert!(brought.is_empty());
     let joined = FakeWorker::new("w9", 1000);
     let change = WorkerChange::Listed(joined.facts());
-    bench.tell(Event::WorkersChanged(vec![change]));
-    let key = bench.scheduler.worker_key("w9").expect("it has joined");
-    bench.list(key, Vec::new());
-    bench.commit_all();
-    let again = bench.actions.iter().filter_map(|action| match action {
+    harness.tell(Event::WorkersChanged(vec![change]));
+    let key = harness.scheduler.worker_key("w9").expect("it has joined");
+    harness.list(key, Vec::new());
+    harness.commit_all();
+    let again = harness.actions.iter().filter_map(|action| match action {
         Action::Start { order, .. } => order.checkpoint.clone(),
         _ => None,
     });
@@ -168,9 +168,9 @@
 #[test]
 fn send_start_worker_leaving() {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    bench.submit(1, vec![step(1)]);
-    leave(&mut bench, &listed[0], 5000);
-    bench.commit_all();
-    assert_eq!(bench.starts(), Vec::new());
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    harness.submit(1, vec![step(1)]);
+    leave(&mut harness, &listed[0], 5000);
+    harness.commit_all();
+    assert_eq!(harness.starts(), Vec::new());
 }
--- a/crates/scheduler/tests/scheduler/gang_load.rs
+++ b/crates/scheduler/tests/scheduler/gang_load.rs
@@ -1,10 +1,10 @@
 //! A load of gangs that take a third of a worker a member, beside work that can wait: how
 //! many gangs are done in time, and whether the patient work is done as well.
 
-use crate::support::bench::{workers, Bench};
+use crate::support::harness::{workers, Harness};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::worker::FakeWorker;
-use crate::support::world::{Faults, World};
-use crate::support::{advice, job, patient_job, step};
+use crate::support::{advice, job, low_priority_job, step};
 use ospreywing_scheduler::{JobId, Recovered, StepSpec};
 use ospreywing_types::Resources;
 
@@ -35,8 +35,8 @@
     job(number, vec![spec])
 }
 
-fn small_patient_job(number: u64) -> (JobId, ospreywing_scheduler::JobRecord) {
-    let (id, mut record) = patient_job(number, PATIENT_TASKS_COUNT);
+fn small_low_priority_job(number: u64) -> (JobId, ospreywing_scheduler::JobRecord) {
+    let (id, mut record) = low_priority_job(number, PATIENT_TASKS_COUNT);
     record.spec.steps[0].demand = Resources::new(700, 500, 0);
     (id, record)
 }
@@ -48,41 +48,43 @@
 }
 
 fn play(seed: u64) -> InTime {
-    let mut world = World::new(seed, WORKERS_COUNT, Faults::default(), Some(advice()));
-    assert_eq!(world.workers.len(), WORKERS_COUNT);
-    world.good_one_in = GOOD_ONE_IN;
-    world.run_lengths_ms = 600..1_400;
+    let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), Some(advice()));
+    assert_eq!(simulation.workers.len(), WORKERS_COUNT);
+    simulation.good_one_in = GOOD_ONE_IN;
+    simulation.run_durations_ms = 600..1_400;
     let mut gangs: Vec<(JobId, u64)> = Vec::new();
     let mut patient: Vec<(JobId, u64)> = Vec::new();
     for number in 0..LOAD_MS / PERIOD_MS {
-        for (kind, (id, mut record)) in
-            [gang_job(2 * number + 1), small_patient_job(2 * number + 2)]
-                .into_iter()
-                .enumerate()
+        for (kind, (id, mut record)) in [
+            gang_job(2 * number + 1),
+            small_low_priority_job(2 * number + 2),
+        ]
+        .into_iter()
+        .enumerate()
         {
-            record.accepted_ms = world.now_ms;
+            record.accepted_ms = simulation.now_ms;
             let list = if kind == 0 { &mut gangs } else { &mut patient };
-            list.push((id, world.now_ms));
-            world.submit((id, record));
+            list.push((id, simulation.now_ms));
+            simulation.submit((id, record));
         }
         for _ in 0..PERIOD_MS / 50 {
-            world.run_for(50);
-            world.note_outcomes();
+            simulation.run_for(50);
+            simulation.record_outcomes();
         }
     }
     for _ in 0..PATIENT_OBJECTIVE_MS / 100 {
-        world.run_for(100);
-        world.note_outcomes();
+        simulation.run_for(100);
+        simulation.record_outcomes();
     }
     InTime {
-        gangs: share(&world, &gangs, GANG_OBJECTIVE_MS),
-        patient: share(&world, &patient, PATIENT_OBJECTIVE_MS),
+        gangs: share(&simulation, &gangs, GANG_OBJECTIVE_MS),
+        patient: share(&simulation, &patient, PATIENT_OBJECTIVE_MS),
     }
 }
 
-fn share(world: &World, jobs: &[(JobId, u64)], objective_ms: u64) -> f64 {
+fn share(simulation: &Simulation, jobs: &[(JobId, u64)], objective_ms: u64) -> f64 {
     let in_time = jobs.iter().filter(|(id, since_ms)| {
-        let done_ms = world.done_ms.get(id);
+        let done_ms = simulation.done_ms.get(id);
         done_ms.is_some_and(|done_ms| done_ms - since_ms <= objective_ms)
     });
     in_time.count() as f64 / jobs.len() as f64
@@ -119,7 +121,7 @@
 /// served first, though the larger came earlier.
 #[test]
 fn service_order_smaller_gang_first() {
-    let mut bench = Bench::new(Recovered::default(), &[]);
+    let mut harness = Harness::new(Recovered::default(), &[]);
     let gang = |tasks_count| StepSpec {
         is_gang: true,
         ..step(tasks_count)
@@ -130,17 +132,17 @@
         per_worker_limit_count: 2,
         ..gang(3)
     };
-    bench.submit(1, vec![gang(4)]);
-    bench.submit(2, vec![smaller]);
+    harness.submit(1, vec![gang(4)]);
+    harness.submit(2, vec![smaller]);
     // Two workers that hold two tasks each join.
     let joining = workers(2);
-    bench.list_workers(&joining);
+    harness.list_workers(&joining);
     for worker in &joining {
-        let key = bench.scheduler.worker_key(&worker.id);
-        bench.list(key.expect("a listed worker"), Vec::new());
+        let key = harness.scheduler.worker_key(&worker.id);
+        harness.list(key.expect("a listed worker"), Vec::new());
     }
-    bench.commit_all();
-    let started: Vec<u64> = bench
+    harness.commit_all();
+    let started: Vec<u64> = harness
         .starts()
         .iter()
         .map(|(_, task, _)| task.step.job.number())
--- a/crates/scheduler/tests/scheduler/lapses.rs
+++ b/crates/scheduler/tests/scheduler/lapses.rs
@@ -1,7 +1,7 @@
 //! Leases that hold longer than the leader granted them, and lists that tell less
 //! than they seem to: a task must not be started again while its run may be alive.
 
-use crate::support::bench::{end, workers, Bench, FENCE, LEASE_LIMIT};
+use crate::support::harness::{end, workers, Harness, FENCE, LEASE_LIMIT};
 use crate::support::worker::{FakeRun, FakeWorker};
 use crate::support::{first_task, job, placed_state, step};
 use ospreywing_scheduler::{
@@ -32,7 +32,7 @@
 
 /// A leader, and one worker that does what it is told while it is reached.
 struct Cell {
-    bench: Bench,
+    harness: Harness,
     worker: FakeWorker,
     key: WorkerKey,
 }
@@ -43,30 +43,34 @@
     /// so much later.
     fn after_grant_of_earlier_leader(reached_after: Duration) -> Self {
         let mut worker = FakeWorker::new("w0", SLOWEST_CLOCK_PER_MILLE);
-        let mut bench = Bench::after_evicted_leader(Recovered::default());
-        bench.list_workers(&[
+        let mut harness = Harness::after_evicted_leader(Recovered::default());
+        harness.list_workers(&[
             FakeWorker::new("w0", SLOWEST_CLOCK_PER_MILLE),
             FakeWorker::new("w1", 1000),
         ]);
-        let key = bench.scheduler.worker_key("w0").expect("a listed worker");
-        bench.now = bench.now + reached_after;
-        let now_ms = bench.now.as_ms();
+        let key = harness.scheduler.worker_key("w0").expect("a listed worker");
+        harness.now = harness.now + reached_after;
+        let now_ms = harness.now.as_ms();
         let limit_ms = LEASE_LIMIT.as_ms();
         let until_ms = worker.clock_ms(now_ms) + limit_ms;
         worker.hold(now_ms, FENCE - 1, Some(until_ms), 0, limit_ms);
-        let mut cell = Self { bench, worker, key };
+        let mut cell = Self {
+            harness,
+            worker,
+            key,
+        };
         cell.renew(None);
         cell
     }
 
     /// Carries a renewal to the worker and its answer back.
     fn renew(&mut self, until_ms: Option<u64>) {
-        let sent_at = self.bench.now;
-        self.bench.now = sent_at + Duration::from_ms(2);
-        let now_ms = self.bench.now.as_ms();
+        let sent_at = self.harness.now;
+        self.harness.now = sent_at + Duration::from_ms(2);
+        let now_ms = self.harness.now.as_ms();
         let limit_ms = LEASE_LIMIT.as_ms();
         let reply = self.worker.hold(now_ms, FENCE, until_ms, 0, limit_ms);
-        self.bench.tell(Event::HoldAnswered {
+        self.harness.tell(Event::HoldAnswered {
             worker: self.key,
             sent_at,
             reply,
@@ -75,10 +79,10 @@
 
     /// Has the worker begin a task's only run, which lasts.
     fn begin_long_run(&mut self) -> TaskKey {
-        self.bench.submit(1, vec![step(1)]);
-        self.bench.commit_all();
+        self.harness.submit(1, vec![step(1)]);
+        self.harness.commit_all();
         let order = self.take_start();
-        let now_ms = self.bench.now.as_ms();
+        let now_ms = self.harness.now.as_ms();
         let run = FakeRun {
             run: order.run,
             ends_at_ms: now_ms + LONG_RUN_MS,
@@ -87,7 +91,7 @@
             saves: false,
         };
         self.worker.begin(now_ms, &order, run, LEASE_LIMIT.as_ms());
-        self.bench.tell(Event::StartAnswered {
+        self.harness.tell(Event::StartAnswered {
             worker: self.key,
             task: order.task,
             run: order.run,
@@ -97,7 +101,7 @@
     }
 
     fn take_start(&mut self) -> StartOrder {
-        let taken = core::mem::take(&mut self.bench.actions);
+        let taken = core::mem::take(&mut self.harness.actions);
         let mut starts = taken.into_iter().filter_map(|action| match action {
             Action::Start { to, order } if to.worker == self.key => Some(order),
             _ => None,
@@ -108,33 +112,33 @@
     /// Lets time pass while the worker leaves everything unanswered; returns when
     /// the task was started elsewhere.
     fn cut_off_until_started_again(&mut self, limit: Duration) -> Option<Instant> {
-        let begun = self.bench.now;
-        let mut other = Some(self.bench.scheduler.worker_key("w1").expect("a worker"));
+        let begun = self.harness.now;
+        let mut other = Some(self.harness.scheduler.worker_key("w1").expect("a worker"));
         let mut unanswered_at = begun + UNANSWERED_AFTER;
-        while self.bench.now.since(begun) < limit {
-            self.bench.now = self.bench.now + STEP;
+        while self.harness.now.since(begun) < limit {
+            self.harness.now = self.harness.now + STEP;
             if let Some(other) = other.take() {
-                self.bench.list(other, Vec::new());
+                self.harness.list(other, Vec::new());
             }
-            if self.bench.now >= unanswered_at {
-                unanswered_at = self.bench.now + UNANSWERED_AFTER;
-                self.bench.tell(Event::HoldAnswered {
+            if self.harness.now >= unanswered_at {
+                unanswered_at = self.harness.now + UNANSWERED_AFTER;
+                self.harness.tell(Event::HoldAnswered {
                     worker: self.key,
-                    sent_at: self.bench.now,
+                    sent_at: self.harness.now,
                     reply: HoldReply::Unanswered,
                 });
             }
-            self.bench.tell(Event::Tick);
-            self.bench.answer_commits();
-            if !self.bench.starts().is_empty() {
-                return Some(self.bench.now);
+            self.harness.tell(Event::Tick);
+            self.harness.answer_commits();
+            if !self.harness.starts().is_empty() {
+                return Some(self.harness.now);
             }
         }
         None
     }
 
     fn is_running(&mut self, task: TaskKey) -> bool {
-        self.worker.advance(self.bench.now.as_ms());
+        self.worker.advance(self.harness.now.as_ms());
         self.worker.runs.contains_key(&task)
     }
 }
@@ -149,7 +153,7 @@
 fn give_up_lapsed_lease_of_earlier_leader(#[case] reached_after: Duration) {
     let mut cell = Cell::after_grant_of_earlier_leader(reached_after);
     let task = cell.begin_long_run();
-    let begun = cell.bench.now;
+    let begun = cell.harness.now;
     let again = cell.cut_off_until_started_again(Duration::from_s(12));
     let again = again.expect("a run whose lease is over is given up");
     assert!(
@@ -165,7 +169,7 @@
 #[test]
 fn give_up_lapsed_worker_that_answered_early() {
     let mut cell = Cell::after_grant_of_earlier_leader(Duration::ZERO);
-    let answered = cell.bench.now;
+    let answered = cell.harness.now;
     let task = cell.begin_long_run();
     let again = cell.cut_off_until_started_again(Duration::from_s(12));
     let again = again.expect("a run whose lease is over is given up");
@@ -179,7 +183,7 @@
 
 /// Returns two lives of one machine: the id of the live one sorts before that of
 /// the dead one, or behind it.
-fn lives(is_live_first: bool) -> (FakeWorker, FakeWorker) {
+fn incarnations(is_live_first: bool) -> (FakeWorker, FakeWorker) {
     let (live_id, dead_id) = if is_live_first {
         ("w0", "w1")
     } else {
@@ -197,64 +201,67 @@
 /// nothing of which is the later one.
 #[rstest]
 fn add_worker_two_lives_in_first_list(#[values(true, false)] is_live_first: bool) {
-    let (live, dead) = lives(is_live_first);
+    let (live, dead) = incarnations(is_live_first);
     let (id, record) = job(1, vec![step(1)]);
     let kept = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, placed_state(&live.id, 1))],
         ..Recovered::default()
     };
-    let mut bench = Bench::after_evicted_leader(kept);
+    let mut harness = Harness::after_evicted_leader(kept);
     let mut listed = [live, dead, FakeWorker::new("w2", 1000)];
     listed.sort_by(|one, other| one.id.cmp(&other.id));
-    bench.list_workers(&listed);
-    let key = |id: &str| bench.scheduler.worker_key(id).expect("a listed worker");
+    harness.list_workers(&listed);
+    let key = |id: &str| harness.scheduler.worker_key(id).expect("a listed worker");
     let (live, dead, other) = match is_live_first {
         true => (key("w0"), key("w1"), key("w2")),
         false => (key("w1"), key("w0"), key("w2")),
     };
-    bench.list(other, Vec::new());
-    bench.tell(Event::HoldAnswered {
+    harness.list(other, Vec::new());
+    harness.tell(Event::HoldAnswered {
         worker: dead,
-        sent_at: bench.now,
+        sent_at: harness.now,
         reply: HoldReply::OtherLife,
     });
     let task = first_task(id);
-    bench.commit_all();
-    bench.list_running(live, task);
-    bench.commit_all();
-    assert_eq!(bench.starts(), vec![], "{task} runs on the live one");
-    assert_eq!(bench.stops(), vec![], "{task} runs on the live one");
-    bench.list(live, vec![end(1, task, 1, EndKind::Done)]);
-    bench.commit_all();
-    let view = bench.scheduler.job(id).expect("a known job");
+    harness.commit_all();
+    harness.answer_poll_running(live, task);
+    harness.commit_all();
+    assert_eq!(harness.starts(), vec![], "{task} runs on the live one");
+    assert_eq!(harness.stops(), vec![], "{task} runs on the live one");
+    harness.list(live, vec![end(1, task, 1, EndKind::Done)]);
+    harness.commit_all();
+    let view = harness.scheduler.job(id).expect("a known job");
     assert_eq!(view.phase, Phase::Complete);
 }
 
 /// Returns a leader that has begun a step's tasks on its only worker.
-fn after_starts(tasks_count: u32) -> (Bench, WorkerKey, Vec<TaskKey>) {
-    let mut bench = Bench::new(Recovered::default(), &[FakeWorker::new("w0", 1000)]);
-    bench.submit(1, vec![step(tasks_count)]);
-    bench.commit_all();
-    let starts = bench.starts();
+fn after_starts(tasks_count: u32) -> (Harness, WorkerKey, Vec<TaskKey>) {
+    let mut harness = Harness::new(Recovered::default(), &[FakeWorker::new("w0", 1000)]);
+    harness.submit(1, vec![step(tasks_count)]);
+    harness.commit_all();
+    let starts = harness.starts();
     for start in &starts {
-        bench.started(*start);
+        harness.started(*start);
     }
     let worker = starts[0].0;
     let tasks = starts.into_iter().map(|(_, task, _)| task).collect();
-    (bench, worker, tasks)
+    (harness, worker, tasks)
 }
 
 /// What a worker may forget is told by number, so no end below it may be passed
 /// over, in whichever order the ends are listed.
 #[test]
 fn take_lists_ends_in_any_order() {
-    let (mut bench, worker, tasks) = after_starts(2);
+    let (mut harness, worker, tasks) = after_starts(2);
     let later = end(2, tasks[1], 1, EndKind::Done);
     let earlier = end(1, tasks[0], 1, EndKind::Done);
-    bench.list(worker, vec![later, earlier]);
-    bench.commit_all();
-    let view = bench.scheduler.job(tasks[0].step.job).expect("a known job");
+    harness.list(worker, vec![later, earlier]);
+    harness.commit_all();
+    let view = harness
+        .scheduler
+        .job(tasks[0].step.job)
+        .expect("a known job");
     assert_eq!(view.phase, Phase::Complete);
 }
 
@@ -268,42 +275,42 @@
         states: vec![(id, placed_state("w0", 1))],
         ..Recovered::default()
     };
-    let mut bench = Bench::after_evicted_leader(kept);
-    bench.list_workers(&[FakeWorker::new("w0", 1000)]);
-    let worker = bench.scheduler.worker_key("w0").expect("a listed worker");
+    let mut harness = Harness::after_evicted_leader(kept);
+    harness.list_workers(&[FakeWorker::new("w0", 1000)]);
+    let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
     let stranger = first_task(JobId::new(99));
     let others = (1..=ENDS_AT_ONCE_COUNT).map(|number| {
         let run = number as u32;
         end(number, stranger, run, EndKind::Stopped)
     });
-    bench.list(worker, others.collect());
-    bench.commit_all();
+    harness.list(worker, others.collect());
+    harness.commit_all();
     assert_eq!(
-        bench.starts(),
+        harness.starts(),
         vec![],
         "its end may come with the next list"
     );
     let last = end(ENDS_AT_ONCE_COUNT + 1, first_task(id), 1, EndKind::Done);
-    bench.list(worker, vec![last]);
-    bench.commit_all();
-    let view = bench.scheduler.job(id).expect("a known job");
+    harness.list(worker, vec![last]);
+    harness.commit_all();
+    let view = harness.scheduler.job(id).expect("a known job");
     assert_eq!(view.phase, Phase::Complete);
 }
 
 /// A worker's other runs do not lapse while an end of it waits for a slow store.
 #[test]
 fn renew_leases_end_waits_for_slow_store() {
-    let (mut bench, worker, tasks) = after_starts(2);
-    bench.list(worker, vec![end(1, tasks[0], 1, EndKind::Done)]);
-    bench.actions.clear();
-    let begun = bench.now;
+    let (mut harness, worker, tasks) = after_starts(2);
+    harness.list(worker, vec![end(1, tasks[0], 1, EndKind::Done)]);
+    harness.actions.clear();
+    let begun = harness.now;
     let is_renewed = |action: &Action| matches!(action, Action::Hold { to, until_ms: Some(_), last_seen: 0, .. } if to.worker == worker);
-    while bench.now.since(begun) < SHORTEST_LEASE {
-        bench.now = bench.now + STEP;
-        bench.tell(Event::Tick);
+    while harness.now.since(begun) < SHORTEST_LEASE {
+        harness.now = harness.now + STEP;
+        harness.tell(Event::Tick);
     }
     assert!(
-        bench.actions.iter().any(is_renewed),
+        harness.actions.iter().any(is_renewed),
         "{} is leased anew while the end is not in the store",
         tasks[1]
     );
@@ -314,7 +321,7 @@
 #[test]
 fn take_end_of_gang_that_is_not_recorded_as_done() {
     let pair = [FakeWorker::new("w0", 1000), FakeWorker::new("w1", 1000)];
-    let mut bench = Bench::new(Recovered::default(), &pair);
+    let mut harness = Harness::new(Recovered::default(), &pair);
     let gang = StepSpec {
         is_gang: true,
         demand: Resources::new(3000, 3000, 0),
@@ -324,52 +331,52 @@
         demand: Resources::new(1000, 1000, 0),
         ..step(2)
     };
-    bench.submit(1, vec![gang]);
-    bench.commit_all();
-    let members = bench.starts();
+    harness.submit(1, vec![gang]);
+    harness.commit_all();
+    let members = harness.starts();
     // The workers are asked on, since they have other runs too.
-    bench.submit(2, vec![other]);
-    bench.commit_all();
-    let others = bench.starts();
+    harness.submit(2, vec![other]);
+    harness.commit_all();
+    let others = harness.starts();
     for start in members.iter().chain(&others) {
-        bench.started(*start);
+        harness.started(*start);
     }
-    bench.actions.clear();
+    harness.actions.clear();
     for (worker, task, run) in &members {
         let stays = others.iter().find(|(at, ..)| at == worker);
         let stays = stays.expect("a run beside the gang's").1;
         let ended = vec![end(1, *task, *run, EndKind::Done)];
-        bench.list_both(*worker, stays, ended);
+        harness.answer_poll_running_and_ended(*worker, stays, ended);
     }
     // Less than the time after which leases are renewed beside a commit.
     for _ in 0..10 {
-        bench.now = bench.now + STEP;
-        bench.tell(Event::Tick);
+        harness.now = harness.now + STEP;
+        harness.tell(Event::Tick);
     }
     let may_forget = |action: &Action| matches!(action, Action::Hold { last_seen: 1, .. });
-    let forgotten_count = bench.actions.iter().filter(|a| may_forget(a)).count();
+    let forgotten_count = harness.actions.iter().filter(|a| may_forget(a)).count();
     assert_eq!(forgotten_count, 0, "the commit is open");
-    bench.commit_all();
-    let forgotten_count = bench.actions.iter().filter(|a| may_forget(a)).count();
+    harness.commit_all();
+    let forgotten_count = harness.actions.iter().filter(|a| may_forget(a)).count();
     assert_eq!(forgotten_count, 2, "the job is recorded as complete");
 }
 
 /// Returns a leader with a run on the first of two workers, and these with another life of
 /// the first one's machine.
-fn with_run_on_live_worker() -> (Bench, [FakeWorker; 3], WorkerKey) {
-    let (live, other_life) = lives(true);
+fn with_run_on_live_worker() -> (Harness, [FakeWorker; 3], WorkerKey) {
+    let (live, other_incarnation) = incarnations(true);
     let idle = FakeWorker::new("w2", 1000);
     let listed = [live, idle];
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    bench.started(start);
-    assert_eq!(Some(start.0), bench.scheduler.worker_key("w0"));
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    harness.started(start);
+    assert_eq!(Some(start.0), harness.scheduler.worker_key("w0"));
     // The look that is open is answered.
-    bench.list_running(start.0, start.1);
+    harness.answer_poll_running(start.0, start.1);
     let [live, idle] = listed;
-    (bench, [live, other_life, idle], start.0)
+    (harness, [live, other_incarnation, idle], start.0)
 }
 
 /// Found on aigerim-galleries, in a mix of our own: workers crashed behind a cut and
@@ -379,40 +386,40 @@
 /// elsewhere. An entry alone tells nothing of which life is later: the address does.
 #[test]
 fn list_workers_entry_of_earlier_life() {
-    let (mut bench, listed, worker) = with_run_on_live_worker();
-    bench.list_workers(&listed);
-    bench.commit_all();
-    assert_eq!(bench.starts(), vec![], "its run goes on");
-    let stale = bench.scheduler.worker_key("w1").expect("a listed worker");
-    bench.tell(Event::HoldAnswered {
+    let (mut harness, listed, worker) = with_run_on_live_worker();
+    harness.list_workers(&listed);
+    harness.commit_all();
+    assert_eq!(harness.starts(), vec![], "its run goes on");
+    let stale = harness.scheduler.worker_key("w1").expect("a listed worker");
+    harness.tell(Event::HoldAnswered {
         worker: stale,
-        sent_at: bench.now,
+        sent_at: harness.now,
         reply: HoldReply::OtherLife,
     });
-    bench.list_running(worker, first_task(JobId::new(1)));
-    bench.commit_all();
-    assert_eq!(bench.starts(), vec![]);
+    harness.answer_poll_running(worker, first_task(JobId::new(1)));
+    harness.commit_all();
+    assert_eq!(harness.starts(), vec![]);
 }
 
 /// Where the listed life is the later one, the worker is asked at once, and its address
 /// answers for it.
 #[test]
 fn list_workers_entry_of_later_life() {
-    let (mut bench, listed, worker) = with_run_on_live_worker();
-    bench.actions.clear();
-    bench.list_workers(&listed);
+    let (mut harness, listed, worker) = with_run_on_live_worker();
+    harness.actions.clear();
+    harness.list_workers(&listed);
     let is_asked =
         |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == worker);
-    assert!(bench.actions.iter().any(is_asked), "asked at once");
-    bench.tell(Event::HoldAnswered {
+    assert!(harness.actions.iter().any(is_asked), "asked at once");
+    harness.tell(Event::HoldAnswered {
         worker,
-        sent_at: bench.now,
+        sent_at: harness.now,
         reply: HoldReply::OtherLife,
     });
-    let later = bench.scheduler.worker_key("w1").expect("a listed worker");
-    bench.list(later, Vec::new());
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), 1, "its run starts again");
+    let later = harness.scheduler.worker_key("w1").expect("a listed worker");
+    harness.list(later, Vec::new());
+    harness.commit_all();
+    assert_eq!(harness.starts().len(), 1, "its run starts again");
 }
 
 /// A lasting task is not kept from running again by the long leases of the store's trouble,
@@ -420,24 +427,24 @@
 #[test]
 fn renew_leases_lost_worker_after_store_trouble() {
     let workers = workers(2);
-    let mut bench = Bench::with_lease_limit(LONG_LEASE_LIMIT, &workers);
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
+    let mut harness = Harness::with_lease_limit(LONG_LEASE_LIMIT, &workers);
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
     let (lost, task, _) = start;
-    bench.started(start);
-    bench.tell(Event::StoreTrouble(true));
-    bench.list_running(lost, task);
-    bench.now = bench.now + UNANSWERED_AFTER;
-    bench.tell(Event::Tick);
-    bench.list_running(lost, task);
-    bench.tell(Event::StoreTrouble(false));
+    harness.started(start);
+    harness.tell(Event::StoreTrouble(true));
+    harness.answer_poll_running(lost, task);
+    harness.now = harness.now + UNANSWERED_AFTER;
+    harness.tell(Event::Tick);
+    harness.answer_poll_running(lost, task);
+    harness.tell(Event::StoreTrouble(false));
     // The worker has received every renewal, and is lost after the last one.
-    let lost_at = bench.now;
-    while bench.now.since(lost_at) < LASTING_TASK_AWAY_LIMIT {
-        bench.be_silent(lost);
-        bench.commit_all();
-        if !bench.starts().is_empty() {
+    let lost_at = harness.now;
+    while harness.now.since(lost_at) < LASTING_TASK_AWAY_LIMIT {
+        harness.leave_poll_unanswered(lost);
+        harness.commit_all();
+        if !harness.starts().is_empty() {
             return;
         }
     }
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -1,7 +1,7 @@
 //! Learned lengths and speeds as plain values: how near they are, and what misleads them.
 
-use crate::support::bench::{end, workers, Bench};
-use crate::support::{job, patient_job, placed_state, step};
+use crate::support::harness::{end, workers, Harness};
+use crate::support::{job, low_priority_job, placed_state, step};
 use ospreywing_scheduler::{
     Durations, Ejection, EndKind, Event, Feature, Features, JobId, JobRecord, Learned,
     LearnedQuantiles, LearnedSize, LearnedSpeed, LengthForecast, LengthKind, Recovered, Speeds,
@@ -357,32 +357,32 @@
         states: vec![(JobId::new(1), state)],
         ..Recovered::default()
     };
-    let mut bench = Bench::new(recovered, &workers(1));
-    bench.commit_all();
-    let start = bench.starts()[0];
+    let mut harness = Harness::new(recovered, &workers(1));
+    harness.commit_all();
+    let start = harness.starts()[0];
     let (worker, task, run) = start;
     if told.is_repeated {
         let reply = StartReply::Unanswered;
-        bench.tell(Event::StartAnswered {
+        harness.tell(Event::StartAnswered {
             worker,
             task,
             run,
             reply,
         });
-        bench.commit_all();
+        harness.commit_all();
     }
-    bench.started(start);
-    bench.now = bench.now + Duration::from_ms(900);
+    harness.started(start);
+    harness.now = harness.now + Duration::from_ms(900);
     if !told.is_heard_late {
-        bench.list_progress(&[start], 90);
+        harness.answer_polls_with_progress(&[start], 90);
     }
     let kind = if told.is_failed {
         EndKind::Failed
     } else {
         EndKind::Done
     };
-    bench.list(worker, vec![end(1, task, run, kind)]);
-    bench.scheduler.status(bench.now).learned_sizes_count
+    harness.list(worker, vec![end(1, task, run, kind)]);
+    harness.scheduler.status(harness.now).learned_sizes_count
 }
 
 /// Only a run whose whole time is known and was spent on the work tells anything.
@@ -402,40 +402,40 @@
 /// ten seconds by the estimate and four of them were done in one.
 fn stopped_count(features: Features) -> usize {
     let leaving = workers(2);
-    let mut bench = Bench::with_features(features, &leaving);
+    let mut harness = Harness::with_features(features, &leaving);
     let short = StepSpec {
         estimate_ms: 10_000,
         ..step(8)
     };
-    bench.submit(1, vec![short]);
-    bench.commit_all();
-    let first = bench.starts();
+    harness.submit(1, vec![short]);
+    harness.commit_all();
+    let first = harness.starts();
     assert_eq!(first.len(), 4);
     for start in &first {
-        bench.started(*start);
+        harness.started(*start);
     }
-    bench.now = bench.now + Duration::from_ms(900);
-    bench.list_progress(&first, 0);
+    harness.now = harness.now + Duration::from_ms(900);
+    harness.answer_polls_with_progress(&first, 0);
     for pair in first.chunks(2) {
         let ends = (1..).zip(pair);
         let ends = ends.map(|(number, (_, task, run))| end(number, *task, *run, EndKind::Done));
-        bench.list(pair[0].0, ends.collect());
+        harness.list(pair[0].0, ends.collect());
     }
-    bench.commit_all();
-    let second = bench.starts();
+    harness.commit_all();
+    let second = harness.starts();
     assert_eq!(second.len(), 4);
     for start in &second {
-        bench.started(*start);
+        harness.started(*start);
     }
     for mut worker in leaving {
         worker.is_draining = true;
-        worker.leaves_clock_ms = Some(bench.now.as_ms() + 4_000);
+        worker.leaves_clock_ms = Some(harness.now.as_ms() + 4_000);
         let change = WorkerChange::Listed(worker.facts());
-        bench.tell(Event::WorkersChanged(vec![change]));
+        harness.tell(Event::WorkersChanged(vec![change]));
     }
-    bench.now = bench.now + Duration::from_ms(200);
-    bench.tell(Event::Tick);
-    bench.stops().len()
+    harness.now = harness.now + Duration::from_ms(200);
+    harness.tell(Event::Tick);
+    harness.stops().len()
 }
 
 /// What is done in time by the tasks of its step is not stopped for its estimate.
@@ -447,11 +447,11 @@
 }
 
 /// Returns a scheduler that was handed something.
-fn scheduler_with(learned: &Learned) -> Bench {
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.scheduler.take_learned(bench.now, learned);
-    bench.scheduler.verify().expect("the invariants hold");
-    bench
+fn scheduler_with(learned: &Learned) -> Harness {
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.scheduler.take_learned(harness.now, learned);
+    harness.scheduler.verify().expect("the invariants hold");
+    harness
 }
 
 fn learned_size(likely: u64, age_ms: u64) -> LearnedSize {
@@ -488,8 +488,8 @@
         sizes: vec![learned_size(700, 100)],
         speeds: vec![learned_speed(500)],
     };
-    let bench = scheduler_with(&learned);
-    assert_eq!(bench.scheduler.learned(bench.now), learned);
+    let harness = scheduler_with(&learned);
+    assert_eq!(harness.scheduler.learned(harness.now), learned);
     let bytes = postcard::to_allocvec(&learned).expect("a form");
     assert_eq!(postcard::from_bytes(&bytes), Ok(learned));
 }
@@ -507,15 +507,15 @@
         sizes: vec![size],
         speeds: vec![learned_speed(0), learned_speed(u32::MAX)],
     };
-    let bench = scheduler_with(&learned);
-    assert!(bench.scheduler.learned(bench.now).is_empty());
+    let harness = scheduler_with(&learned);
+    assert!(harness.scheduler.learned(harness.now).is_empty());
 }
 
 /// Returns the workers, by their numbers, that the tasks of a job are given to, where of six
 /// the first two or the last two take a third longer.
 fn placed_on(features: Features, slow: [usize; 2], job: (JobId, JobRecord)) -> Vec<String> {
     let all = workers(6);
-    let mut bench = Bench::with_features(features, &all);
+    let mut harness = Harness::with_features(features, &all);
     let speeds = all.iter().enumerate().map(|(number, worker)| LearnedSpeed {
         machine: worker.id.clone(),
         ..learned_speed(if slow.contains(&number) { 750 } else { 1000 })
@@ -524,23 +524,23 @@
         sizes: Vec::new(),
         speeds: speeds.collect(),
     };
-    bench.scheduler.take_learned(bench.now, &learned);
-    bench.now = bench.now + Duration::from_ms(20);
-    bench.tell(Event::Tick);
-    bench.submit_job(job);
-    bench.commit_all();
+    harness.scheduler.take_learned(harness.now, &learned);
+    harness.now = harness.now + Duration::from_ms(20);
+    harness.tell(Event::Tick);
+    harness.submit_job(job);
+    harness.commit_all();
     let mut placed: Vec<String> = Vec::new();
-    for (key, ..) in bench.starts() {
+    for (key, ..) in harness.starts() {
         let mut ids = all.iter().map(|worker| worker.id.to_string());
-        let id = ids.find(|id| bench.scheduler.worker_key(id) == Some(key));
+        let id = ids.find(|id| harness.scheduler.worker_key(id) == Some(key));
         placed.extend(id);
     }
     placed.sort();
     placed
 }
 
-fn patient_gang(tasks_count: u32) -> (JobId, JobRecord) {
-    let (id, mut record) = patient_job(1, tasks_count);
+fn low_priority_gang(tasks_count: u32) -> (JobId, JobRecord) {
+    let (id, mut record) = low_priority_job(1, tasks_count);
     record.spec.steps[0].is_gang = true;
     (id, record)
 }
@@ -549,9 +549,9 @@
 /// workers of one speed where they hold it whole. Without learning the first ones are taken.
 #[rstest]
 #[case::pressing([0, 1], job(1, vec![step(1)]), &["w2"], &["w0"])]
-#[case::patient([4, 5], patient_job(1, 1), &["w4"], &["w0"])]
-#[case::patient_gang([4, 5], patient_gang(4), &["w4", "w4", "w5", "w5"], &["w0", "w0", "w1", "w1"])]
-#[case::wide_gang([0, 1], patient_gang(6),
+#[case::patient([4, 5], low_priority_job(1, 1), &["w4"], &["w0"])]
+#[case::low_priority_gang([4, 5], low_priority_gang(4), &["w4", "w4", "w5", "w5"], &["w0", "w0", "w1", "w1"])]
+#[case::wide_gang([0, 1], low_priority_gang(6),
     &["w2", "w2", "w3", "w3", "w4", "w4"], &["w0", "w0", "w1", "w1", "w2", "w2"])]
 fn candidates_by_speed(
     #[case] slow: [usize; 2],
--- a/crates/scheduler/tests/scheduler/learning_load.rs
+++ b/crates/scheduler/tests/scheduler/learning_load.rs
@@ -1,8 +1,8 @@
 //! A load of short urgent jobs beside patient work, on workers some of which take twice as
 //! long: how many of the short jobs are in time.
 
-use crate::support::world::{Faults, World};
-use crate::support::{configuration, job, patient_job, step, PATIENT_QUEUE, QUEUE};
+use crate::support::simulation::{Faults, Simulation};
+use crate::support::{configuration, job, low_priority_job, step, LOW_PRIORITY_QUEUE, QUEUE};
 use ospreywing_scheduler::{Configuration, Feature, Features, JobId, JobRecord, StepSpec};
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
     urgent.objective_ms = 500;
     let patient = tight
         .queues
-        .get_mut(PATIENT_QUEUE)
+        .get_mut(LOW_PRIORITY_QUEUE)
         .expect("the patient queue");
     patient.objective_ms = 15_000;
     tight
@@ -49,8 +49,8 @@
     job(number, vec![spec])
 }
 
-fn small_patient_job(number: u64) -> (JobId, JobRecord) {
-    let (id, mut record) = patient_job(number, PATIENT_TASKS_COUNT);
+fn small_low_priority_job(number: u64) -> (JobId, JobRecord) {
+    let (id, mut record) = low_priority_job(number, PATIENT_TASKS_COUNT);
     record.spec.steps[0].estimate_ms = 1_000;
     record.spec.steps[0].saves_progress = false;
     (id, record)
@@ -58,25 +58,25 @@
 
 /// A play: the world, and when each urgent job came.
 struct Play {
-    world: World,
+    simulation: Simulation,
     next_number: u64,
     urgent: BTreeMap<JobId, u64>,
 }
 
 impl Play {
     fn new(seed: u64, features: Features) -> Self {
-        let mut world = World::new(seed, WORKERS_COUNT, Faults::default(), None);
-        world.elect_with_features(features);
-        world.configure(tight_configuration());
+        let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
+        simulation.elect_with_features(features);
+        simulation.configure(tight_configuration());
         Self {
-            world,
+            simulation,
             next_number: 1,
             urgent: BTreeMap::new(),
         }
     }
 
     fn with_slow_workers(mut self) -> Self {
-        let workers = self.world.workers.iter_mut();
+        let workers = self.simulation.workers.iter_mut();
         for worker in workers.skip(1).step_by(SLOW_ONE_IN) {
             worker.speed_per_mille = SLOW_PER_MILLE;
         }
@@ -84,38 +84,38 @@
     }
 
     fn submit(&mut self, (id, mut record): (JobId, JobRecord), lengths: core::ops::Range<u64>) {
-        record.accepted_ms = self.world.now_ms;
-        self.world.lengths_of.insert(id, lengths);
-        self.world.submit((id, record));
+        record.accepted_ms = self.simulation.now_ms;
+        self.simulation.job_run_durations_ms.insert(id, lengths);
+        self.simulation.submit((id, record));
         self.next_number += 1;
     }
 
     fn run(&mut self, length_ms: u64) {
-        let begun_ms = self.world.now_ms;
+        let begun_ms = self.simulation.now_ms;
         for at_ms in (0..length_ms).step_by(50) {
             if at_ms.is_multiple_of(URGENT_PERIOD_MS) {
                 let job = urgent_job(self.next_number);
-                self.urgent.insert(job.0, self.world.now_ms);
+                self.urgent.insert(job.0, self.simulation.now_ms);
                 self.submit(job, URGENT_MS);
             }
             if at_ms.is_multiple_of(PATIENT_PERIOD_MS) {
-                self.submit(small_patient_job(self.next_number), PATIENT_MS);
+                self.submit(small_low_priority_job(self.next_number), PATIENT_MS);
             }
             let until_ms = begun_ms + at_ms + 50;
-            self.world
-                .run_for(until_ms.saturating_sub(self.world.now_ms));
-            self.world.note_outcomes();
+            self.simulation
+                .run_for(until_ms.saturating_sub(self.simulation.now_ms));
+            self.simulation.record_outcomes();
         }
     }
 
     /// Lets all jobs end; none comes any more.
     fn finish(&mut self) {
         for _ in 0..URGENT_OBJECTIVE_MS / 50 {
-            self.world.run_for(50);
-            self.world.note_outcomes();
+            self.simulation.run_for(50);
+            self.simulation.record_outcomes();
         }
-        self.world.run_until_done(60_000);
-        self.world.assert_no_strays();
+        self.simulation.run_until_done(60_000);
+        self.simulation.assert_no_strays();
     }
 
     /// Returns the share of the urgent jobs that came since then and were done in time.
@@ -123,7 +123,7 @@
         let counted = self.urgent.iter();
         let counted: Vec<_> = counted.filter(|(_, at_ms)| **at_ms >= since_ms).collect();
         let in_time = counted.iter().filter(|(id, at_ms)| {
-            let done_ms = self.world.done_ms.get(id);
+            let done_ms = self.simulation.done_ms.get(id);
             done_ms.is_some_and(|done_ms| done_ms - **at_ms <= URGENT_OBJECTIVE_MS)
         });
         in_time.count() as f64 / counted.len() as f64
@@ -138,7 +138,7 @@
 fn slow_share(seed: u64, features: Features) -> f64 {
     let mut play = Play::new(seed, features).with_slow_workers();
     play.run(LEARN_MS);
-    let since_ms = play.world.now_ms;
+    let since_ms = play.simulation.now_ms;
     play.run(LOAD_MS);
     play.finish();
     play.urgent_share(since_ms)
@@ -169,12 +169,12 @@
 fn place_urgent_after_speeds_flip() {
     let mut play = Play::new(1, Features::default()).with_slow_workers();
     play.run(LEARN_MS);
-    for (number, worker) in play.world.workers.iter_mut().enumerate() {
+    for (number, worker) in play.simulation.workers.iter_mut().enumerate() {
         let is_slow = number % SLOW_ONE_IN == 4;
         worker.speed_per_mille = if is_slow { SLOW_PER_MILLE } else { 1000 };
     }
     play.run(LOAD_MS);
-    let since_ms = play.world.now_ms;
+    let since_ms = play.simulation.now_ms;
     play.run(LOAD_MS);
     play.finish();
     let share = play.urgent_share(since_ms);
@@ -186,13 +186,13 @@
 fn place_while_all_turn_slow() {
     let mut play = Play::new(2, Features::default());
     play.run(LEARN_MS);
-    for worker in &mut play.world.workers {
+    for worker in &mut play.simulation.workers {
         worker.speed_per_mille = SLOW_PER_MILLE;
     }
     for _ in 0..10 {
         play.run(1_000);
-        assert_eq!(play.world.status().ejected_workers_count, 0);
-        assert_eq!(play.world.status().slow_workers_count, 0);
+        assert_eq!(play.simulation.status().ejected_workers_count, 0);
+        assert_eq!(play.simulation.status().slow_workers_count, 0);
     }
     play.finish();
 }
@@ -203,20 +203,20 @@
 fn place_beside_workers_that_stand_still() {
     let mut play = Play::new(3, Features::default());
     play.run(LEARN_MS);
-    for worker in play.world.workers.iter_mut().take(2) {
+    for worker in play.simulation.workers.iter_mut().take(2) {
         worker.speed_per_mille = 100;
     }
     play.run(LOAD_MS);
-    let ejected_count = play.world.status().ejected_workers_count;
+    let ejected_count = play.simulation.status().ejected_workers_count;
     assert!(
         (1..=4).contains(&ejected_count),
         "{ejected_count} come last"
     );
-    for worker in &mut play.world.workers {
+    for worker in &mut play.simulation.workers {
         worker.speed_per_mille = 1000;
     }
     play.run(3 * LOAD_MS);
-    assert_eq!(play.world.status().ejected_workers_count, 0);
+    assert_eq!(play.simulation.status().ejected_workers_count, 0);
     play.finish();
 }
 
@@ -227,9 +227,9 @@
     let done = |features| {
         let mut play = Play::new(4, features).with_slow_workers();
         play.run(1_000);
-        play.world.elect();
+        play.simulation.elect();
         play.run(1_000);
-        play.world.done_ms.clone()
+        play.simulation.done_ms.clone()
     };
     let with = done(Features::default());
     assert!(!with.is_empty());
@@ -237,14 +237,14 @@
 }
 
 /// Returns the share of the urgent jobs in time right after a takeover.
-fn share_after_takeover(seed: u64, hands_on_learned: bool) -> f64 {
+fn share_after_takeover(seed: u64, hands_over_learned: bool) -> f64 {
     let mut play = Play::new(seed, Features::default()).with_slow_workers();
-    play.world.hands_on_learned = hands_on_learned;
+    play.simulation.hands_over_learned = hands_over_learned;
     play.run(LEARN_MS + LOAD_MS);
-    play.world.elect();
+    play.simulation.elect();
     // The first jobs wait until workers were heard of under the new fence.
     play.run(1_000);
-    let since_ms = play.world.now_ms;
+    let since_ms = play.simulation.now_ms;
     play.run(LEARN_MS);
     play.finish();
     play.urgent_share(since_ms)
--- a/crates/scheduler/tests/scheduler/overload.rs
+++ b/crates/scheduler/tests/scheduler/overload.rs
@@ -1,6 +1,6 @@
 //! Which jobs are chosen to be in time where not all can be.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
 use crate::support::{job, step};
 use ospreywing_scheduler::overload::{
     Amounts, Contender, Demand, Occupancy, Selection, ENTER_LOAD_PERCENT, LEAVE_LOAD_PERCENT,
@@ -239,22 +239,22 @@
 /// jobs are there that are older by so much.
 fn started_in_overload(features: Features, ages_ms: &[u64]) -> Vec<u64> {
     let joining = workers(2);
-    let mut bench = Bench::with_features(features, &[]);
+    let mut harness = Harness::with_features(features, &[]);
     // Jobs may be as old as the clock tells.
-    bench.now = Instant::from_ms(WALL_MS);
-    bench.tell(Event::WallClock(WALL_MS));
-    let mut bench = bench.with_workers(&joining);
+    harness.now = Instant::from_ms(WALL_MS);
+    harness.tell(Event::WallClock(WALL_MS));
+    let mut harness = harness.with_workers(&joining);
     let mut jobs = vec![0];
     jobs.extend(ages_ms);
     for (number, age_ms) in jobs.into_iter().enumerate() {
         let (id, mut record) = job(number as u64, vec![step(4)]);
         record.accepted_ms = WALL_MS - age_ms;
-        bench.submit_job((id, record));
+        harness.submit_job((id, record));
     }
-    bench.commit_all();
-    let first = bench.starts();
+    harness.commit_all();
+    let first = harness.starts();
     for start in first.iter().copied() {
-        bench.started(start);
+        harness.started(start);
     }
     let worker = first[0].0;
     let here = first.iter().filter(|(at, ..)| *at == worker);
@@ -263,9 +263,9 @@
         .map(|(index, (_, task, run))| end(index as u64 + 1, *task, *run, EndKind::Done));
     let ended: Vec<EndedRun> = ended.collect();
     assert_eq!(ended.len(), 2);
-    bench.list(worker, ended);
-    bench.commit_all();
-    let starts = bench.starts();
+    harness.list(worker, ended);
+    harness.commit_all();
+    let starts = harness.starts();
     let numbers = starts.iter().map(|(_, task, _)| task.step.job.number());
     numbers.collect()
 }
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -1,8 +1,8 @@
 //! A load that is more than the room for some seconds: how many jobs are in time, and that
 //! all of them are done.
 
-use crate::support::world::{Faults, World};
-use crate::support::{job, step, PATIENT_QUEUE, QUEUE, SERVICE};
+use crate::support::simulation::{Faults, Simulation};
+use crate::support::{job, step, LOW_PRIORITY_QUEUE, QUEUE, SERVICE};
 use ospreywing_scheduler::{
     Configuration, Feature, Features, JobId, JobRecord, Queue, ServicePolicy, StepSpec,
 };
@@ -60,7 +60,7 @@
             priority: 2,
         },
         Kind {
-            queue: PATIENT_QUEUE,
+            queue: LOW_PRIORITY_QUEUE,
             period_ms: 2400,
             spec: spec(12, 1000, 3000),
             stretch: 4.0,
@@ -159,22 +159,22 @@
     }
 
     fn run(&self, seed: u64) -> Outcome {
-        let mut world = World::new(seed, WORKERS_COUNT, Faults::default(), None);
-        world.run_lengths_percent = Some(self.lengths_percent.clone());
-        world.configure(configuration());
-        world.elect_with_features(self.features);
+        let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
+        simulation.run_durations_percent = Some(self.lengths_percent.clone());
+        simulation.configure(configuration());
+        simulation.elect_with_features(self.features);
         // What the leader before may have started is over by then.
-        world.run_for(8_000);
-        let handed_in = self.hand_in(&mut world);
-        let until_ms = world.now_ms + DONE_WITHIN_MS;
-        while world.done_ms.len() < handed_in.len() {
-            assert!(world.now_ms < until_ms, "a job was not done");
-            world.run_for(TURN_MS);
-            world.note_outcomes();
+        simulation.run_for(8_000);
+        let handed_in = self.hand_in(&mut simulation);
+        let until_ms = simulation.now_ms + DONE_WITHIN_MS;
+        while simulation.done_ms.len() < handed_in.len() {
+            assert!(simulation.now_ms < until_ms, "a job was not done");
+            simulation.run_for(TURN_MS);
+            simulation.record_outcomes();
         }
         let mut outcome = Outcome::default();
         for (id, since_ms, limit_ms) in handed_in {
-            let took_ms = world.done_ms[&id] - since_ms;
+            let took_ms = simulation.done_ms[&id] - since_ms;
             outcome.jobs_count += 1;
             outcome.in_time_count += usize::from(took_ms <= limit_ms);
             outcome.of_worth_count += usize::from(took_ms <= 3 * limit_ms);
@@ -185,13 +185,13 @@
     }
 
     /// Plays the load; returns the jobs, when they were handed in, and their objectives.
-    fn hand_in(&self, world: &mut World) -> Vec<(JobId, u64, u64)> {
+    fn hand_in(&self, simulation: &mut Simulation) -> Vec<(JobId, u64, u64)> {
         let kinds = kinds();
         let mut due_percent = [0; 3];
         let mut handed_in = Vec::new();
         for at_ms in (0..CALM_MS + BURST_MS + AFTER_MS).step_by(TURN_MS as usize) {
             if self.has_takeover && at_ms == CALM_MS + BURST_MS / 2 {
-                world.elect();
+                simulation.elect();
             }
             let is_burst = (CALM_MS..CALM_MS + BURST_MS).contains(&at_ms);
             let rate_percent = if is_burst { self.burst_percent } else { 50 };
@@ -199,13 +199,13 @@
                 *due += rate_percent * TURN_MS;
                 while *due >= kind.period_ms * 100 {
                     *due -= kind.period_ms * 100;
-                    let (id, record) = kind.job(handed_in.len() as u64 + 1, world.now_ms);
-                    handed_in.push((id, world.now_ms, kind.limit_ms()));
-                    world.submit((id, record));
+                    let (id, record) = kind.job(handed_in.len() as u64 + 1, simulation.now_ms);
+                    handed_in.push((id, simulation.now_ms, kind.limit_ms()));
+                    simulation.submit((id, record));
                 }
             }
-            world.run_for(TURN_MS);
-            world.note_outcomes();
+            simulation.run_for(TURN_MS);
+            simulation.record_outcomes();
         }
         handed_in
     }
@@ -269,25 +269,25 @@
 /// What a flood took is free as soon as its callers have gone.
 #[test]
 fn cancel_flood_frees_room() {
-    let mut world = World::new(1, WORKERS_COUNT, Faults::default(), None);
-    world.run_lengths_percent = Some(60..140);
-    world.configure(configuration());
+    let mut simulation = Simulation::new(1, WORKERS_COUNT, Faults::default(), None);
+    simulation.run_durations_percent = Some(60..140);
+    simulation.configure(configuration());
     let short = &kinds()[0];
     let flood: Vec<JobId> = (1..400)
         .map(|number| {
-            let (id, record) = short.job(number, world.now_ms);
-            world.submit((id, record));
+            let (id, record) = short.job(number, simulation.now_ms);
+            simulation.submit((id, record));
             id
         })
         .collect();
-    world.run_for(200);
-    flood.into_iter().for_each(|id| world.cancel(id));
-    let begun_ms = world.now_ms;
+    simulation.run_for(200);
+    flood.into_iter().for_each(|id| simulation.cancel(id));
+    let begun_ms = simulation.now_ms;
     let (id, record) = short.job(400, begun_ms);
-    world.submit((id, record));
-    while !world.done_ms.contains_key(&id) {
-        world.run_for(TURN_MS);
-        world.note_outcomes();
-        assert!(world.now_ms < begun_ms + short.limit_ms() + TURN_MS);
+    simulation.submit((id, record));
+    while !simulation.done_ms.contains_key(&id) {
+        simulation.run_for(TURN_MS);
+        simulation.record_outcomes();
+        assert!(simulation.now_ms < begun_ms + short.limit_ms() + TURN_MS);
     }
 }
--- a/crates/scheduler/tests/scheduler/packing.rs
+++ b/crates/scheduler/tests/scheduler/packing.rs
@@ -1,6 +1,6 @@
 //! On which workers tasks are placed that need more than processors.
 
-use crate::support::bench::Bench;
+use crate::support::harness::Harness;
 use crate::support::step;
 use crate::support::worker::FakeWorker;
 use ospreywing_scheduler::{Recovered, StepSpec};
@@ -11,14 +11,14 @@
 const LARGE: Resources = Resources::new(62_000, 133_120, 8);
 const SMALL: Resources = Resources::new(11_000, 32_768, 1);
 
-fn bench(capacities: &[Resources]) -> Bench {
+fn harness(capacities: &[Resources]) -> Harness {
     let workers = capacities.iter().enumerate().map(|(number, capacity)| {
         let mut worker = FakeWorker::new(&format!("w{number}"), 1000);
         worker.set_capacity(*capacity);
         worker
     });
     let workers: Vec<FakeWorker> = workers.collect();
-    Bench::new(Recovered::default(), &workers)
+    Harness::new(Recovered::default(), &workers)
 }
 
 fn tasks(tasks_count: u32, demand: Resources) -> Vec<StepSpec> {
@@ -29,14 +29,14 @@
 }
 
 /// Hands a job in and returns the workers that start its tasks.
-fn start(bench: &mut Bench, number: u64, tasks_count: u32, demand: Resources) -> Vec<String> {
-    bench.submit(number, tasks(tasks_count, demand));
-    bench.commit_all();
-    let starts = bench.starts();
+fn start(harness: &mut Harness, number: u64, tasks_count: u32, demand: Resources) -> Vec<String> {
+    harness.submit(number, tasks(tasks_count, demand));
+    harness.commit_all();
+    let starts = harness.starts();
     for start in &starts {
-        bench.started(*start);
+        harness.started(*start);
     }
-    let listed: Vec<_> = bench.scheduler.listed_workers().collect();
+    let listed: Vec<_> = harness.scheduler.listed_workers().collect();
     let id_of = |key| listed.iter().find(|(other, _)| *other == key);
     let ids = starts.iter().map(|(key, ..)| id_of(*key));
     ids.map(|found| found.expect("a listed worker").1.id.to_string())
@@ -48,9 +48,9 @@
 #[test]
 fn candidates_no_accelerator_needed() {
     let with_accelerators = Resources::new(64_000, 524_288, 8);
-    let mut bench = bench(&[with_accelerators, WITHOUT]);
+    let mut harness = harness(&[with_accelerators, WITHOUT]);
     let plain = Resources::new(30_000, 32_768, 0);
-    assert_eq!(start(&mut bench, 1, 1, plain), ["w1"]);
+    assert_eq!(start(&mut harness, 1, 1, plain), ["w1"]);
 }
 
 /// A small task goes where no larger one fits, though another worker has fewer processors.
@@ -58,52 +58,52 @@
 fn candidates_room_of_larger_left() {
     let whole = Resources::new(64_000, 524_288, 8);
     let broken_into = Resources::new(117_000, 524_288, 7);
-    let mut bench = bench(&[whole, broken_into]);
+    let mut harness = harness(&[whole, broken_into]);
     // One of the larger has come, and is gone.
-    bench.submit(1, tasks(1, LARGE));
-    bench.cancel(1);
-    assert_eq!(start(&mut bench, 2, 1, SMALL), ["w1"]);
+    harness.submit(1, tasks(1, LARGE));
+    harness.cancel(1);
+    assert_eq!(start(&mut harness, 2, 1, SMALL), ["w1"]);
 }
 
 /// Below half of a service's use whatever has room starts, in whole workers too.
 #[test]
 fn place_small_little_used() {
-    let mut bench = bench(&[WITH_ACCELERATORS; 8]);
-    bench.submit(1, tasks(8, LARGE));
-    bench.cancel(1);
-    assert_eq!(start(&mut bench, 2, 64, SMALL).len(), 64);
+    let mut harness = harness(&[WITH_ACCELERATORS; 8]);
+    harness.submit(1, tasks(8, LARGE));
+    harness.cancel(1);
+    assert_eq!(start(&mut harness, 2, 64, SMALL).len(), 64);
 }
 
 /// A task that needs nothing starts, and is no shape to keep room for.
 #[test]
 fn place_nothing_needed() {
-    let mut bench = bench(&[WITH_ACCELERATORS, WITHOUT]);
-    assert_eq!(start(&mut bench, 1, 1, LARGE), ["w0"]);
-    assert_eq!(start(&mut bench, 2, 1, Resources::ZERO).len(), 1);
-    assert_eq!(start(&mut bench, 3, 1, SMALL), Vec::<String>::new());
+    let mut harness = harness(&[WITH_ACCELERATORS, WITHOUT]);
+    assert_eq!(start(&mut harness, 1, 1, LARGE), ["w0"]);
+    assert_eq!(start(&mut harness, 2, 1, Resources::ZERO).len(), 1);
+    assert_eq!(start(&mut harness, 3, 1, SMALL), Vec::<String>::new());
 }
 
 /// However many shapes come, few are kept; the verifier counts them.
 #[test]
 fn take_job_many_shapes() {
-    let mut bench = bench(&[WITH_ACCELERATORS]);
+    let mut harness = harness(&[WITH_ACCELERATORS]);
     for number in 1..=60 {
         let cores_milli = 1 << (number % 15);
         let accelerators_count = 1 << (number / 15);
         let demand = Resources::new(cores_milli, 1, accelerators_count);
-        bench.submit(number, tasks(1, demand));
+        harness.submit(number, tasks(1, demand));
     }
-    let status = bench.scheduler.status(bench.now);
+    let status = harness.scheduler.status(harness.now);
     assert_eq!(status.service_rooms.len(), 1);
 }
 
 /// Operators see which of the tasks that come still fits, and in how much of what is free.
 #[test]
 fn status_room_broken_up() {
-    let mut bench = bench(&[WITH_ACCELERATORS; 2]);
-    assert_eq!(start(&mut bench, 1, 1, LARGE).len(), 1);
-    assert_eq!(start(&mut bench, 2, 4, SMALL).len(), 4);
-    let status = bench.scheduler.status(bench.now);
+    let mut harness = harness(&[WITH_ACCELERATORS; 2]);
+    assert_eq!(start(&mut harness, 1, 1, LARGE).len(), 1);
+    assert_eq!(start(&mut harness, 2, 4, SMALL).len(), 4);
+    let status = harness.scheduler.status(harness.now);
     let room = &status.service_rooms[0];
     assert_eq!(room.largest_fit, SMALL);
     assert_eq!((room.fit_count, room.whole_percent), (4, 0));
@@ -113,19 +113,23 @@
 /// come; those that can't wait use it.
 #[test]
 fn place_small_half_used() {
-    let mut bench = bench(&[WITH_ACCELERATORS; 4]);
+    let mut harness = harness(&[WITH_ACCELERATORS; 4]);
     let whole = Resources::new(100_000, 133_120, 8);
-    bench.submit(1, tasks(8, whole));
-    bench.cancel(1);
-    assert_eq!(start(&mut bench, 2, 3, whole).len(), 3);
+    harness.submit(1, tasks(8, whole));
+    harness.cancel(1);
+    assert_eq!(start(&mut harness, 2, 3, whole).len(), 3);
     let patient = StepSpec {
         demand: SMALL,
         estimate_ms: 60_000,
         ..step(1)
     };
-    bench.submit(3, vec![patient]);
-    bench.commit_all();
-    assert_eq!(bench.starts(), Vec::new(), "the last whole worker is kept");
+    harness.submit(3, vec![patient]);
+    harness.commit_all();
+    assert_eq!(
+        harness.starts(),
+        Vec::new(),
+        "the last whole worker is kept"
+    );
     // Once a pressing one has broken into it, nothing is left to keep.
-    assert_eq!(start(&mut bench, 4, 1, SMALL), ["w3", "w3"]);
+    assert_eq!(start(&mut harness, 4, 1, SMALL), ["w3", "w3"]);
 }
--- a/crates/scheduler/tests/scheduler/packing_load.rs
+++ b/crates/scheduler/tests/scheduler/packing_load.rs
@@ -1,7 +1,7 @@
 //! A load of tasks that need many accelerators beside many that need one: how long the large
 //! ones wait, and what the small ones lose by that.
 
-use crate::support::world::{Faults, World};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::{advice, job, step};
 use ospreywing_scheduler::{AdvicePolicy, Feature, Features, JobId, JobRecord, StepSpec};
 use ospreywing_types::Resources;
@@ -19,8 +19,8 @@
 const LARGE_IN_TIME_LEAST: f64 = 0.95;
 /// What the small tasks' share in time may fall by.
 const SMALL_LOST_LIMIT: f64 = 0.02;
-const STORM_MS: u64 = 12_000;
-const CALM_LIMIT_MS: u64 = 90_000;
+const FAULTS_MS: u64 = 12_000;
+const RECOVERY_LIMIT_MS: u64 = 90_000;
 const LOAD_MS: u64 = 40_000;
 /// How long runs take, in percent of their estimates.
 const RUN_LENGTHS_PERCENT: core::ops::Range<u64> = 50..150;
@@ -157,11 +157,16 @@
     Features::default().without(Feature::Packing)
 }
 
-fn new_world(seed: u64, load: &Load, faults: Faults, policy: Option<AdvicePolicy>) -> World {
-    let mut world = World::new(seed, WORKERS_COUNT, faults, policy);
-    world.set_capacities(&load.capacities);
-    world.run_lengths_percent = Some(RUN_LENGTHS_PERCENT);
-    world
+fn new_simulation(
+    seed: u64,
+    load: &Load,
+    faults: Faults,
+    policy: Option<AdvicePolicy>,
+) -> Simulation {
+    let mut simulation = Simulation::new(seed, WORKERS_COUNT, faults, policy);
+    simulation.set_capacities(&load.capacities);
+    simulation.run_durations_percent = Some(RUN_LENGTHS_PERCENT);
+    simulation
 }
 
 /// A task's job: its kind, the job, and when it was handed in.
@@ -181,25 +186,25 @@
         }
     }
 
-    fn submit_for(&mut self, world: &mut World, load: &Load, length_ms: u64) {
+    fn submit_for(&mut self, simulation: &mut Simulation, load: &Load, length_ms: u64) {
         for _ in (0..length_ms).step_by(STEP_MS as usize) {
             for (kind, stream) in load.streams.iter().enumerate() {
-                self.submit_due(world, kind, stream);
+                self.submit_due(simulation, kind, stream);
             }
-            world.run_for(STEP_MS);
-            world.note_outcomes();
+            simulation.run_for(STEP_MS);
+            simulation.record_outcomes();
         }
     }
 
     /// Hands in what comes of a stream in one step of time.
-    fn submit_due(&mut self, world: &mut World, kind: usize, stream: &Stream) {
+    fn submit_due(&mut self, simulation: &mut Simulation, kind: usize, stream: &Stream) {
         let mut left = stream.per_s * STEP_MS as f64 / 1000.0;
         while self.rng.random::<f64>() < left {
             let number = self.jobs.len() as u64 + 1;
             let demand = draw_kind(&mut self.rng, &stream.kinds);
-            let (id, record) = one_task(number, demand, stream.estimate_ms, world.now_ms);
-            self.jobs.push((kind, id, world.now_ms));
-            world.submit((id, record));
+            let (id, record) = one_task(number, demand, stream.estimate_ms, simulation.now_ms);
+            self.jobs.push((kind, id, simulation.now_ms));
+            simulation.submit((id, record));
             left -= 1.0;
         }
     }
@@ -207,25 +212,25 @@
 
 /// Plays a load; returns what became of the large and of the small tasks.
 fn play(seed: u64, load: &Load, features: Features, policy: Option<AdvicePolicy>) -> [Outcome; 2] {
-    let mut world = new_world(seed, load, Faults::default(), policy);
-    world.elect_with_features(features);
-    world.run_for(500);
+    let mut simulation = new_simulation(seed, load, Faults::default(), policy);
+    simulation.elect_with_features(features);
+    simulation.run_for(500);
     let mut arrivals = Arrivals::new(seed);
-    arrivals.submit_for(&mut world, load, LOAD_MS);
+    arrivals.submit_for(&mut simulation, load, LOAD_MS);
     for _ in 0..REST_MS / STEP_MS {
-        world.run_for(STEP_MS);
-        world.note_outcomes();
+        simulation.run_for(STEP_MS);
+        simulation.record_outcomes();
     }
-    let end_ms = world.now_ms;
+    let end_ms = simulation.now_ms;
     let mut outcomes = [Outcome::default(), Outcome::default()];
     for (kind, id, since_ms) in arrivals.jobs {
         let limit_ms = since_ms + load.streams[kind].objective_ms();
         if limit_ms > end_ms {
             continue;
         }
-        let started_ms = world.started_ms.get(&id).copied().unwrap_or(end_ms);
+        let started_ms = simulation.started_ms.get(&id).copied().unwrap_or(end_ms);
         outcomes[kind].waits_ms.push(started_ms - since_ms);
-        let done_ms = world.done_ms.get(&id);
+        let done_ms = simulation.done_ms.get(&id);
         let is_in_time = done_ms.is_some_and(|done_ms| *done_ms <= limit_ms);
         outcomes[kind].in_time_count += usize::from(is_in_time);
     }
@@ -307,14 +312,14 @@
     let load = accelerated(0.5, 0.5, &[2, 4, 8]);
     for seed in 0..SEEDS_COUNT {
         println!("seed {seed}");
-        let mut world = new_world(seed, &load, faults, has_advice.then(advice));
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        let mut simulation = new_simulation(seed, &load, faults, has_advice.then(advice));
+        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
         let mut arrivals = Arrivals::new(seed);
-        arrivals.submit_for(&mut world, &load, STORM_MS / 2);
+        arrivals.submit_for(&mut simulation, &load, FAULTS_MS / 2);
         let half: Vec<usize> = (0..WORKERS_COUNT / 2).collect();
-        world.lose(&half);
-        world.elect();
-        arrivals.submit_for(&mut world, &load, STORM_MS / 2);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.lose(&half);
+        simulation.elect();
+        arrivals.submit_for(&mut simulation, &load, FAULTS_MS / 2);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
--- a/crates/scheduler/tests/scheduler/repeats.rs
+++ b/crates/scheduler/tests/scheduler/repeats.rs
@@ -1,6 +1,6 @@
 //! Calls to workers that are repeated where no answer came.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
 use crate::support::step;
 use ospreywing_scheduler::{
     Action, EndKind, Event, HoldReply, JobId, Phase, Recovered, RefusedStart, StartReply, StepSpec,
@@ -12,16 +12,16 @@
 type Start = (WorkerKey, TaskKey, u32);
 
 /// Returns a scheduler that has sent one start, and the start.
-fn after_start() -> (Bench, Start) {
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    (bench, start)
+fn after_start() -> (Harness, Start) {
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    (harness, start)
 }
 
-fn answer(bench: &mut Bench, (worker, task, run): Start, reply: StartReply) {
-    bench.tell(Event::StartAnswered {
+fn answer(harness: &mut Harness, (worker, task, run): Start, reply: StartReply) {
+    harness.tell(Event::StartAnswered {
         worker,
         task,
         run,
@@ -33,41 +33,41 @@
 /// and its task started again, though the worker had it.
 #[test]
 fn on_start_answered_sent_again_without_answer() {
-    let (mut bench, start) = after_start();
-    answer(&mut bench, start, StartReply::Unanswered);
+    let (mut harness, start) = after_start();
+    answer(&mut harness, start, StartReply::Unanswered);
     assert_eq!(
-        bench.starts(),
+        harness.starts(),
         vec![start],
         "the same run, to the same worker"
     );
-    assert_eq!(bench.stops(), vec![]);
+    assert_eq!(harness.stops(), vec![]);
 }
 
 #[test]
 fn on_start_answered_stopped_after_three_without_answer() {
-    let (mut bench, start) = after_start();
+    let (mut harness, start) = after_start();
     for _ in 0..2 {
-        answer(&mut bench, start, StartReply::Unanswered);
-        assert_eq!(bench.starts(), vec![start]);
+        answer(&mut harness, start, StartReply::Unanswered);
+        assert_eq!(harness.starts(), vec![start]);
     }
-    answer(&mut bench, start, StartReply::Unanswered);
-    assert_eq!(bench.starts(), vec![]);
-    assert_eq!(bench.stops(), vec![start]);
+    answer(&mut harness, start, StartReply::Unanswered);
+    assert_eq!(harness.starts(), vec![]);
+    assert_eq!(harness.stops(), vec![start]);
 }
 
 /// A short run may have ended before the repeat of its start came.
 #[test]
 fn on_start_answered_repeat_refused_as_old() {
-    let (mut bench, start) = after_start();
-    answer(&mut bench, start, StartReply::Unanswered);
-    assert_eq!(bench.starts(), vec![start]);
-    answer(&mut bench, start, StartReply::Refused(RefusedStart::Old));
-    bench.commit_all();
-    assert_eq!(bench.starts(), vec![], "the worker's list has to tell");
+    let (mut harness, start) = after_start();
+    answer(&mut harness, start, StartReply::Unanswered);
+    assert_eq!(harness.starts(), vec![start]);
+    answer(&mut harness, start, StartReply::Refused(RefusedStart::Old));
+    harness.commit_all();
+    assert_eq!(harness.starts(), vec![], "the worker's list has to tell");
     let (worker, task, run) = start;
-    bench.list(worker, vec![end(1, task, run, EndKind::Done)]);
-    bench.commit_all();
-    let view = bench.scheduler.job(JobId::new(1)).expect("a known job");
+    harness.list(worker, vec![end(1, task, run, EndKind::Done)]);
+    harness.commit_all();
+    let view = harness.scheduler.job(JobId::new(1)).expect("a known job");
     assert_eq!(view.phase, Phase::Complete);
 }
 
@@ -77,12 +77,12 @@
 #[case::unhealthy(RefusedStart::Unhealthy)]
 #[case::not_sent(RefusedStart::NotSent)]
 fn on_start_answered_repeat_refused_is_in_doubt(#[case] why: RefusedStart) {
-    let (mut bench, start) = after_start();
-    answer(&mut bench, start, StartReply::Unanswered);
-    assert_eq!(bench.starts(), vec![start]);
-    answer(&mut bench, start, StartReply::Refused(why));
-    bench.commit_all();
-    let others = bench.starts();
+    let (mut harness, start) = after_start();
+    answer(&mut harness, start, StartReply::Unanswered);
+    assert_eq!(harness.starts(), vec![start]);
+    answer(&mut harness, start, StartReply::Refused(why));
+    harness.commit_all();
+    let others = harness.starts();
     assert!(others.iter().all(|other| *other == start), "no other run");
 }
 
@@ -90,16 +90,16 @@
 /// runs unknown for two seconds.
 #[test]
 fn on_hold_answered_asked_again_at_once() {
-    let (mut bench, start) = after_start();
-    bench.started(start);
-    bench.actions.clear();
-    let sent_at = bench.now;
-    bench.tell(Event::HoldAnswered {
+    let (mut harness, start) = after_start();
+    harness.started(start);
+    harness.actions.clear();
+    let sent_at = harness.now;
+    harness.tell(Event::HoldAnswered {
         worker: start.0,
         sent_at,
         reply: HoldReply::Unanswered,
     });
-    let asked = bench.actions.iter().find_map(|action| match action {
+    let asked = harness.actions.iter().find_map(|action| match action {
         Action::Hold { to, until_ms, .. } if to.worker == start.0 => Some(*until_ms),
         _ => None,
     });
@@ -108,16 +108,16 @@
 
 #[test]
 fn on_hold_answered_one_without_answer_keeps_worker() {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
-    let worker = bench.scheduler.worker_key("w0").expect("a listed worker");
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
+    let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
     for (expected_count, reply_count) in [(1, 1), (0, 2)] {
-        let sent_at = bench.now;
-        bench.tell(Event::HoldAnswered {
+        let sent_at = harness.now;
+        harness.tell(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::Unanswered,
         });
-        let status = bench.scheduler.status(bench.now);
+        let status = harness.scheduler.status(harness.now);
         assert_eq!(
             status.placeable_workers_count, expected_count,
             "after {reply_count} without answer"
@@ -129,19 +129,19 @@
 /// where this node or a link is slow.
 #[test]
 fn on_hold_answered_silent_worker_is_given_longer() {
-    let (mut bench, start) = after_start();
-    bench.started(start);
+    let (mut harness, start) = after_start();
+    harness.started(start);
     let mut patience_ms = Vec::new();
     for _ in 0..4 {
-        bench.actions.clear();
-        let sent_at = bench.now;
-        bench.tell(Event::HoldAnswered {
+        harness.actions.clear();
+        let sent_at = harness.now;
+        harness.tell(Event::HoldAnswered {
             worker: start.0,
             sent_at,
             reply: HoldReply::Unanswered,
         });
-        bench.commit_all();
-        let asked = bench.actions.iter().find_map(|action| match action {
+        harness.commit_all();
+        let asked = harness.actions.iter().find_map(|action| match action {
             Action::Hold { to, patience, .. } if to.worker == start.0 => Some(patience.as_ms()),
             _ => None,
         });
@@ -155,17 +155,17 @@
 #[test]
 fn repeat_start_budget_used_up() {
     const STARTS_COUNT: usize = 160;
-    let mut bench = Bench::new(Recovered::default(), &workers(STARTS_COUNT / 2));
-    bench.submit(1, vec![step(STARTS_COUNT as u32)]);
-    bench.commit_all();
-    let mut open = bench.starts();
+    let mut harness = Harness::new(Recovered::default(), &workers(STARTS_COUNT / 2));
+    harness.submit(1, vec![step(STARTS_COUNT as u32)]);
+    harness.commit_all();
+    let mut open = harness.starts();
     assert_eq!(open.len(), STARTS_COUNT);
     let mut repeats_count = 0;
     while !open.is_empty() {
         for start in open {
-            answer(&mut bench, start, StartReply::Unanswered);
+            answer(&mut harness, start, StartReply::Unanswered);
         }
-        open = bench.starts();
+        open = harness.starts();
         repeats_count += open.len();
     }
     assert_eq!(
@@ -173,7 +173,7 @@
         "the budget was full, and earned nothing more"
     );
     assert_eq!(
-        bench.stops().len(),
+        harness.stops().len(),
         STARTS_COUNT,
         "the others are stopped at once"
     );
@@ -189,24 +189,24 @@
         is_gang: true,
         ..step(2)
     };
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.submit(1, vec![gang]);
-    bench.commit_all();
-    let first = bench.starts();
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.submit(1, vec![gang]);
+    harness.commit_all();
+    let first = harness.starts();
     for start in &first {
-        bench.started(*start);
+        harness.started(*start);
     }
     for _ in 0..8 {
-        bench.be_silent(first[0].0);
+        harness.leave_poll_unanswered(first[0].0);
     }
-    bench.commit_all();
-    let second = bench.starts();
+    harness.commit_all();
+    let second = harness.starts();
     assert_eq!(second.len(), 2, "it is started again elsewhere");
-    bench.started(second[0]);
+    harness.started(second[0]);
     let done = |number: u64, start: &Start| end(number, start.1, start.2, EndKind::Done);
     let ends = vec![done(1, &first[0]), done(2, &first[1])];
-    bench.list(first[0].0, ends);
-    answer(&mut bench, second[1], StartReply::Unanswered);
-    assert_eq!(bench.starts(), vec![], "its task is done");
-    assert_eq!(bench.stops(), second, "nothing is left to win");
+    harness.list(first[0].0, ends);
+    answer(&mut harness, second[1], StartReply::Unanswered);
+    assert_eq!(harness.starts(), vec![], "its task is done");
+    assert_eq!(harness.stops(), second, "nothing is left to win");
 }
