--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -15,10 +15,10 @@
 //! Tasks that stood still went on within two seconds of their worker's next crash, 12 to
 //! 50 s later. No worker was ever taken for gone.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::worker::FakeWorker;
-use crate::support::world::{Faults, World};
-use crate::support::{first_task, job, placed_at_life, placed_state, step};
+use crate::support::{first_task, job, placed_at_incarnation, placed_state, step};
 use ospreywing_scheduler::{
     Action, EndKind, EndedRun, Event, HoldReply, JobId, JobState, LifeStart, Phase, Recovered,
     RunningRun, StartReply, StepSpec, TaskKey, WorkerKey,
@@ -33,14 +33,14 @@
 const STOP_RETRY: Duration = Duration::from_ms(1_000);
 
 /// Returns a world of workers that tell their start, on which some work has been done.
-fn world_at_work(seed: u64, workers_count: usize) -> World {
-    let mut world = World::new(seed, workers_count, Faults::default(), None);
-    world.tell_life_starts(false);
+fn simulation_at_work(seed: u64, workers_count: usize) -> Simulation {
+    let mut simulation = Simulation::new(seed, workers_count, Faults::default(), None);
+    simulation.report_incarnation_starts(false);
     for number in 1..=3 {
-        world.submit(job(number, vec![step(2 * workers_count as u32)]));
-        world.run_for(WHILE_MS);
+        simulation.submit(job(number, vec![step(2 * workers_count as u32)]));
+        simulation.run_for(WHILE_MS);
     }
-    world
+    simulation
 }
 
 fn gang(tasks_count: u32) -> StepSpec {
@@ -55,12 +55,12 @@
 #[case::tasks(step(2))]
 #[case::gang(gang(2))]
 fn take_end_next_life_forgets_ends(#[case] spec: StepSpec, #[values(1, 2, 3)] seed: u64) {
-    let mut world = world_at_work(seed, 1);
-    world.restart(0);
-    world.run_for(WHILE_MS);
-    world.submit(job(9, vec![spec]));
-    world.run_until_done(OUTCOME_LIMIT_MS);
-    assert_eq!(world.phase(JobId::new(9)), Some(Phase::Complete));
+    let mut simulation = simulation_at_work(seed, 1);
+    simulation.restart(0);
+    simulation.run_for(WHILE_MS);
+    simulation.submit(job(9, vec![spec]));
+    simulation.run_until_done(OUTCOME_LIMIT_MS);
+    assert_eq!(simulation.phase(JobId::new(9)), Some(Phase::Complete));
 }
 
 /// The job waits for ever for the members of its last run.
@@ -68,26 +68,26 @@
 #[case::tasks(step(2))]
 #[case::gang(gang(2))]
 fn take_end_next_life_lists_ends_on(#[case] spec: StepSpec, #[values(1, 2, 3)] seed: u64) {
-    let mut world = world_at_work(seed, 1);
-    world.workers[0].ignores_foreign_acks = true;
-    world.restart(0);
-    world.run_for(WHILE_MS);
-    world.submit(job(9, vec![spec]));
-    world.run_until_done(OUTCOME_LIMIT_MS);
-    assert_eq!(world.phase(JobId::new(9)), Some(Phase::Complete));
+    let mut simulation = simulation_at_work(seed, 1);
+    simulation.workers[0].ignores_foreign_acks = true;
+    simulation.restart(0);
+    simulation.run_for(WHILE_MS);
+    simulation.submit(job(9, vec![spec]));
+    simulation.run_until_done(OUTCOME_LIMIT_MS);
+    assert_eq!(simulation.phase(JobId::new(9)), Some(Phase::Complete));
 }
 
 /// Has a worker answer a look as the life with this start, without runs.
-fn answer_as(bench: &mut Bench, key: WorkerKey, life_start_ms: u64, ended: Vec<EndedRun>) {
-    let sent_at = bench.now;
-    bench.now = bench.now + Duration::from_ms(20);
+fn answer_as(harness: &mut Harness, key: WorkerKey, life_start_ms: u64, ended: Vec<EndedRun>) {
+    let sent_at = harness.now;
+    harness.now = harness.now + Duration::from_ms(20);
     let reply = HoldReply::Listed {
         life_start: Some(LifeStart::from_ms(life_start_ms)),
-        clock_ms: bench.now.as_ms(),
+        clock_ms: harness.now.as_ms(),
         running: Vec::new(),
         ended,
     };
-    bench.tell(Event::HoldAnswered {
+    harness.tell(Event::HoldAnswered {
         worker: key,
         sent_at,
         reply,
@@ -95,76 +95,81 @@
 }
 
 /// Returns a bench whose only worker, in its first life, has been sent a task's start.
-fn bench_with_start() -> (Bench, (WorkerKey, TaskKey, u32)) {
+fn harness_with_start() -> (Harness, (WorkerKey, TaskKey, u32)) {
     let workers = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &workers);
-    let first = bench.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut bench, first, 1, Vec::new());
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    (bench, start)
+    let mut harness = Harness::new(Recovered::default(), &workers);
+    let first = harness.scheduler.worker_key("w0").expect("a worker");
+    answer_as(&mut harness, first, 1, Vec::new());
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    (harness, start)
 }
 
 /// A start that nobody answered may be carried out after its run was given up. The life that
 /// knew of the stop refuses it; the next one has to be told too.
 #[test]
 fn begin_next_life_refuses_open_start() {
-    let (mut bench, (first, task, run)) = bench_with_start();
+    let (mut harness, (first, task, run)) = harness_with_start();
     // Each repeat of it is lost too.
     for _ in 0..3 {
-        bench.tell(Event::StartAnswered {
+        harness.tell(Event::StartAnswered {
             worker: first,
             task,
             run,
             reply: StartReply::Unanswered,
         });
     }
-    assert_eq!(bench.stops(), [(first, task, run)]);
-    bench.cancel(1);
-    answer_as(&mut bench, first, 1, Vec::new());
-    bench.actions.clear();
-    answer_as(&mut bench, first, 2, Vec::new());
-    let next = bench.scheduler.worker_key("w0").expect("a worker");
+    assert_eq!(harness.stops(), [(first, task, run)]);
+    harness.cancel(1);
+    answer_as(&mut harness, first, 1, Vec::new());
+    harness.actions.clear();
+    answer_as(&mut harness, first, 2, Vec::new());
+    let next = harness.scheduler.worker_key("w0").expect("a worker");
     assert_ne!(next, first);
-    assert_eq!(bench.stops(), [(next, task, run)]);
+    assert_eq!(harness.stops(), [(next, task, run)]);
 }
 
 /// A life that follows is told once more to refuse an unanswered start where the first such
 /// stop got no answer: the start is carried out there otherwise, after its run has ended.
 #[test]
 fn begin_next_life_refuses_open_start_until_answered() {
-    let (mut bench, start) = bench_with_start();
+    let (mut harness, start) = harness_with_start();
     let (first, task, run) = start;
-    bench.tell(Event::StartAnswered {
+    harness.tell(Event::StartAnswered {
         worker: first,
         task,
         run,
         reply: StartReply::Unanswered,
     });
     // The repeat is carried out, and the run ends well.
-    bench.started(start);
-    answer_as(&mut bench, first, 1, vec![end(1, task, run, EndKind::Done)]);
-    bench.commit_all();
-    bench.actions.clear();
-    answer_as(&mut bench, first, 2, Vec::new());
-    let next = bench.scheduler.worker_key("w0").expect("a worker");
-    assert_eq!(sent_stops(&mut bench), [(next, task, run)]);
-    bench.now = bench.now + STOP_RETRY;
-    bench.tell(Event::Tick);
+    harness.started(start);
+    answer_as(
+        &mut harness,
+        first,
+        1,
+        vec![end(1, task, run, EndKind::Done)],
+    );
+    harness.commit_all();
+    harness.actions.clear();
+    answer_as(&mut harness, first, 2, Vec::new());
+    let next = harness.scheduler.worker_key("w0").expect("a worker");
+    assert_eq!(sent_stops(&mut harness), [(next, task, run)]);
+    harness.now = harness.now + STOP_RETRY;
+    harness.tell(Event::Tick);
     assert_eq!(
-        bench.stops(),
+        harness.stops(),
         [(next, task, run)],
         "repeated, and answered now"
     );
-    bench.now = bench.now + STOP_RETRY;
-    bench.tell(Event::Tick);
-    assert!(bench.stops().is_empty(), "repeated after its answer");
+    harness.now = harness.now + STOP_RETRY;
+    harness.tell(Event::Tick);
+    assert!(harness.stops().is_empty(), "repeated after its answer");
 }
 
 /// Takes out the stops that were sent, and answers none.
-fn sent_stops(bench: &mut Bench) -> Vec<(WorkerKey, TaskKey, u32)> {
-    let taken = core::mem::take(&mut bench.actions);
+fn sent_stops(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
+    let taken = core::mem::take(&mut harness.actions);
     let stops = taken.into_iter().filter_map(|action| match action {
         Action::Stop { to, task, run } => Some((to.worker, task, run)),
         _ => None,
@@ -177,27 +182,32 @@
 #[test]
 fn begin_next_life_acknowledges_nothing_of_before() {
     let workers = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &workers);
-    let first = bench.scheduler.worker_key("w0").expect("a worker");
+    let mut harness = Harness::new(Recovered::default(), &workers);
+    let first = harness.scheduler.worker_key("w0").expect("a worker");
     answer_as(
-        &mut bench,
+        &mut harness,
         first,
         1,
         vec![end(7, stray_task(), 1, EndKind::Done)],
     );
-    answer_as(&mut bench, first, 2, Vec::new());
-    let next = bench.scheduler.worker_key("w0").expect("a worker");
-    bench.list_restarted(&workers[0], 2);
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
+    answer_as(&mut harness, first, 2, Vec::new());
+    let next = harness.scheduler.worker_key("w0").expect("a worker");
+    harness.list_incarnation(&workers[0], 2);
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
     assert_eq!(start.0, next);
-    bench.started(start);
-    answer_as(&mut bench, next, 2, vec![end(1, start.1, 1, EndKind::Done)]);
-    bench.commit_all();
-    let phase = bench.scheduler.job(JobId::new(1)).map(|job| job.phase);
+    harness.started(start);
+    answer_as(
+        &mut harness,
+        next,
+        2,
+        vec![end(1, start.1, 1, EndKind::Done)],
+    );
+    harness.commit_all();
+    let phase = harness.scheduler.job(JobId::new(1)).map(|job| job.phase);
     assert_eq!(phase, Some(Phase::Complete));
-    let told = bench.actions.iter().filter_map(|action| match action {
+    let told = harness.actions.iter().filter_map(|action| match action {
         Action::Hold { to, last_seen, .. } if to.worker == next => Some(*last_seen),
         _ => None,
     });
@@ -214,39 +224,39 @@
 #[case::it_was_written_late(1)]
 fn take_entry_of_other_life(#[case] answering: u64) {
     let workers = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &workers);
-    let first = bench.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut bench, first, 1, Vec::new());
-    bench.list_restarted(&workers[0], 2);
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    assert_eq!(bench.starts(), [], "nothing starts there meanwhile");
+    let mut harness = Harness::new(Recovered::default(), &workers);
+    let first = harness.scheduler.worker_key("w0").expect("a worker");
+    answer_as(&mut harness, first, 1, Vec::new());
+    harness.list_incarnation(&workers[0], 2);
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    assert_eq!(harness.starts(), [], "nothing starts there meanwhile");
     let asked = |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == first);
-    assert!(bench.actions.iter().any(asked), "it is asked at once");
-    answer_as(&mut bench, first, answering, Vec::new());
-    bench.commit_all();
-    let is_used = !bench.starts().is_empty();
+    assert!(harness.actions.iter().any(asked), "it is asked at once");
+    answer_as(&mut harness, first, answering, Vec::new());
+    harness.commit_all();
+    let is_used = !harness.starts().is_empty();
     assert_eq!(is_used, answering == 2);
     // The life that answers writes its entry again some time.
-    bench.list_restarted(&workers[0], answering);
-    bench.commit_all();
-    let key = bench.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut bench, key, answering, Vec::new());
-    bench.commit_all();
-    assert!(is_used || !bench.starts().is_empty());
+    harness.list_incarnation(&workers[0], answering);
+    harness.commit_all();
+    let key = harness.scheduler.worker_key("w0").expect("a worker");
+    answer_as(&mut harness, key, answering, Vec::new());
+    harness.commit_all();
+    assert!(is_used || !harness.starts().is_empty());
 }
 
 /// A leader that has met no worker yet, and one whose entry names the life with this start.
-fn bench_with_entry(worker: &FakeWorker, life_start_ms: u64) -> Bench {
-    let mut bench = Bench::after_evicted_leader(Recovered::default());
-    bench.list_restarted(worker, life_start_ms);
-    bench
+fn harness_with_entry(worker: &FakeWorker, life_start_ms: u64) -> Harness {
+    let mut harness = Harness::after_evicted_leader(Recovered::default());
+    harness.list_incarnation(worker, life_start_ms);
+    harness
 }
 
 /// Has a job wait for the worker; returns how many starts were sent.
-fn starts_of_waiting_job(bench: &mut Bench) -> usize {
-    bench.commit_all();
-    bench.starts().len()
+fn starts_of_waiting_job(harness: &mut Harness) -> usize {
+    harness.commit_all();
+    harness.starts().len()
 }
 
 /// The room of a life is what its own entry tells: that of another one may hold more.
@@ -255,32 +265,32 @@
 #[case::later_answer(&[1, 2])]
 fn begin_life_entry_not_written_yet(#[case] answering: &[u64]) {
     let worker = &workers(1)[0];
-    let mut bench = bench_with_entry(worker, 1);
+    let mut harness = harness_with_entry(worker, 1);
     for life_start_ms in answering {
-        let key = bench.scheduler.worker_key("w0").expect("a worker");
-        answer_as(&mut bench, key, *life_start_ms, Vec::new());
+        let key = harness.scheduler.worker_key("w0").expect("a worker");
+        answer_as(&mut harness, key, *life_start_ms, Vec::new());
     }
-    bench.submit(1, vec![step(1)]);
-    assert_eq!(starts_of_waiting_job(&mut bench), 0);
-    bench.list_restarted(worker, 2);
-    assert_eq!(starts_of_waiting_job(&mut bench), 1);
+    harness.submit(1, vec![step(1)]);
+    assert_eq!(starts_of_waiting_job(&mut harness), 0);
+    harness.list_incarnation(worker, 2);
+    assert_eq!(starts_of_waiting_job(&mut harness), 1);
 }
 
 /// A start that was reckoned on the clock of the life before may have leased the next one for
 /// as long as a worker leases at all, longer than the leader grants.
 #[test]
 fn give_up_lapsed_lease_by_clock_of_life_before() {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
-    let first = bench.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut bench, first, 1, Vec::new());
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    bench.started(start);
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
+    let first = harness.scheduler.worker_key("w0").expect("a worker");
+    answer_as(&mut harness, first, 1, Vec::new());
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    harness.started(start);
     let (_, task, run) = start;
-    let sent_at = bench.now;
-    bench.now = bench.now + Duration::from_ms(20);
-    bench.tell(Event::HoldAnswered {
+    let sent_at = harness.now;
+    harness.now = harness.now + Duration::from_ms(20);
+    harness.tell(Event::HoldAnswered {
         worker: first,
         sent_at,
         reply: HoldReply::Listed {
@@ -296,13 +306,13 @@
             ended: Vec::new(),
         },
     });
-    let next = bench.scheduler.worker_key("w0").expect("a worker");
-    bench.list_workers(&workers(2));
-    let other = bench.scheduler.worker_key("w1").expect("a worker");
-    bench.list(other, Vec::new());
+    let next = harness.scheduler.worker_key("w0").expect("a worker");
+    harness.list_workers(&workers(2));
+    let other = harness.scheduler.worker_key("w1").expect("a worker");
+    harness.list(other, Vec::new());
     let mut waited_s = 0;
-    while starts_of_waiting_job(&mut bench) == 0 {
-        bench.be_silent(next);
+    while starts_of_waiting_job(&mut harness) == 0 {
+        harness.leave_poll_unanswered(next);
         waited_s += 1;
         assert!(waited_s < 12, "the run is given up some time");
     }
@@ -339,39 +349,39 @@
     #[case] starts_count: usize,
 ) {
     let worker = &workers(1)[0];
-    let mut bench = bench_with_entry(worker, 1);
-    let first = bench.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut bench, first, 1, Vec::new());
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    let unanswered = |bench: &mut Bench| {
-        bench.tell(Event::StartAnswered {
+    let mut harness = harness_with_entry(worker, 1);
+    let first = harness.scheduler.worker_key("w0").expect("a worker");
+    answer_as(&mut harness, first, 1, Vec::new());
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    let unanswered = |harness: &mut Harness| {
+        harness.tell(Event::StartAnswered {
             worker: start.0,
             task: start.1,
             run: start.2,
             reply: StartReply::Unanswered,
         });
     };
-    let look_sent_at = bench.now;
-    bench.now = bench.now + Duration::from_ms(20);
+    let look_sent_at = harness.now;
+    harness.now = harness.now + Duration::from_ms(20);
     match before {
         Before::OnItsWay => {}
-        Before::AnsweredSince | Before::Answered => bench.started(start),
+        Before::AnsweredSince | Before::Answered => harness.started(start),
         Before::AnsweredInPart => {
-            unanswered(&mut bench);
-            bench.started(start);
+            unanswered(&mut harness);
+            harness.started(start);
         }
-        Before::Unanswered => (0..3).for_each(|_| unanswered(&mut bench)),
+        Before::Unanswered => (0..3).for_each(|_| unanswered(&mut harness)),
     }
-    bench.now = bench.now + Duration::from_ms(20);
+    harness.now = harness.now + Duration::from_ms(20);
     let sent_at = match before {
         Before::AnsweredSince => look_sent_at,
-        _ => bench.now,
+        _ => harness.now,
     };
-    bench.list_restarted(worker, 2);
-    bench.actions.clear();
-    bench.tell(Event::HoldAnswered {
+    harness.list_incarnation(worker, 2);
+    harness.actions.clear();
+    harness.tell(Event::HoldAnswered {
         worker: first,
         sent_at,
         reply: HoldReply::Listed {
@@ -381,18 +391,18 @@
             ended: Vec::new(),
         },
     });
-    let next = bench.scheduler.worker_key("w0").expect("a worker");
-    let stops = bench.stops();
+    let next = harness.scheduler.worker_key("w0").expect("a worker");
+    let stops = harness.stops();
     assert_eq!(stops.len(), stops_count);
     assert!(stops.iter().all(|stop| *stop == (next, start.1, start.2)));
-    bench.commit_all();
-    assert_eq!(bench.starts().len(), starts_count);
+    harness.commit_all();
+    assert_eq!(harness.starts().len(), starts_count);
     if before == Before::OnItsWay {
         // Its answer counts for the life that may have it: unlisted from then on, it is gone.
-        bench.started(start);
-        bench.now = bench.now + Duration::from_ms(20);
-        answer_as(&mut bench, next, 2, Vec::new());
-        assert_eq!(bench.stops(), [(next, start.1, start.2)]);
+        harness.started(start);
+        harness.now = harness.now + Duration::from_ms(20);
+        answer_as(&mut harness, next, 2, Vec::new());
+        assert_eq!(harness.stops(), [(next, start.1, start.2)]);
     }
 }
 
@@ -403,25 +413,25 @@
     let known = FakeWorker::new("w0", 1000);
     let mut other = FakeWorker::new("w1", 1000);
     other.address = known.address.clone();
-    let mut bench = Bench::new(Recovered::default(), &[known]);
-    let key = bench.scheduler.worker_key("w0").expect("a worker");
-    let sent_at = bench.now;
-    bench.now = bench.now + Duration::from_ms(20);
-    bench.list_workers(&[FakeWorker::new("w0", 1000), other]);
-    bench.submit(1, vec![step(1)]);
-    bench.tell(Event::HoldAnswered {
+    let mut harness = Harness::new(Recovered::default(), &[known]);
+    let key = harness.scheduler.worker_key("w0").expect("a worker");
+    let sent_at = harness.now;
+    harness.now = harness.now + Duration::from_ms(20);
+    harness.list_workers(&[FakeWorker::new("w0", 1000), other]);
+    harness.submit(1, vec![step(1)]);
+    harness.tell(Event::HoldAnswered {
         worker: key,
         sent_at,
         reply: HoldReply::Listed {
             life_start: None,
-            clock_ms: bench.now.as_ms(),
+            clock_ms: harness.now.as_ms(),
             running: Vec::new(),
             ended: Vec::new(),
         },
     });
-    assert_eq!(starts_of_waiting_job(&mut bench), 0);
-    bench.list(key, Vec::new());
-    assert_eq!(starts_of_waiting_job(&mut bench), 1);
+    assert_eq!(starts_of_waiting_job(&mut harness), 0);
+    harness.list(key, Vec::new());
+    assert_eq!(starts_of_waiting_job(&mut harness), 1);
 }
 
 fn stray_task() -> TaskKey {
@@ -435,7 +445,7 @@
 #[case::next_life(2, 1)]
 fn record_lost_lives_after_takeover(#[case] answering: u64, #[case] crashes_count: usize) {
     let (id, record) = job(1, vec![step(1)]);
-    let bytes = placed_at_life("w0", 1, 1).to_bytes();
+    let bytes = placed_at_incarnation("w0", 1, 1).to_bytes();
     let state = JobState::from_bytes(&bytes).expect("it was written here");
     let recovered = Recovered {
         jobs: vec![(id, record)],
@@ -443,11 +453,11 @@
         ..Recovered::default()
     };
     let workers = workers(1);
-    let mut bench = Bench::after_evicted_leader(recovered);
-    bench.list_restarted(&workers[0], answering);
-    let key = bench.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut bench, key, answering, Vec::new());
-    let states = bench.commit_all();
+    let mut harness = Harness::after_evicted_leader(recovered);
+    harness.list_incarnation(&workers[0], answering);
+    let key = harness.scheduler.worker_key("w0").expect("a worker");
+    answer_as(&mut harness, key, answering, Vec::new());
+    let states = harness.commit_all();
     let state = states.last().expect("the task is placed anew");
     assert_eq!(state.crashes.len(), crashes_count);
 }
@@ -461,20 +471,20 @@
     let (id, record) = job(1, vec![step(1)]);
     let recovered = Recovered {
         jobs: vec![(id, record)],
-        states: vec![(id, placed_at_life("w0", 1, 1))],
+        states: vec![(id, placed_at_incarnation("w0", 1, 1))],
         ..Recovered::default()
     };
     let workers = workers(1);
-    let mut bench = Bench::after_evicted_leader(recovered);
-    bench.list_restarted(&workers[0], answering);
-    let key = bench.scheduler.worker_key("w0").expect("a worker");
+    let mut harness = Harness::after_evicted_leader(recovered);
+    harness.list_incarnation(&workers[0], answering);
+    let key = harness.scheduler.worker_key("w0").expect("a worker");
     // Until every lease of an earlier leader is over.
     for _ in 0..10 {
-        bench.be_silent(key);
+        harness.leave_poll_unanswered(key);
     }
-    bench.commit_all();
-    answer_as(&mut bench, key, answering, Vec::new());
-    let states = bench.commit_all();
+    harness.commit_all();
+    answer_as(&mut harness, key, answering, Vec::new());
+    let states = harness.commit_all();
     let state = states.last().expect("the task is placed anew");
     let found = state.crashes.iter().map(|crash| crash.is_confirmed);
     assert_eq!(found.collect::<Vec<bool>>(), confirmed);
@@ -483,7 +493,7 @@
 /// Where workers tell no starts, progress is written as nodes of the version before read it.
 #[rstest]
 #[case::no_start(placed_state("w0", 1), 1)]
-#[case::start(placed_at_life("w0", 7, 1), 6)]
+#[case::start(placed_at_incarnation("w0", 7, 1), 6)]
 fn job_state_stored_form(#[case] state: JobState, #[case] form: u8) {
     let bytes = state.to_bytes();
     assert_eq!(bytes.first(), Some(&form));
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -1,6 +1,6 @@
 //! What a leader of many workers and waiting steps spares itself.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
 use crate::support::{advice, job, step};
 use ospreywing_scheduler::{Action, DecisionKind, EndKind, Event, Recovered, StepSpec};
 use ospreywing_types::Duration;
@@ -14,8 +14,8 @@
 }
 
 /// Returns the longest time that the renewals sent so far wait at their workers.
-fn longest_wait(bench: &Bench) -> Duration {
-    let waits = bench.actions.iter().filter_map(|action| match action {
+fn longest_wait(harness: &Harness) -> Duration {
+    let waits = harness.actions.iter().filter_map(|action| match action {
         Action::Hold { wait, .. } => Some(*wait),
         _ => None,
     });
@@ -29,55 +29,55 @@
 #[case(400, 800)]
 #[case(600, 1200)]
 fn renew_leases_wait_by_busy_workers(#[case] workers_count: u32, #[case] expected_ms: u64) {
-    let mut bench = Bench::new(Recovered::default(), &workers(workers_count as usize));
+    let mut harness = Harness::new(Recovered::default(), &workers(workers_count as usize));
     let mut spec = filling_step();
     spec.tasks_count = workers_count;
-    bench.submit(1, vec![spec]);
-    bench.commit_all();
-    let starts = bench.starts();
+    harness.submit(1, vec![spec]);
+    harness.commit_all();
+    let starts = harness.starts();
     assert_eq!(starts.len(), workers_count as usize);
-    bench.actions.clear();
+    harness.actions.clear();
     for start in starts {
-        bench.list_running(start.0, start.1);
+        harness.answer_poll_running(start.0, start.1);
     }
-    bench.commit_all();
-    assert_eq!(longest_wait(&bench), Duration::from_ms(expected_ms));
+    harness.commit_all();
+    assert_eq!(longest_wait(&harness), Duration::from_ms(expected_ms));
 }
 
-fn placed_count(bench: &Bench) -> usize {
+fn placed_count(harness: &Harness) -> usize {
     let is_placed = |action: &&Action| match action {
         Action::Log(decision) => decision.kind == DecisionKind::Placed,
         _ => false,
     };
-    bench.actions.iter().filter(is_placed).count()
+    harness.actions.iter().filter(is_placed).count()
 }
 
 /// A pass over 300 waiting steps leaves 30 ms to everything else, in which
 /// it looked at them three times more.
 #[test]
 fn place_rests_after_many_waiting_steps() {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
     for number in 1..=301 {
-        bench.submit(number, vec![filling_step()]);
+        harness.submit(number, vec![filling_step()]);
     }
-    bench.commit_all();
-    let first = bench.starts()[0];
-    bench.started(first);
-    bench.commit_all();
-    assert_eq!(placed_count(&bench), 1);
+    harness.commit_all();
+    let first = harness.starts()[0];
+    harness.started(first);
+    harness.commit_all();
+    assert_eq!(placed_count(&harness), 1);
     // A pass over all that waits, in vain.
-    bench.tell(Event::Tick);
+    harness.tell(Event::Tick);
     let ended = vec![end(1, first.1, first.2, EndKind::Done)];
-    bench.list_after(Duration::from_ms(15), first.0, ended);
-    assert_eq!(placed_count(&bench), 1, "15 ms after a pass");
-    bench.now = bench.now + Duration::from_ms(20);
-    bench.tell(Event::Tick);
-    assert_eq!(placed_count(&bench), 2, "35 ms after a pass");
+    harness.answer_poll_after(Duration::from_ms(15), first.0, ended);
+    assert_eq!(placed_count(&harness), 1, "15 ms after a pass");
+    harness.now = harness.now + Duration::from_ms(20);
+    harness.tell(Event::Tick);
+    assert_eq!(placed_count(&harness), 2, "35 ms after a pass");
 }
 
 /// Returns how many changes each commit sent so far carries.
-fn commit_sizes(bench: &Bench) -> Vec<usize> {
-    let sizes = bench.actions.iter().filter_map(|action| match action {
+fn commit_sizes(harness: &Harness) -> Vec<usize> {
+    let sizes = harness.actions.iter().filter_map(|action| match action {
         Action::Commit { changes, .. } => Some(changes.len()),
         _ => None,
     });
@@ -87,30 +87,30 @@
 /// With 70 changes at a time, the last of them waited for 44 ms before.
 #[test]
 fn flush_commits_full_groups_at_once() {
-    let mut bench = Bench::new(Recovered::default(), &workers(70));
+    let mut harness = Harness::new(Recovered::default(), &workers(70));
     for number in 1..=70 {
         let (job, record) = job(number, vec![filling_step()]);
         let record = Box::new(record);
-        bench.tell(Event::JobAccepted { job, record });
+        harness.tell(Event::JobAccepted { job, record });
     }
-    bench.now = bench.now + Duration::from_ms(50);
-    bench.tell(Event::Tick);
-    bench.tell(Event::Tick);
-    bench.tell(Event::Tick);
+    harness.now = harness.now + Duration::from_ms(50);
+    harness.tell(Event::Tick);
+    harness.tell(Event::Tick);
+    harness.tell(Event::Tick);
     assert_eq!(
-        commit_sizes(&bench),
+        commit_sizes(&harness),
         [30, 30],
         "two full ones, and ten that wait"
     );
-    bench.now = bench.now + Duration::from_ms(22);
-    bench.tell(Event::Tick);
-    assert_eq!(commit_sizes(&bench), [30, 30, 10]);
+    harness.now = harness.now + Duration::from_ms(22);
+    harness.tell(Event::Tick);
+    assert_eq!(commit_sizes(&harness), [30, 30, 10]);
 }
 
 /// Lists so many nodes that can ask the adviser.
-fn list_nodes(bench: &mut Bench, nodes_count: usize) {
+fn list_nodes(harness: &mut Harness, nodes_count: usize) {
     let nodes = (0..nodes_count).map(|number| format!("n{number}").into());
-    bench.tell(Event::NodesListed(nodes.collect()));
+    harness.tell(Event::NodesListed(nodes.collect()));
 }
 
 /// Returns a gang whose members fill a worker each.
@@ -130,20 +130,20 @@
     let workers = workers(130);
     let ids: Vec<String> = workers.iter().map(|worker| worker.id.to_string()).collect();
     let good: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let mut bench = Bench::with_advice(Recovered::default(), &workers, Some(advice()));
-    list_nodes(&mut bench, nodes_count);
-    bench.submit(1, vec![filling_gang(120)]);
+    let mut harness = Harness::with_advice(Recovered::default(), &workers, Some(advice()));
+    list_nodes(&mut harness, nodes_count);
+    harness.submit(1, vec![filling_gang(120)]);
     let mut starts = Vec::new();
     for _ in 0..40 {
-        bench.now = bench.now + Duration::from_ms(50);
-        bench.tell(Event::Tick);
-        let named_counts = bench.advise(&good);
+        harness.now = harness.now + Duration::from_ms(50);
+        harness.tell(Event::Tick);
+        let named_counts = harness.answer_advice_calls(&good);
         assert!(
             named_counts.iter().all(|count| *count <= 100),
             "{named_counts:?}"
         );
-        bench.answer_commits();
-        starts.extend(bench.starts());
+        harness.answer_commits();
+        starts.extend(harness.starts());
     }
     assert_eq!(starts.len(), 120, "the whole gang");
 }
@@ -158,10 +158,10 @@
     #[case] calls_count: usize,
     #[case] named_count: usize,
 ) {
-    let mut bench = Bench::with_advice(Recovered::default(), &workers(300), Some(advice()));
-    list_nodes(&mut bench, nodes_count);
-    bench.submit(1, vec![filling_gang(120)]);
-    let named = bench.advise(&[]);
+    let mut harness = Harness::with_advice(Recovered::default(), &workers(300), Some(advice()));
+    list_nodes(&mut harness, nodes_count);
+    harness.submit(1, vec![filling_gang(120)]);
+    let named = harness.answer_advice_calls(&[]);
     assert_eq!(named.len(), calls_count, "{named:?}");
     assert_eq!(named.iter().sum::<usize>(), named_count, "{named:?}");
 }
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -3,9 +3,9 @@
 //! scheduler's invariants after each event, and every job must have its
 //! outcome once the faults are over.
 
-use crate::support::world::{Faults, World};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::{
-    advice, configuration_with, customer, job, job_of, patient_job, step, with_other_service,
+    advice, configuration_with, customer, job, job_of, low_priority_job, step, with_other_service,
     OTHER_QUEUE,
 };
 use ospreywing_scheduler::{AdvicePolicy, Feature, Features, JobId, Phase, StepSpec};
@@ -17,15 +17,15 @@
 const SEEDS_VARIABLE: &str = "OSPREYWING_SEARCH_SEEDS";
 /// Sets the first seed; 0 otherwise.
 const FIRST_SEED_VARIABLE: &str = "OSPREYWING_SEARCH_FIRST_SEED";
-const STORM_MS: u64 = 12_000;
-const CALM_LIMIT_MS: u64 = 90_000;
+const FAULTS_MS: u64 = 12_000;
+const RECOVERY_LIMIT_MS: u64 = 90_000;
 /// Orders are carried out up to 12 s late; then their runs are found and stopped.
 const LATE_LIMIT_MS: u64 = 15_000;
 /// One innocent job in so many may be failed, at most, where three tasks crash ten
 /// workers and everything else goes wrong beside it: the bound on restarts goes first.
 const INNOCENTS_ONE_IN: usize = 1000;
 
-const NOTHING: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     lost_answer: 0,
     late_order: 0,
     failing_run: 0,
@@ -44,7 +44,7 @@
 };
 
 /// Much of what may go wrong at once.
-const EVERYTHING: Faults = Faults {
+const ALL_FAULTS: Faults = Faults {
     lost_answer: 40,
     late_order: 40,
     failing_run: 40,
@@ -53,14 +53,14 @@
     takeover: 20,
     trouble: 10,
     drain: 5,
-    ..NOTHING
+    ..NO_FAULTS
 };
 
 /// Workers that start again under their ids, and orders that outlive their connections.
 const RESTARTS_BESIDE_LATE_ORDERS: Faults = Faults {
     restart: 40,
     late_order: 80,
-    ..NOTHING
+    ..NO_FAULTS
 };
 
 /// Seeds that found something, in whichever case: they are searched always.
@@ -98,8 +98,8 @@
     for seed in seeds() {
         // Shown where the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 6, faults, policy);
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        let mut simulation = Simulation::new(seed, 6, faults, policy);
+        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
         for number in 1..=10 {
             let steps = match number % 4 {
                 0 => vec![gang(3)],
@@ -107,13 +107,13 @@
                 2 => vec![step(1), after(0, gang(2))],
                 _ => vec![step(4)],
             };
-            world.submit(job(number, steps));
-            world.run_for(400);
+            simulation.submit(job(number, steps));
+            simulation.run_for(400);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.run_for(FAULTS_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
         assert!(
-            world.rules.starts_count >= 10,
+            simulation.rules.starts_count >= 10,
             "seed {seed} started next to nothing"
         );
     }
@@ -153,7 +153,7 @@
     lost_answer: 40,
     ..Faults::default()
 })]
-#[case::everything(EVERYTHING)]
+#[case::everything(ALL_FAULTS)]
 fn scheduler_keeps_its_rules(#[case] faults: Faults, #[values(false, true)] has_advice: bool) {
     search(faults, has_advice.then(advice));
 }
@@ -172,7 +172,7 @@
     restart: 30,
     late_order: 0,
     pause: 20,
-    ..EVERYTHING
+    ..ALL_FAULTS
 })]
 fn scheduler_keeps_lives_apart(
     #[case] faults: Faults,
@@ -180,9 +180,9 @@
     #[values(false, true)] ignores_foreign_acks: bool,
 ) {
     for seed in seeds() {
-        let mut world = World::new(seed, 6, faults, has_advice.then(advice));
-        world.tell_life_starts(ignores_foreign_acks);
-        play_restarts(seed, world);
+        let mut simulation = Simulation::new(seed, 6, faults, has_advice.then(advice));
+        simulation.report_incarnation_starts(ignores_foreign_acks);
+        play_restarts(seed, simulation);
     }
 }
 
@@ -193,9 +193,9 @@
     #[values(false, true)] ignores_foreign_acks: bool,
 ) {
     for seed in seeds() {
-        let mut world = World::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, Some(advice()));
-        world.tell_life_starts(ignores_foreign_acks);
-        play_restarts(seed, world);
+        let mut simulation = Simulation::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, Some(advice()));
+        simulation.report_incarnation_starts(ignores_foreign_acks);
+        play_restarts(seed, simulation);
     }
 }
 
@@ -220,13 +220,13 @@
 }
 
 fn play_late_orders_without_advice(seed: u64) {
-    let mut world = World::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, None);
-    world.tell_life_starts(false);
-    play_restarts(seed, world);
+    let mut simulation = Simulation::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, None);
+    simulation.report_incarnation_starts(false);
+    play_restarts(seed, simulation);
 }
 
 /// Hands jobs of all kinds in while faults strike.
-fn submit_through_storm(world: &mut World) {
+fn submit_during_faults(simulation: &mut Simulation) {
     for number in 1..=16 {
         let steps = match number % 4 {
             0 => vec![gang(3)],
@@ -234,18 +234,18 @@
             2 => vec![step(1), after(0, gang(2))],
             _ => vec![step(4)],
         };
-        world.submit(job(number, steps));
-        world.run_for(400);
+        simulation.submit(job(number, steps));
+        simulation.run_for(400);
     }
-    world.run_for(STORM_MS);
+    simulation.run_for(FAULTS_MS);
 }
 
-fn play_restarts(seed: u64, mut world: World) {
+fn play_restarts(seed: u64, mut simulation: Simulation) {
     // Shown where the test fails.
     println!("seed {seed}");
-    world.calm_from_ms = world.now_ms + STORM_MS;
-    submit_through_storm(&mut world);
-    world.run_until_done(CALM_LIMIT_MS);
+    simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+    submit_during_faults(&mut simulation);
+    simulation.run_until_done(RECOVERY_LIMIT_MS);
 }
 
 /// Data centres that the operators cordon and open again.
@@ -257,22 +257,22 @@
 #[case::held_orders(Faults { cordon: 60, held_order: 300, cut: 20, ..Faults::default() })]
 #[case::paused(Faults { cordon: 60, pause: 60, ..Faults::default() })]
 #[case::restarts(Faults { cordon: 60, restart: 40, crash: 20, ..Faults::default() })]
-#[case::everything(Faults { cordon: 60, held_order: 100, pause: 20, ..EVERYTHING })]
+#[case::everything(Faults { cordon: 60, held_order: 100, pause: 20, ..ALL_FAULTS })]
 fn scheduler_keeps_out_of_cordons(#[case] faults: Faults, #[values(false, true)] has_advice: bool) {
     for seed in seeds() {
-        let mut world = World::new(seed, 9, faults, has_advice.then(advice));
-        world.lay_out_data_centres(3);
+        let mut simulation = Simulation::new(seed, 9, faults, has_advice.then(advice));
+        simulation.lay_out_data_centres(3);
         if faults.restart > 0 {
-            world.tell_life_starts(false);
+            simulation.report_incarnation_starts(false);
         }
         // Shown where the test fails.
         println!("seed {seed}");
-        world.calm_from_ms = world.now_ms + STORM_MS;
-        submit_through_storm(&mut world);
-        world.lift_cordons();
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        submit_during_faults(&mut simulation);
+        simulation.lift_cordons();
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
         assert!(
-            world.rules.starts_count >= 16,
+            simulation.rules.starts_count >= 16,
             "seed {seed} started next to nothing"
         );
     }
@@ -302,29 +302,29 @@
     for seed in seeds() {
         // Shown where the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 8, faults, None);
-        world.run_lengths_ms = 200..7_000;
-        world.calm_from_ms = world.now_ms + 2 * STORM_MS;
+        let mut simulation = Simulation::new(seed, 8, faults, None);
+        simulation.run_durations_ms = 200..7_000;
+        simulation.faults_end_ms = simulation.now_ms + 2 * FAULTS_MS;
         for number in 1..=16 {
-            world.submit(job(number, vec![step(2)]));
-            world.run_for(900);
+            simulation.submit(job(number, vec![step(2)]));
+            simulation.run_for(900);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.run_for(FAULTS_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
 
 /// Gangs whose good workers are few, among work that could take their room.
 #[rstest]
 #[case::quiet(Faults::default())]
-#[case::everything(EVERYTHING)]
+#[case::everything(ALL_FAULTS)]
 fn scheduler_serves_gangs_on_few_good_workers(#[case] faults: Faults) {
     for seed in seeds().chain(GANG_SEEDS_FOUND) {
         // Shown where the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 16, faults, Some(advice()));
-        world.good_one_in = 4;
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        let mut simulation = Simulation::new(seed, 16, faults, Some(advice()));
+        simulation.good_one_in = 4;
+        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
         for number in 1..=24 {
             let steps = match number % 3 {
                 // Two good workers, which crashes leave, hold four.
@@ -332,39 +332,39 @@
                 1 => vec![gang(2), after(0, gang(3))],
                 _ => vec![step(8)],
             };
-            world.submit(job(number, steps));
-            world.run_for(300);
+            simulation.submit(job(number, steps));
+            simulation.run_for(300);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.run_for(FAULTS_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
 
 /// Gangs that take the room of patient work, which goes on later.
 #[rstest]
 #[case::quiet(Faults::default())]
-#[case::everything(EVERYTHING)]
+#[case::everything(ALL_FAULTS)]
 fn scheduler_preempts_for_gangs(#[case] faults: Faults) {
     let mut resumed_count = 0;
     for seed in seeds() {
         // Shown where the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 8, faults, Some(advice()));
+        let mut simulation = Simulation::new(seed, 8, faults, Some(advice()));
         // All are good, so that patient work fills them all.
-        world.good_one_in = 1;
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        simulation.good_one_in = 1;
+        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
         for number in 1..=20 {
             // Patient work fills the workers before each gang comes.
             let job = match number % 2 {
                 0 => job(number, vec![gang(3)]),
-                _ => patient_job(number, 16),
+                _ => low_priority_job(number, 16),
             };
-            world.submit(job);
-            world.run_for(900);
+            simulation.submit(job);
+            simulation.run_for(900);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
-        resumed_count += world.rules.resumed_count;
+        simulation.run_for(FAULTS_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
+        resumed_count += simulation.rules.resumed_count;
     }
     assert!(resumed_count > 0, "nothing went on from a checkpoint");
 }
@@ -373,31 +373,31 @@
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, lost_answer: 40, ..Faults::default() })]
-#[case::everything(Faults { resize: 20, pause: 20, ..EVERYTHING })]
+#[case::everything(Faults { resize: 20, pause: 20, ..ALL_FAULTS })]
 fn scheduler_preempts_by_shares(#[case] faults: Faults) {
     let mut resumed_count = 0;
     for seed in seeds() {
         // Shown where the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 8, faults, None);
-        world.run_lengths_ms = 3_000..9_000;
+        let mut simulation = Simulation::new(seed, 8, faults, None);
+        simulation.run_durations_ms = 3_000..9_000;
         let customers = vec![customer("one", 16, 2.0), customer("two", 16, 2.0)];
-        world.configure(configuration_with(2, None, customers));
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        simulation.configure(configuration_with(2, None, customers));
+        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
         for number in 1..=16 {
             let (id, mut record) = match number % 4 {
-                1 => patient_job(number, 20),
+                1 => low_priority_job(number, 20),
                 _ => job(number, vec![step(1)]),
             };
             let customer = if number % 4 == 1 { "one" } else { "two" };
             record.customer = Some(customer.to_owned());
-            record.accepted_ms = world.now_ms;
-            world.submit((id, record));
-            world.run_for(600);
+            record.accepted_ms = simulation.now_ms;
+            simulation.submit((id, record));
+            simulation.run_for(600);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
-        resumed_count += world.rules.resumed_count;
+        simulation.run_for(FAULTS_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
+        resumed_count += simulation.rules.resumed_count;
     }
     assert!(resumed_count > 0, "nothing went on from a checkpoint");
 }
@@ -410,15 +410,15 @@
 #[case::cuts(Faults { cut: 30, lost_answer: 40, ..Faults::default() })]
 #[case::crashes(Faults { crash: 20, takeover: 10, ..Faults::default() })]
 #[case::trouble(Faults { trouble: 40, takeover: 20, ..Faults::default() })]
-#[case::everything(Faults { failing_run: 0, resize: 20, pause: 20, ..EVERYTHING })]
+#[case::everything(Faults { failing_run: 0, resize: 20, pause: 20, ..ALL_FAULTS })]
 fn scheduler_gives_up_what_crashes_workers(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
     let mut innocents_count = 0;
     for seed in seeds().chain(CRASH_SEEDS_FOUND) {
-        let world = World::new(seed, 10, faults, has_advice.then(advice));
-        innocents_count += play_crashing_jobs(seed, world);
+        let simulation = Simulation::new(seed, 10, faults, has_advice.then(advice));
+        innocents_count += play_crashing_jobs(seed, simulation);
     }
     check_innocents(innocents_count);
 }
@@ -435,10 +435,10 @@
 ) {
     let mut innocents_count = 0;
     for seed in seeds().chain(CRASH_SEEDS_FOUND).chain(RESTART_SEEDS_FOUND) {
-        let mut world = World::new(seed, 10, faults, has_advice.then(advice));
-        world.keeps_ids = true;
-        world.tell_life_starts(false);
-        innocents_count += play_crashing_jobs(seed, world);
+        let mut simulation = Simulation::new(seed, 10, faults, has_advice.then(advice));
+        simulation.keeps_ids = true;
+        simulation.report_incarnation_starts(false);
+        innocents_count += play_crashing_jobs(seed, simulation);
     }
     check_innocents(innocents_count);
 }
@@ -451,31 +451,31 @@
 }
 
 /// Plays jobs of which three crash their workers; returns how many others were failed.
-fn play_crashing_jobs(seed: u64, mut world: World) -> usize {
+fn play_crashing_jobs(seed: u64, mut simulation: Simulation) -> usize {
     let mut innocents_count = 0;
     // Shown where the test fails.
     println!("seed {seed}");
-    world.crashing = [3, 6, 7].map(JobId::new).into();
-    world.calm_from_ms = world.now_ms + 2 * STORM_MS;
+    simulation.crashing_jobs = [3, 6, 7].map(JobId::new).into();
+    simulation.faults_end_ms = simulation.now_ms + 2 * FAULTS_MS;
     for number in 1..=16 {
         let steps = match number % 4 {
             0 => vec![gang(3)],
             1 => vec![step(2), after(0, step(3))],
             _ => vec![step(4)],
         };
-        world.submit(job(number, steps));
-        world.run_for(500);
+        simulation.submit(job(number, steps));
+        simulation.run_for(500);
     }
-    world.run_for(STORM_MS);
-    world.run_until_done(CALM_LIMIT_MS);
+    simulation.run_for(FAULTS_MS);
+    simulation.run_until_done(RECOVERY_LIMIT_MS);
     for number in 1..=16 {
         let id = JobId::new(number);
-        let phase = world.phase(id);
-        if world.crashing.contains(&id) {
+        let phase = simulation.phase(id);
+        if simulation.crashing_jobs.contains(&id) {
             assert_eq!(phase, Some(Phase::Failed), "seed {seed}: job {id}");
         } else if phase != Some(Phase::Complete) {
             innocents_count += 1;
-            assert!(world.rules.may_be_given_up(id), "seed {seed}: job {id}");
+            assert!(simulation.rules.may_be_failed(id), "seed {seed}: job {id}");
         }
     }
     innocents_count
@@ -491,7 +491,7 @@
     resize: 20,
     pause: 20,
     stale_entry: 50,
-    ..EVERYTHING
+    ..ALL_FAULTS
 })]
 fn scheduler_stops_what_is_cancelled(
     #[case] faults: Faults,
@@ -500,18 +500,18 @@
     for seed in seeds() {
         // Shown where the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 6, faults, has_advice.then(advice));
-        world.run_lengths_ms = 200..60_000;
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        let mut simulation = Simulation::new(seed, 6, faults, has_advice.then(advice));
+        simulation.run_durations_ms = 200..60_000;
+        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
         for number in 1..=10 {
-            world.submit(job(number, vec![step(2)]));
-            world.run_for(100 + seed % 7 * 100);
-            world.cancel(JobId::new(number));
+            simulation.submit(job(number, vec![step(2)]));
+            simulation.run_for(100 + seed % 7 * 100);
+            simulation.cancel(JobId::new(number));
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
-        world.run_for(LATE_LIMIT_MS);
-        world.assert_no_strays();
+        simulation.run_for(FAULTS_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
+        simulation.run_for(LATE_LIMIT_MS);
+        simulation.assert_no_strays();
     }
 }
 
@@ -523,7 +523,7 @@
 #[case::trouble(Faults { limit: 100, trouble: 40, takeover: 10, ..Faults::default() })]
 #[case::cuts(Faults { limit: 60, cut: 40, lost_answer: 40, crash: 10, ..Faults::default() })]
 #[case::paused(Faults { limit: 60, pause: 60, ..Faults::default() })]
-#[case::everything(Faults { limit: 60, resize: 20, pause: 20, stale_entry: 50, ..EVERYTHING })]
+#[case::everything(Faults { limit: 60, resize: 20, pause: 20, stale_entry: 50, ..ALL_FAULTS })]
 fn scheduler_keeps_customers_limits(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
@@ -532,10 +532,10 @@
         // Shown where the test fails.
         println!("seed {seed}");
         let policy = has_advice.then(advice);
-        let mut world = World::new(seed, 8, faults, policy);
+        let mut simulation = Simulation::new(seed, 8, faults, policy);
         let customers = vec![customer("one", 4, 2.0), customer("two", 6, 100.0)];
-        world.configure(configuration_with(2, policy, customers));
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        simulation.configure(configuration_with(2, policy, customers));
+        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
         for number in 1..=16 {
             let steps = match number % 4 {
                 0 => vec![gang(3)],
@@ -548,11 +548,11 @@
                 1 => job_of("one", number, steps),
                 _ => job_of("two", number, steps),
             };
-            world.submit(of);
-            world.run_for(300);
+            simulation.submit(of);
+            simulation.run_for(300);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.run_for(FAULTS_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
 
@@ -564,14 +564,14 @@
 #[case::late_orders(Faults { limit: 60, late_order: 80, lost_answer: 40, ..Faults::default() })]
 #[case::takeovers(Faults { limit: 60, takeover: 60, ..Faults::default() })]
 #[case::failing_runs(Faults { limit: 20, failing_run: 120, crash: 20, ..Faults::default() })]
-#[case::everything(Faults { limit: 60, pause: 20, ..EVERYTHING })]
+#[case::everything(Faults { limit: 60, pause: 20, ..ALL_FAULTS })]
 fn scheduler_reserves_customers_limits(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
     for seed in seeds() {
-        let world = World::new(seed, 12, faults, has_advice.then(advice));
-        play_reservations(seed, world, has_advice.then(advice));
+        let simulation = Simulation::new(seed, 12, faults, has_advice.then(advice));
+        play_reservations(seed, simulation, has_advice.then(advice));
     }
 }
 
@@ -581,23 +581,23 @@
     let faults = Faults {
         limit: 60,
         pause: 20,
-        ..EVERYTHING
+        ..ALL_FAULTS
     };
     for seed in seeds() {
-        let mut world = World::new(seed, 12, faults, has_advice.then(advice));
-        world.elect_with_features(Features::all().without(Feature::Backfill));
-        play_reservations(seed, world, has_advice.then(advice));
+        let mut simulation = Simulation::new(seed, 12, faults, has_advice.then(advice));
+        simulation.elect_with_features(Features::all().without(Feature::Backfill));
+        play_reservations(seed, simulation, has_advice.then(advice));
     }
 }
 
-fn play_reservations(seed: u64, mut world: World, policy: Option<AdvicePolicy>) {
+fn play_reservations(seed: u64, mut simulation: Simulation, policy: Option<AdvicePolicy>) {
     // Shown where the test fails.
     println!("seed {seed}");
-    world.good_one_in = 1;
-    world.lay_out_services();
+    simulation.good_one_in = 1;
+    simulation.lay_out_services();
     let customers = vec![customer("one", 4, 2.0), customer("two", 6, 100.0)];
-    world.configure(with_other_service(configuration_with(2, policy, customers)));
-    world.calm_from_ms = world.now_ms + STORM_MS;
+    simulation.configure(with_other_service(configuration_with(2, policy, customers)));
+    simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
     for number in 1..=32 {
         let spec = match number % 8 {
             0 => gang(4),
@@ -609,9 +609,9 @@
         if number % 3 == 0 {
             record.queue = OTHER_QUEUE.to_owned();
         }
-        world.submit((id, record));
-        world.run_for(200);
+        simulation.submit((id, record));
+        simulation.run_for(200);
     }
-    world.run_for(STORM_MS);
-    world.run_until_done(CALM_LIMIT_MS);
+    simulation.run_for(FAULTS_MS);
+    simulation.run_until_done(RECOVERY_LIMIT_MS);
 }
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -1,6 +1,6 @@
 //! Shares of room: whose work comes first, whose runs give way, and what a new leader knows.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
 use crate::support::{configuration_with, customer, job_of, step, SERVICE};
 use ospreywing_scheduler::{
     EndKind, Event, Feature, Features, JobId, JobRecord, JobState, Recovered, RoundState,
@@ -20,62 +20,62 @@
 const WITHOUT_SHARES: Features = Features::all().without(Feature::FairShares);
 const EQUAL: [(&str, f64); 2] = [("over", 1.0), ("under", 1.0)];
 
-fn configure(bench: &mut Bench, version: u64, weights: &[(&str, f64)]) {
+fn configure(harness: &mut Harness, version: u64, weights: &[(&str, f64)]) {
     let customers = weights.iter();
     let customers = customers.map(|(name, weight)| customer(name, ROOM_TASKS_COUNT, *weight));
     let configuration = configuration_with(version, None, customers.collect());
-    bench.tell(Event::Configured(configuration));
+    harness.tell(Event::Configured(configuration));
 }
 
-fn bench_with(features: Features, weights: &[(&str, f64)]) -> Bench {
-    let mut bench = Bench::with_features(features, &workers(WORKERS_COUNT));
-    configure(&mut bench, 2, weights);
-    bench
+fn harness_with(features: Features, weights: &[(&str, f64)]) -> Harness {
+    let mut harness = Harness::with_features(features, &workers(WORKERS_COUNT));
+    configure(&mut harness, 2, weights);
+    harness
 }
 
 /// Has a customer hand in a job of tasks that save checkpoints.
-fn submit(bench: &mut Bench, of: &str, number: u64, tasks_count: u32) -> (JobId, JobRecord) {
+fn submit(harness: &mut Harness, of: &str, number: u64, tasks_count: u32) -> (JobId, JobRecord) {
     let spec = StepSpec {
         saves_progress: true,
         ..step(tasks_count)
     };
     let (id, mut record) = job_of(of, number, vec![spec]);
-    record.accepted_ms = bench.now.as_ms();
-    bench.tell(Event::WallClock(record.accepted_ms));
-    bench.submit_job((id, record.clone()));
+    record.accepted_ms = harness.now.as_ms();
+    harness.tell(Event::WallClock(record.accepted_ms));
+    harness.submit_job((id, record.clone()));
     (id, record)
 }
 
 /// Starts what has room; returns the runs.
-fn start_all(bench: &mut Bench) -> Vec<(WorkerKey, TaskKey, u32)> {
-    bench.commit_all();
-    let starts = bench.starts();
-    starts.iter().for_each(|start| bench.started(*start));
+fn start_all(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
+    harness.commit_all();
+    let starts = harness.starts();
+    starts.iter().for_each(|start| harness.started(*start));
     starts
 }
 
-fn view(bench: &Bench, of: &str) -> ShareView {
-    let view = bench.scheduler.share_of(SERVICE, Some(of));
+fn view(harness: &Harness, of: &str) -> ShareView {
+    let view = harness.scheduler.share_of(SERVICE, Some(of));
     view.expect("a customer with open jobs")
 }
 
 /// Has one customer fill the cell and ask for more, and another ask for a task.
-fn flooded(features: Features) -> Bench {
-    let mut bench = bench_with(features, &EQUAL);
-    submit(&mut bench, "over", 1, ROOM_TASKS_COUNT);
-    assert_eq!(start_all(&mut bench).len(), ROOM_TASKS_COUNT as usize);
-    submit(&mut bench, "over", 2, ROOM_TASKS_COUNT);
-    submit(&mut bench, "under", 3, 1);
-    bench
+fn flooded(features: Features) -> Harness {
+    let mut harness = harness_with(features, &EQUAL);
+    submit(&mut harness, "over", 1, ROOM_TASKS_COUNT);
+    assert_eq!(start_all(&mut harness).len(), ROOM_TASKS_COUNT as usize);
+    submit(&mut harness, "over", 2, ROOM_TASKS_COUNT);
+    submit(&mut harness, "under", 3, 1);
+    harness
 }
 
 /// Lets time pass; returns whose runs are being stopped.
-fn stopped_within(bench: &mut Bench, length_ms: u64) -> Vec<u64> {
-    let until_ms = bench.now.as_ms() + length_ms;
+fn stopped_within(harness: &mut Harness, length_ms: u64) -> Vec<u64> {
+    let until_ms = harness.now.as_ms() + length_ms;
     let mut stopped = Vec::new();
-    while bench.now.as_ms() < until_ms {
-        bench.commit_all();
-        let stops = bench.stops();
+    while harness.now.as_ms() < until_ms {
+        harness.commit_all();
+        let stops = harness.stops();
         stopped.extend(stops.iter().map(|(_, task, _)| task.step.job.number()));
     }
     stopped
@@ -86,8 +86,8 @@
 #[case::shares(Features::default(), vec![1])]
 #[case::without(WITHOUT_SHARES, vec![])]
 fn preempt_for_customer_under_its_share(#[case] features: Features, #[case] expected: Vec<u64>) {
-    let mut bench = flooded(features);
-    let mut stopped = stopped_within(&mut bench, OBJECTIVE_MS);
+    let mut harness = flooded(features);
+    let mut stopped = stopped_within(&mut harness, OBJECTIVE_MS);
     // A stop that is not answered is sent again.
     stopped.dedup();
     assert_eq!(stopped, expected);
@@ -98,19 +98,19 @@
 #[case::has_time(0, 600)]
 #[case::has_half(2, OBJECTIVE_MS)]
 fn preempt_not_needed(#[case] running_count: u32, #[case] length_ms: u64) {
-    let mut bench = bench_with(Features::default(), &EQUAL);
+    let mut harness = harness_with(Features::default(), &EQUAL);
     if running_count > 0 {
-        submit(&mut bench, "under", 9, running_count);
-        start_all(&mut bench);
+        submit(&mut harness, "under", 9, running_count);
+        start_all(&mut harness);
     }
-    submit(&mut bench, "over", 1, ROOM_TASKS_COUNT);
-    start_all(&mut bench);
-    submit(&mut bench, "under", 3, 1);
-    assert_eq!(stopped_within(&mut bench, length_ms), []);
+    submit(&mut harness, "over", 1, ROOM_TASKS_COUNT);
+    start_all(&mut harness);
+    submit(&mut harness, "under", 3, 1);
+    assert_eq!(stopped_within(&mut harness, length_ms), []);
 }
 
-fn id_of(bench: &Bench, worker: WorkerKey) -> Arc<str> {
-    let mut listed = bench.scheduler.listed_workers();
+fn id_of(harness: &Harness, worker: WorkerKey) -> Arc<str> {
+    let mut listed = harness.scheduler.listed_workers();
     let (_, facts) = listed.find(|(key, _)| *key == worker).expect("a worker");
     facts.id.clone()
 }
@@ -118,7 +118,7 @@
 /// Returns the state of a job of which these runs are alive.
 fn running_state(
     runs: &[(WorkerKey, TaskKey, u32)],
-    bench: &Bench,
+    harness: &Harness,
     record: &JobRecord,
 ) -> JobState {
     let mut round = RoundState::new(0, record);
@@ -126,7 +126,7 @@
         let task = &mut round.steps[0].tasks[task.index as usize];
         task.last_run = *run;
         task.status = TaskStatus::Placed {
-            worker: id_of(bench, *worker).to_string(),
+            worker: id_of(harness, *worker).to_string(),
             life_start: None,
         };
     }
@@ -142,38 +142,38 @@
 #[test]
 fn rebuild_shares_after_takeover() {
     let weights = [("over", 1.0), ("under", 3.0)];
-    let mut bench = bench_with(Features::default(), &weights);
-    let first = submit(&mut bench, "over", 1, ROOM_TASKS_COUNT);
-    let runs = start_all(&mut bench);
-    let second = submit(&mut bench, "over", 2, 2);
-    let third = submit(&mut bench, "under", 3, 2);
-    bench.commit_all();
-    let state = running_state(&runs, &bench, &first.1);
+    let mut harness = harness_with(Features::default(), &weights);
+    let first = submit(&mut harness, "over", 1, ROOM_TASKS_COUNT);
+    let runs = start_all(&mut harness);
+    let second = submit(&mut harness, "over", 2, 2);
+    let third = submit(&mut harness, "under", 3, 2);
+    harness.commit_all();
+    let state = running_state(&runs, &harness, &first.1);
     let recovered = Recovered {
         states: vec![(first.0, state)],
         jobs: vec![first, second, third],
-        wall_ms: bench.now.as_ms(),
+        wall_ms: harness.now.as_ms(),
         ..Recovered::default()
     };
-    let mut next = Bench::new(recovered, &[]);
+    let mut next = Harness::new(recovered, &[]);
     configure(&mut next, 2, &weights);
     next.list_workers(&workers(WORKERS_COUNT));
-    let key_of = |worker| next.scheduler.worker_key(&id_of(&bench, worker));
+    let key_of = |worker| next.scheduler.worker_key(&id_of(&harness, worker));
     let alive = runs.into_iter().map(|(worker, task, run)| {
         let key = key_of(worker).expect("a worker that is listed again");
         (key, task, run)
     });
     let alive: Vec<_> = alive.collect();
-    next.list_progress(&alive, 0);
+    next.answer_polls_with_progress(&alive, 0);
     next.commit_all();
-    let (kept, rebuilt) = (view(&bench, "over"), view(&next, "over"));
+    let (kept, rebuilt) = (view(&harness, "over"), view(&next, "over"));
     assert_eq!(kept.share_per_mille, 4_000);
     assert!(kept.lag > Duration::ZERO && kept.lag <= LAG_LIMIT);
     assert!(rebuilt.lag <= LAG_LIMIT);
     let without_tag = |view: ShareView| (view.share_per_mille, view.open_jobs_count, view.is_short);
     assert_eq!(without_tag(kept), without_tag(rebuilt));
     assert_eq!(
-        view(&bench, "under").open_jobs_count,
+        view(&harness, "under").open_jobs_count,
         view(&next, "under").open_jobs_count
     );
 }
@@ -184,23 +184,23 @@
 #[case::lowered(&[("over", 1.0), ("under", 3.0)], 4_000)]
 #[case::removed(&[("under", 1.0)], 2_000)]
 fn share_of_weights_changed(#[case] weights: &[(&str, f64)], #[case] share_per_mille: u64) {
-    let mut bench = flooded(Features::default());
-    bench.commit_all();
-    assert_eq!(view(&bench, "over").share_per_mille, 2_000);
-    configure(&mut bench, 5, weights);
-    bench.commit_all();
-    assert_eq!(view(&bench, "over").share_per_mille, share_per_mille);
+    let mut harness = flooded(Features::default());
+    harness.commit_all();
+    assert_eq!(view(&harness, "over").share_per_mille, 2_000);
+    configure(&mut harness, 5, weights);
+    harness.commit_all();
+    assert_eq!(view(&harness, "over").share_per_mille, share_per_mille);
 }
 
 /// Jobs from open queues have one account, of the customers' mean weight.
 #[test]
 fn share_of_open_queues() {
-    let mut bench = bench_with(Features::default(), &[("over", 1.0), ("under", 3.0)]);
-    bench.submit(1, vec![step(ROOM_TASKS_COUNT)]);
-    start_all(&mut bench);
-    submit(&mut bench, "under", 2, 1);
-    bench.commit_all();
-    let view = bench.scheduler.share_of(SERVICE, None);
+    let mut harness = harness_with(Features::default(), &[("over", 1.0), ("under", 3.0)]);
+    harness.submit(1, vec![step(ROOM_TASKS_COUNT)]);
+    start_all(&mut harness);
+    submit(&mut harness, "under", 2, 1);
+    harness.commit_all();
+    let view = harness.scheduler.share_of(SERVICE, None);
     // Two parts of five are its share, and it has all.
     assert_eq!(view.expect("open jobs").share_per_mille, 2_500);
 }
@@ -209,31 +209,31 @@
 /// was idle has saved nothing up.
 #[test]
 fn borrow_free_room_is_not_owed() {
-    let mut bench = bench_with(Features::default(), &EQUAL);
-    submit(&mut bench, "over", 1, ROOM_TASKS_COUNT);
-    start_all(&mut bench);
+    let mut harness = harness_with(Features::default(), &EQUAL);
+    submit(&mut harness, "over", 1, ROOM_TASKS_COUNT);
+    start_all(&mut harness);
     for _ in 0..10 {
-        bench.commit_all();
+        harness.commit_all();
     }
-    submit(&mut bench, "under", 2, ROOM_TASKS_COUNT);
-    assert_eq!(view(&bench, "over").lag, Duration::ZERO);
-    assert_eq!(view(&bench, "under").lag, Duration::ZERO);
+    submit(&mut harness, "under", 2, ROOM_TASKS_COUNT);
+    assert_eq!(view(&harness, "over").lag, Duration::ZERO);
+    assert_eq!(view(&harness, "under").lag, Duration::ZERO);
 }
 
 /// What a customer's own limit holds back makes no service short: there is room for all that
 /// may start.
 #[test]
 fn ask_beyond_limit_is_not_short() {
-    let mut bench = bench_with(Features::default(), &[]);
+    let mut harness = harness_with(Features::default(), &[]);
     let customers = vec![customer("over", 2, 1.0), customer("under", 8, 1.0)];
     let configuration = configuration_with(5, None, customers);
-    bench.tell(Event::Configured(configuration));
-    submit(&mut bench, "over", 1, 20);
-    assert_eq!(start_all(&mut bench).len(), 2);
-    submit(&mut bench, "under", 2, 4);
-    start_all(&mut bench);
-    bench.commit_all();
-    let view = view(&bench, "under");
+    harness.tell(Event::Configured(configuration));
+    submit(&mut harness, "over", 1, 20);
+    assert_eq!(start_all(&mut harness).len(), 2);
+    submit(&mut harness, "under", 2, 4);
+    start_all(&mut harness);
+    harness.commit_all();
+    let view = view(&harness, "under");
     assert!(!view.is_short);
     assert_eq!(view.lag, Duration::ZERO);
 }
@@ -241,15 +241,15 @@
 /// The clock of a service never goes back, whatever comes.
 #[test]
 fn virtual_time_goes_on() {
-    let mut bench = flooded(Features::default());
+    let mut harness = flooded(Features::default());
     let mut last = Duration::ZERO;
     for number in 0..20_u32 {
         if number % 5 == 0 {
             let weights = [("over", f64::from(number + 1)), ("under", 2.0)];
-            configure(&mut bench, 10 + u64::from(number), &weights);
+            configure(&mut harness, 10 + u64::from(number), &weights);
         }
-        bench.commit_all();
-        let view = view(&bench, "over");
+        harness.commit_all();
+        let view = view(&harness, "over");
         assert!(view.virtual_time >= last && view.lag <= LAG_LIMIT);
         last = view.virtual_time;
     }
@@ -264,20 +264,20 @@
     let others = ["under", "third", "fourth", "fifth"];
     let mut weights = others.map(|name| (name, 1.0)).to_vec();
     weights.push(("over", 1.0));
-    let mut bench = bench_with(Features::default(), &weights);
+    let mut harness = harness_with(Features::default(), &weights);
     let spec = StepSpec {
         is_perpetual,
         ..step(ROOM_TASKS_COUNT)
     };
     let (id, mut record) = job_of(of, 1, vec![spec]);
     record.customer = record.customer.filter(|name| !name.is_empty());
-    bench.submit_job((id, record));
-    let starts = start_all(&mut bench);
+    harness.submit_job((id, record));
+    let starts = start_all(&mut harness);
     for (name, number) in others.into_iter().zip(3..) {
-        submit(&mut bench, name, number, 1);
+        submit(&mut harness, name, number, 1);
     }
     let (worker, task, run) = starts[0];
-    bench.list(worker, vec![end(1, task, run, EndKind::Failed)]);
-    let again: Vec<TaskKey> = start_all(&mut bench).iter().map(|it| it.1).collect();
+    harness.list(worker, vec![end(1, task, run, EndKind::Failed)]);
+    let again: Vec<TaskKey> = start_all(&mut harness).iter().map(|it| it.1).collect();
     assert_eq!(again, [task]);
 }
--- a/crates/scheduler/tests/scheduler/stored.rs
+++ b/crates/scheduler/tests/scheduler/stored.rs
@@ -1,6 +1,6 @@
 //! What the store keeps, where its bytes are damaged.
 
-use crate::support::{job, job_of, placed_at_life, placed_state, step};
+use crate::support::{job, job_of, placed_at_incarnation, placed_state, step};
 use ospreywing_scheduler::{
     CrashRecord, JobOutcome, JobState, Phase, StoredJob, Suspicion, TaskKey,
 };
@@ -48,8 +48,8 @@
 #[rstest]
 #[case::plain(placed_state("w0", 1))]
 #[case::crashes(crashed(placed_state("w0", 1)))]
-#[case::lives(placed_at_life("w0", 7, 1))]
-#[case::lives_and_crashes(crashed(placed_at_life("w0", 7, 1)))]
+#[case::incarnations(placed_at_incarnation("w0", 7, 1))]
+#[case::lives_and_crashes(crashed(placed_at_incarnation("w0", 7, 1)))]
 fn job_state_any_bytes(#[case] state: JobState) {
     let mut rng = Pcg64::seed_from_u64(4);
     let good = state.to_bytes();
--- a/crates/scheduler/tests/scheduler/support/cordons.rs
+++ b/crates/scheduler/tests/scheduler/support/cordons.rs
@@ -6,21 +6,21 @@
 use std::sync::Arc;
 
 /// How long after a cordon a start may come that was on its way.
-const ON_ITS_WAY_MS: u64 = 100;
+const IN_FLIGHT_MS: u64 = 100;
 
 /// The cordons that stand, and since when.
 pub struct CordonRule {
     since_ms: BTreeMap<Arc<str>, u64>,
     /// How long an order may be on its way.
-    on_its_way_ms: u64,
+    in_flight_ms: u64,
 }
 
 impl CordonRule {
-    /// Creates the rule for a world in which relays hold orders up to `held_ms`.
-    pub const fn new(held_ms: u64) -> Self {
+    /// Creates the rule for a world in which relays hold orders up to `relay_hold_ms`.
+    pub const fn new(relay_hold_ms: u64) -> Self {
         Self {
             since_ms: BTreeMap::new(),
-            on_its_way_ms: ON_ITS_WAY_MS + held_ms,
+            in_flight_ms: IN_FLIGHT_MS + relay_hold_ms,
         }
     }
 
@@ -47,7 +47,7 @@
             return;
         };
         assert!(
-            now_ms <= since_ms + self.on_its_way_ms,
+            now_ms <= since_ms + self.in_flight_ms,
             "{} starts on {} at {now_ms} ms, whose data centre was cordoned at {since_ms} ms",
             order.task,
             worker.id
--- a/crates/scheduler/tests/scheduler/support/bench.rs
+++ b/crates/scheduler/tests/scheduler/support/harness.rs
@@ -18,13 +18,13 @@
 const LEADER_LEASE: Duration = Duration::from_ms(1500);
 
 /// A scheduler with workers that answer by hand.
-pub struct Bench {
+pub struct Harness {
     pub now: Instant,
     pub scheduler: Scheduler,
     pub actions: Vec<Action>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(recovered: Recovered, workers: &[FakeWorker]) -> Self {
         Self::with_advice(recovered, workers, None)
     }
@@ -88,7 +88,7 @@
     }
 
     /// Lists a worker whose entry names the life with this start.
-    pub fn list_restarted(&mut self, worker: &FakeWorker, life_start_ms: u64) {
+    pub fn list_incarnation(&mut self, worker: &FakeWorker, life_start_ms: u64) {
         let life_start = Some(LifeStart::from_ms(life_start_ms));
         let facts = WorkerFacts {
             life_start,
@@ -109,11 +109,11 @@
     }
 
     pub fn list(&mut self, worker: WorkerKey, ended: Vec<EndedRun>) {
-        self.list_after(Duration::from_ms(60), worker, ended);
+        self.answer_poll_after(Duration::from_ms(60), worker, ended);
     }
 
     /// Has a worker list ends, in an answer that takes so long.
-    pub fn list_after(&mut self, length: Duration, worker: WorkerKey, ended: Vec<EndedRun>) {
+    pub fn answer_poll_after(&mut self, length: Duration, worker: WorkerKey, ended: Vec<EndedRun>) {
         let sent_at = self.now;
         self.now = self.now + length;
         self.tell(Event::HoldAnswered {
@@ -128,12 +128,17 @@
         });
     }
 
-    pub fn list_running(&mut self, worker: WorkerKey, task: TaskKey) {
-        self.list_both(worker, task, Vec::new());
+    pub fn answer_poll_running(&mut self, worker: WorkerKey, task: TaskKey) {
+        self.answer_poll_running_and_ended(worker, task, Vec::new());
     }
 
     /// Has a worker list a task's first run as alive, and ends.
-    pub fn list_both(&mut self, worker: WorkerKey, task: TaskKey, ended: Vec<EndedRun>) {
+    pub fn answer_poll_running_and_ended(
+        &mut self,
+        worker: WorkerKey,
+        task: TaskKey,
+        ended: Vec<EndedRun>,
+    ) {
         let alive = RunningRun {
             task,
             run: 1,
@@ -156,7 +161,11 @@
     }
 
     /// Has the workers list runs that are so far on.
-    pub fn list_progress(&mut self, runs: &[(WorkerKey, TaskKey, u32)], progress_percent: u32) {
+    pub fn answer_polls_with_progress(
+        &mut self,
+        runs: &[(WorkerKey, TaskKey, u32)],
+        progress_percent: u32,
+    ) {
         let mut workers: Vec<WorkerKey> = runs.iter().map(|(worker, ..)| *worker).collect();
         workers.dedup();
         for worker in workers {
@@ -184,7 +193,7 @@
         }
     }
 
-    pub fn be_silent(&mut self, worker: WorkerKey) {
+    pub fn leave_poll_unanswered(&mut self, worker: WorkerKey) {
         self.now = self.now + Duration::from_ms(700);
         let sent_at = self.now;
         self.tell(Event::HoldAnswered {
@@ -250,7 +259,7 @@
 
     /// Answers the open calls for advice, finding only these workers good;
     /// returns how many workers each call named.
-    pub fn advise(&mut self, good: &[&str]) -> Vec<usize> {
+    pub fn answer_advice_calls(&mut self, good: &[&str]) -> Vec<usize> {
         let taken = core::mem::take(&mut self.actions);
         let mut named_counts = Vec::new();
         for action in taken {
--- a/crates/scheduler/tests/scheduler/support/limits.rs
+++ b/crates/scheduler/tests/scheduler/support/limits.rs
@@ -7,27 +7,27 @@
 
 /// For how long a limit counts that was lowered: a message on its way; an order that is
 /// carried out late.
-const PROMPT_COUNTS_MS: u64 = 100;
-const LATE_COUNTS_MS: u64 = 12_100;
+const PROMPT_ORDER_MS: u64 = 100;
+const LATE_ORDER_MS: u64 = 12_100;
 
 /// The limits that customers have had.
 pub struct LimitRule {
     /// Each customer's limits, and when each came into force.
     limits: BTreeMap<String, Vec<(u64, Resources)>>,
     /// For how long a limit counts that was lowered.
-    counts_ms: u64,
+    lowered_limit_ms: u64,
 }
 
 impl LimitRule {
     /// Creates the rule for a world in which orders may be carried out late.
     pub fn new(has_late_orders: bool) -> Self {
-        let counts_ms = match has_late_orders {
-            true => LATE_COUNTS_MS,
-            false => PROMPT_COUNTS_MS,
+        let lowered_limit_ms = match has_late_orders {
+            true => LATE_ORDER_MS,
+            false => PROMPT_ORDER_MS,
         };
         Self {
             limits: BTreeMap::new(),
-            counts_ms,
+            lowered_limit_ms,
         }
     }
 
@@ -42,7 +42,7 @@
     /// Returns the highest limit of a customer that counts now.
     fn highest(&self, now_ms: u64, customer: &str) -> Option<Resources> {
         let limits = self.limits.get(customer)?;
-        let from_ms = now_ms.saturating_sub(self.counts_ms);
+        let from_ms = now_ms.saturating_sub(self.lowered_limit_ms);
         let first = limits
             .iter()
             .rposition(|(since_ms, _)| *since_ms <= from_ms);
--- a/crates/scheduler/tests/scheduler/support/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/mod.rs
@@ -1,12 +1,12 @@
 //! A cell in miniature: fake workers, a fake store and an adviser, driven
 //! through time by a seed, with every rule checked from the outside.
 
-pub mod bench;
 pub mod cordons;
+pub mod harness;
 pub mod limits;
 pub mod rules;
+pub mod simulation;
 pub mod worker;
-pub mod world;
 
 use ospreywing_scheduler::{
     AdvicePolicy, Configuration, Customer, JobId, JobRecord, JobSpec, JobState, LifeStart, Queue,
@@ -19,7 +19,7 @@
 /// The queue of most jobs in these tests.
 pub const QUEUE: &str = "render";
 /// A queue that is less urgent.
-pub const PATIENT_QUEUE: &str = "bundle";
+pub const LOW_PRIORITY_QUEUE: &str = "bundle";
 /// The service of all workers in these tests.
 pub const SERVICE: &str = "gallery";
 /// A queue of another service, and that service.
@@ -41,7 +41,7 @@
     };
     Configuration {
         version: 1,
-        queues: [queue(QUEUE, 1), queue(PATIENT_QUEUE, 2)]
+        queues: [queue(QUEUE, 1), queue(LOW_PRIORITY_QUEUE, 2)]
             .map(|queue| (queue.name.clone(), queue))
             .into(),
         services: vec![ServicePolicy {
@@ -88,14 +88,14 @@
 
 /// Returns a job of the patient queue: tasks that save checkpoints and have
 /// time to spare.
-pub fn patient_job(number: u64, tasks_count: u32) -> (JobId, JobRecord) {
+pub fn low_priority_job(number: u64, tasks_count: u32) -> (JobId, JobRecord) {
     let saving = StepSpec {
         saves_progress: true,
         estimate_ms: 10_000,
         ..step(tasks_count)
     };
     let (id, mut record) = job(number, vec![saving]);
-    record.queue = PATIENT_QUEUE.to_owned();
+    record.queue = LOW_PRIORITY_QUEUE.to_owned();
     (id, record)
 }
 
@@ -129,7 +129,7 @@
 }
 
 /// Returns the same, given to the life of the worker with this start.
-pub fn placed_at_life(worker: &str, life_start_ms: u64, run: u32) -> JobState {
+pub fn placed_at_incarnation(worker: &str, life_start_ms: u64, run: u32) -> JobState {
     let mut state = placed_state(worker, run);
     let status = &mut state.rounds[0].steps[0].tasks[0].status;
     *status = TaskStatus::Placed {
@@ -176,7 +176,7 @@
         name: OTHER_QUEUE.to_owned(),
         service: OTHER_SERVICE.to_owned(),
         priority: 0,
-        ..configuration.queues[PATIENT_QUEUE].clone()
+        ..configuration.queues[LOW_PRIORITY_QUEUE].clone()
     };
     configuration.queues.insert(queue.name.clone(), queue);
     configuration.services.push(ServicePolicy {
--- a/crates/scheduler/tests/scheduler/support/rules.rs
+++ b/crates/scheduler/tests/scheduler/support/rules.rs
@@ -9,7 +9,7 @@
 pub struct Rules {
     /// Tasks with an end `done` that was taken note of: a worker was told to
     /// forget it whose lease had not lapsed in between. Such a note stands for good.
-    pub done_noted: BTreeSet<TaskKey>,
+    pub done_recorded: BTreeSet<TaskKey>,
     /// When each task was started last.
     started_at_ms: BTreeMap<TaskKey, u64>,
     /// When each task was started first.
@@ -17,9 +17,9 @@
     /// Tasks with any end `done`.
     pub done: BTreeSet<TaskKey>,
     /// Runs that failed and were noted, by task.
-    pub failed_noted: BTreeMap<TaskKey, BTreeSet<u32>>,
+    pub failed_recorded: BTreeMap<TaskKey, BTreeSet<u32>>,
     /// Notes of ends `done` that don't count, since the lease lapsed in between.
-    pub lapsed_notes_count: usize,
+    pub expired_records_count: usize,
     /// Tasks with an end `done` that a worker was told to forget, its lease lapsed or not.
     pub done_acked: BTreeSet<TaskKey>,
     pub starts_count: usize,
@@ -31,7 +31,7 @@
     /// crashes from which on starts are counted.
     pub crashes: BTreeMap<TaskKey, CrashCount>,
     /// How many workers were lost while a run of the task was on them, whatever the cause.
-    lost_under: BTreeMap<TaskKey, usize>,
+    worker_losses: BTreeMap<TaskKey, usize>,
 }
 
 /// The crashes of one task, and its starts after the first three.
@@ -42,9 +42,9 @@
 }
 
 /// The crashes of a task after which its starts are counted.
-const CRASHES_FREE_COUNT: usize = 3;
+const UNCOUNTED_CRASHES_COUNT: usize = 3;
 /// The workers that must have been lost under a task before its job may be failed.
-const LOST_BEFORE_GIVEN_UP_COUNT: usize = 2;
+const LOSSES_BEFORE_FAILURE_COUNT: usize = 2;
 /// The starts after these that break the rule.
 const STARTS_AFTER_LIMIT_COUNT: usize = 3;
 
@@ -53,18 +53,18 @@
     ///
     /// A start after an end `done` breaks the rule also where the end is taken
     /// note of only later.
-    pub fn note_acks(&mut self, worker: &FakeWorker, now_ms: u64, last_seen: u64) {
+    pub fn record_acks(&mut self, worker: &FakeWorker, now_ms: u64, last_seen: u64) {
         for end in worker.ended.iter().filter(|end| end.number <= last_seen) {
             let task = end.task;
             match end.kind {
                 EndKind::Done => {
                     self.done_acked.insert(task);
-                    let (ended_at_ms, is_noted) = worker.end_told(end.number, now_ms);
+                    let (ended_at_ms, is_noted) = worker.end_time_and_lease(end.number, now_ms);
                     if !is_noted {
-                        self.lapsed_notes_count += 1;
+                        self.expired_records_count += 1;
                         continue;
                     }
-                    self.done_noted.insert(task);
+                    self.done_recorded.insert(task);
                     let started_at_ms = self.started_at_ms.get(&task).copied().unwrap_or(0);
                     assert!(
                         started_at_ms <= ended_at_ms,
@@ -74,7 +74,7 @@
                     );
                 }
                 EndKind::Failed => {
-                    let runs = self.failed_noted.entry(task).or_default();
+                    let runs = self.failed_recorded.entry(task).or_default();
                     runs.insert(end.run);
                 }
                 _ => {}
@@ -98,14 +98,14 @@
         let record = jobs.get(&task.step.job).expect("a job that was accepted");
         let spec = &record.spec.steps[task.step.step as usize];
         assert!(
-            !self.done_noted.contains(&task),
+            !self.done_recorded.contains(&task),
             "{task} starts after its end was noted"
         );
         assert!(
             !self.done_acked.contains(&task),
             "{task} starts after its end was acknowledged, lapsed or not"
         );
-        let failed_count = self.failed_noted.get(&task).map_or(0, BTreeSet::len);
+        let failed_count = self.failed_recorded.get(&task).map_or(0, BTreeSet::len);
         assert!(
             failed_count < super::ATTEMPTS_COUNT as usize,
             "{task} starts after its attempts were used up"
@@ -154,22 +154,22 @@
     }
 
     /// Notes that a worker has crashed under a task that causes this.
-    pub fn note_crash(&mut self, task: TaskKey) {
+    pub fn record_worker_crash(&mut self, task: TaskKey) {
         self.crashes.entry(task).or_default().crashes_count += 1;
     }
 
     /// Notes that a worker is lost with what runs there.
-    pub fn note_loss(&mut self, worker: &FakeWorker) {
+    pub fn record_worker_loss(&mut self, worker: &FakeWorker) {
         for task in worker.runs.keys() {
-            *self.lost_under.entry(*task).or_default() += 1;
+            *self.worker_losses.entry(*task).or_default() += 1;
         }
     }
 
     /// Returns whether a job may be failed for the workers that were lost under one of
     /// its tasks.
-    pub fn may_be_given_up(&self, job: JobId) -> bool {
-        let mut lost = self.lost_under.iter();
-        lost.any(|(task, count)| task.step.job == job && *count >= LOST_BEFORE_GIVEN_UP_COUNT)
+    pub fn may_be_failed(&self, job: JobId) -> bool {
+        let mut lost = self.worker_losses.iter();
+        lost.any(|(task, count)| task.step.job == job && *count >= LOSSES_BEFORE_FAILURE_COUNT)
     }
 
     /// Checks that a task which crashes its workers is not started on and on.
@@ -177,7 +177,7 @@
         let Some(count) = self.crashes.get_mut(&task) else {
             return;
         };
-        if count.crashes_count >= CRASHES_FREE_COUNT {
+        if count.crashes_count >= UNCOUNTED_CRASHES_COUNT {
             count.starts_after_count += 1;
             assert!(
                 count.starts_after_count < STARTS_AFTER_LIMIT_COUNT,
@@ -188,7 +188,7 @@
     }
 
     /// Checks that a start is not more than the worker holds.
-    pub fn check_room(
+    pub fn check_capacity(
         &self,
         now_ms: u64,
         worker: &FakeWorker,
@@ -204,7 +204,7 @@
         }
         let id = &worker.id;
         assert!(
-            used.fits_in(&worker.counted_room(now_ms)),
+            used.fits_in(&worker.effective_capacity(now_ms)),
             "{id} is given more than it holds"
         );
     }
--- a/crates/scheduler/tests/scheduler/support/world/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
@@ -1,6 +1,6 @@
 //! Messages on their way, and what becomes of them where they arrive.
 
-use super::{Message, World, HELD_LIMIT_MS, LEASE_LIMIT_MS};
+use super::{Message, Simulation, LEASE_LIMIT_MS, RELAY_HOLD_LIMIT_MS};
 use crate::support::worker::{FakeRun, FakeWorker};
 use ospreywing_scheduler::{
     Change, ChangeKind, EndKind, Endpoint, Event, HoldReply, RefusedStart, StartOrder, StartReply,
@@ -13,7 +13,7 @@
 /// How soon a task that crashes its workers does so.
 const CRASH_AFTER_MS: core::ops::Range<u64> = 0..20;
 
-impl World {
+impl Simulation {
     pub(super) fn send_start(&mut self, term: u64, to: Endpoint, order: StartOrder) {
         assert_eq!(
             order.ticket.is_some(),
@@ -21,7 +21,7 @@
             "a ticket where one is needed"
         );
         let is_late = self.draw(self.faults.late_order);
-        let after_ms = self.delay(is_late) + self.held_ms();
+        let after_ms = self.delay(is_late) + self.relay_hold_ms();
         if is_late {
             self.post_unanswered_start(term, &to, &order);
         }
@@ -64,9 +64,9 @@
     }
 
     /// Returns how long a relay holds a start.
-    fn held_ms(&mut self) -> u64 {
+    fn relay_hold_ms(&mut self) -> u64 {
         if self.faults.held_order > 0 && self.draw(self.faults.held_order) {
-            self.rng.random_range(0..HELD_LIMIT_MS)
+            self.rng.random_range(0..RELAY_HOLD_LIMIT_MS)
         } else {
             0
         }
@@ -89,16 +89,16 @@
         match message {
             Message::Tell { term, event } => self.tell(term, event),
             Message::Cut { worker, length_ms } => self.cut(worker, length_ms),
-            Message::Heal { worker } => self.workers[worker].is_cut = false,
+            Message::Heal { worker } => self.workers[worker].is_partitioned = false,
             Message::Die { worker } => self.replace(worker),
             Message::Crash { worker, task } => self.crash(worker, task),
-            Message::BringUp { worker } => self.bring_up(worker),
-            Message::Restart { worker } => self.start_again(worker),
+            Message::StartReplacement { worker } => self.start_replacement(worker),
+            Message::Restart { worker } => self.start_next_incarnation(worker),
             Message::WriteEntry { worker } => self.write_entry(worker),
             Message::Resize { worker, per_mille } => self.resize(worker, per_mille),
             Message::Wake { term } => self.wake(term),
             Message::ListWorkers => self.list_workers(),
-            Message::TroubleOver => self.end_trouble(),
+            Message::EndTrouble => self.end_trouble(),
             Message::Commit {
                 term,
                 lane,
@@ -111,7 +111,7 @@
                 last_seen,
                 sent_at,
             } => {
-                let reply = self.deliver_hold(term, &to, until_ms, last_seen);
+                let reply = self.deliver_poll(term, &to, until_ms, last_seen);
                 let after_ms = if reply == HoldReply::Unanswered {
                     ORDER_LIMIT_MS
                 } else {
@@ -171,18 +171,19 @@
 
     fn is_lost(&mut self, index: usize) -> bool {
         let worker = &self.workers[index];
-        !worker.is_alive || worker.is_cut
+        !worker.is_alive || worker.is_partitioned
     }
 
     /// Returns whether a later life of a dead worker's machine answers.
-    fn is_other_life(&self, index: usize) -> bool {
+    fn is_other_incarnation(&self, index: usize) -> bool {
         let dead = &self.workers[index];
-        let is_next =
-            |other: &FakeWorker| other.is_alive && !other.is_cut && other.address == dead.address;
+        let is_next = |other: &FakeWorker| {
+            other.is_alive && !other.is_partitioned && other.address == dead.address
+        };
         !dead.is_alive && self.workers.iter().any(is_next)
     }
 
-    fn deliver_hold(
+    fn deliver_poll(
         &mut self,
         term: u64,
         to: &Endpoint,
@@ -190,7 +191,7 @@
         last_seen: u64,
     ) -> HoldReply {
         let index = self.worker_index(to);
-        if self.is_other_life(index) {
+        if self.is_other_incarnation(index) {
             return HoldReply::OtherLife;
         }
         if self.is_lost(index) {
@@ -198,7 +199,7 @@
         }
         let now_ms = self.now_ms;
         self.workers[index].advance(now_ms);
-        self.note_done();
+        self.record_done();
         let worker = &mut self.workers[index];
         // Only the life that is meant is told what to forget.
         let is_meant = to.life_start.is_none() || to.life_start == worker.life_start;
@@ -208,7 +209,7 @@
             0
         };
         if term >= worker.fence {
-            self.rules.note_acks(worker, now_ms, last_seen);
+            self.rules.record_acks(worker, now_ms, last_seen);
         }
         let reply = worker.hold(now_ms, term, until_ms, last_seen, LEASE_LIMIT_MS);
         if self.draw(self.faults.lost_answer) {
@@ -220,14 +221,14 @@
     fn deliver_start(&mut self, term: u64, to: &Endpoint, order: &StartOrder, is_answered: bool) {
         let index = self.worker_index(to);
         let mut reply = StartReply::Unanswered;
-        if self.is_other_life(index) {
+        if self.is_other_incarnation(index) {
             reply = StartReply::OtherLife;
         } else if !self.is_lost(index) {
             reply = self.start_at(term, index, order, !is_answered);
         }
         let worker = &self.workers[index];
         self.trace
-            .note_start(self.now_ms, worker, order, !is_answered, reply);
+            .print_start(self.now_ms, worker, order, !is_answered, reply);
         if self.draw(self.faults.lost_answer) {
             reply = StartReply::Unanswered;
         }
@@ -259,7 +260,7 @@
         for worker in &mut self.workers {
             worker.advance(now_ms);
         }
-        self.note_done();
+        self.record_done();
         let ticket = &order.ticket;
         if ticket.is_some() && *ticket != Some(self.workers[index].ticket()) {
             return StartReply::Refused(RefusedStart::Ticket);
@@ -282,15 +283,15 @@
             self.cordon_rule
                 .check_start(now_ms, &self.workers[index], order);
             self.rules
-                .check_room(now_ms, &self.workers[index], order, &self.jobs);
+                .check_capacity(now_ms, &self.workers[index], order, &self.jobs);
         }
         let started = self.started_ms.entry(order.task.step.job);
         started.or_insert(now_ms);
         let fails = self.draw(self.faults.failing_run);
-        let own = self.lengths_of.get(&order.task.step.job);
-        let lengths_ms = own.unwrap_or(&self.run_lengths_ms).clone();
+        let own = self.job_run_durations_ms.get(&order.task.step.job);
+        let lengths_ms = own.unwrap_or(&self.run_durations_ms).clone();
         let spec = &self.jobs[&order.task.step.job].spec.steps[order.task.step.step as usize];
-        let usual_ms = match &self.run_lengths_percent {
+        let usual_ms = match &self.run_durations_percent {
             Some(percent) => spec.estimate_ms * self.rng.random_range(percent.clone()) / 100,
             None => self.rng.random_range(lengths_ms),
         };
@@ -308,7 +309,7 @@
         };
         self.workers[index].begin(now_ms, order, run, LEASE_LIMIT_MS);
         let task = order.task;
-        if task.index == 0 && self.crashing.contains(&task.step.job) {
+        if task.index == 0 && self.crashing_jobs.contains(&task.step.job) {
             let after_ms = self.rng.random_range(CRASH_AFTER_MS);
             let worker = index;
             self.post(after_ms, Message::Crash { worker, task });
@@ -326,7 +327,7 @@
     ) {
         let index = self.worker_index(to);
         let mut reply = StopReply::Unanswered;
-        if self.is_other_life(index) {
+        if self.is_other_incarnation(index) {
             reply = StopReply::OtherLife;
         } else if !self.is_lost(index) {
             let now_ms = self.now_ms;
@@ -334,7 +335,7 @@
             reply = self.workers[index].stop(now_ms, term, task, run);
         }
         let worker = &self.workers[index];
-        self.trace.note_stop(self.now_ms, worker, task, run, reply);
+        self.trace.print_stop(self.now_ms, worker, task, run, reply);
         if !is_answered || reply == StopReply::Unanswered || self.draw(self.faults.lost_answer) {
             return;
         }
@@ -347,7 +348,7 @@
         self.post(1, Message::Tell { term, event });
     }
 
-    pub(super) fn note_done(&mut self) {
+    pub(super) fn record_done(&mut self) {
         for worker in &self.workers {
             let done = worker.ended.iter().filter(|end| end.kind == EndKind::Done);
             self.rules.done.extend(done.map(|end| end.task));
--- a/crates/scheduler/tests/scheduler/support/world/faults.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/faults.rs
@@ -1,6 +1,6 @@
 //! Faults: drawn at each tick, and how they strike.
 
-use super::{Message, World, LEADER_LEASE_MS};
+use super::{Message, Simulation, LEADER_LEASE_MS};
 use crate::support::step;
 use crate::support::worker::FakeWorker;
 use ospreywing_scheduler::{Event, TaskKey};
@@ -34,14 +34,14 @@
 /// The tasks of the usual size that a customer's limit holds: the largest gang at least.
 const LIMIT_TASKS_COUNT: core::ops::Range<u32> = 4..14;
 
-impl World {
+impl Simulation {
     /// Takes workers down at once; they are back after a while.
     pub fn lose(&mut self, workers: &[usize]) {
         for &worker in workers {
-            if let Some(listed_ms) = self.take_down(worker) {
+            if let Some(listed_ms) = self.crash_incarnation(worker) {
                 self.post(listed_ms, Message::ListWorkers);
                 let away_ms = self.rng.random_range(AWAY_MS);
-                self.post(away_ms, Message::BringUp { worker });
+                self.post(away_ms, Message::StartReplacement { worker });
             }
         }
     }
@@ -64,15 +64,15 @@
         }
         if self.draw(self.faults.trouble) && !self.has_trouble {
             self.has_trouble = true;
-            self.tell_all(Event::StoreTrouble(true));
+            self.send_to_leaders(Event::StoreTrouble(true));
             let length_ms = self.rng.random_range(TROUBLE_MS);
-            self.post(length_ms, Message::TroubleOver);
+            self.post(length_ms, Message::EndTrouble);
         }
         if self.faults.pause > 0 && self.draw(self.faults.pause) {
             self.pause_leader();
         }
         if self.faults.stale_entry > 0 && self.draw(self.faults.stale_entry) {
-            self.list_dead_again();
+            self.relist_dead_worker();
         }
         if self.faults.resize > 0 && self.draw(self.faults.resize) {
             self.shrink_at_random();
@@ -85,7 +85,7 @@
             self.change_limits();
         }
         if self.faults.cordon > 0 && self.draw(self.faults.cordon) {
-            self.turn_cordon();
+            self.toggle_cordon();
         }
         let index = self.rng.random_range(0..self.workers.len());
         if self.draw(self.faults.drain) && self.workers[index].is_alive {
@@ -111,15 +111,15 @@
     }
 
     /// Cordons the data centre of some worker, or lifts its cordon.
-    fn turn_cordon(&mut self) {
+    fn toggle_cordon(&mut self) {
         let index = self.rng.random_range(0..self.workers.len());
         let data_centre = self.workers[index].data_centre.clone();
         self.cordon_rule.turn(self.now_ms, data_centre);
-        self.tell_all(Event::CordonsListed(self.cordon_rule.data_centres()));
+        self.send_to_leaders(Event::CordonsListed(self.cordon_rule.data_centres()));
     }
 
     /// Lists a worker again whose life was over before.
-    fn list_dead_again(&mut self) {
+    fn relist_dead_worker(&mut self) {
         let index = self.rng.random_range(0..self.workers.len());
         if self.workers[index].is_alive {
             return;
@@ -151,7 +151,7 @@
         };
         leader.is_paused = false;
         let events = core::mem::take(&mut leader.backlog);
-        self.tell_batch(term, events);
+        self.send_batch_to_leader(term, events);
     }
 
     fn shrink_at_random(&mut self) {
@@ -174,26 +174,26 @@
                 self.post(after_ms, Message::Cut { worker, length_ms });
             }
         }
-        self.tell_all(Event::StoreTrouble(false));
+        self.send_to_leaders(Event::StoreTrouble(false));
     }
 
     /// Cuts a worker off for a while.
     pub(super) fn cut(&mut self, index: usize, length_ms: u64) {
-        self.workers[index].is_cut = true;
+        self.workers[index].is_partitioned = true;
         self.post(length_ms, Message::Heal { worker: index });
     }
 
     /// Ends a worker's life and begins the next of its machine.
     pub(super) fn replace(&mut self, index: usize) {
-        if let Some(listed_ms) = self.take_down(index) {
-            self.bring_up(index);
+        if let Some(listed_ms) = self.crash_incarnation(index) {
+            self.start_replacement(index);
             self.post(listed_ms, Message::ListWorkers);
         }
     }
 
     /// Has a worker crash and start again under its id.
     pub fn restart(&mut self, index: usize) {
-        if let Some(listed_ms) = self.take_down(index) {
+        if let Some(listed_ms) = self.crash_incarnation(index) {
             self.post(listed_ms, Message::ListWorkers);
             let away_ms = self.rng.random_range(RESTART_MS);
             self.post(away_ms, Message::Restart { worker: index });
@@ -202,12 +202,13 @@
 
     /// Begins the next life of a worker that crashed, under its id. The time of day, by
     /// which it tells its start, may have been set back or ahead meanwhile.
-    pub(super) fn start_again(&mut self, index: usize) {
+    pub(super) fn start_next_incarnation(&mut self, index: usize) {
         let wall_ms = self.rng.random_range(WALL_MS);
         let clock_base_ms = self.rng.random_range(CLOCK_BASE_MS);
         self.workers[index].restart(wall_ms, clock_base_ms);
         let worker = &self.workers[index];
-        self.trace.note_life(self.now_ms, worker, "starts again");
+        self.trace
+            .print_incarnation(self.now_ms, worker, "starts again");
         let after_ms = self.rng.random_range(ENTRY_DELAY_MS);
         self.post(after_ms, Message::WriteEntry { worker: index });
     }
@@ -221,27 +222,27 @@
     pub(super) fn crash(&mut self, index: usize, task: TaskKey) {
         let runs = self.workers[index].runs.keys();
         let others = runs.filter(|other| other.step.job != task.step.job);
-        self.runs_lost_beside_count += others.count();
-        if let Some(listed_ms) = self.take_down(index) {
-            self.rules.note_crash(task);
+        self.innocent_runs_lost_count += others.count();
+        if let Some(listed_ms) = self.crash_incarnation(index) {
+            self.rules.record_worker_crash(task);
             self.post(listed_ms, Message::ListWorkers);
             let away_ms = self.rng.random_range(AWAY_MS);
             let back = match self.keeps_ids {
                 true => Message::Restart { worker: index },
-                false => Message::BringUp { worker: index },
+                false => Message::StartReplacement { worker: index },
             };
             self.post(away_ms, back);
         }
     }
 
     /// Ends a worker's life; returns how long it is still listed.
-    fn take_down(&mut self, index: usize) -> Option<u64> {
+    fn crash_incarnation(&mut self, index: usize) -> Option<u64> {
         if !core::mem::replace(&mut self.workers[index].is_alive, false) {
             return None;
         }
-        self.rules.note_loss(&self.workers[index]);
+        self.rules.record_worker_loss(&self.workers[index]);
         let worker = &self.workers[index];
-        self.trace.note_life(self.now_ms, worker, "is lost");
+        self.trace.print_incarnation(self.now_ms, worker, "is lost");
         let listed_ms = self.rng.random_range(LISTED_DEAD_MS);
         self.workers[index].listed_until_ms = self.now_ms + listed_ms;
         Some(listed_ms)
@@ -257,7 +258,7 @@
 
     /// Begins the next life of a dead worker's machine, whose id may sort before the
     /// dead one's or behind it.
-    pub(super) fn bring_up(&mut self, index: usize) {
+    pub(super) fn start_replacement(&mut self, index: usize) {
         let (id, address) = (&self.workers[index].id, self.workers[index].address.clone());
         let rack = self.workers[index].rack.clone();
         let data_centre = self.workers[index].data_centre.clone();
@@ -273,7 +274,7 @@
         next.set_capacity(self.workers[index].full_capacity);
         next.ignores_foreign_acks = self.workers[index].ignores_foreign_acks;
         if self.workers[index].life_start.is_some() {
-            next.tell_life_start(self.rng.random_range(WALL_MS));
+            next.set_incarnation_start(self.rng.random_range(WALL_MS));
         }
         self.workers.push(next);
         self.list_workers();
--- a/crates/scheduler/tests/scheduler/support/world/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -30,7 +30,7 @@
 /// The time of day at which the first lives start.
 const FIRST_START_MS: u64 = 5_000_000;
 /// How long a relay holds an order at most.
-const HELD_LIMIT_MS: u64 = 600;
+const RELAY_HOLD_LIMIT_MS: u64 = 600;
 /// How long a commit takes while the store is in trouble.
 const SLOW_COMMIT_MS: core::ops::Range<u64> = 100..3_000;
 /// How often faults strike, in thousandths.
@@ -112,7 +112,7 @@
         worker: usize,
         task: TaskKey,
     },
-    BringUp {
+    StartReplacement {
         worker: usize,
     },
     Restart {
@@ -129,7 +129,7 @@
         term: u64,
     },
     ListWorkers,
-    TroubleOver,
+    EndTrouble,
 }
 
 struct Leader {
@@ -143,7 +143,7 @@
 }
 
 /// The world.
-pub struct World {
+pub struct Simulation {
     pub now_ms: u64,
     rng: Pcg64,
     faults: Faults,
@@ -152,7 +152,7 @@
     leaders: Vec<Leader>,
     pub workers: Vec<FakeWorker>,
     /// The workers as leaders were told of them.
-    told_workers: BTreeMap<Arc<str>, WorkerFacts>,
+    published_workers: BTreeMap<Arc<str>, WorkerFacts>,
     messages: BTreeMap<(u64, u64), Message>,
     next_message: u64,
     jobs: BTreeMap<JobId, JobRecord>,
@@ -165,18 +165,18 @@
     last_faults_at_ms: u64,
     has_trouble: bool,
     /// How long runs take.
-    pub run_lengths_ms: core::ops::Range<u64>,
+    pub run_durations_ms: core::ops::Range<u64>,
     /// The same as a part of their steps' estimates, where that is set, in percent.
-    pub run_lengths_percent: Option<core::ops::Range<u64>>,
+    pub run_durations_percent: Option<core::ops::Range<u64>>,
     /// After this time no new fault strikes.
-    pub calm_from_ms: u64,
+    pub faults_end_ms: u64,
     /// One of so many workers is good for a job; 0 for two of three.
     pub good_one_in: u64,
     pub advice_calls_count: usize,
     /// Jobs whose first task crashes each worker that starts it.
-    pub crashing: BTreeSet<JobId>,
+    pub crashing_jobs: BTreeSet<JobId>,
     /// Runs of other jobs that were lost with workers which such tasks crashed.
-    pub runs_lost_beside_count: usize,
+    pub innocent_runs_lost_count: usize,
     /// When each job was first seen to have its outcome.
     pub done_ms: BTreeMap<JobId, u64>,
     /// When a run of each job was first started.
@@ -184,9 +184,9 @@
     crash_policy: CrashPolicy,
     features: Features,
     /// Whether what a leader has learned comes to the next one.
-    pub hands_on_learned: bool,
+    pub hands_over_learned: bool,
     /// How long the runs of a job take on a worker of usual speed, where they differ from others.
-    pub lengths_of: BTreeMap<JobId, core::ops::Range<u64>>,
+    pub job_run_durations_ms: BTreeMap<JobId, core::ops::Range<u64>>,
     /// Whether workers that a task has crashed start again under their ids.
     pub keeps_ids: bool,
     limit_rule: LimitRule,
@@ -194,7 +194,7 @@
     trace: Trace,
 }
 
-impl World {
+impl Simulation {
     pub fn new(
         seed: u64,
         workers_count: usize,
@@ -207,7 +207,7 @@
             FakeWorker::new(&format!("w{number}"), clock_per_mille)
         });
         let workers = workers.collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now_ms: 1_000,
             rng,
             faults,
@@ -215,7 +215,7 @@
             has_advice: advice.is_some(),
             leaders: Vec::new(),
             workers,
-            told_workers: BTreeMap::new(),
+            published_workers: BTreeMap::new(),
             messages: BTreeMap::new(),
             next_message: 0,
             jobs: BTreeMap::new(),
@@ -226,30 +226,30 @@
             rules: Rules::default(),
             last_faults_at_ms: 0,
             has_trouble: false,
-            run_lengths_ms: 200..2_500,
-            run_lengths_percent: None,
-            calm_from_ms: u64::MAX,
+            run_durations_ms: 200..2_500,
+            run_durations_percent: None,
+            faults_end_ms: u64::MAX,
             good_one_in: 0,
             advice_calls_count: 0,
-            crashing: BTreeSet::new(),
-            runs_lost_beside_count: 0,
+            crashing_jobs: BTreeSet::new(),
+            innocent_runs_lost_count: 0,
             done_ms: BTreeMap::new(),
             started_ms: BTreeMap::new(),
             crash_policy: CrashPolicy::default(),
             features: Features::default(),
-            hands_on_learned: false,
-            lengths_of: BTreeMap::new(),
+            hands_over_learned: false,
+            job_run_durations_ms: BTreeMap::new(),
             keeps_ids: false,
             limit_rule: LimitRule::new(faults.late_order > 0),
             cordon_rule: CordonRule::new(if faults.held_order > 0 {
-                HELD_LIMIT_MS
+                RELAY_HOLD_LIMIT_MS
             } else {
                 0
             }),
             trace: Trace::from_env(),
         };
-        world.elect();
-        world
+        simulation.elect();
+        simulation
     }
 
     /// Brings a configuration into force.
@@ -257,7 +257,7 @@
         let customers = configuration.customers.values();
         self.limit_rule.note(self.now_ms, customers);
         self.configuration = configuration.clone();
-        self.tell_all(Event::Configured(configuration));
+        self.send_to_leaders(Event::Configured(configuration));
     }
 
     /// Begins a term with another rule on crashes.
@@ -313,13 +313,13 @@
     /// Lifts all cordons.
     pub fn lift_cordons(&mut self) {
         self.cordon_rule.lift_all();
-        self.tell_all(Event::CordonsListed(self.cordon_rule.data_centres()));
+        self.send_to_leaders(Event::CordonsListed(self.cordon_rule.data_centres()));
     }
 
     /// Has the workers tell when they have started.
-    pub fn tell_life_starts(&mut self, ignores_foreign_acks: bool) {
+    pub fn report_incarnation_starts(&mut self, ignores_foreign_acks: bool) {
         for worker in &mut self.workers {
-            worker.tell_life_start(FIRST_START_MS);
+            worker.set_incarnation_start(FIRST_START_MS);
             worker.ignores_foreign_acks = ignores_foreign_acks;
         }
         self.list_workers();
@@ -330,9 +330,9 @@
     }
 
     fn draw(&mut self, per_mille: u32) -> bool {
-        let is_calm = self.now_ms >= self.calm_from_ms;
+        let are_faults_over = self.now_ms >= self.faults_end_ms;
         let drawn = self.rng.random_range(0..1000) < per_mille;
-        drawn && !is_calm
+        drawn && !are_faults_over
     }
 
     fn post(&mut self, after_ms: u64, message: Message) {
@@ -370,7 +370,7 @@
             .with_features(self.features);
         let now = self.now();
         let mut scheduler = Scheduler::new(config, self.configuration.clone(), now, recovered);
-        let before = self.leaders.last().filter(|_| self.hands_on_learned);
+        let before = self.leaders.last().filter(|_| self.hands_over_learned);
         if let Some(before) = before {
             scheduler.take_learned(now, &before.scheduler.learned(now));
         }
@@ -381,7 +381,7 @@
             is_paused: false,
             backlog: Vec::new(),
         });
-        self.tell_all(Event::NodesListed(vec![Arc::from("n1"), Arc::from("n2")]));
+        self.send_to_leaders(Event::NodesListed(vec![Arc::from("n1"), Arc::from("n2")]));
         self.tell(fence, Event::StoreTrouble(self.has_trouble));
         self.list_all_workers(fence);
     }
@@ -404,22 +404,22 @@
     /// Tells what has changed of the list of workers, as the platform does.
     pub fn list_workers(&mut self) {
         let listed = self.listed();
-        let before = core::mem::replace(&mut self.told_workers, listed);
-        let after = &self.told_workers;
+        let before = core::mem::replace(&mut self.published_workers, listed);
+        let after = &self.published_workers;
         let gone = before.keys().filter(|id| !after.contains_key(*id));
         let gone = gone.map(|id| WorkerChange::Unlisted(id.clone()));
         let written = after.values().filter(|it| before.get(&it.id) != Some(it));
         let written = written.map(|facts| WorkerChange::Listed(facts.clone()));
         let changes: Vec<WorkerChange> = gone.chain(written).collect();
         if !changes.is_empty() {
-            self.tell_all(Event::WorkersChanged(changes));
+            self.send_to_leaders(Event::WorkersChanged(changes));
         }
     }
 
     /// Tells a new leader the whole list, in the order of the workers' ids.
     fn list_all_workers(&mut self, fence: u64) {
         self.list_workers();
-        let list = self.told_workers.values().cloned().collect();
+        let list = self.published_workers.values().cloned().collect();
         self.tell(fence, Event::WorkersListed(list));
     }
 
@@ -427,12 +427,12 @@
         self.jobs.insert(id, record.clone());
         self.order.push(id);
         let record = Box::new(record);
-        self.tell_all(Event::JobAccepted { job: id, record });
+        self.send_to_leaders(Event::JobAccepted { job: id, record });
     }
 
     pub fn cancel(&mut self, id: JobId) {
         self.cancels.push(id);
-        self.tell_all(Event::CancelAccepted { job: id });
+        self.send_to_leaders(Event::CancelAccepted { job: id });
     }
 
     /// Returns what the leader forecasts.
@@ -446,7 +446,7 @@
         leader.scheduler.job(id).map(|view| view.phase)
     }
 
-    fn tell_all(&mut self, event: Event) {
+    fn send_to_leaders(&mut self, event: Event) {
         let fences: Vec<u64> = self.leaders.iter().map(|leader| leader.fence).collect();
         for fence in fences {
             self.tell(fence, event.clone());
@@ -454,11 +454,11 @@
     }
 
     fn tell(&mut self, fence: u64, event: Event) {
-        self.tell_batch(fence, vec![event]);
+        self.send_batch_to_leader(fence, vec![event]);
     }
 
     /// Tells a leader of what has come together.
-    fn tell_batch(&mut self, fence: u64, events: Vec<Event>) {
+    fn send_batch_to_leader(&mut self, fence: u64, events: Vec<Event>) {
         let now = self.now();
         let now_ms = self.now_ms;
         let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == fence) else {
@@ -479,12 +479,12 @@
         }
         if acts {
             for action in actions {
-                self.carry_out(fence, action);
+                self.perform(fence, action);
             }
         }
     }
 
-    fn carry_out(&mut self, term: u64, action: Action) {
+    fn perform(&mut self, term: u64, action: Action) {
         match action {
             Action::Commit { lane, changes } => {
                 let after_ms = match self.has_trouble {
@@ -548,7 +548,7 @@
                     leader.acts_until_ms = 0;
                 }
             }
-            Action::Log(decision) => self.trace.note_decision(self.now_ms, term, &decision),
+            Action::Log(decision) => self.trace.print_decision(self.now_ms, term, &decision),
         }
     }
 
@@ -577,13 +577,13 @@
         for worker in &mut self.workers {
             worker.advance(now_ms);
         }
-        self.note_done();
+        self.record_done();
         self.strike();
-        self.tell_all(Event::Tick);
+        self.send_to_leaders(Event::Tick);
     }
 
     /// Notes which jobs have their outcome by now.
-    pub fn note_outcomes(&mut self) {
+    pub fn record_outcomes(&mut self) {
         let open: Vec<JobId> = self.order.clone();
         let open = open.into_iter().filter(|id| !self.done_ms.contains_key(id));
         for id in open.collect::<Vec<JobId>>() {
--- a/crates/scheduler/tests/scheduler/support/world/trace.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/trace.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    pub(super) fn note_decision(&self, now_ms: u64, term: u64, decision: &Decision) {
+    pub(super) fn print_decision(&self, now_ms: u64, term: u64, decision: &Decision) {
         if !self.is_on {
             return;
         }
@@ -34,7 +34,7 @@
         );
     }
 
-    pub(super) fn note_start(
+    pub(super) fn print_start(
         &self,
         now_ms: u64,
         worker: &FakeWorker,
@@ -50,7 +50,7 @@
         }
     }
 
-    pub(super) fn note_stop(
+    pub(super) fn print_stop(
         &self,
         now_ms: u64,
         worker: &FakeWorker,
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn note_life(&self, now_ms: u64, worker: &FakeWorker, what: &str) {
+    pub(super) fn print_incarnation(&self, now_ms: u64, worker: &FakeWorker, what: &str) {
         if self.is_on {
             println!("{now_ms:>6} {} {what}", worker.id);
         }
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 /// How long after it shrank a room counts: three seconds and a heartbeat.
-const SHRUNK_ROOM_COUNTS_AFTER_MS: u64 = 4_500;
+const SHRINK_EFFECTIVE_AFTER_MS: u64 = 4_500;
 
 /// What a worker's clock showed at the begin of the world's, at first.
 const CLOCK_BASE_MS: u64 = 7_000;
@@ -37,7 +37,7 @@
     pub id: Arc<str>,
     /// When its life started, and what its entry in the store says of that.
     pub life_start: Option<LifeStart>,
-    entry_life_start: Option<LifeStart>,
+    entry_incarnation_start: Option<LifeStart>,
     /// What its clock showed at the begin of the world's.
     clock_base_ms: u64,
     /// Whether it takes no note of an acknowledgement beyond its newest end.
@@ -50,9 +50,9 @@
     /// What it holds when its room is not changed.
     pub full_capacity: Resources,
     /// Its room before it shrank, and when that was.
-    room_before: (Resources, u64),
+    capacity_before_shrink: (Resources, u64),
     pub is_alive: bool,
-    pub is_cut: bool,
+    pub is_partitioned: bool,
     /// How fast its clock runs, in thousandths.
     pub clock_per_mille: u64,
     /// How fast it works, in thousandths of the usual speed.
@@ -79,7 +79,7 @@
         Self {
             id: Arc::from(id),
             life_start: None,
-            entry_life_start: None,
+            entry_incarnation_start: None,
             clock_base_ms: CLOCK_BASE_MS,
             ignores_foreign_acks: false,
             address: Arc::from(format!("at {id}")),
@@ -88,9 +88,9 @@
             rack: None,
             capacity: Resources::new(4000, 4000, 0),
             full_capacity: Resources::new(4000, 4000, 0),
-            room_before: (Resources::ZERO, 0),
+            capacity_before_shrink: (Resources::ZERO, 0),
             is_alive: true,
-            is_cut: false,
+            is_partitioned: false,
             clock_per_mille,
             speed_per_mille: 1000,
             fence: 0,
@@ -110,7 +110,7 @@
     pub fn facts(&self) -> WorkerFacts {
         WorkerFacts {
             id: self.id.clone(),
-            life_start: self.entry_life_start,
+            life_start: self.entry_incarnation_start,
             address: self.address.clone(),
             service: self.service.clone(),
             machine: None,
@@ -130,14 +130,14 @@
     }
 
     /// Tells its start from now on, as workers do that may start again under their id.
-    pub fn tell_life_start(&mut self, wall_ms: u64) {
+    pub fn set_incarnation_start(&mut self, wall_ms: u64) {
         self.life_start = Some(LifeStart::from_ms(wall_ms));
         self.write_entry();
     }
 
     /// Has its entry say what holds now.
     pub const fn write_entry(&mut self) {
-        self.entry_life_start = self.life_start;
+        self.entry_incarnation_start = self.life_start;
     }
 
     /// Starts it again under its id: it knows nothing of before, and its clock and the
@@ -150,7 +150,7 @@
         self.rack = before.rack;
         self.speed_per_mille = before.speed_per_mille;
         self.set_capacity(before.full_capacity);
-        self.entry_life_start = before.entry_life_start;
+        self.entry_incarnation_start = before.entry_incarnation_start;
         self.ignores_foreign_acks = before.ignores_foreign_acks;
         self.life_start = Some(LifeStart::from_ms(wall_ms));
         self.clock_base_ms = clock_base_ms;
@@ -173,7 +173,7 @@
 
     /// Returns when an end was that is listed, and whether the lease has held
     /// ever since.
-    pub fn end_told(&self, number: u64, now_ms: u64) -> (u64, bool) {
+    pub fn end_time_and_lease(&self, number: u64, now_ms: u64) -> (u64, bool) {
         let ended_at_ms = self.ended_at_ms.get(&number).copied().unwrap_or(now_ms);
         let is_leased = self.clock_ms(now_ms) < self.lease_until_ms;
         (
@@ -191,14 +191,14 @@
             part(full.memory_mib),
             part(full.accelerators_count),
         );
-        self.room_before = (self.counted_room(now_ms), now_ms);
+        self.capacity_before_shrink = (self.effective_capacity(now_ms), now_ms);
         self.capacity = room;
     }
 
     /// Returns the room that starts are judged by: one that shrank counts a while later.
-    pub fn counted_room(&self, now_ms: u64) -> Resources {
-        let (before, shrank_at_ms) = self.room_before;
-        if now_ms < shrank_at_ms + SHRUNK_ROOM_COUNTS_AFTER_MS {
+    pub fn effective_capacity(&self, now_ms: u64) -> Resources {
+        let (before, shrank_at_ms) = self.capacity_before_shrink;
+        if now_ms < shrank_at_ms + SHRINK_EFFECTIVE_AFTER_MS {
             self.capacity.max(before)
         } else {
             self.capacity
--- a/crates/scheduler/tests/scheduler/takeover.rs
+++ b/crates/scheduler/tests/scheduler/takeover.rs
@@ -1,25 +1,25 @@
 //! What a new leader does with the runs of jobs that have their outcome, or
 //! that it can't read.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
 use crate::support::{first_task, job, placed_state, step};
 use ospreywing_scheduler::{
     Action, EndKind, Event, JobId, JobState, Phase, Recovered, TaskKey, WorkerKey,
 };
 
 /// Returns a leader of which a run has begun, and the run.
-fn after_start() -> (Bench, TaskKey, u32) {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let (worker, task, run) = bench.starts()[0];
-    bench.started((worker, task, run));
-    (bench, task, run)
+fn after_start() -> (Harness, TaskKey, u32) {
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let (worker, task, run) = harness.starts()[0];
+    harness.started((worker, task, run));
+    (harness, task, run)
 }
 
 /// Returns the next leader, to which the only worker is listed; the worker has not
 /// been asked yet.
-fn next_leader(state: JobState) -> (Bench, WorkerKey) {
+fn next_leader(state: JobState) -> (Harness, WorkerKey) {
     let (id, record) = job(1, vec![step(1)]);
     let kept = Recovered {
         jobs: vec![(id, record)],
@@ -27,7 +27,7 @@
         states: vec![(id, state)],
         ..Recovered::default()
     };
-    let mut next = Bench::new(kept, &[]);
+    let mut next = Harness::new(kept, &[]);
     next.list_worker(&workers(1)[0]);
     let worker = next.scheduler.worker_key("w0").expect("a listed worker");
     (next, worker)
@@ -37,13 +37,13 @@
 /// and the runs of cancelled jobs went on for ever.
 #[test]
 fn take_running_cancel_recorded_before() {
-    let (mut bench, task, run) = after_start();
+    let (mut harness, task, run) = after_start();
     let id = JobId::new(1);
-    bench.tell(Event::CancelAccepted { job: id });
-    let state = bench.commit_all().pop().expect("a recorded cancel");
+    harness.tell(Event::CancelAccepted { job: id });
+    let state = harness.commit_all().pop().expect("a recorded cancel");
     assert_eq!(state.phase, Phase::Canceled);
     let (mut next, worker) = next_leader(state);
-    next.list_running(worker, task);
+    next.answer_poll_running(worker, task);
     assert_eq!(
         next.stops(),
         vec![(worker, task, run)],
@@ -57,7 +57,7 @@
     let (_, task, run) = after_start();
     let state = placed_state("w0", run);
     let (mut next, worker) = next_leader(state);
-    next.list_running(worker, task);
+    next.answer_poll_running(worker, task);
     assert_eq!(
         next.stops(),
         vec![(worker, task, run)],
@@ -67,12 +67,12 @@
 
 /// Returns the next leader, which can't read the job, and the job's only run,
 /// which an earlier leader started.
-fn next_leader_without_state() -> (Bench, WorkerKey, TaskKey) {
+fn next_leader_without_state() -> (Harness, WorkerKey, TaskKey) {
     let kept = Recovered {
         unreadable: vec![JobId::new(1)],
         ..Recovered::default()
     };
-    let mut next = Bench::new(kept, &[]);
+    let mut next = Harness::new(kept, &[]);
     next.list_worker(&workers(1)[0]);
     let worker = next.scheduler.worker_key("w0").expect("a listed worker");
     (next, worker, first_task(JobId::new(1)))
@@ -91,7 +91,7 @@
 #[test]
 fn take_running_unreadable_job() {
     let (mut next, worker, task) = next_leader_without_state();
-    next.list_running(worker, task);
+    next.answer_poll_running(worker, task);
     next.submit(2, vec![step(1)]);
     next.commit_all();
     assert_eq!(next.stops(), vec![]);
@@ -117,7 +117,7 @@
 fn hold_goes_on_beside_end_of_unreadable_job() {
     let (mut next, worker, task) = next_leader_without_state();
     let other = TaskKey { index: 1, ..task };
-    next.list_both(worker, other, vec![end(1, task, 1, EndKind::Done)]);
+    next.answer_poll_running_and_ended(worker, other, vec![end(1, task, 1, EndKind::Done)]);
     next.actions.clear();
     next.commit_all();
     let asks = |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == worker);
--- a/crates/scheduler/tests/scheduler/waiting.rs
+++ b/crates/scheduler/tests/scheduler/waiting.rs
@@ -1,6 +1,6 @@
 //! Why steps wait: each reason is told, once it has lasted.
 
-use crate::support::bench::{workers, Bench};
+use crate::support::harness::{workers, Harness};
 use crate::support::{advice, configuration_with, customer, job_of, step};
 use ospreywing_scheduler::{
     Action, Decision, DecisionKind, Event, Recovered, StepSpec, WaitReason,
@@ -21,16 +21,16 @@
 }
 
 /// Lets time pass in which nothing is answered; returns the lines on waits.
-fn wait_for(bench: &mut Bench, length: Duration) -> Vec<Decision> {
-    let until = bench.now + length;
+fn wait_for(harness: &mut Harness, length: Duration) -> Vec<Decision> {
+    let until = harness.now + length;
     let mut lines = Vec::new();
-    while bench.now < until {
-        bench.now = bench.now + PACE;
-        bench.tell(Event::Tick);
-        for action in core::mem::take(&mut bench.actions) {
+    while harness.now < until {
+        harness.now = harness.now + PACE;
+        harness.tell(Event::Tick);
+        for action in core::mem::take(&mut harness.actions) {
             match action {
                 Action::Log(line) if line.kind == DecisionKind::StepWaits => lines.push(line),
-                other => bench.actions.push(other),
+                other => harness.actions.push(other),
             }
         }
     }
@@ -43,14 +43,14 @@
 
 #[test]
 fn step_waits_for_room() {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
     // Two fit.
-    bench.submit(1, vec![step(3)]);
-    bench.commit_all();
-    let lines = wait_for(&mut bench, LONG);
+    harness.submit(1, vec![step(3)]);
+    harness.commit_all();
+    let lines = wait_for(&mut harness, LONG);
     assert_eq!(told(&lines), [WaitReason::Room.as_str()]);
     assert!(lines[0].figure >= 3000, "since when it waits");
-    let status = bench.scheduler.status(bench.now);
+    let status = harness.scheduler.status(harness.now);
     let room = status.waits[WaitReason::Room as usize];
     assert_eq!(room.steps_count, 1);
     assert!(room.oldest >= Duration::from_ms(3000));
@@ -58,10 +58,10 @@
 
 #[test]
 fn step_waits_for_advice() {
-    let mut bench = Bench::with_advice(Recovered::default(), &workers(2), Some(advice()));
-    bench.tell(Event::NodesListed(vec!["n1".into()]));
-    bench.submit(1, vec![step(1)]);
-    let lines = wait_for(&mut bench, LONG);
+    let mut harness = Harness::with_advice(Recovered::default(), &workers(2), Some(advice()));
+    harness.tell(Event::NodesListed(vec!["n1".into()]));
+    harness.submit(1, vec![step(1)]);
+    let lines = wait_for(&mut harness, LONG);
     assert_eq!(told(&lines), [WaitReason::Advice.as_str()]);
 }
 
@@ -69,30 +69,30 @@
 #[case::tasks(step(3))]
 #[case::gang(gang(3))]
 fn step_waits_for_limit(#[case] spec: StepSpec) {
-    let mut bench = Bench::new(Recovered::default(), &workers(4));
+    let mut harness = Harness::new(Recovered::default(), &workers(4));
     let customers = vec![customer("one", 2, 100.0)];
-    bench.tell(Event::Configured(configuration_with(2, None, customers)));
-    bench.submit_job(job_of("one", 1, vec![spec]));
-    bench.commit_all();
-    let lines = wait_for(&mut bench, LONG);
+    harness.tell(Event::Configured(configuration_with(2, None, customers)));
+    harness.submit_job(job_of("one", 1, vec![spec]));
+    harness.commit_all();
+    let lines = wait_for(&mut harness, LONG);
     assert_eq!(told(&lines), [WaitReason::Limit.as_str()]);
 }
 
 /// Told again each ten seconds, and no more once it has started.
 #[test]
 fn step_waits_told_again() {
-    let mut bench = Bench::new(Recovered::default(), &workers(1));
-    bench.submit(1, vec![step(3)]);
-    bench.commit_all();
-    let lines = wait_for(&mut bench, Duration::from_s(14));
+    let mut harness = Harness::new(Recovered::default(), &workers(1));
+    harness.submit(1, vec![step(3)]);
+    harness.commit_all();
+    let lines = wait_for(&mut harness, Duration::from_s(14));
     assert_eq!(lines.len(), 2);
-    bench.list_workers(&workers(2));
-    let key = bench.scheduler.worker_key("w1").expect("a worker");
-    bench.list(key, Vec::new());
-    bench.commit_all();
-    bench.actions.clear();
-    let lines = wait_for(&mut bench, Duration::from_s(14));
+    harness.list_workers(&workers(2));
+    let key = harness.scheduler.worker_key("w1").expect("a worker");
+    harness.list(key, Vec::new());
+    harness.commit_all();
+    harness.actions.clear();
+    let lines = wait_for(&mut harness, Duration::from_s(14));
     assert_eq!(told(&lines), [] as [&str; 0]);
-    let status = bench.scheduler.status(bench.now);
+    let status = harness.scheduler.status(harness.now);
     assert!(status.waits.iter().all(|wait| wait.steps_count == 0));
 }
