--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -117,8 +117,8 @@
 
 /// What happens at a set time.
 enum Due {
-    Tell(Box<Event>),
-    Look { to: Endpoint, sent_at: Instant },
+    Event(Box<Event>),
+    Poll { to: Endpoint, sent_at: Instant },
 }
 
 impl Cell {
@@ -137,13 +137,13 @@
             cost: Cost::default(),
         };
         let nodes = (0..20).map(|number| Arc::from(format!("n{number}")));
-        cell.tell(Event::NodesListed(nodes.collect()));
+        cell.handle(Event::NodesListed(nodes.collect()));
         let listed = (0..workers_count).map(worker_facts).collect();
-        cell.tell(Event::WorkersListed(listed));
+        cell.handle(Event::WorkersListed(listed));
         cell
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = Instant::from_ms(self.now_ms);
         let allocated = ALLOCATIONS_COUNT.load(Ordering::Relaxed);
         let begun_ns = busy_ns();
@@ -161,8 +161,8 @@
         self.due.insert((at_ms, self.dues_count), due);
     }
 
-    fn tell_after(&mut self, after_ms: u64, event: Event) {
-        self.post(self.now_ms + after_ms, Due::Tell(Box::new(event)));
+    fn handle_after(&mut self, after_ms: u64, event: Event) {
+        self.post(self.now_ms + after_ms, Due::Event(Box::new(event)));
     }
 
     fn perform(&mut self, action: Action) {
@@ -173,12 +173,12 @@
                     ChangeKind::Forget => 0,
                 });
                 self.cost.committed_bytes += bytes.sum::<usize>() as u64;
-                self.tell_after(COMMIT_MS, Event::Committed { lane });
+                self.handle_after(COMMIT_MS, Event::Committed { lane });
             }
             Action::Start { to, order } => self.start(&to, &order),
             Action::Stop { to, task, run } => {
                 let (worker, reply) = (to.worker, StopReply::Stopping);
-                self.tell_after(
+                self.handle_after(
                     CALL_MS,
                     Event::StopAnswered {
                         worker,
@@ -200,7 +200,7 @@
                 worker.ended.retain(|end| end.number > last_seen);
                 let at_ms = worker.answers_at_ms(now_ms, wait) + CALL_MS;
                 let sent_at = Instant::from_ms(now_ms);
-                self.post(at_ms, Due::Look { to, sent_at });
+                self.post(at_ms, Due::Poll { to, sent_at });
             }
             Action::Advise {
                 step,
@@ -220,7 +220,7 @@
                 };
                 let named = workers.iter().map(|to| to.worker).collect();
                 let event = Event::AdviceAnswered { step, named, reply };
-                self.tell_after(expected.as_ms(), event);
+                self.handle_after(expected.as_ms(), event);
             }
             Action::Log(_) | Action::StepDown => {}
         }
@@ -238,10 +238,10 @@
             run: order.run,
             reply: StartReply::Started,
         };
-        self.tell_after(CALL_MS, event);
+        self.handle_after(CALL_MS, event);
     }
 
-    fn look(&mut self, to: &Endpoint, sent_at: Instant) {
+    fn poll(&mut self, to: &Endpoint, sent_at: Instant) {
         let now_ms = self.now_ms;
         let worker = self.workers.entry(to.worker).or_default();
         worker.sweep(now_ms);
@@ -258,7 +258,7 @@
             running: running.collect(),
             ended: worker.ended.clone(),
         };
-        self.tell(Event::HoldAnswered {
+        self.handle(Event::HoldAnswered {
             worker: to.worker,
             sent_at,
             reply,
@@ -274,8 +274,8 @@
             let due = entry.remove();
             self.now_ms = self.now_ms.max(at_ms);
             match due {
-                Due::Tell(event) => self.tell(*event),
-                Due::Look { to, sent_at } => self.look(&to, sent_at),
+                Due::Event(event) => self.handle(*event),
+                Due::Poll { to, sent_at } => self.poll(&to, sent_at),
             }
         }
         self.now_ms = until_ms;
@@ -356,12 +356,12 @@
     for ticks_count in 0..(WARM_UP_MS + LOAD_MS) / TICK_MS {
         let at_ms = begun_ms + ticks_count * TICK_MS;
         cell.run_until(at_ms);
-        cell.tell(Event::Tick);
+        cell.handle(Event::Tick);
         let due_count = (at_ms - begun_ms) * starts_per_s / 1000 / u64::from(TASKS_PER_JOB_COUNT);
         while jobs_count < due_count {
             jobs_count += 1;
             let (job, record) = (JobId::new(jobs_count), job_record());
-            cell.tell(Event::JobAccepted { job, record });
+            cell.handle(Event::JobAccepted { job, record });
         }
         if at_ms - begun_ms < WARM_UP_MS {
             warm = cell.cost;
--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -17,7 +17,7 @@
 /// A short job comes each so many milliseconds, for so long.
 const PERIOD_MS: u64 = 250;
 const LOAD_MS: u64 = 8_000;
-const TURN_MS: u64 = 50;
+const STEP_MS: u64 = 50;
 const SHORT_MS: u64 = 500;
 /// The estimate of long tasks, of which the first take all of the room.
 const LONG_MS: u64 = 30_000;
@@ -36,26 +36,26 @@
     (id, record)
 }
 
-/// How a play came out.
+/// How a scenario came out.
 #[derive(Default)]
 struct Outcome {
     /// The jobs that were refused, and when that was for the first time, from the begin of the
     /// load.
     refused_ms: BTreeMap<JobId, u64>,
     /// When refused callers came back.
-    returns_ms: Vec<u64>,
+    retries_ms: Vec<u64>,
     /// How long each job took from when it was first handed in.
     took_ms: BTreeMap<JobId, u64>,
 }
 
-struct Play {
+struct Scenario {
     features: Features,
     lengths_percent: core::ops::Range<u64>,
     /// A new leader begins at this time.
     takeover_at_ms: Option<u64>,
 }
 
-impl Play {
+impl Scenario {
     fn new(features: Features) -> Self {
         Self {
             features,
@@ -87,8 +87,8 @@
                 ((at_ms, number + 1), at_ms)
             })
             .collect();
-        let mut handed_in: BTreeMap<JobId, u64> = BTreeMap::new();
-        while !callers.is_empty() || simulation.done_ms.len() < handed_in.len() + 1 {
+        let mut submitted_ms: BTreeMap<JobId, u64> = BTreeMap::new();
+        while !callers.is_empty() || simulation.done_ms.len() < submitted_ms.len() + 1 {
             assert!(simulation.now_ms < begun_ms + LOAD_MS + DONE_WITHIN_MS);
             let is_due = self.takeover_at_ms == Some(simulation.now_ms - begun_ms);
             if is_due {
@@ -102,20 +102,20 @@
                     Some(refusal) => {
                         let since_ms = at_ms - begun_ms;
                         outcome.refused_ms.entry(id).or_insert(since_ms);
-                        let back_ms = simulation.now_ms + refusal.come_back(draw).as_ms();
-                        outcome.returns_ms.push(back_ms);
-                        callers.insert((back_ms, number), first_ms);
+                        let retry_ms = simulation.now_ms + refusal.come_back(draw).as_ms();
+                        outcome.retries_ms.push(retry_ms);
+                        callers.insert((retry_ms, number), first_ms);
                     }
                     None => {
-                        handed_in.insert(id, first_ms);
+                        submitted_ms.insert(id, first_ms);
                         simulation.submit((id, record));
                     }
                 }
             }
-            simulation.run_for(TURN_MS);
+            simulation.run_for(STEP_MS);
             simulation.record_outcomes();
         }
-        let took = handed_in
+        let took = submitted_ms
             .iter()
             .map(|(id, at_ms)| (*id, simulation.done_ms[id] - at_ms));
         outcome.took_ms = took.collect();
@@ -138,8 +138,8 @@
 fn refuse_only_what_would_be_late() {
     let mut refused_count = 0;
     for seed in 0..SEEDS_COUNT {
-        let with = Play::new(Features::default()).run(seed);
-        let without = Play::new(without_admission()).run(seed);
+        let with = Scenario::new(Features::default()).run(seed);
+        let without = Scenario::new(without_admission()).run(seed);
         assert!(without.refused_ms.is_empty());
         assert_eq!(with.took_ms.len(), without.took_ms.len(), "all are served");
         refused_count += with.refused_ms.len();
@@ -150,9 +150,9 @@
                 "seed {seed}: job {id} was refused and would have taken {took_ms} ms"
             );
         }
-        let moments: BTreeSet<u64> = with.returns_ms.iter().map(|at_ms| at_ms / 100).collect();
+        let moments: BTreeSet<u64> = with.retries_ms.iter().map(|at_ms| at_ms / 100).collect();
         assert!(
-            2 * moments.len() > with.returns_ms.len().min(40),
+            2 * moments.len() > with.retries_ms.len().min(40),
             "callers come back at once"
         );
     }
@@ -166,12 +166,12 @@
 fn refuse_with_wrong_estimates() {
     for lengths_percent in [40..60, 230..250] {
         for seed in 0..SEEDS_COUNT {
-            let play = |features| Play {
+            let scenario = |features| Scenario {
                 lengths_percent: lengths_percent.clone(),
-                ..Play::new(features)
+                ..Scenario::new(features)
             };
-            let with = play(Features::default()).run(seed);
-            let without = play(without_admission()).run(seed);
+            let with = scenario(Features::default()).run(seed);
+            let without = scenario(without_admission()).run(seed);
             for id in with.refused_ms.keys() {
                 assert!(without.took_ms[id] > 3 * SHORT_OBJECTIVE_MS);
             }
@@ -183,21 +183,21 @@
 #[test]
 fn refuse_nothing_after_takeover() {
     let takeover_ms = 3_000;
-    let calm = Play::new(Features::default());
-    let play = Play {
+    let without_takeover = Scenario::new(Features::default());
+    let scenario = Scenario {
         takeover_at_ms: Some(takeover_ms),
-        ..Play::new(Features::default())
+        ..Scenario::new(Features::default())
     };
-    let unsure = takeover_ms..takeover_ms + 4_000;
-    let refused_count = |play: &Play| {
-        let refused = play.run(1).refused_ms;
+    let window_ms = takeover_ms..takeover_ms + 4_000;
+    let refused_count = |scenario: &Scenario| {
+        let refused = scenario.run(1).refused_ms;
         refused
             .values()
-            .filter(|at_ms| unsure.contains(*at_ms))
+            .filter(|at_ms| window_ms.contains(*at_ms))
             .count()
     };
-    assert!(refused_count(&calm) > 0);
-    assert_eq!(refused_count(&play), 0);
+    assert!(refused_count(&without_takeover) > 0);
+    assert_eq!(refused_count(&scenario), 0);
 }
 
 fn forecast(done_ms: u64) -> Forecast {
@@ -245,8 +245,8 @@
     let (_, record) = short_job(1, 0);
     let mut smaller = record.clone();
     smaller.spec.steps[0].demand = Resources::new(100, 100, 0);
-    let mut endless = record.clone();
-    endless.spec.steps[0].is_perpetual = true;
+    let mut perpetual = record.clone();
+    perpetual.spec.steps[0].is_perpetual = true;
     let mut scheduled = record.clone();
     scheduled.spec.schedule = Some(Schedule {
         rounds_count: 1,
@@ -255,7 +255,7 @@
     });
     let mut elsewhere = record;
     elsewhere.queue = crate::support::LOW_PRIORITY_QUEUE.to_owned();
-    for record in [smaller, endless, scheduled, elsewhere] {
+    for record in [smaller, perpetual, scheduled, elsewhere] {
         assert!(!is_refused(&forecast, &record, 0));
     }
 }
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -13,8 +13,8 @@
 const NODES_COUNT: usize = 8;
 const WORKERS_COUNT: usize = 40;
 /// A call about any number of workers takes this long.
-const LONG: Duration = Duration::from_ms(600);
-const SHORT: Duration = Duration::from_ms(30);
+const LONG_CALL: Duration = Duration::from_ms(600);
+const SHORT_CALL: Duration = Duration::from_ms(30);
 
 fn policy(cost: Duration) -> AdvicePolicy {
     AdvicePolicy {
@@ -24,11 +24,11 @@
     }
 }
 
-/// Returns a configuration with an urgent queue and a patient one, whose calls take so long.
-fn queues(urgent: Duration, patient: Duration) -> Configuration {
+/// Returns a configuration with an urgent queue and a low_priority one, whose drain_calls take so long.
+fn queues(urgent: Duration, low_priority: Duration) -> Configuration {
     let mut configuration = configuration(None);
     configuration.version = 2;
-    for (name, cost) in [(QUEUE, urgent), (LOW_PRIORITY_QUEUE, patient)] {
+    for (name, cost) in [(QUEUE, urgent), (LOW_PRIORITY_QUEUE, low_priority)] {
         let queue = configuration.queues.get_mut(name).expect("the queue");
         queue.advice = Some(policy(cost));
     }
@@ -38,13 +38,13 @@
 fn harness_with(nodes_count: usize, configuration: Configuration) -> Harness {
     let mut harness = Harness::new(Recovered::default(), &workers(WORKERS_COUNT));
     let nodes = (0..nodes_count).map(|number| Arc::from(format!("n{number}")));
-    harness.tell(Event::NodesListed(nodes.collect()));
-    harness.tell(Event::Configured(configuration));
+    harness.handle(Event::NodesListed(nodes.collect()));
+    harness.handle(Event::Configured(configuration));
     harness
 }
 
-/// Takes the calls that were made: whose each is, and which node makes it.
-fn calls(harness: &mut Harness) -> Vec<(JobId, Arc<str>)> {
+/// Takes the drain_calls that were calls: whose each is, and which node makes it.
+fn drain_calls(harness: &mut Harness) -> Vec<(JobId, Arc<str>)> {
     let taken = core::mem::take(&mut harness.actions);
     let mut calls = Vec::new();
     for action in taken {
@@ -56,13 +56,13 @@
     calls
 }
 
-fn nodes_of(calls: &[(JobId, Arc<str>)]) -> usize {
+fn nodes_count_of(calls: &[(JobId, Arc<str>)]) -> usize {
     let nodes: BTreeSet<&Arc<str>> = calls.iter().map(|(_, node)| node).collect();
     nodes.len()
 }
 
 /// Answers a call that named whatever it did: nothing is good.
-fn answer_nothing(harness: &mut Harness) {
+fn reject_all_workers(harness: &mut Harness) {
     let taken = core::mem::take(&mut harness.actions);
     for action in taken {
         match action {
@@ -72,43 +72,43 @@
                     tickets: Vec::new(),
                     validity: Duration::from_ms(1500),
                 };
-                harness.tell(Event::AdviceAnswered { step, named, reply });
+                harness.handle(Event::AdviceAnswered { step, named, reply });
             }
             other => harness.actions.push(other),
         }
     }
 }
 
-/// Long calls have all nodes but one while there are no short ones, and five of eight
+/// Long drain_calls have all nodes but one while there are no short ones, and five of eight
 /// beside many.
 #[rstest]
 #[case::no_short_calls(0, 7)]
 #[case::many_short_calls(60, 5)]
 fn ask_on_nodes_by_load(#[case] short_calls_count: u64, #[case] nodes_count: usize) {
-    let mut harness = harness_with(NODES_COUNT, queues(SHORT, LONG));
+    let mut harness = harness_with(NODES_COUNT, queues(SHORT_CALL, LONG_CALL));
     for number in 0..short_calls_count {
         harness.submit_job(job(1000 + number, vec![step(1)]));
-        answer_nothing(&mut harness);
+        reject_all_workers(&mut harness);
     }
     harness.commit_all();
-    calls(&mut harness);
+    drain_calls(&mut harness);
     for number in 0..12 {
         harness.submit_job(low_priority_job(number, 1));
     }
     harness.commit_all();
-    let made = calls(&mut harness);
-    let long: Vec<_> = made
+    let calls = drain_calls(&mut harness);
+    let long: Vec<_> = calls
         .into_iter()
         .filter(|(job, _)| job.number() < 1000)
         .collect();
-    assert_eq!(nodes_of(&long), nodes_count);
+    assert_eq!(nodes_count_of(&long), nodes_count);
 }
 
-/// A patient step's long call is made where a node has nothing to do, an urgent one's waits
+/// A low_priority step's long call is calls where a node has nothing to do, an urgent one's waits
 /// there for its turn.
 #[test]
 fn ask_patient_calls_do_not_wait_at_nodes() {
-    let mut harness = harness_with(2, queues(LONG, LONG));
+    let mut harness = harness_with(2, queues(LONG_CALL, LONG_CALL));
     let urgent = StepSpec {
         estimate_ms: 1_000,
         ..step(1)
@@ -118,14 +118,18 @@
     }
     harness.submit_job(job(3, vec![urgent]));
     harness.commit_all();
-    let made = calls(&mut harness);
-    let by: Vec<u64> = made.iter().map(|(job, _)| job.number()).collect();
-    assert_eq!(by, [1, 3], "one node takes long calls, and has one to make");
+    let calls = drain_calls(&mut harness);
+    let jobs_asked: Vec<u64> = calls.iter().map(|(job, _)| job.number()).collect();
+    assert_eq!(
+        jobs_asked,
+        [1, 3],
+        "one node takes long calls, and has one to make"
+    );
 }
 
 /// Returns how many workers each call names that a wide step makes in a cell of so many nodes.
 fn named_in_cell(nodes_count: usize) -> Vec<usize> {
-    let mut configuration = queues(SHORT, LONG);
+    let mut configuration = queues(SHORT_CALL, LONG_CALL);
     let queue = configuration.queues.get_mut(QUEUE).expect("the queue");
     queue.advice = Some(AdvicePolicy {
         decision_ms: 200.0,
@@ -135,11 +139,11 @@
     let mut harness = harness_with(nodes_count, configuration);
     harness.submit_job(job(1, vec![step(60)]));
     harness.commit_all();
-    let made = harness.actions.iter().filter_map(|action| match action {
+    let calls = harness.actions.iter().filter_map(|action| match action {
         Action::Advise { workers, .. } => Some(workers.len()),
         _ => None,
     });
-    made.collect()
+    calls.collect()
 }
 
 /// Where many nodes have nothing to do, several ask about fewer workers each: the answer to
@@ -159,7 +163,7 @@
 /// is cancelled, also where the call is answered much later.
 #[test]
 fn cancel_frees_room_counted_on_at_once() {
-    let mut harness = harness_with(NODES_COUNT, queues(LONG, LONG));
+    let mut harness = harness_with(NODES_COUNT, queues(LONG_CALL, LONG_CALL));
     // Eight of them fill a worker, so that nothing is learned ahead.
     let small = |tasks_count| StepSpec {
         demand: Resources::new(500, 100, 0),
@@ -167,14 +171,14 @@
     };
     // It counts on all workers.
     harness.submit(1, vec![small(8 * WORKERS_COUNT as u32)]);
-    assert!(!calls(&mut harness).is_empty());
+    assert!(!drain_calls(&mut harness).is_empty());
     harness.submit(2, vec![small(4)]);
     assert!(
-        calls(&mut harness).is_empty(),
+        drain_calls(&mut harness).is_empty(),
         "no room is left to ask about"
     );
     harness.now = harness.now + Duration::from_ms(20);
     harness.cancel(1);
-    let calls = calls(&mut harness);
+    let calls = drain_calls(&mut harness);
     assert!(calls.iter().any(|(job, _)| *job == JobId::new(2)));
 }
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -33,19 +33,19 @@
 fn limit(harness: &mut Harness, version: u64, tasks_count: u32) {
     let customers = vec![customer("one", tasks_count, 100.0)];
     let configuration = configuration_with(version, None, customers);
-    harness.tell(Event::Configured(with_other_service(configuration)));
+    harness.handle(Event::Configured(with_other_service(configuration)));
 }
 
 /// Takes the starts that were sent and answers them.
 fn start_all(harness: &mut Harness) -> Vec<Start> {
     for _ in 0..6 {
         harness.now = harness.now + Duration::from_ms(10);
-        harness.tell(Event::Tick);
+        harness.handle(Event::Tick);
         harness.answer_commits();
     }
     let starts = harness.starts();
     for start in &starts {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     starts
 }
--- a/crates/scheduler/tests/scheduler/backfill_load.rs
+++ b/crates/scheduler/tests/scheduler/backfill_load.rs
@@ -13,19 +13,19 @@
 const ESTIMATE_MS: u64 = 900;
 
 /// A job that was handed in, and when.
-struct Sent {
+struct SubmittedJob {
     id: JobId,
     at_ms: u64,
 }
 
 /// A world with one customer, and what was handed in of it.
-struct Play {
+struct Scenario {
     simulation: Simulation,
-    shorts: Vec<Sent>,
-    gangs: Vec<Sent>,
+    shorts: Vec<SubmittedJob>,
+    gangs: Vec<SubmittedJob>,
 }
 
-impl Play {
+impl Scenario {
     fn new(
         seed: u64,
         workers_count: usize,
@@ -44,7 +44,7 @@
         }
     }
 
-    fn send(&mut self, queue: Option<&str>, spec: StepSpec) {
+    fn submit(&mut self, queue: Option<&str>, spec: StepSpec) {
         let number = (self.shorts.len() + self.gangs.len()) as u64 + 1;
         let is_gang = spec.is_gang;
         let (id, mut record): (JobId, JobRecord) = job_of("one", number, vec![spec]);
@@ -57,7 +57,7 @@
         } else {
             &mut self.shorts
         };
-        list.push(Sent {
+        list.push(SubmittedJob {
             id,
             at_ms: self.simulation.now_ms,
         });
@@ -65,13 +65,13 @@
     }
 
     /// Returns how long each of the jobs waited for its first start, in order.
-    fn waits_ms(&self, sent: &[Sent]) -> Vec<u64> {
+    fn waits_ms(&self, submitted: &[SubmittedJob]) -> Vec<u64> {
         let started = &self.simulation.rules.first_started_ms;
-        let mut waits_ms: Vec<u64> = sent
+        let mut waits_ms: Vec<u64> = submitted
             .iter()
-            .map(|sent| {
-                let at_ms = started.get(&first_task(sent.id));
-                at_ms.map_or(u64::MAX, |at_ms| at_ms - sent.at_ms)
+            .map(|submitted| {
+                let at_ms = started.get(&first_task(submitted.id));
+                at_ms.map_or(u64::MAX, |at_ms| at_ms - submitted.at_ms)
             })
             .collect();
         waits_ms.sort_unstable();
@@ -114,22 +114,22 @@
 
 /// A steady stream of short jobs, which keeps about half of the limit in use, and a gang that
 /// needs nearly all of it; where there is a new leader, so long after it came.
-fn play_stream(seed: u64, takeover_after_ms: Option<u64>) -> Play {
-    let mut play = Play::new(seed, 16, STREAM_LIMIT_COUNT, None);
+fn run_stream(seed: u64, takeover_after_ms: Option<u64>) -> Scenario {
+    let mut scenario = Scenario::new(seed, 16, STREAM_LIMIT_COUNT, None);
     for at_ms in (0..STREAM_MS).step_by(50) {
         if at_ms % 150 == 0 {
-            play.send(None, short(2000));
+            scenario.submit(None, short(2000));
         }
         if at_ms == STREAM_GANG_AT_MS {
-            play.send(Some(LOW_PRIORITY_QUEUE), gang(STREAM_GANG_COUNT));
+            scenario.submit(Some(LOW_PRIORITY_QUEUE), gang(STREAM_GANG_COUNT));
         }
         if takeover_after_ms.is_some_and(|after_ms| at_ms == STREAM_GANG_AT_MS + after_ms) {
-            play.simulation.elect();
+            scenario.simulation.elect();
         }
-        play.simulation.run_for(50);
+        scenario.simulation.run_for(50);
     }
-    play.simulation.run_for(STREAM_SHORT_BOUND_MS);
-    play
+    scenario.simulation.run_for(STREAM_SHORT_BOUND_MS);
+    scenario
 }
 
 /// A gang that needs more than half of the limit gets in, and no short job waits for longer
@@ -140,9 +140,9 @@
 #[case::takeover_while_it_holds(Some(1_300))]
 fn place_large_gang_in_stream(#[case] takeover_after_ms: Option<u64>) {
     for seed in 0..SEEDS_COUNT {
-        let play = play_stream(seed, takeover_after_ms);
-        let gang_ms = play.waits_ms(&play.gangs)[0];
-        let shorts_ms = play.waits_ms(&play.shorts).last().copied();
+        let scenario = run_stream(seed, takeover_after_ms);
+        let gang_ms = scenario.waits_ms(&scenario.gangs)[0];
+        let shorts_ms = scenario.waits_ms(&scenario.shorts).last().copied();
         println!("seed {seed}: the gang {gang_ms} ms, shorts up to {shorts_ms:?} ms");
         let bound_ms = STREAM_GANG_BOUND_MS + takeover_after_ms.unwrap_or(0);
         assert!(gang_ms <= bound_ms, "the gang waits");
@@ -155,39 +155,39 @@
 
 /// The usual of the flood's customer: a short job each so often, and a gang at another
 /// service, of up to half of the limit.
-const FLOOD_SHORT_PERIOD_MS: u64 = 1_000;
-const FLOOD_GANG_PERIOD_MS: u64 = 5_000;
-const FLOOD_WORKERS_COUNT: usize = 48;
-const FLOOD_LIMIT_COUNT: u32 = 32;
-const FLOOD_GANG_COUNTS: [u32; 4] = [16, 4, 8, 4];
-const FLOOD_MS: u64 = 16_000;
+const BURST_SHORT_PERIOD_MS: u64 = 1_000;
+const BURST_GANG_PERIOD_MS: u64 = 5_000;
+const BURST_WORKERS_COUNT: usize = 48;
+const BURST_LIMIT_COUNT: u32 = 32;
+const BURST_GANG_COUNTS: [u32; 4] = [16, 4, 8, 4];
+const BURST_MS: u64 = 16_000;
 /// What a short job may wait for its first start: what its objective leaves beside its own
 /// length, which is twice that and a second.
-const FLOOD_SHORT_BOUND_MS: u64 = 1_000 + ESTIMATE_MS;
+const BURST_SHORT_BOUND_MS: u64 = 1_000 + ESTIMATE_MS;
 /// The same for a gang: two seconds until it comes before more urgent work, the longest run
 /// in its way, and two for advice and room.
-const FLOOD_GANG_BOUND_MS: u64 = 2_000 + 1_200 + 2_000;
-
-fn play_flood(seed: u64, factor: u64, policy: Option<AdvicePolicy>) -> Play {
-    let mut play = Play::new(seed, FLOOD_WORKERS_COUNT, FLOOD_LIMIT_COUNT, policy);
-    play.simulation.good_one_in = 1;
-    play.simulation.lay_out_services();
-    for at_ms in (0..FLOOD_MS).step_by(50) {
-        if at_ms % FLOOD_SHORT_PERIOD_MS == 0 {
+const BURST_GANG_BOUND_MS: u64 = 2_000 + 1_200 + 2_000;
+
+fn run_burst(seed: u64, factor: u64, policy: Option<AdvicePolicy>) -> Scenario {
+    let mut scenario = Scenario::new(seed, BURST_WORKERS_COUNT, BURST_LIMIT_COUNT, policy);
+    scenario.simulation.good_one_in = 1;
+    scenario.simulation.split_services();
+    for at_ms in (0..BURST_MS).step_by(50) {
+        if at_ms % BURST_SHORT_PERIOD_MS == 0 {
             for _ in 0..factor {
-                play.send(None, short(1000));
+                scenario.submit(None, short(1000));
             }
         }
-        if at_ms % FLOOD_GANG_PERIOD_MS == 0 {
+        if at_ms % BURST_GANG_PERIOD_MS == 0 {
             for number in 0..factor as usize {
-                let members_count = FLOOD_GANG_COUNTS[number % FLOOD_GANG_COUNTS.len()];
-                play.send(Some(OTHER_QUEUE), gang(members_count));
+                let members_count = BURST_GANG_COUNTS[number % BURST_GANG_COUNTS.len()];
+                scenario.submit(Some(OTHER_QUEUE), gang(members_count));
             }
         }
-        play.simulation.run_for(50);
+        scenario.simulation.run_for(50);
     }
-    play.simulation.run_for(FLOOD_GANG_BOUND_MS);
-    play
+    scenario.simulation.run_for(BURST_GANG_BOUND_MS);
+    scenario
 }
 
 /// Neither the short jobs of one service nor the gangs of another keep the others from the
@@ -199,11 +199,11 @@
 ) {
     let policy = has_advice.then(advice);
     for seed in 0..SEEDS_COUNT {
-        let play = play_flood(seed, factor, policy);
-        let shorts_ms = percentile_95(&play.waits_ms(&play.shorts));
-        let gangs_ms = percentile_95(&play.waits_ms(&play.gangs));
+        let scenario = run_burst(seed, factor, policy);
+        let shorts_ms = percentile_95(&scenario.waits_ms(&scenario.shorts));
+        let gangs_ms = percentile_95(&scenario.waits_ms(&scenario.gangs));
         println!("seed {seed}: shorts {shorts_ms} ms, gangs {gangs_ms} ms");
-        assert!(shorts_ms <= FLOOD_SHORT_BOUND_MS, "short jobs wait");
-        assert!(gangs_ms <= FLOOD_GANG_BOUND_MS, "gangs wait");
+        assert!(shorts_ms <= BURST_SHORT_BOUND_MS, "short jobs wait");
+        assert!(gangs_ms <= BURST_GANG_BOUND_MS, "gangs wait");
     }
 }
--- a/crates/scheduler/tests/scheduler/rooms.rs
+++ b/crates/scheduler/tests/scheduler/capacity_changes.rs
@@ -6,7 +6,7 @@
 use ospreywing_scheduler::{Event, Recovered, StartReply, TaskKey, WorkerKey};
 
 /// Lists the workers, the first of which has so many thousandths of its room left.
-fn list_resized(harness: &mut Harness, count: usize, per_mille: u32) {
+fn list_workers_resized(harness: &mut Harness, count: usize, per_mille: u32) {
     let mut listed: Vec<FakeWorker> = workers(count);
     listed[0].resize(harness.now.as_ms(), per_mille);
     harness.list_workers(&listed);
@@ -28,9 +28,9 @@
 #[test]
 fn send_start_room_shrank() {
     let mut harness = submit_to_one_worker(2);
-    list_resized(&mut harness, 1, 500);
+    list_workers_resized(&mut harness, 1, 500);
     assert_eq!(starts_after_commit(&mut harness).len(), 1, "one fits");
-    list_resized(&mut harness, 1, 1000);
+    list_workers_resized(&mut harness, 1, 1000);
     assert_eq!(
         starts_after_commit(&mut harness).len(),
         1,
@@ -43,9 +43,9 @@
 fn list_workers_room_below_what_runs() {
     let mut harness = submit_to_one_worker(2);
     for start in starts_after_commit(&mut harness) {
-        harness.started(start);
+        harness.answer_started(start);
     }
-    list_resized(&mut harness, 1, 250);
+    list_workers_resized(&mut harness, 1, 250);
     harness.submit(2, vec![step(1)]);
     assert_eq!(starts_after_commit(&mut harness), Vec::new());
     assert_eq!(harness.stops(), Vec::new());
@@ -57,10 +57,10 @@
 fn on_start_answered_room_shrank() {
     let mut harness = submit_to_one_worker(2);
     let starts = starts_after_commit(&mut harness);
-    list_resized(&mut harness, 1, 250);
+    list_workers_resized(&mut harness, 1, 250);
     let (worker, task, run) = starts[0];
     let reply = StartReply::Unanswered;
-    harness.tell(Event::StartAnswered {
+    harness.handle(Event::StartAnswered {
         worker,
         task,
         run,
--- a/crates/scheduler/tests/scheduler/cordons.rs
+++ b/crates/scheduler/tests/scheduler/cordons.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// As long as a wait lasts before it is told, and a little more.
-const LONG: Duration = Duration::from_ms(3100);
+const LOGGED_AFTER: Duration = Duration::from_ms(3100);
 
 /// Returns workers that stand in the data centres `a` and `b` by turns.
 fn spread_workers(count: usize) -> Vec<FakeWorker> {
@@ -25,7 +25,7 @@
 
 fn cordon(harness: &mut Harness, data_centres: &[&str]) {
     let data_centres: BTreeSet<Arc<str>> = data_centres.iter().map(|it| Arc::from(*it)).collect();
-    harness.tell(Event::CordonsListed(data_centres));
+    harness.handle(Event::CordonsListed(data_centres));
 }
 
 fn starts_after_commit(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
@@ -71,7 +71,7 @@
     cordon(&mut harness, &["a"]);
     let (worker, task, run) = starts[0];
     let reply = StartReply::Unanswered;
-    harness.tell(Event::StartAnswered {
+    harness.handle(Event::StartAnswered {
         worker,
         task,
         run,
@@ -86,11 +86,11 @@
     let mut harness = Harness::new(Recovered::default(), &spread_workers(1));
     harness.submit(1, vec![step(1)]);
     for start in starts_after_commit(&mut harness) {
-        harness.started(start);
+        harness.answer_started(start);
     }
     cordon(&mut harness, &["a"]);
-    harness.now = harness.now + LONG;
-    harness.tell(Event::Tick);
+    harness.now = harness.now + LOGGED_AFTER;
+    harness.handle(Event::Tick);
     assert_eq!(harness.stops(), Vec::new());
     let is_renewal =
         |action: &Action| matches!(action, Action::Hold { until_ms, .. } if until_ms.is_some());
@@ -128,7 +128,7 @@
     let mut harness = Harness::new(recovered, &spread_workers(2));
     let open = harness.scheduler.worker_key("w1").expect("a worker in b");
     harness.stops();
-    harness.list(
+    harness.answer_poll(
         harness.scheduler.worker_key("w0").expect("listed"),
         Vec::new(),
     );
@@ -143,10 +143,10 @@
 fn place_starts_held() {
     let mut harness = Harness::new(Recovered::default(), &spread_workers(2));
     harness.submit(1, vec![step(1)]);
-    harness.tell(Event::StartsHeld(true));
+    harness.handle(Event::StartsHeld(true));
     harness.submit(2, vec![step(1)]);
     assert_eq!(starts_after_commit(&mut harness), Vec::new());
-    harness.tell(Event::StartsHeld(false));
+    harness.handle(Event::StartsHeld(false));
     assert_eq!(starts_after_commit(&mut harness).len(), 2);
 }
 
@@ -157,18 +157,18 @@
     harness.submit(1, vec![step(1)]);
     for _ in 0..32 {
         harness.now = harness.now + Duration::from_ms(100);
-        harness.tell(Event::Tick);
+        harness.handle(Event::Tick);
     }
     let status = harness.scheduler.status(harness.now);
     assert_eq!(status.waits[WaitReason::Cordon as usize].steps_count, 1);
     assert_eq!(status.cordons_count, 1);
-    let is_told = |action: &Action| match action {
+    let is_logged = |action: &Action| match action {
         Action::Log(line) => {
             line.kind == DecisionKind::StepWaits && line.reason == WaitReason::Cordon.as_str()
         }
         _ => false,
     };
-    assert!(harness.actions.iter().any(is_told));
+    assert!(harness.actions.iter().any(is_logged));
 }
 
 /// All members of a gang start together or not at all.
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -15,7 +15,7 @@
 const CI_WORKERS_COUNT: usize = 50;
 const CI_SEEDS_COUNT: u64 = 3;
 /// Workers of a rack.
-const RACK_COUNT: usize = 10;
+const WORKERS_PER_RACK_COUNT: usize = 10;
 /// How long jobs come, and the time between two.
 const LOAD_MS: u64 = 10_000;
 /// Of a hundred places for tasks, those that are taken on average.
@@ -23,7 +23,7 @@
 const TASKS_PER_JOB_COUNT: usize = 4;
 const TASKS_PER_WORKER_COUNT: usize = 4;
 const MEAN_RUN_MS: usize = 1350;
-const NOTE_PERIOD_MS: u64 = 50;
+const SAMPLE_PERIOD_MS: u64 = 50;
 const DRAIN_LIMIT_MS: u64 = 90_000;
 
 /// What strikes besides.
@@ -38,12 +38,12 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Figures {
-    innocents_failed_count: usize,
+    other_jobs_failed_count: usize,
     crashes_count: usize,
     /// The crashes of the task that caused most.
     most_crashes_count: usize,
-    innocent_runs_lost_count: usize,
-    bad_jobs_count: usize,
+    other_runs_lost_count: usize,
+    crashing_jobs_count: usize,
     mean_ms: u64,
 }
 
@@ -55,45 +55,45 @@
 }
 
 /// Takes down what the loss says, in the middle of the load.
-fn strike(simulation: &mut Simulation, loss: Loss, workers_count: usize) {
-    let struck: Vec<usize> = match loss {
+fn inject_loss(simulation: &mut Simulation, loss: Loss, workers_count: usize) {
+    let lost: Vec<usize> = match loss {
         Loss::Nothing => Vec::new(),
         Loss::Percent(percent) => (0..workers_count)
             .filter(|number| number * 37 % 100 < percent)
             .collect(),
-        Loss::Rack => (0..RACK_COUNT).collect(),
+        Loss::Rack => (0..WORKERS_PER_RACK_COUNT).collect(),
     };
-    simulation.lose(&struck);
+    simulation.crash_workers(&lost);
 }
 
-fn play(
+fn run_load(
     seed: u64,
     workers_count: usize,
-    bad_jobs_count: usize,
+    crashing_jobs_count: usize,
     loss: Loss,
     policy: CrashPolicy,
 ) -> Figures {
     let mut simulation = Simulation::new(seed, workers_count, Faults::default(), None);
-    simulation.lay_out_racks(RACK_COUNT);
+    simulation.assign_racks(WORKERS_PER_RACK_COUNT);
     simulation.elect_with(policy);
     simulation.run_for(1_000);
-    let places_count = workers_count * TASKS_PER_WORKER_COUNT * LOAD_PERCENT / 100;
-    let gap_us = (MEAN_RUN_MS * TASKS_PER_JOB_COUNT * 1000 / places_count) as u64;
+    let slots_count = workers_count * TASKS_PER_WORKER_COUNT * LOAD_PERCENT / 100;
+    let gap_us = (MEAN_RUN_MS * TASKS_PER_JOB_COUNT * 1000 / slots_count) as u64;
     let jobs_count = LOAD_MS * 1000 / gap_us;
-    let bad_every = jobs_count / (bad_jobs_count as u64 + 1);
-    let (mut due_us, mut taken_ms) = (simulation.now_ms * 1000, Vec::new());
+    let crashing_period = jobs_count / (crashing_jobs_count as u64 + 1);
+    let (mut due_us, mut submitted_ms) = (simulation.now_ms * 1000, Vec::new());
     for number in 1..=jobs_count {
-        if bad_jobs_count > 0 && number % bad_every == 0 {
+        if crashing_jobs_count > 0 && number % crashing_period == 0 {
             simulation.crashing_jobs.insert(JobId::new(number));
         }
         simulation.submit(job(number, vec![small_step()]));
-        taken_ms.push(simulation.now_ms);
+        submitted_ms.push(simulation.now_ms);
         due_us += gap_us;
         let wait_ms = (due_us / 1000).saturating_sub(simulation.now_ms);
         simulation.run_for(wait_ms);
         simulation.record_outcomes();
         if number == jobs_count / 2 {
-            strike(&mut simulation, loss, workers_count);
+            inject_loss(&mut simulation, loss, workers_count);
         }
     }
     let until_ms = simulation.now_ms + DRAIN_LIMIT_MS;
@@ -102,12 +102,12 @@
             simulation.now_ms < until_ms,
             "seed {seed}: jobs without an outcome"
         );
-        simulation.run_for(NOTE_PERIOD_MS);
+        simulation.run_for(SAMPLE_PERIOD_MS);
         simulation.record_outcomes();
     }
     let mut figures = Figures {
-        innocent_runs_lost_count: simulation.innocent_runs_lost_count,
-        bad_jobs_count: simulation.crashing_jobs.len(),
+        other_runs_lost_count: simulation.other_runs_lost_count,
+        crashing_jobs_count: simulation.crashing_jobs.len(),
         ..Figures::default()
     };
     let crashes = simulation.rules.crashes.values();
@@ -120,26 +120,26 @@
         if simulation.crashing_jobs.contains(&id) {
             continue;
         }
-        figures.innocents_failed_count += usize::from(simulation.phase(id) == Some(Phase::Failed));
-        sum_ms += simulation.done_ms[&id] - taken_ms[number as usize - 1];
+        figures.other_jobs_failed_count += usize::from(simulation.phase(id) == Some(Phase::Failed));
+        sum_ms += simulation.done_ms[&id] - submitted_ms[number as usize - 1];
     }
     figures.mean_ms = sum_ms / (jobs_count - simulation.crashing_jobs.len() as u64).max(1);
     figures
 }
 
-fn print_row(name: &str, bad_jobs_count: usize, loss: Loss, rows: &[Figures]) {
+fn print_row(name: &str, crashing_jobs_count: usize, loss: Loss, rows: &[Figures]) {
     let sum = |field: fn(&Figures) -> usize| -> usize { rows.iter().map(field).sum() };
-    let bad_count = sum(|row| row.bad_jobs_count).max(1) as f64;
+    let crashing_jobs_total = sum(|row| row.crashing_jobs_count).max(1) as f64;
     let mean_ms = rows.iter().map(|row| row.mean_ms).sum::<u64>() / rows.len() as u64;
     println!(
-        "| {name} | {bad_jobs_count} | {loss:?} | {} | {:.2} | {:.2} | {mean_ms} |",
-        sum(|row| row.innocents_failed_count),
-        sum(|row| row.crashes_count) as f64 / bad_count,
-        sum(|row| row.innocent_runs_lost_count) as f64 / bad_count,
+        "| {name} | {crashing_jobs_count} | {loss:?} | {} | {:.2} | {:.2} | {mean_ms} |",
+        sum(|row| row.other_jobs_failed_count),
+        sum(|row| row.crashes_count) as f64 / crashing_jobs_total,
+        sum(|row| row.other_runs_lost_count) as f64 / crashing_jobs_total,
     );
 }
 
-fn rules() -> [(&'static str, CrashPolicy); 3] {
+fn policies() -> [(&'static str, CrashPolicy); 3] {
     let product = CrashPolicy::default();
     let count_two = CrashPolicy {
         suspect_points: 1,
@@ -171,12 +171,12 @@
         Loss::Percent(15),
         Loss::Rack,
     ];
-    for bad_jobs_count in [0, 1, 10] {
+    for crashing_jobs_count in [0, 1, 10] {
         for loss in losses {
-            for (name, policy) in rules() {
-                let play = |seed| play(seed, workers_count, bad_jobs_count, loss, policy);
-                let rows: Vec<Figures> = (0..seeds_count).map(play).collect();
-                print_row(name, bad_jobs_count, loss, &rows);
+            for (name, policy) in policies() {
+                let run = |seed| run_load(seed, workers_count, crashing_jobs_count, loss, policy);
+                let rows: Vec<Figures> = (0..seeds_count).map(run).collect();
+                print_row(name, crashing_jobs_count, loss, &rows);
             }
         }
     }
@@ -200,8 +200,8 @@
     }
     for seed in 0..CI_SEEDS_COUNT {
         let policy = CrashPolicy::default();
-        let figures = play(seed, CI_WORKERS_COUNT, 10, loss, policy);
-        assert_eq!(figures.innocents_failed_count, 0, "seed {seed}");
+        let figures = run_load(seed, CI_WORKERS_COUNT, 10, loss, policy);
+        assert_eq!(figures.other_jobs_failed_count, 0, "seed {seed}");
         assert!(
             figures.most_crashes_count <= MOST_CRASHES_COUNT,
             "seed {seed}: {figures:?}"
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the workers on which they start.
+//! Tasks that crash_worker the workers on which they start.
 //!
 //! What users saw: two jobs were started on one worker after the other, some thirty
 //! times each, until the day's end. Every worker crashed 10 ms after the start and was
@@ -6,7 +6,7 @@
 //!
 //! The order of events: the start's connection breaks; its repeats are refused; the
 //! worker's next life answers at the address; all runs of the earlier life are given up
-//! and start again elsewhere, the one that caused the crash among them.
+//! and start again elsewhere, the one that caused the crash_worker among them.
 //!
 //! The cause: a run that was lost with its worker left no trace in its task's progress,
 //! so nothing ever kept the task from starting again. The evidence: in the leader's log,
@@ -24,13 +24,13 @@
 use rstest::rstest;
 
 /// How long a worker that crashed is away.
-const AWAY: Duration = Duration::from_ms(3000);
+const DOWNTIME: Duration = Duration::from_ms(3000);
 /// The crashes after which the bound on restarts counts.
 const CRASHES_COUNT: usize = 3;
 /// The starts after these crashes that break it.
 const STARTS_LIMIT_COUNT: usize = 3;
 /// Far more starts than may happen.
-const ROUNDS_COUNT: usize = 12;
+const ROUNDS_LIMIT_COUNT: usize = 12;
 
 /// A cell in which each worker that starts anything crashes.
 struct CrashingCell {
@@ -43,7 +43,7 @@
     fn new(advice: Option<AdvicePolicy>) -> Self {
         let workers = workers(4);
         let mut harness = Harness::with_advice(Recovered::default(), &workers, advice);
-        harness.tell(Event::NodesListed(vec!["n1".into()]));
+        harness.handle(Event::NodesListed(vec!["n1".into()]));
         Self {
             harness,
             workers,
@@ -60,7 +60,7 @@
     fn next_starts(&mut self) -> Option<Vec<(WorkerKey, TaskKey, u32)>> {
         for _ in 0..100 {
             self.harness.now = self.harness.now + Duration::from_ms(30);
-            self.harness.tell(Event::Tick);
+            self.harness.handle(Event::Tick);
             self.harness.answer_commits();
             self.answer_advice();
             let starts = self.harness.starts();
@@ -78,11 +78,11 @@
         self.harness.answer_advice_calls(&ids);
     }
 
-    /// Has the worker crash under a start, and its next life come up.
-    fn crash(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
+    /// Has the worker crash_worker under a start, and its next life come up.
+    fn crash_worker(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         let refused = StartReply::Refused(RefusedStart::NotSent);
         for reply in [StartReply::Unanswered, refused, refused] {
-            self.harness.tell(Event::StartAnswered {
+            self.harness.handle(Event::StartAnswered {
                 worker,
                 task,
                 run,
@@ -90,20 +90,20 @@
             });
             self.harness.starts();
         }
-        self.be_replaced(worker);
+        self.replace_worker(worker);
     }
 
-    /// Has the worker crash for a reason of its own, with a start that it has not answered
+    /// Has the worker crash_worker for a reason of its own, with a start that it has not answered
     /// and not carried out.
     fn crash_without_run(&mut self, start: (WorkerKey, TaskKey, u32)) {
         self.leave_unanswered(start);
-        self.be_replaced(start.0);
+        self.replace_worker(start.0);
     }
 
     /// Leaves a start and its stop unanswered; a later look lists no run.
     fn leave_unanswered(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         for _ in 0..3 {
-            self.harness.tell(Event::StartAnswered {
+            self.harness.handle(Event::StartAnswered {
                 worker,
                 task,
                 run,
@@ -113,44 +113,45 @@
         // The stop gets no answer either.
         self.harness.actions.clear();
         self.harness.now = self.harness.now + Duration::from_ms(100);
-        self.harness.list(worker, Vec::new());
+        self.harness.answer_poll(worker, Vec::new());
     }
 
     /// Has another life answer at a worker's address.
-    fn be_replaced(&mut self, worker: WorkerKey) {
+    fn replace_worker(&mut self, worker: WorkerKey) {
         self.harness.leave_poll_unanswered(worker);
-        self.harness.now = self.harness.now + AWAY;
+        self.harness.now = self.harness.now + DOWNTIME;
         let sent_at = self.harness.now;
-        self.harness.tell(Event::HoldAnswered {
+        self.harness.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::OtherLife,
         });
-        self.bring_back(worker);
+        self.start_replacement(worker);
     }
 
-    fn bring_back(&mut self, worker: WorkerKey) {
-        let is_dead =
+    fn start_replacement(&mut self, worker: WorkerKey) {
+        let is_lost =
             |known: &FakeWorker| self.harness.scheduler.worker_key(&known.id) == Some(worker);
-        let index = self.workers.iter().position(is_dead);
-        let dead = &mut self.workers[index.expect("a worker of this cell")];
+        let index = self.workers.iter().position(is_lost);
+        let lost = &mut self.workers[index.expect("a worker of this cell")];
         self.incarnations_count += 1;
         let mut next = FakeWorker::new(&format!("life{}", self.incarnations_count), 1000);
-        next.address = dead.address.clone();
-        *dead = next;
+        next.address = lost.address.clone();
+        *lost = next;
         self.harness.list_workers(&self.workers);
         let id = format!("life{}", self.incarnations_count);
         let key = self.harness.scheduler.worker_key(&id);
-        self.harness.list(key.expect("a listed worker"), Vec::new());
+        self.harness
+            .answer_poll(key.expect("a listed worker"), Vec::new());
     }
 }
 
-/// A job is not failed for workers that crash before they carry out its task's start.
+/// A job is not failed for workers that crash_worker before they carry out its task's start.
 #[test]
 fn record_crash_run_was_not_there() {
     let mut cell = CrashingCell::new(None);
     cell.harness.submit(1, vec![step(1)]);
-    for round in 1..=ROUNDS_COUNT {
+    for round in 1..=ROUNDS_LIMIT_COUNT {
         let start = cell.next_start();
         let start = start.unwrap_or_else(|| panic!("no start after {round} crashes"));
         cell.crash_without_run(start);
@@ -172,10 +173,10 @@
     let (worker, task, run) = cell.next_start().expect("a start");
     cell.leave_unanswered((worker, task, run));
     cell.harness.answer_poll_running(worker, task);
-    cell.be_replaced(worker);
+    cell.replace_worker(worker);
     let states = cell.harness.commit_all();
     let crashes = states.iter().flat_map(|state| &state.crashes);
-    let recorded: Vec<TaskKey> = crashes.map(|crash| crash.task).collect();
+    let recorded: Vec<TaskKey> = crashes.map(|crash_worker| crash_worker.task).collect();
     assert_eq!(recorded, [task]);
 }
 
@@ -188,12 +189,12 @@
     let mut cell = CrashingCell::new(policy);
     cell.harness.submit(1, vec![step(1)]);
     let mut starts_count = 0;
-    for _ in 0..ROUNDS_COUNT {
+    for _ in 0..ROUNDS_LIMIT_COUNT {
         let Some(start) = cell.next_start() else {
             break;
         };
         starts_count += 1;
-        cell.crash(start);
+        cell.crash_worker(start);
     }
     assert!(
         starts_count < CRASHES_COUNT + STARTS_LIMIT_COUNT,
@@ -205,14 +206,14 @@
 
 /// Returns a leader with a job whose run has outlived its start, and another one whose
 /// run has just begun on the same worker.
-fn beside_a_new_run() -> (Harness, WorkerKey) {
+fn with_old_and_new_run() -> (Harness, WorkerKey) {
     let mut harness = Harness::new(Recovered::default(), &workers(3));
     let mut runs = Vec::new();
     for number in 1..=2 {
         harness.submit(number, vec![step(1)]);
         harness.commit_all();
         let start = harness.starts()[0];
-        harness.started(start);
+        harness.answer_started(start);
         runs.push(start);
         if number == 1 {
             harness.now = harness.now + Duration::from_s(1);
@@ -225,7 +226,7 @@
 
 fn other_incarnation(harness: &mut Harness, worker: WorkerKey) {
     let sent_at = harness.now;
-    harness.tell(Event::HoldAnswered {
+    harness.handle(Event::HoldAnswered {
         worker,
         sent_at,
         reply: HoldReply::OtherLife,
@@ -235,16 +236,19 @@
 fn suspicions(states: &[JobState], number: u64) -> Vec<Suspicion> {
     let task = first_task(JobId::new(number));
     let newest = states.iter().rev().flat_map(|state| &state.crashes);
-    let of_task = newest.filter(|crash| crash.task == task);
-    of_task.map(|crash| crash.suspicion).take(1).collect()
+    let of_task = newest.filter(|crash_worker| crash_worker.task == task);
+    of_task
+        .map(|crash_worker| crash_worker.suspicion)
+        .take(1)
+        .collect()
 }
 
-/// A run that its worker has outlived by a while is a bystander of the crash; the one
+/// A run that its worker has outlived by a while is a bystander of the crash_worker; the one
 /// that had just begun is tried where nobody else's run would be lost with it, and
 /// nothing joins it there before it has outlived its start.
 #[test]
 fn record_crash_new_run_beside_old_one() {
-    let (mut harness, worker) = beside_a_new_run();
+    let (mut harness, worker) = with_old_and_new_run();
     other_incarnation(&mut harness, worker);
     let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), vec![Suspicion::Bystander]);
@@ -269,7 +273,7 @@
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let start = harness.starts()[0];
-    harness.started(start);
+    harness.answer_started(start);
     harness.now = harness.now + Duration::from_s(1);
     harness.answer_poll_running(start.0, start.1);
     let mut listed = workers(2);
@@ -287,7 +291,7 @@
 fn place_tasks_suspect_waits() {
     let mut cell = CrashingCell::new(Some(advice()));
     cell.harness.submit(1, vec![step(1)]);
-    let bad = cell.next_start().expect("a start");
+    let crashing = cell.next_start().expect("a start");
     // One run on each worker: there is room, and none is free for a trial.
     let spread = StepSpec {
         per_worker_limit_count: 1,
@@ -295,15 +299,15 @@
     };
     cell.harness.submit(2, vec![spread]);
     for start in cell.next_starts().expect("starts") {
-        cell.harness.started(start);
+        cell.harness.answer_started(start);
     }
-    cell.crash(bad);
+    cell.crash_worker(crashing);
     let mut calls_count = 0;
     for _ in 0..25 {
         cell.harness.now = cell.harness.now + Duration::from_ms(30);
-        cell.harness.tell(Event::Tick);
+        cell.harness.handle(Event::Tick);
         cell.harness.answer_commits();
-        let asks = |action: &&Action| matches!(action, Action::Advise { step, .. } if step.job == bad.1.step.job);
+        let asks = |action: &&Action| matches!(action, Action::Advise { step, .. } if step.job == crashing.1.step.job);
         calls_count += cell.harness.actions.iter().filter(asks).count();
         cell.answer_advice();
     }
@@ -318,7 +322,7 @@
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let start = harness.starts()[0];
-    harness.started(start);
+    harness.answer_started(start);
     for _ in 0..8 {
         harness.leave_poll_unanswered(start.0);
     }
@@ -326,8 +330,8 @@
     assert_eq!(suspicions(&states, 1), vec![Suspicion::Suspect]);
     let again = harness.starts()[0];
     assert_ne!(again.0, start.0);
-    harness.started(again);
-    harness.list(start.0, Vec::new());
+    harness.answer_started(again);
+    harness.answer_poll(start.0, Vec::new());
     harness.answer_poll_after(
         Duration::from_ms(60),
         again.0,
@@ -367,7 +371,7 @@
     harness.list_workers(&workers(2));
     let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
     let other = harness.scheduler.worker_key("w1").expect("a listed worker");
-    harness.list(other, Vec::new());
+    harness.answer_poll(other, Vec::new());
     other_incarnation(&mut harness, worker);
     harness.commit_all();
     assert!(harness.starts().is_empty(), "started after three crashes");
@@ -385,21 +389,21 @@
     };
     cell.harness.submit(1, vec![gang]);
     let mut runs_count = 0;
-    for _ in 0..ROUNDS_COUNT {
+    for _ in 0..ROUNDS_LIMIT_COUNT {
         let Some(starts) = cell.next_starts() else {
             break;
         };
         runs_count += 1;
-        let bad = starts.iter().find(|start| start.1.index == 0);
-        let bad = *bad.expect("the whole gang starts");
-        cell.crash(bad);
+        let crashing = starts.iter().find(|start| start.1.index == 0);
+        let crashing = *crashing.expect("the whole gang starts");
+        cell.crash_worker(crashing);
         cell.harness.now = cell.harness.now + Duration::from_ms(500);
-        cell.harness.tell(Event::Tick);
+        cell.harness.handle(Event::Tick);
         cell.harness.stops();
         cell.harness.now = cell.harness.now + Duration::from_ms(10);
-        let others = starts.iter().filter(|start| start.0 != bad.0);
+        let others = starts.iter().filter(|start| start.0 != crashing.0);
         for (worker, _, _) in others {
-            cell.harness.list(*worker, Vec::new());
+            cell.harness.answer_poll(*worker, Vec::new());
         }
     }
     assert!(
--- a/crates/scheduler/tests/scheduler/customers.rs
+++ b/crates/scheduler/tests/scheduler/customers.rs
@@ -21,7 +21,7 @@
 
 fn limit(harness: &mut Harness, version: u64, tasks_count: u32) {
     let customers = vec![customer("one", tasks_count, 100.0)];
-    harness.tell(Event::Configured(configuration_with(
+    harness.handle(Event::Configured(configuration_with(
         version, None, customers,
     )));
 }
@@ -31,7 +31,7 @@
     harness.commit_all();
     let starts = harness.starts();
     for start in &starts {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     starts.len()
 }
@@ -51,13 +51,13 @@
     let starts = harness.starts();
     assert_eq!(starts.len(), 3);
     for start in &starts {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     // Nobody else's work is held back by it.
     harness.submit(2, vec![step(4)]);
     assert_eq!(start_all(&mut harness), 4);
     let (worker, task, run) = starts[0];
-    harness.list(worker, vec![end(1, task, run, EndKind::Done)]);
+    harness.answer_poll(worker, vec![end(1, task, run, EndKind::Done)]);
     assert_eq!(start_all(&mut harness), 1);
 }
 
@@ -89,9 +89,11 @@
     harness.submit_job(job_of("one", 1, vec![gang(3)]));
     harness.commit_all();
     let starts = harness.starts();
-    starts.iter().for_each(|start| harness.started(*start));
+    starts
+        .iter()
+        .for_each(|start| harness.answer_started(*start));
     let (worker, task, run) = starts[0];
-    harness.list(worker, vec![end(1, task, run, EndKind::Broken)]);
+    harness.answer_poll(worker, vec![end(1, task, run, EndKind::Broken)]);
     harness.commit_all();
     let is_held =
         |action: &Action| matches!(action, Action::Log(line) if line.kind == DecisionKind::JobHeld);
@@ -182,7 +184,7 @@
 fn place_customer_removed() {
     let mut harness = harness_with(2);
     harness.submit_job(job_of("one", 1, vec![step(3)]));
-    harness.tell(Event::Configured(configuration_with(3, None, Vec::new())));
+    harness.handle(Event::Configured(configuration_with(3, None, Vec::new())));
     assert_eq!(start_all(&mut harness), 2);
 }
 
@@ -226,7 +228,7 @@
     harness.submit_job((id, record));
     assert_eq!(harness.scheduler.job_for(caller, id).is_some(), is_open);
     // It stays whose it is once only its outcome is kept.
-    harness.tell(Event::CancelAccepted { job: id });
+    harness.handle(Event::CancelAccepted { job: id });
     harness.commit_all();
     assert_eq!(harness.scheduler.job_for(caller, id).is_some(), is_open);
 }
@@ -267,9 +269,9 @@
     let mut harness = harness_with(4);
     let mut configuration = configuration_with(5, None, Vec::new());
     configuration.services.clear();
-    harness.tell(Event::Configured(configuration));
+    harness.handle(Event::Configured(configuration));
     harness.submit(1, vec![step(1)]);
     assert_eq!(start_all(&mut harness), 0);
-    harness.tell(Event::Configured(configuration_with(6, None, Vec::new())));
+    harness.handle(Event::Configured(configuration_with(6, None, Vec::new())));
     assert_eq!(start_all(&mut harness), 1);
 }
--- a/crates/scheduler/tests/scheduler/customers_load.rs
+++ b/crates/scheduler/tests/scheduler/customers_load.rs
@@ -13,13 +13,13 @@
 const PERIOD_MS: u64 = 500;
 /// The tasks that each may have running: the first may take the whole cell.
 const LIMIT_TASKS_COUNT: u32 = 20;
-const FLOOD_LIMIT_TASKS_COUNT: u32 = 48;
+const BURST_LIMIT_TASKS_COUNT: u32 = 48;
 const LOAD_MS: u64 = 12_000;
 const WORKERS_COUNT: usize = 12;
 /// What the others' share of jobs in time may fall by.
 const SHARE_LOST_LIMIT: f64 = 0.02;
 const SEEDS_COUNT: u64 = 6;
-const TROUBLE_SEEDS_COUNT: u64 = 3;
+const DISRUPTION_SEEDS_COUNT: u64 = 3;
 /// The longest that a job of a customer under its share waits while a customer beyond its own
 /// is given room: until a run of the longest length ends, and is replaced.
 const WAIT_LIMIT_MS: u64 = 2_000;
@@ -33,7 +33,7 @@
 
 /// What the flooding customer sends, so many times its usual.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Flood {
+enum Burst {
     /// Jobs as before, more of them.
     Many,
     /// As many jobs, within its rate, of more tasks.
@@ -42,7 +42,7 @@
     Huge,
 }
 
-impl Flood {
+impl Burst {
     /// Returns how many jobs come at a time, and the step of each.
     fn jobs(self, factor: u64) -> (u64, StepSpec) {
         let small = StepSpec {
@@ -69,9 +69,9 @@
 
 /// What goes wrong in a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Disruption {
     Nothing,
-    /// The leader is lost in the middle of the flood, and the next one soon after.
+    /// The leader is lost in the middle of the burst, and the next one soon after.
     LeadersLost,
     /// The flooding customer's weight is raised in the middle.
     WeightRaised,
@@ -84,7 +84,7 @@
     EstimatesHigh,
 }
 
-impl Trouble {
+impl Disruption {
     const fn estimate_ms(self) -> u64 {
         match self {
             Self::EstimatesLow => 400,
@@ -94,12 +94,12 @@
     }
 
     /// Returns whether the flooding customer sends anything so long after the begin.
-    const fn floods_at(self, at_ms: u64) -> bool {
+    const fn sends_burst_at(self, at_ms: u64) -> bool {
         !matches!(self, Self::IdleBefore) || at_ms >= LOAD_MS / 2
     }
 
     /// Strikes, where its time has come.
-    fn strike(self, at_ms: u64, simulation: &mut Simulation, load: &Load) {
+    fn inject(self, at_ms: u64, simulation: &mut Simulation, load: &Load) {
         let is_middle = at_ms == LOAD_MS / 2;
         match self {
             Self::LeadersLost if is_middle || at_ms == LOAD_MS * 2 / 3 => simulation.elect(),
@@ -120,20 +120,20 @@
 /// A load to be played.
 #[derive(Clone, Copy, Debug)]
 struct Load {
-    flood: Flood,
+    burst: Burst,
     factor: u64,
     policy: Option<AdvicePolicy>,
     features: Features,
-    trouble: Trouble,
+    disruption: Disruption,
 }
 
 /// Few jobs, within their customer's rate, that ask for far more than there is.
 const HUGE_LOAD: Load = Load {
-    flood: Flood::Huge,
+    burst: Burst::Huge,
     factor: 10,
     policy: None,
     features: Features::all(),
-    trouble: Trouble::Nothing,
+    disruption: Disruption::Nothing,
 };
 
 /// What came of a load.
@@ -155,7 +155,7 @@
 fn customers() -> Vec<Customer> {
     let customers = (0..CUSTOMERS_COUNT).map(|number| {
         let tasks_count = match number {
-            0 => FLOOD_LIMIT_TASKS_COUNT,
+            0 => BURST_LIMIT_TASKS_COUNT,
             _ => LIMIT_TASKS_COUNT,
         };
         customer(&name_of(number), tasks_count, JOBS_PER_S)
@@ -172,26 +172,26 @@
 }
 
 /// Plays a load.
-fn play(seed: u64, load: &Load) -> Outcome {
+fn run_load(seed: u64, load: &Load) -> Outcome {
     let mut simulation = simulation_of(seed, load);
     let begun_ms = simulation.now_ms;
-    let mut handed_in: Vec<(JobId, u64, u64)> = Vec::new();
+    let mut submitted: Vec<(JobId, u64, u64)> = Vec::new();
     let mut largest_lag_ms = 0;
     for at_ms in (0..LOAD_MS).step_by(50) {
-        load.trouble.strike(at_ms, &mut simulation, load);
+        load.disruption.inject(at_ms, &mut simulation, load);
         for number in 0..CUSTOMERS_COUNT {
             let is_due = (at_ms + 50 * number).is_multiple_of(PERIOD_MS);
             let (count, mut spec) = match number {
-                0 if !load.trouble.floods_at(at_ms) => continue,
-                0 => load.flood.jobs(load.factor),
-                _ => Flood::Many.jobs(1),
+                0 if !load.disruption.sends_burst_at(at_ms) => continue,
+                0 => load.burst.jobs(load.factor),
+                _ => Burst::Many.jobs(1),
             };
-            spec.estimate_ms = load.trouble.estimate_ms();
+            spec.estimate_ms = load.disruption.estimate_ms();
             for _ in 0..count * u64::from(is_due) {
-                let id = handed_in.len() as u64 + 1;
+                let id = submitted.len() as u64 + 1;
                 let (id, mut record) = job_of(&name_of(number), id, vec![spec.clone()]);
                 record.accepted_ms = simulation.now_ms;
-                handed_in.push((id, number, simulation.now_ms));
+                submitted.push((id, number, simulation.now_ms));
                 simulation.submit((id, record));
             }
         }
@@ -206,7 +206,7 @@
         simulation.run_for(50);
         simulation.record_outcomes();
     }
-    let others: Vec<_> = handed_in.iter().filter(|(_, by, _)| *by != 0).collect();
+    let others: Vec<_> = submitted.iter().filter(|(_, by, _)| *by != 0).collect();
     let in_time = others.iter().filter(|(id, _, since_ms)| {
         let done_ms = simulation.done_ms.get(id);
         done_ms.is_some_and(|done_ms| done_ms - since_ms <= OBJECTIVE_MS)
@@ -224,20 +224,20 @@
     }
 }
 
-/// Plays a load with and without its flood; returns what the others lose of their share, the
+/// Plays a load with and without its burst; returns what the others lose of their share, the
 /// mean of so many seeds.
 fn share_lost(load: &Load, seeds_count: u64) -> f64 {
     let usual = Load {
-        flood: Flood::Many,
+        burst: Burst::Many,
         factor: 1,
         ..*load
     };
     let mut lost = 0.0;
     for seed in 0..seeds_count {
-        let before = play(seed, &usual);
-        let beside = play(seed, load);
+        let before = run_load(seed, &usual);
+        let beside = run_load(seed, load);
         println!(
-            "seed {seed}: {:.3} alone, {:.3} beside a flood; waits of {} ms, {} ms ahead",
+            "seed {seed}: {:.3} alone, {:.3} beside a burst; waits of {} ms, {} ms ahead",
             before.others_share, beside.others_share, beside.longest_wait_ms, beside.largest_lag_ms
         );
         lost += (before.others_share - beside.others_share) / seeds_count as f64;
@@ -250,15 +250,15 @@
     lost
 }
 
-/// One customer's flood costs the others next to nothing.
+/// One customer's burst costs the others next to nothing.
 #[rstest]
 fn place_beside_flood(
-    #[values(Flood::Many, Flood::Wide, Flood::Huge)] flood: Flood,
+    #[values(Burst::Many, Burst::Wide, Burst::Huge)] burst: Burst,
     #[values(2, 5, 10)] factor: u64,
     #[values(false, true)] has_advice: bool,
 ) {
     let load = Load {
-        flood,
+        burst,
         factor,
         policy: has_advice.then(advice),
         ..HUGE_LOAD
@@ -274,20 +274,20 @@
 #[rstest]
 fn place_beside_flood_in_trouble(
     #[values(
-        Trouble::LeadersLost,
-        Trouble::WeightRaised,
-        Trouble::CustomerRemoved,
-        Trouble::IdleBefore,
-        Trouble::EstimatesLow,
-        Trouble::EstimatesHigh
+        Disruption::LeadersLost,
+        Disruption::WeightRaised,
+        Disruption::CustomerRemoved,
+        Disruption::IdleBefore,
+        Disruption::EstimatesLow,
+        Disruption::EstimatesHigh
     )]
-    trouble: Trouble,
+    disruption: Disruption,
 ) {
     let load = Load {
-        trouble,
+        disruption,
         ..HUGE_LOAD
     };
-    let lost = share_lost(&load, TROUBLE_SEEDS_COUNT);
+    let lost = share_lost(&load, DISRUPTION_SEEDS_COUNT);
     assert!(
         lost <= SHARE_LOST_LIMIT,
         "the others lose {lost:.3} of their share"
@@ -301,21 +301,21 @@
         features: Features::all().without(Feature::FairShares),
         ..HUGE_LOAD
     };
-    let lost = share_lost(&load, TROUBLE_SEEDS_COUNT);
+    let lost = share_lost(&load, DISRUPTION_SEEDS_COUNT);
     assert!(lost > 0.1, "the others lose {lost:.3} only");
 }
 
 /// The flooding customer still gets what nobody else asks for.
 #[rstest]
-fn place_flood_in_free_room(#[values(Flood::Many, Flood::Wide)] flood: Flood) {
-    let shared = Load { flood, ..HUGE_LOAD };
+fn place_flood_in_free_room(#[values(Burst::Many, Burst::Wide)] burst: Burst) {
+    let shared = Load { burst, ..HUGE_LOAD };
     let unshared = Load {
         features: Features::all().without(Feature::FairShares),
         ..shared
     };
-    for seed in 0..TROUBLE_SEEDS_COUNT {
-        let with = play(seed, &shared).done_count;
-        let without = play(seed, &unshared).done_count;
+    for seed in 0..DISRUPTION_SEEDS_COUNT {
+        let with = run_load(seed, &shared).done_count;
+        let without = run_load(seed, &unshared).done_count;
         println!("seed {seed}: {with} jobs done with shares, {without} without");
         assert!(with * 100 >= without * DONE_PERCENT);
     }
--- a/crates/scheduler/tests/scheduler/stored.rs
+++ b/crates/scheduler/tests/scheduler/damaged_records.rs
@@ -9,13 +9,13 @@
 use rstest::rstest;
 
 /// Inputs for each form in CI; `OSPREYWING_FUZZ_INPUTS` sets another number.
-const INPUTS_COUNT: u64 = 20_000;
-const INPUTS_VARIABLE: &str = "OSPREYWING_FUZZ_INPUTS";
+const DEFAULT_FUZZ_INPUTS_COUNT: u64 = 20_000;
+const FUZZ_INPUTS_VARIABLE: &str = "OSPREYWING_FUZZ_INPUTS";
 
-fn inputs_count() -> u64 {
-    let set = std::env::var(INPUTS_VARIABLE);
+fn fuzz_inputs_count() -> u64 {
+    let set = std::env::var(FUZZ_INPUTS_VARIABLE);
     let set = set.ok().and_then(|text| text.parse().ok());
-    set.unwrap_or(INPUTS_COUNT)
+    set.unwrap_or(DEFAULT_FUZZ_INPUTS_COUNT)
 }
 
 /// Changes, adds or cuts off some bytes.
@@ -32,7 +32,7 @@
     bytes
 }
 
-fn crashed(mut state: JobState) -> JobState {
+fn with_crash(mut state: JobState) -> JobState {
     let (id, _) = job(1, vec![step(1)]);
     let task: TaskKey = crate::support::first_task(id);
     state.record_crash(CrashRecord {
@@ -47,14 +47,14 @@
 /// Whatever stands in the place of a job's progress, reading it ends.
 #[rstest]
 #[case::plain(placed_state("w0", 1))]
-#[case::crashes(crashed(placed_state("w0", 1)))]
+#[case::crashes(with_crash(placed_state("w0", 1)))]
 #[case::incarnations(placed_at_incarnation("w0", 7, 1))]
-#[case::lives_and_crashes(crashed(placed_at_incarnation("w0", 7, 1)))]
+#[case::lives_and_crashes(with_crash(placed_at_incarnation("w0", 7, 1)))]
 fn job_state_any_bytes(#[case] state: JobState) {
     let mut rng = Pcg64::seed_from_u64(4);
     let good = state.to_bytes();
     assert_eq!(JobState::from_bytes(&good), Ok(state));
-    for _ in 0..inputs_count() {
+    for _ in 0..fuzz_inputs_count() {
         let _ = JobState::from_bytes(&mutate(&mut rng, &good));
     }
 }
@@ -70,7 +70,7 @@
 fn stored_job_any_bytes(#[case] good: Vec<u8>) {
     let mut rng = Pcg64::seed_from_u64(5);
     assert!(StoredJob::from_bytes(&good).is_ok());
-    for _ in 0..inputs_count() {
+    for _ in 0..fuzz_inputs_count() {
         let _ = StoredJob::from_bytes(&mutate(&mut rng, &good));
     }
 }
--- a/crates/scheduler/tests/scheduler/departures.rs
+++ b/crates/scheduler/tests/scheduler/departures.rs
@@ -1,4 +1,4 @@
-//! Workers that leave by plan: what would be lost with them is stopped before, and goes on
+//! Workers that list_departure by plan: what would be lost with them is stopped before, and goes on
 //! elsewhere.
 
 use crate::support::harness::{end, workers, Harness};
@@ -15,12 +15,12 @@
 fn saving(tasks_count: u32) -> StepSpec {
     StepSpec {
         saves_progress: true,
-        ..lengthy(tasks_count)
+        ..long(tasks_count)
     }
 }
 
 /// Returns a step whose tasks take ten seconds by their estimate.
-fn lengthy(tasks_count: u32) -> StepSpec {
+fn long(tasks_count: u32) -> StepSpec {
     StepSpec {
         estimate_ms: 10_000,
         ..step(tasks_count)
@@ -34,30 +34,30 @@
     }
 }
 
-fn begin(harness: &mut Harness, spec: StepSpec) -> Vec<Start> {
+fn start_step(harness: &mut Harness, spec: StepSpec) -> Vec<Start> {
     harness.submit(1, vec![spec]);
     harness.commit_all();
     let starts = harness.starts();
     for start in &starts {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     starts
 }
 
 /// Has a worker's entry say that it leaves after a time.
-fn leave(harness: &mut Harness, worker: &FakeWorker, after_ms: u64) {
+fn list_departure(harness: &mut Harness, worker: &FakeWorker, after_ms: u64) {
     let mut leaving = FakeWorker::new(&worker.id, 1000);
     leaving.is_draining = true;
     // The workers of these tests tell the time of the bench.
     leaving.leaves_clock_ms = Some(harness.now.as_ms() + after_ms);
     let change = WorkerChange::Listed(leaving.facts());
-    harness.tell(Event::WorkersChanged(vec![change]));
+    harness.handle(Event::WorkersChanged(vec![change]));
 }
 
 fn wait(harness: &mut Harness, length_ms: u64) {
     for _ in 0..length_ms / 100 {
         harness.now = harness.now + Duration::from_ms(100);
-        harness.tell(Event::Tick);
+        harness.handle(Event::Tick);
     }
 }
 
@@ -71,8 +71,8 @@
 fn stop_before_departures_saving_run() {
     let listed = workers(1);
     let mut harness = Harness::new(Recovered::default(), &listed);
-    begin(&mut harness, saving(1));
-    leave(&mut harness, &listed[0], 5000);
+    start_step(&mut harness, saving(1));
+    list_departure(&mut harness, &listed[0], 5000);
     assert_eq!(stops_after(&mut harness, 3000), 0, "it works on");
     assert_eq!(stops_after(&mut harness, 1000), 1, "in time for its end");
 }
@@ -82,8 +82,8 @@
 fn stop_before_departures_run_without_checkpoints() {
     let listed = workers(1);
     let mut harness = Harness::new(Recovered::default(), &listed);
-    begin(&mut harness, lengthy(1));
-    leave(&mut harness, &listed[0], 5000);
+    start_step(&mut harness, long(1));
+    list_departure(&mut harness, &listed[0], 5000);
     assert_eq!(stops_after(&mut harness, 200), 1);
 }
 
@@ -94,10 +94,10 @@
 fn stop_before_departures_by_pace(#[case] percent: u32, #[case] stops_count: usize) {
     let listed = workers(1);
     let mut harness = Harness::new(Recovered::default(), &listed);
-    let starts = begin(&mut harness, lengthy(1));
+    let starts = start_step(&mut harness, long(1));
     wait(&mut harness, 3000);
     harness.answer_polls_with_progress(&starts, percent);
-    leave(&mut harness, &listed[0], 4000);
+    list_departure(&mut harness, &listed[0], 4000);
     assert_eq!(stops_after(&mut harness, 200), stops_count);
 }
 
@@ -105,8 +105,8 @@
 fn stop_before_departures_short_run() {
     let listed = workers(1);
     let mut harness = Harness::new(Recovered::default(), &listed);
-    begin(&mut harness, step(2));
-    leave(&mut harness, &listed[0], 5000);
+    start_step(&mut harness, step(2));
+    list_departure(&mut harness, &listed[0], 5000);
     assert_eq!(stops_after(&mut harness, 500), 0, "it ends in time");
 }
 
@@ -115,9 +115,9 @@
 fn stop_before_departures_gang() {
     let listed = workers(3);
     let mut harness = Harness::new(Recovered::default(), &listed);
-    let starts = begin(&mut harness, gang(saving(5)));
+    let starts = start_step(&mut harness, gang(saving(5)));
     assert_eq!(starts.len(), 5);
-    leave(&mut harness, &listed[0], 5000);
+    list_departure(&mut harness, &listed[0], 5000);
     assert_eq!(stops_after(&mut harness, 3000), 0);
     assert_eq!(stops_after(&mut harness, 1000), 5);
 }
@@ -127,8 +127,8 @@
 fn record_end_gang_stopped_then_broken() {
     let listed = workers(3);
     let mut harness = Harness::new(Recovered::default(), &listed);
-    let starts = begin(&mut harness, gang(saving(5)));
-    leave(&mut harness, &listed[0], 1000);
+    let starts = start_step(&mut harness, gang(saving(5)));
+    list_departure(&mut harness, &listed[0], 1000);
     assert_eq!(stops_after(&mut harness, 200), 5);
     for (number, (worker, task, run)) in starts.iter().enumerate() {
         let kind = if number == 0 {
@@ -140,37 +140,37 @@
             checkpoint: Some(format!("{kind:?}")),
             ..end(number as u64 + 1, *task, *run, kind)
         };
-        harness.list(*worker, vec![ended]);
+        harness.answer_poll(*worker, vec![ended]);
     }
     harness.commit_all();
     let again = harness.actions.iter().filter_map(|action| match action {
         Action::Start { order, .. } => Some(order.checkpoint.clone()),
         _ => None,
     });
-    let brought: Vec<Option<String>> = again.collect();
+    let checkpoints: Vec<Option<String>> = again.collect();
     // Two of three workers hold four: it waits until another one joins.
-    assert!(brought.is_empty());
+    assert!(checkpoints.is_empty());
     let joined = FakeWorker::new("w9", 1000);
     let change = WorkerChange::Listed(joined.facts());
-    harness.tell(Event::WorkersChanged(vec![change]));
+    harness.handle(Event::WorkersChanged(vec![change]));
     let key = harness.scheduler.worker_key("w9").expect("it has joined");
-    harness.list(key, Vec::new());
+    harness.answer_poll(key, Vec::new());
     harness.commit_all();
     let again = harness.actions.iter().filter_map(|action| match action {
         Action::Start { order, .. } => order.checkpoint.clone(),
         _ => None,
     });
-    let brought: Vec<String> = again.collect();
-    assert_eq!(brought, vec!["Stopped".to_owned(); 5]);
+    let checkpoints: Vec<String> = again.collect();
+    assert_eq!(checkpoints, vec!["Stopped".to_owned(); 5]);
 }
 
-/// A run that was placed on a worker before it began to leave is not sent there any more.
+/// A run that was placed on a worker before it began to list_departure is not sent there any more.
 #[test]
 fn send_start_worker_leaving() {
     let listed = workers(1);
     let mut harness = Harness::new(Recovered::default(), &listed);
     harness.submit(1, vec![step(1)]);
-    leave(&mut harness, &listed[0], 5000);
+    list_departure(&mut harness, &listed[0], 5000);
     harness.commit_all();
     assert_eq!(harness.starts(), Vec::new());
 }
--- a/crates/scheduler/tests/scheduler/gang_load.rs
+++ b/crates/scheduler/tests/scheduler/gang_load.rs
@@ -1,5 +1,5 @@
 //! A load of gangs that take a third of a worker a member, beside work that can wait: how
-//! many gangs are done in time, and whether the patient work is done as well.
+//! many gangs are done in time, and whether the low_priority work is done as well.
 
 use crate::support::harness::{workers, Harness};
 use crate::support::simulation::{Faults, Simulation};
@@ -10,20 +10,20 @@
 
 const WORKERS_COUNT: usize = 24;
 /// One of so many workers is good for a job.
-const GOOD_ONE_IN: u64 = 4;
+const SUITABLE_ONE_IN: u64 = 4;
 const SEEDS_COUNT: u64 = 8;
 const LOAD_MS: u64 = 16_000;
-/// A gang and a patient job come each so many milliseconds.
+/// A gang and a low_priority job come each so many milliseconds.
 const PERIOD_MS: u64 = 500;
 const GANG_MEMBERS_COUNT: u32 = 16;
-const PATIENT_TASKS_COUNT: u32 = 30;
+const LOW_PRIORITY_TASKS_COUNT: u32 = 30;
 /// A gang's objective: twice its estimate of a second, and one more.
 const GANG_OBJECTIVE_MS: u64 = 3_000;
-/// The same of a patient job, whose estimate is 10 s.
-const PATIENT_OBJECTIVE_MS: u64 = 21_000;
-/// The share of gangs in time: 0.774 where patient work leaves room to gangs only once less
+/// The same of a low_priority job, whose estimate is 10 s.
+const LOW_PRIORITY_OBJECTIVE_MS: u64 = 21_000;
+/// The share of gangs in time: 0.774 where low_priority work leaves room to gangs only once less
 /// than a third of the processors is free, 0.805 where that is half, 0.820 always.
-const GANGS_IN_TIME_LEAST: f64 = 0.79;
+const GANGS_IN_TIME_MIN: f64 = 0.79;
 
 /// Returns a gang three members of which fill a worker.
 fn gang_job(number: u64) -> (JobId, ospreywing_scheduler::JobRecord) {
@@ -36,24 +36,24 @@
 }
 
 fn small_low_priority_job(number: u64) -> (JobId, ospreywing_scheduler::JobRecord) {
-    let (id, mut record) = low_priority_job(number, PATIENT_TASKS_COUNT);
+    let (id, mut record) = low_priority_job(number, LOW_PRIORITY_TASKS_COUNT);
     record.spec.steps[0].demand = Resources::new(700, 500, 0);
     (id, record)
 }
 
-/// The shares of a play's jobs that were done in time.
+/// The shares of a run_load's jobs that were done in time.
 struct InTime {
     gangs: f64,
-    patient: f64,
+    low_priority: f64,
 }
 
-fn play(seed: u64) -> InTime {
+fn run_load(seed: u64) -> InTime {
     let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), Some(advice()));
     assert_eq!(simulation.workers.len(), WORKERS_COUNT);
-    simulation.good_one_in = GOOD_ONE_IN;
+    simulation.good_one_in = SUITABLE_ONE_IN;
     simulation.run_durations_ms = 600..1_400;
     let mut gangs: Vec<(JobId, u64)> = Vec::new();
-    let mut patient: Vec<(JobId, u64)> = Vec::new();
+    let mut low_priority: Vec<(JobId, u64)> = Vec::new();
     for number in 0..LOAD_MS / PERIOD_MS {
         for (kind, (id, mut record)) in [
             gang_job(2 * number + 1),
@@ -63,7 +63,11 @@
         .enumerate()
         {
             record.accepted_ms = simulation.now_ms;
-            let list = if kind == 0 { &mut gangs } else { &mut patient };
+            let list = if kind == 0 {
+                &mut gangs
+            } else {
+                &mut low_priority
+            };
             list.push((id, simulation.now_ms));
             simulation.submit((id, record));
         }
@@ -72,13 +76,13 @@
             simulation.record_outcomes();
         }
     }
-    for _ in 0..PATIENT_OBJECTIVE_MS / 100 {
+    for _ in 0..LOW_PRIORITY_OBJECTIVE_MS / 100 {
         simulation.run_for(100);
         simulation.record_outcomes();
     }
     InTime {
         gangs: share(&simulation, &gangs, GANG_OBJECTIVE_MS),
-        patient: share(&simulation, &patient, PATIENT_OBJECTIVE_MS),
+        low_priority: share(&simulation, &low_priority, LOW_PRIORITY_OBJECTIVE_MS),
     }
 }
 
@@ -94,16 +98,16 @@
 fn place_gangs_beside_patient_work() {
     let mut gangs = 0.0;
     for seed in 0..SEEDS_COUNT {
-        let in_time = play(seed);
+        let in_time = run_load(seed);
         println!(
-            "seed {seed}: {:.3} of the gangs in time, {:.3} of the patient jobs",
-            in_time.gangs, in_time.patient
+            "seed {seed}: {:.3} of the gangs in time, {:.3} of the low-priority jobs",
+            in_time.gangs, in_time.low_priority
         );
-        assert!(in_time.patient >= 0.99, "patient work is late");
+        assert!(in_time.low_priority >= 0.99, "low-priority work is late");
         gangs += in_time.gangs / SEEDS_COUNT as f64;
     }
     assert!(
-        gangs >= GANGS_IN_TIME_LEAST,
+        gangs >= GANGS_IN_TIME_MIN,
         "{gangs:.3} of the gangs were done in time"
     );
 }
@@ -139,7 +143,7 @@
     harness.list_workers(&joining);
     for worker in &joining {
         let key = harness.scheduler.worker_key(&worker.id);
-        harness.list(key.expect("a listed worker"), Vec::new());
+        harness.answer_poll(key.expect("a listed worker"), Vec::new());
     }
     harness.commit_all();
     let started: Vec<u64> = harness
--- a/crates/scheduler/tests/scheduler/pending.rs
+++ b/crates/scheduler/tests/scheduler/job_views.rs
@@ -49,7 +49,7 @@
     let (mut harness, task) = after_recorded_start();
     harness.list_worker(&workers(1)[0]);
     let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
-    harness.list(worker, vec![end(1, task, 1, EndKind::Stopped)]);
+    harness.answer_poll(worker, vec![end(1, task, 1, EndKind::Stopped)]);
     let view = harness.scheduler.job(JobId::new(1)).expect("a known job");
     assert!(view.has_begun);
 }
@@ -66,9 +66,9 @@
     let id = JobId::new(1);
     let is_settled = |harness: &Harness| harness.scheduler.job(id).map(|view| view.is_settled);
     assert_eq!(is_settled(&harness), Some(true));
-    harness.tell(Event::CancelAccepted { job: id });
+    harness.handle(Event::CancelAccepted { job: id });
     harness.now = harness.now + Duration::from_ms(30);
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     assert_eq!(is_settled(&harness), Some(false), "its commit is open");
     harness.answer_commits();
     let view = harness.scheduler.job(id).expect("a known job");
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -17,7 +17,7 @@
 /// The spread of the lengths of a queue's jobs, as a logarithm.
 const LENGTH_SPREAD: f64 = 0.5;
 /// The factor by which an estimate is off at most.
-const ESTIMATE_FACTOR: f64 = 2.5;
+const ESTIMATE_ERROR_FACTOR: f64 = 2.5;
 const TYPICAL_MS: f64 = 1_500.0;
 const SEED: u64 = 20;
 
@@ -29,15 +29,15 @@
 
 /// A step's estimate and length.
 #[derive(Clone, Copy)]
-struct Drawn {
+struct Sample {
     kind: LengthKind,
     actual: Duration,
 }
 
-fn draw(rng: &mut Pcg64, typical_ms: f64, estimate_factor: f64) -> Drawn {
+fn draw_sample(rng: &mut Pcg64, typical_ms: f64, estimate_factor: f64) -> Sample {
     let actual_ms = typical_ms * (LENGTH_SPREAD * normal(rng)).exp();
     let off = estimate_factor.powf(rng.random_range(-1.0..=1.0));
-    Drawn {
+    Sample {
         kind: LengthKind {
             is_gang: false,
             estimate: Duration::from_ms((actual_ms * off) as u64),
@@ -51,16 +51,16 @@
 }
 
 /// Returns the durations after so many steps, and what was told of the last half.
-fn learn(count: u64, estimate_factor: f64) -> (Durations, Vec<(Drawn, Option<LengthForecast>)>) {
+fn learn(count: u64, estimate_factor: f64) -> (Durations, Vec<(Sample, Option<LengthForecast>)>) {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let mut durations = Durations::default();
     let mut told = Vec::new();
     for step in 0..count {
-        let drawn = draw(&mut rng, TYPICAL_MS, estimate_factor);
+        let sample = draw_sample(&mut rng, TYPICAL_MS, estimate_factor);
         if step >= count / 2 {
-            told.push((drawn, durations.forecast(at(step), QUEUE, drawn.kind)));
+            told.push((sample, durations.forecast(at(step), QUEUE, sample.kind)));
         }
-        durations.record(at(step), QUEUE, drawn.kind, drawn.actual);
+        durations.record(at(step), QUEUE, sample.kind, sample.actual);
     }
     (durations, told)
 }
@@ -73,14 +73,14 @@
 /// A forecast is nearer than the estimate, and its bounds hold as often as they say.
 #[test]
 fn durations_forecast_nearer_than_estimate() {
-    let (durations, told) = learn(800, ESTIMATE_FACTOR);
-    let with_forecast: Vec<(Drawn, LengthForecast)> = told
+    let (durations, told) = learn(800, ESTIMATE_ERROR_FACTOR);
+    let with_forecast: Vec<(Sample, LengthForecast)> = told
         .into_iter()
-        .filter_map(|(drawn, told)| Some((drawn, told?)))
+        .filter_map(|(sample, told)| Some((sample, told?)))
         .collect();
     assert!(with_forecast.len() >= 380, "forecasts after 400 steps");
     let count = with_forecast.len() as f64;
-    let mean = |told: fn(&(Drawn, LengthForecast)) -> Duration| {
+    let mean = |told: fn(&(Sample, LengthForecast)) -> Duration| {
         let errors = with_forecast.iter().map(|it| error(told(it), it.0.actual));
         errors.sum::<f64>() / count
     };
@@ -90,7 +90,7 @@
         by_forecast <= 0.8 * by_estimate,
         "{by_forecast} {by_estimate}"
     );
-    let part = |is_so: fn(&(Drawn, LengthForecast)) -> bool| {
+    let part = |is_so: fn(&(Sample, LengthForecast)) -> bool| {
         with_forecast.iter().filter(|it| is_so(it)).count() as f64 / count
     };
     let (below, above) = (
@@ -107,13 +107,13 @@
 /// Of the jobs that a forecast calls late for sure nine in ten are.
 #[test]
 fn durations_forecast_tells_what_is_late() {
-    let (_, told) = learn(800, ESTIMATE_FACTOR);
+    let (_, told) = learn(800, ESTIMATE_ERROR_FACTOR);
     let room = Duration::from_ms(TYPICAL_MS as u64);
     let called_late = told
         .iter()
         .filter(|(_, told)| told.is_some_and(|told| told.sure > room));
-    let called_late: Vec<Drawn> = called_late.map(|(drawn, _)| *drawn).collect();
-    let late = called_late.iter().filter(|drawn| drawn.actual > room);
+    let called_late: Vec<Sample> = called_late.map(|(sample, _)| *sample).collect();
+    let late = called_late.iter().filter(|sample| sample.actual > room);
     let late_count = late.count();
     let share = late_count as f64 / called_late.len() as f64;
     println!("{share:.3} of {} are late", called_late.len());
@@ -124,10 +124,10 @@
 #[test]
 fn durations_forecast_keeps_right_estimates() {
     let (_, told) = learn(800, 1.0);
-    for (drawn, told) in told {
-        let told = told.map_or(drawn.kind.estimate, |told| told.likely);
-        let off = error(told, drawn.actual);
-        assert!(off <= 0.15, "{told} for {}", drawn.actual);
+    for (sample, told) in told {
+        let told = told.map_or(sample.kind.estimate, |told| told.likely);
+        let off = error(told, sample.actual);
+        assert!(off <= 0.15, "{told} for {}", sample.actual);
     }
 }
 
@@ -135,15 +135,15 @@
 fn durations_forecast_none_without_data() {
     let mut durations = Durations::default();
     let mut rng = Pcg64::seed_from_u64(SEED);
-    let drawn = draw(&mut rng, TYPICAL_MS, ESTIMATE_FACTOR);
-    assert_eq!(durations.forecast(at(0), QUEUE, drawn.kind), None);
+    let sample = draw_sample(&mut rng, TYPICAL_MS, ESTIMATE_ERROR_FACTOR);
+    assert_eq!(durations.forecast(at(0), QUEUE, sample.kind), None);
     for step in 0..8 {
-        durations.record(at(step), QUEUE, drawn.kind, drawn.actual);
+        durations.record(at(step), QUEUE, sample.kind, sample.actual);
     }
-    assert!(durations.forecast(at(8), QUEUE, drawn.kind).is_some());
-    assert_eq!(durations.forecast(at(8), "other", drawn.kind), None);
+    assert!(durations.forecast(at(8), QUEUE, sample.kind).is_some());
+    assert_eq!(durations.forecast(at(8), "other", sample.kind), None);
     let much_later = at(8) + Duration::from_s(700);
-    assert_eq!(durations.forecast(much_later, QUEUE, drawn.kind), None);
+    assert_eq!(durations.forecast(much_later, QUEUE, sample.kind), None);
 }
 
 /// A queue whose work becomes three times as long: what was learned before is forgotten
@@ -158,8 +158,8 @@
     };
     for step in 0..1_500 {
         let typical_ms = if step < 750 { 1_500.0 } else { 4_500.0 };
-        let drawn = draw(&mut rng, typical_ms, 1.0);
-        durations.record(at(step), QUEUE, same_estimate, drawn.actual);
+        let sample = draw_sample(&mut rng, typical_ms, 1.0);
+        durations.record(at(step), QUEUE, same_estimate, sample.actual);
     }
     let told = durations.forecast(at(1_500), QUEUE, same_estimate);
     let likely = told.expect("a forecast").likely;
@@ -172,8 +172,8 @@
     let mut durations = Durations::default();
     let mut rng = Pcg64::seed_from_u64(SEED);
     for step in 0..2_000 {
-        let drawn = draw(&mut rng, TYPICAL_MS, ESTIMATE_FACTOR);
-        durations.record(at(step), &format!("q{step}"), drawn.kind, drawn.actual);
+        let sample = draw_sample(&mut rng, TYPICAL_MS, ESTIMATE_ERROR_FACTOR);
+        durations.record(at(step), &format!("q{step}"), sample.kind, sample.actual);
     }
     assert!(durations.classes_count() <= 1_024);
     assert!(
@@ -232,8 +232,8 @@
     for round in 0..10 {
         run(&mut speeds, &mut rng, at(round), &fleet, 9);
         for (number, machine) in machines.iter().enumerate() {
-            let crazy = if number % 2 == 0 { 100.0 } else { 0.01 };
-            speeds.record(at(round), machine, crazy);
+            let outlier = if number % 2 == 0 { 100.0 } else { 0.01 };
+            speeds.record(at(round), machine, outlier);
             speeds.record(at(round), machine, f64::NAN);
         }
     }
@@ -272,23 +272,29 @@
 }
 
 /// A machine that turns slow comes last, is tried again, and comes last for longer where it
-/// still is; one that is slow by nature does not.
+/// still is; one that is slow by usual_speed does not.
 #[test]
 fn speeds_eject_slow_of_late() {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let machines = machines(20);
     let mut speeds = Speeds::default();
-    let nature = |number| if number == 1 { 0.5 } else { 1.0 };
+    let usual_speed = |number| if number == 1 { 0.5 } else { 1.0 };
     run(
         &mut speeds,
         &mut rng,
         at(0),
-        &fleet_of(&machines, nature),
+        &fleet_of(&machines, usual_speed),
         20,
     );
     assert_eq!(speeds.eject_slow(at(1), &machines), vec![]);
-    let sick = |number| [0.25, 0.5].get(number).copied().unwrap_or(1.0);
-    run(&mut speeds, &mut rng, at(1), &fleet_of(&machines, sick), 5);
+    let slowed = |number| [0.25, 0.5].get(number).copied().unwrap_or(1.0);
+    run(
+        &mut speeds,
+        &mut rng,
+        at(1),
+        &fleet_of(&machines, slowed),
+        5,
+    );
     let expected = |length| {
         vec![Ejection {
             machine: machines[0].clone(),
@@ -301,7 +307,13 @@
     let after = at(2) + Duration::from_s(5);
     assert!(!speeds.is_ejected(after, "m0"));
     assert_eq!(speeds.eject_slow(after, &machines), vec![]);
-    run(&mut speeds, &mut rng, after, &fleet_of(&machines, sick), 5);
+    run(
+        &mut speeds,
+        &mut rng,
+        after,
+        &fleet_of(&machines, slowed),
+        5,
+    );
     let second = speeds.eject_slow(after, &machines);
     assert_eq!(second, expected(Duration::from_s(10)));
 }
@@ -334,9 +346,9 @@
 
 /// How a run is done that may tell what its queue's tasks take.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct RunKind {
     is_failed: bool,
-    is_heard_late: bool,
+    is_seen_late: bool,
     has_checkpoint: bool,
     is_repeated: bool,
     is_away_from_data: bool,
@@ -344,7 +356,7 @@
 }
 
 /// Returns how many sizes of steps are learned after a run.
-fn learned_count(told: Told) -> usize {
+fn learned_count(told: RunKind) -> usize {
     let mut state = placed_state("w0", 1);
     let task = &mut state.rounds[0].steps[0].tasks[0];
     task.status = TaskStatus::Waiting;
@@ -363,7 +375,7 @@
     let (worker, task, run) = start;
     if told.is_repeated {
         let reply = StartReply::Unanswered;
-        harness.tell(Event::StartAnswered {
+        harness.handle(Event::StartAnswered {
             worker,
             task,
             run,
@@ -371,9 +383,9 @@
         });
         harness.commit_all();
     }
-    harness.started(start);
+    harness.answer_started(start);
     harness.now = harness.now + Duration::from_ms(900);
-    if !told.is_heard_late {
+    if !told.is_seen_late {
         harness.answer_polls_with_progress(&[start], 90);
     }
     let kind = if told.is_failed {
@@ -381,20 +393,20 @@
     } else {
         EndKind::Done
     };
-    harness.list(worker, vec![end(1, task, run, kind)]);
+    harness.answer_poll(worker, vec![end(1, task, run, kind)]);
     harness.scheduler.status(harness.now).learned_sizes_count
 }
 
 /// Only a run whose whole time is known and was spent on the work tells anything.
 #[rstest]
-#[case::whole(Told::default(), 2)]
-#[case::failed(Told { is_failed: true, ..Told::default() }, 0)]
-#[case::heard_late(Told { is_heard_late: true, ..Told::default() }, 0)]
-#[case::from_checkpoint(Told { has_checkpoint: true, ..Told::default() }, 0)]
-#[case::start_repeated(Told { is_repeated: true, ..Told::default() }, 0)]
-#[case::away_from_data(Told { is_away_from_data: true, ..Told::default() }, 0)]
-#[case::filler(Told { is_filler: true, ..Told::default() }, 0)]
-fn learn_from_whole_runs_only(#[case] told: Told, #[case] sizes_count: usize) {
+#[case::whole(RunKind::default(), 2)]
+#[case::failed(RunKind { is_failed: true, ..RunKind::default() }, 0)]
+#[case::seen_late(RunKind { is_seen_late: true, ..RunKind::default() }, 0)]
+#[case::from_checkpoint(RunKind { has_checkpoint: true, ..RunKind::default() }, 0)]
+#[case::start_repeated(RunKind { is_repeated: true, ..RunKind::default() }, 0)]
+#[case::away_from_data(RunKind { is_away_from_data: true, ..RunKind::default() }, 0)]
+#[case::filler(RunKind { is_filler: true, ..RunKind::default() }, 0)]
+fn learn_from_whole_runs_only(#[case] told: RunKind, #[case] sizes_count: usize) {
     assert_eq!(learned_count(told), sizes_count);
 }
 
@@ -412,29 +424,29 @@
     let first = harness.starts();
     assert_eq!(first.len(), 4);
     for start in &first {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     harness.now = harness.now + Duration::from_ms(900);
     harness.answer_polls_with_progress(&first, 0);
     for pair in first.chunks(2) {
         let ends = (1..).zip(pair);
         let ends = ends.map(|(number, (_, task, run))| end(number, *task, *run, EndKind::Done));
-        harness.list(pair[0].0, ends.collect());
+        harness.answer_poll(pair[0].0, ends.collect());
     }
     harness.commit_all();
     let second = harness.starts();
     assert_eq!(second.len(), 4);
     for start in &second {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     for mut worker in leaving {
         worker.is_draining = true;
         worker.leaves_clock_ms = Some(harness.now.as_ms() + 4_000);
         let change = WorkerChange::Listed(worker.facts());
-        harness.tell(Event::WorkersChanged(vec![change]));
+        harness.handle(Event::WorkersChanged(vec![change]));
     }
     harness.now = harness.now + Duration::from_ms(200);
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     harness.stops().len()
 }
 
@@ -526,7 +538,7 @@
     };
     harness.scheduler.take_learned(harness.now, &learned);
     harness.now = harness.now + Duration::from_ms(20);
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     harness.submit_job(job);
     harness.commit_all();
     let mut placed: Vec<String> = Vec::new();
--- a/crates/scheduler/tests/scheduler/learning_load.rs
+++ b/crates/scheduler/tests/scheduler/learning_load.rs
@@ -1,4 +1,4 @@
-//! A load of short urgent jobs beside patient work, on workers some of which take twice as
+//! A load of short urgent jobs beside low_priority work, on workers some of which take twice as
 //! long: how many of the short jobs are in time.
 
 use crate::support::simulation::{Faults, Simulation};
@@ -15,30 +15,30 @@
 const LEARN_MS: u64 = 8_000;
 const LOAD_MS: u64 = 20_000;
 const URGENT_PERIOD_MS: u64 = 100;
-const PATIENT_PERIOD_MS: u64 = 500;
+const LOW_PRIORITY_PERIOD_MS: u64 = 500;
 /// An urgent job's estimate, what it really takes on a worker of usual speed, and the time
 /// that it has in all: its estimate and half a second.
 const URGENT_ESTIMATE_MS: u64 = 700;
 const URGENT_MS: core::ops::Range<u64> = 600..800;
 const URGENT_OBJECTIVE_MS: u64 = 1_200;
-const PATIENT_TASKS_COUNT: u32 = 12;
-const PATIENT_MS: core::ops::Range<u64> = 800..1_200;
+const LOW_PRIORITY_TASKS_COUNT: u32 = 12;
+const LOW_PRIORITY_MS: core::ops::Range<u64> = 800..1_200;
 
 /// Returns a configuration in which urgent jobs have half a second beside their estimate.
-fn tight_configuration() -> Configuration {
-    let mut tight = Configuration {
+fn strict_configuration() -> Configuration {
+    let mut strict = Configuration {
         version: 2,
         ..configuration(None)
     };
-    let urgent = tight.queues.get_mut(QUEUE).expect("the urgent queue");
+    let urgent = strict.queues.get_mut(QUEUE).expect("the urgent queue");
     urgent.stretch = 1.0;
     urgent.objective_ms = 500;
-    let patient = tight
+    let low_priority = strict
         .queues
         .get_mut(LOW_PRIORITY_QUEUE)
-        .expect("the patient queue");
-    patient.objective_ms = 15_000;
-    tight
+        .expect("the low-priority queue");
+    low_priority.objective_ms = 15_000;
+    strict
 }
 
 fn urgent_job(number: u64) -> (JobId, JobRecord) {
@@ -50,24 +50,24 @@
 }
 
 fn small_low_priority_job(number: u64) -> (JobId, JobRecord) {
-    let (id, mut record) = low_priority_job(number, PATIENT_TASKS_COUNT);
+    let (id, mut record) = low_priority_job(number, LOW_PRIORITY_TASKS_COUNT);
     record.spec.steps[0].estimate_ms = 1_000;
     record.spec.steps[0].saves_progress = false;
     (id, record)
 }
 
-/// A play: the world, and when each urgent job came.
-struct Play {
+/// A scenario: the world, and when each urgent job came.
+struct Scenario {
     simulation: Simulation,
     next_number: u64,
     urgent: BTreeMap<JobId, u64>,
 }
 
-impl Play {
+impl Scenario {
     fn new(seed: u64, features: Features) -> Self {
         let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
         simulation.elect_with_features(features);
-        simulation.configure(tight_configuration());
+        simulation.configure(strict_configuration());
         Self {
             simulation,
             next_number: 1,
@@ -98,8 +98,8 @@
                 self.urgent.insert(job.0, self.simulation.now_ms);
                 self.submit(job, URGENT_MS);
             }
-            if at_ms.is_multiple_of(PATIENT_PERIOD_MS) {
-                self.submit(small_low_priority_job(self.next_number), PATIENT_MS);
+            if at_ms.is_multiple_of(LOW_PRIORITY_PERIOD_MS) {
+                self.submit(small_low_priority_job(self.next_number), LOW_PRIORITY_MS);
             }
             let until_ms = begun_ms + at_ms + 50;
             self.simulation
@@ -136,15 +136,15 @@
 
 /// Plays the load on workers some of which are slow; returns the urgent jobs' share.
 fn slow_share(seed: u64, features: Features) -> f64 {
-    let mut play = Play::new(seed, features).with_slow_workers();
-    play.run(LEARN_MS);
-    let since_ms = play.simulation.now_ms;
-    play.run(LOAD_MS);
-    play.finish();
-    play.urgent_share(since_ms)
+    let mut scenario = Scenario::new(seed, features).with_slow_workers();
+    scenario.run(LEARN_MS);
+    let since_ms = scenario.simulation.now_ms;
+    scenario.run(LOAD_MS);
+    scenario.finish();
+    scenario.urgent_share(since_ms)
 }
 
-/// Short jobs go to workers of usual speed and patient work to the slow ones: nearly all of
+/// Short jobs go to workers of usual speed and low_priority work to the slow ones: nearly all of
 /// the short ones are in time.
 #[test]
 fn place_urgent_beside_slow_workers() {
@@ -167,57 +167,57 @@
 /// Nothing is lost but time, and it is learned anew.
 #[test]
 fn place_urgent_after_speeds_flip() {
-    let mut play = Play::new(1, Features::default()).with_slow_workers();
-    play.run(LEARN_MS);
-    for (number, worker) in play.simulation.workers.iter_mut().enumerate() {
+    let mut scenario = Scenario::new(1, Features::default()).with_slow_workers();
+    scenario.run(LEARN_MS);
+    for (number, worker) in scenario.simulation.workers.iter_mut().enumerate() {
         let is_slow = number % SLOW_ONE_IN == 4;
         worker.speed_per_mille = if is_slow { SLOW_PER_MILLE } else { 1000 };
     }
-    play.run(LOAD_MS);
-    let since_ms = play.simulation.now_ms;
-    play.run(LOAD_MS);
-    play.finish();
-    let share = play.urgent_share(since_ms);
+    scenario.run(LOAD_MS);
+    let since_ms = scenario.simulation.now_ms;
+    scenario.run(LOAD_MS);
+    scenario.finish();
+    let share = scenario.urgent_share(since_ms);
     assert!(share >= 0.9, "{share:.3} of the urgent jobs were in time");
 }
 
 /// All workers turn slow at once: none of them comes last for it.
 #[test]
 fn place_while_all_turn_slow() {
-    let mut play = Play::new(2, Features::default());
-    play.run(LEARN_MS);
-    for worker in &mut play.simulation.workers {
+    let mut scenario = Scenario::new(2, Features::default());
+    scenario.run(LEARN_MS);
+    for worker in &mut scenario.simulation.workers {
         worker.speed_per_mille = SLOW_PER_MILLE;
     }
     for _ in 0..10 {
-        play.run(1_000);
-        assert_eq!(play.simulation.status().ejected_workers_count, 0);
-        assert_eq!(play.simulation.status().slow_workers_count, 0);
+        scenario.run(1_000);
+        assert_eq!(scenario.simulation.status().ejected_workers_count, 0);
+        assert_eq!(scenario.simulation.status().slow_workers_count, 0);
     }
-    play.finish();
+    scenario.finish();
 }
 
 /// Workers that stand still for a while come last, a few of them at a time, and work again
 /// once they do.
 #[test]
 fn place_beside_workers_that_stand_still() {
-    let mut play = Play::new(3, Features::default());
-    play.run(LEARN_MS);
-    for worker in play.simulation.workers.iter_mut().take(2) {
+    let mut scenario = Scenario::new(3, Features::default());
+    scenario.run(LEARN_MS);
+    for worker in scenario.simulation.workers.iter_mut().take(2) {
         worker.speed_per_mille = 100;
     }
-    play.run(LOAD_MS);
-    let ejected_count = play.simulation.status().ejected_workers_count;
+    scenario.run(LOAD_MS);
+    let ejected_count = scenario.simulation.status().ejected_workers_count;
     assert!(
         (1..=4).contains(&ejected_count),
         "{ejected_count} come last"
     );
-    for worker in &mut play.simulation.workers {
+    for worker in &mut scenario.simulation.workers {
         worker.speed_per_mille = 1000;
     }
-    play.run(3 * LOAD_MS);
-    assert_eq!(play.simulation.status().ejected_workers_count, 0);
-    play.finish();
+    scenario.run(3 * LOAD_MS);
+    assert_eq!(scenario.simulation.status().ejected_workers_count, 0);
+    scenario.finish();
 }
 
 /// Before anything is learned, and right after a takeover, the decisions are those without
@@ -225,11 +225,11 @@
 #[test]
 fn place_without_knowledge_as_without_learning() {
     let done = |features| {
-        let mut play = Play::new(4, features).with_slow_workers();
-        play.run(1_000);
-        play.simulation.elect();
-        play.run(1_000);
-        play.simulation.done_ms.clone()
+        let mut scenario = Scenario::new(4, features).with_slow_workers();
+        scenario.run(1_000);
+        scenario.simulation.elect();
+        scenario.run(1_000);
+        scenario.simulation.done_ms.clone()
     };
     let with = done(Features::default());
     assert!(!with.is_empty());
@@ -238,16 +238,16 @@
 
 /// Returns the share of the urgent jobs in time right after a takeover.
 fn share_after_takeover(seed: u64, hands_over_learned: bool) -> f64 {
-    let mut play = Play::new(seed, Features::default()).with_slow_workers();
-    play.simulation.hands_over_learned = hands_over_learned;
-    play.run(LEARN_MS + LOAD_MS);
-    play.simulation.elect();
+    let mut scenario = Scenario::new(seed, Features::default()).with_slow_workers();
+    scenario.simulation.hands_over_learned = hands_over_learned;
+    scenario.run(LEARN_MS + LOAD_MS);
+    scenario.simulation.elect();
     // The first jobs wait until workers were heard of under the new fence.
-    play.run(1_000);
-    let since_ms = play.simulation.now_ms;
-    play.run(LEARN_MS);
-    play.finish();
-    play.urgent_share(since_ms)
+    scenario.run(1_000);
+    let since_ms = scenario.simulation.now_ms;
+    scenario.run(LEARN_MS);
+    scenario.finish();
+    scenario.urgent_share(since_ms)
 }
 
 /// What was learned outlasts the leader, where it is handed on.
--- a/crates/scheduler/tests/scheduler/lapses.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -12,21 +12,21 @@
 use rstest::rstest;
 
 /// The time between two looks of these tests.
-const STEP: Duration = Duration::from_ms(20);
+const POLL_INTERVAL: Duration = Duration::from_ms(20);
 /// When a renewal is taken for unanswered.
-const UNANSWERED_AFTER: Duration = Duration::from_ms(1050);
+const POLL_TIMEOUT: Duration = Duration::from_ms(1050);
 /// The slowest clock of a worker that the platform allows, in thousandths.
 const SLOWEST_CLOCK_PER_MILLE: u64 = 980;
 /// How much longer a leader waits, for a slow clock and for placing anew.
 const LEASE_SLACK: Duration = Duration::from_ms(400);
 /// The most ends that a worker lists at once.
-const ENDS_AT_ONCE_COUNT: u64 = 500;
+const ENDS_PER_LIST_COUNT: u64 = 500;
 /// The lease that a leader grants where the store is well.
 const SHORTEST_LEASE: Duration = Duration::from_ms(4000);
 /// Leases that workers would keep in some cells.
 const LONG_LEASE_LIMIT: Duration = Duration::from_ms(10_000);
 /// How long a lasting task may be away when its worker is lost.
-const LASTING_TASK_AWAY_LIMIT: Duration = Duration::from_ms(9_000);
+const PERPETUAL_TASK_OUTAGE_LIMIT: Duration = Duration::from_ms(9_000);
 /// A run longer than any lease.
 const LONG_RUN_MS: u64 = 60_000;
 
@@ -53,7 +53,7 @@
         let now_ms = harness.now.as_ms();
         let limit_ms = LEASE_LIMIT.as_ms();
         let until_ms = worker.clock_ms(now_ms) + limit_ms;
-        worker.hold(now_ms, FENCE - 1, Some(until_ms), 0, limit_ms);
+        worker.answer_poll(now_ms, FENCE - 1, Some(until_ms), 0, limit_ms);
         let mut cell = Self {
             harness,
             worker,
@@ -69,8 +69,10 @@
         self.harness.now = sent_at + Duration::from_ms(2);
         let now_ms = self.harness.now.as_ms();
         let limit_ms = LEASE_LIMIT.as_ms();
-        let reply = self.worker.hold(now_ms, FENCE, until_ms, 0, limit_ms);
-        self.harness.tell(Event::HoldAnswered {
+        let reply = self
+            .worker
+            .answer_poll(now_ms, FENCE, until_ms, 0, limit_ms);
+        self.harness.handle(Event::HoldAnswered {
             worker: self.key,
             sent_at,
             reply,
@@ -81,17 +83,18 @@
     fn begin_long_run(&mut self) -> TaskKey {
         self.harness.submit(1, vec![step(1)]);
         self.harness.commit_all();
-        let order = self.take_start();
+        let order = self.drain_start();
         let now_ms = self.harness.now.as_ms();
         let run = FakeRun {
             run: order.run,
             ends_at_ms: now_ms + LONG_RUN_MS,
             kind: EndKind::Done,
             demand: step(1).demand,
-            saves: false,
+            saves_checkpoints: false,
         };
-        self.worker.begin(now_ms, &order, run, LEASE_LIMIT.as_ms());
-        self.harness.tell(Event::StartAnswered {
+        self.worker
+            .begin_run(now_ms, &order, run, LEASE_LIMIT.as_ms());
+        self.harness.handle(Event::StartAnswered {
             worker: self.key,
             task: order.task,
             run: order.run,
@@ -100,7 +103,7 @@
         order.task
     }
 
-    fn take_start(&mut self) -> StartOrder {
+    fn drain_start(&mut self) -> StartOrder {
         let taken = core::mem::take(&mut self.harness.actions);
         let mut starts = taken.into_iter().filter_map(|action| match action {
             Action::Start { to, order } if to.worker == self.key => Some(order),
@@ -111,24 +114,24 @@
 
     /// Lets time pass while the worker leaves everything unanswered; returns when
     /// the task was started elsewhere.
-    fn cut_off_until_started_again(&mut self, limit: Duration) -> Option<Instant> {
-        let begun = self.harness.now;
+    fn partition_until_restarted(&mut self, limit: Duration) -> Option<Instant> {
+        let partitioned_at = self.harness.now;
         let mut other = Some(self.harness.scheduler.worker_key("w1").expect("a worker"));
-        let mut unanswered_at = begun + UNANSWERED_AFTER;
-        while self.harness.now.since(begun) < limit {
-            self.harness.now = self.harness.now + STEP;
+        let mut unanswered_at = partitioned_at + POLL_TIMEOUT;
+        while self.harness.now.since(partitioned_at) < limit {
+            self.harness.now = self.harness.now + POLL_INTERVAL;
             if let Some(other) = other.take() {
-                self.harness.list(other, Vec::new());
+                self.harness.answer_poll(other, Vec::new());
             }
             if self.harness.now >= unanswered_at {
-                unanswered_at = self.harness.now + UNANSWERED_AFTER;
-                self.harness.tell(Event::HoldAnswered {
+                unanswered_at = self.harness.now + POLL_TIMEOUT;
+                self.harness.handle(Event::HoldAnswered {
                     worker: self.key,
                     sent_at: self.harness.now,
                     reply: HoldReply::Unanswered,
                 });
             }
-            self.harness.tell(Event::Tick);
+            self.harness.handle(Event::Tick);
             self.harness.answer_commits();
             if !self.harness.starts().is_empty() {
                 return Some(self.harness.now);
@@ -153,13 +156,13 @@
 fn give_up_lapsed_lease_of_earlier_leader(#[case] reached_after: Duration) {
     let mut cell = Cell::after_grant_of_earlier_leader(reached_after);
     let task = cell.begin_long_run();
-    let begun = cell.harness.now;
-    let again = cell.cut_off_until_started_again(Duration::from_s(12));
+    let partitioned_at = cell.harness.now;
+    let again = cell.partition_until_restarted(Duration::from_s(12));
     let again = again.expect("a run whose lease is over is given up");
     assert!(
         !cell.is_running(task),
         "{task} was started again {} ms after the cut, and its run was alive",
-        again.since(begun).as_ms()
+        again.since(partitioned_at).as_ms()
     );
 }
 
@@ -171,7 +174,7 @@
     let mut cell = Cell::after_grant_of_earlier_leader(Duration::ZERO);
     let answered = cell.harness.now;
     let task = cell.begin_long_run();
-    let again = cell.cut_off_until_started_again(Duration::from_s(12));
+    let again = cell.partition_until_restarted(Duration::from_s(12));
     let again = again.expect("a run whose lease is over is given up");
     let waited = again.since(answered);
     assert!(
@@ -182,26 +185,26 @@
 }
 
 /// Returns two lives of one machine: the id of the live one sorts before that of
-/// the dead one, or behind it.
+/// the lost one, or behind it.
 fn incarnations(is_live_first: bool) -> (FakeWorker, FakeWorker) {
-    let (live_id, dead_id) = if is_live_first {
+    let (live_id, lost_id) = if is_live_first {
         ("w0", "w1")
     } else {
         ("w1", "w0")
     };
     let mut live = FakeWorker::new(live_id, 1000);
-    let mut dead = FakeWorker::new(dead_id, 1000);
+    let mut lost = FakeWorker::new(lost_id, 1000);
     live.address = "at m0".into();
-    dead.address = "at m0".into();
-    (live, dead)
+    lost.address = "at m0".into();
+    (live, lost)
 }
 
-/// A worker that crashed stays in the list for a while, beside the machine's next
+/// A worker that crashed other_run in the list for a while, beside the machine's next
 /// life. Where a new leader's first list holds both, their order in it tells
 /// nothing of which is the later one.
 #[rstest]
 fn add_worker_two_lives_in_first_list(#[values(true, false)] is_live_first: bool) {
-    let (live, dead) = incarnations(is_live_first);
+    let (live, lost) = incarnations(is_live_first);
     let (id, record) = job(1, vec![step(1)]);
     let kept = Recovered {
         jobs: vec![(id, record)],
@@ -209,17 +212,17 @@
         ..Recovered::default()
     };
     let mut harness = Harness::after_evicted_leader(kept);
-    let mut listed = [live, dead, FakeWorker::new("w2", 1000)];
+    let mut listed = [live, lost, FakeWorker::new("w2", 1000)];
     listed.sort_by(|one, other| one.id.cmp(&other.id));
     harness.list_workers(&listed);
     let key = |id: &str| harness.scheduler.worker_key(id).expect("a listed worker");
-    let (live, dead, other) = match is_live_first {
+    let (live, lost, other) = match is_live_first {
         true => (key("w0"), key("w1"), key("w2")),
         false => (key("w1"), key("w0"), key("w2")),
     };
-    harness.list(other, Vec::new());
-    harness.tell(Event::HoldAnswered {
-        worker: dead,
+    harness.answer_poll(other, Vec::new());
+    harness.handle(Event::HoldAnswered {
+        worker: lost,
         sent_at: harness.now,
         reply: HoldReply::OtherLife,
     });
@@ -229,20 +232,20 @@
     harness.commit_all();
     assert_eq!(harness.starts(), vec![], "{task} runs on the live one");
     assert_eq!(harness.stops(), vec![], "{task} runs on the live one");
-    harness.list(live, vec![end(1, task, 1, EndKind::Done)]);
+    harness.answer_poll(live, vec![end(1, task, 1, EndKind::Done)]);
     harness.commit_all();
     let view = harness.scheduler.job(id).expect("a known job");
     assert_eq!(view.phase, Phase::Complete);
 }
 
-/// Returns a leader that has begun a step's tasks on its only worker.
+/// Returns a leader that has partitioned_at a step's tasks on its only worker.
 fn after_starts(tasks_count: u32) -> (Harness, WorkerKey, Vec<TaskKey>) {
     let mut harness = Harness::new(Recovered::default(), &[FakeWorker::new("w0", 1000)]);
     harness.submit(1, vec![step(tasks_count)]);
     harness.commit_all();
     let starts = harness.starts();
     for start in &starts {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     let worker = starts[0].0;
     let tasks = starts.into_iter().map(|(_, task, _)| task).collect();
@@ -256,7 +259,7 @@
     let (mut harness, worker, tasks) = after_starts(2);
     let later = end(2, tasks[1], 1, EndKind::Done);
     let earlier = end(1, tasks[0], 1, EndKind::Done);
-    harness.list(worker, vec![later, earlier]);
+    harness.answer_poll(worker, vec![later, earlier]);
     harness.commit_all();
     let view = harness
         .scheduler
@@ -266,7 +269,7 @@
 }
 
 /// A worker lists so many ends at once; a run whose end comes with the next list
-/// was begun.
+/// was partitioned_at.
 #[test]
 fn release_unlisted_more_ends_than_listed_at_once() {
     let (id, record) = job(1, vec![step(1)]);
@@ -278,20 +281,20 @@
     let mut harness = Harness::after_evicted_leader(kept);
     harness.list_workers(&[FakeWorker::new("w0", 1000)]);
     let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
-    let stranger = first_task(JobId::new(99));
-    let others = (1..=ENDS_AT_ONCE_COUNT).map(|number| {
+    let unrelated = first_task(JobId::new(99));
+    let others = (1..=ENDS_PER_LIST_COUNT).map(|number| {
         let run = number as u32;
-        end(number, stranger, run, EndKind::Stopped)
+        end(number, unrelated, run, EndKind::Stopped)
     });
-    harness.list(worker, others.collect());
+    harness.answer_poll(worker, others.collect());
     harness.commit_all();
     assert_eq!(
         harness.starts(),
         vec![],
         "its end may come with the next list"
     );
-    let last = end(ENDS_AT_ONCE_COUNT + 1, first_task(id), 1, EndKind::Done);
-    harness.list(worker, vec![last]);
+    let last = end(ENDS_PER_LIST_COUNT + 1, first_task(id), 1, EndKind::Done);
+    harness.answer_poll(worker, vec![last]);
     harness.commit_all();
     let view = harness.scheduler.job(id).expect("a known job");
     assert_eq!(view.phase, Phase::Complete);
@@ -301,13 +304,13 @@
 #[test]
 fn renew_leases_end_waits_for_slow_store() {
     let (mut harness, worker, tasks) = after_starts(2);
-    harness.list(worker, vec![end(1, tasks[0], 1, EndKind::Done)]);
+    harness.answer_poll(worker, vec![end(1, tasks[0], 1, EndKind::Done)]);
     harness.actions.clear();
-    let begun = harness.now;
+    let partitioned_at = harness.now;
     let is_renewed = |action: &Action| matches!(action, Action::Hold { to, until_ms: Some(_), last_seen: 0, .. } if to.worker == worker);
-    while harness.now.since(begun) < SHORTEST_LEASE {
-        harness.now = harness.now + STEP;
-        harness.tell(Event::Tick);
+    while harness.now.since(partitioned_at) < SHORTEST_LEASE {
+        harness.now = harness.now + POLL_INTERVAL;
+        harness.handle(Event::Tick);
     }
     assert!(
         harness.actions.iter().any(is_renewed),
@@ -339,19 +342,19 @@
     harness.commit_all();
     let others = harness.starts();
     for start in members.iter().chain(&others) {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     harness.actions.clear();
     for (worker, task, run) in &members {
-        let stays = others.iter().find(|(at, ..)| at == worker);
-        let stays = stays.expect("a run beside the gang's").1;
+        let other_run = others.iter().find(|(at, ..)| at == worker);
+        let other_run = other_run.expect("a run beside the gang's").1;
         let ended = vec![end(1, *task, *run, EndKind::Done)];
-        harness.answer_poll_running_and_ended(*worker, stays, ended);
+        harness.answer_poll_running_and_ended(*worker, other_run, ended);
     }
     // Less than the time after which leases are renewed beside a commit.
     for _ in 0..10 {
-        harness.now = harness.now + STEP;
-        harness.tell(Event::Tick);
+        harness.now = harness.now + POLL_INTERVAL;
+        harness.handle(Event::Tick);
     }
     let may_forget = |action: &Action| matches!(action, Action::Hold { last_seen: 1, .. });
     let forgotten_count = harness.actions.iter().filter(|a| may_forget(a)).count();
@@ -371,7 +374,7 @@
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let start = harness.starts()[0];
-    harness.started(start);
+    harness.answer_started(start);
     assert_eq!(Some(start.0), harness.scheduler.worker_key("w0"));
     // The look that is open is answered.
     harness.answer_poll_running(start.0, start.1);
@@ -390,9 +393,9 @@
     harness.list_workers(&listed);
     harness.commit_all();
     assert_eq!(harness.starts(), vec![], "its run goes on");
-    let stale = harness.scheduler.worker_key("w1").expect("a listed worker");
-    harness.tell(Event::HoldAnswered {
-        worker: stale,
+    let earlier = harness.scheduler.worker_key("w1").expect("a listed worker");
+    harness.handle(Event::HoldAnswered {
+        worker: earlier,
         sent_at: harness.now,
         reply: HoldReply::OtherLife,
     });
@@ -411,13 +414,13 @@
     let is_asked =
         |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == worker);
     assert!(harness.actions.iter().any(is_asked), "asked at once");
-    harness.tell(Event::HoldAnswered {
+    harness.handle(Event::HoldAnswered {
         worker,
         sent_at: harness.now,
         reply: HoldReply::OtherLife,
     });
     let later = harness.scheduler.worker_key("w1").expect("a listed worker");
-    harness.list(later, Vec::new());
+    harness.answer_poll(later, Vec::new());
     harness.commit_all();
     assert_eq!(harness.starts().len(), 1, "its run starts again");
 }
@@ -432,16 +435,16 @@
     harness.commit_all();
     let start = harness.starts()[0];
     let (lost, task, _) = start;
-    harness.started(start);
-    harness.tell(Event::StoreTrouble(true));
+    harness.answer_started(start);
+    harness.handle(Event::StoreTrouble(true));
     harness.answer_poll_running(lost, task);
-    harness.now = harness.now + UNANSWERED_AFTER;
-    harness.tell(Event::Tick);
+    harness.now = harness.now + POLL_TIMEOUT;
+    harness.handle(Event::Tick);
     harness.answer_poll_running(lost, task);
-    harness.tell(Event::StoreTrouble(false));
+    harness.handle(Event::StoreTrouble(false));
     // The worker has received every renewal, and is lost after the last one.
     let lost_at = harness.now;
-    while harness.now.since(lost_at) < LASTING_TASK_AWAY_LIMIT {
+    while harness.now.since(lost_at) < PERPETUAL_TASK_OUTAGE_LIMIT {
         harness.leave_poll_unanswered(lost);
         harness.commit_all();
         if !harness.starts().is_empty() {
--- a/crates/scheduler/tests/scheduler/overload.rs
+++ b/crates/scheduler/tests/scheduler/overload.rs
@@ -130,9 +130,9 @@
     assert_eq!(demand.select().len(), 1);
 }
 
-/// A way to choose the next job.
+/// A policy to next_job the next job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Policy {
     /// The one that is due first.
     SoonestDue,
     /// The one that needs least.
@@ -168,16 +168,16 @@
 }
 
 /// Serves a load job by job; returns how many are in time.
-fn serve(jobs: &[LoadJob], way: Way) -> usize {
+fn serve(jobs: &[LoadJob], policy: Policy) -> usize {
     let mut waiting: Vec<LoadJob> = Vec::new();
-    let mut coming = jobs.iter().copied().peekable();
+    let mut arriving = jobs.iter().copied().peekable();
     let (mut now_ms, mut in_time_count) = (0, 0);
     loop {
-        while let Some(job) = coming.next_if(|job| job.at_ms <= now_ms) {
+        while let Some(job) = arriving.next_if(|job| job.at_ms <= now_ms) {
             waiting.push(job);
         }
-        let Some(index) = choose(&waiting, now_ms, way) else {
-            let Some(next) = coming.peek() else {
+        let Some(index) = next_job(&waiting, now_ms, policy) else {
+            let Some(next) = arriving.peek() else {
                 return in_time_count;
             };
             now_ms = next.at_ms;
@@ -189,12 +189,12 @@
     }
 }
 
-fn choose(waiting: &[LoadJob], now_ms: u64, way: Way) -> Option<usize> {
+fn next_job(waiting: &[LoadJob], now_ms: u64, policy: Policy) -> Option<usize> {
     let indices = 0..waiting.len();
-    match way {
-        Way::SoonestDue => indices.min_by_key(|index| waiting[*index].due_ms),
-        Way::Smallest => indices.min_by_key(|index| waiting[*index].whole_ms),
-        Way::Selected => {
+    match policy {
+        Policy::SoonestDue => indices.min_by_key(|index| waiting[*index].due_ms),
+        Policy::Smallest => indices.min_by_key(|index| waiting[*index].whole_ms),
+        Policy::Selected => {
             let mut demand = Demand::new(Amounts::of(&CAPACITY), Occupancy::default());
             for (index, job) in waiting.iter().enumerate() {
                 let left_ms = job.due_ms.checked_sub(now_ms);
@@ -221,8 +221,13 @@
 /// due first, and than the smallest first.
 #[test]
 fn select_beats_other_ways() {
-    let served = |way| (0..20).map(|seed| serve(&load(seed), way)).sum::<usize>();
-    let [due, smallest, selected] = [Way::SoonestDue, Way::Smallest, Way::Selected].map(served);
+    let served = |policy| {
+        (0..20)
+            .map(|seed| serve(&load(seed), policy))
+            .sum::<usize>()
+    };
+    let [due, smallest, selected] =
+        [Policy::SoonestDue, Policy::Smallest, Policy::Selected].map(served);
     let all: usize = (0..20).map(|seed| load(seed).len()).sum();
     println!("of {all}: {due} soonest due, {smallest} smallest, {selected} selected");
     assert!(selected > due);
@@ -230,7 +235,7 @@
 }
 
 /// What the wall clock shows.
-const WALL_MS: u64 = 100_000;
+const WALL_CLOCK_MS: u64 = 100_000;
 /// The age of a job of a second whose objective, 3 s, has been over for longer than any job of
 /// an overloaded service should wait; its worth was over after 9.
 const AGED_MS: u64 = 34_000;
@@ -241,20 +246,20 @@
     let joining = workers(2);
     let mut harness = Harness::with_features(features, &[]);
     // Jobs may be as old as the clock tells.
-    harness.now = Instant::from_ms(WALL_MS);
-    harness.tell(Event::WallClock(WALL_MS));
+    harness.now = Instant::from_ms(WALL_CLOCK_MS);
+    harness.handle(Event::WallClock(WALL_CLOCK_MS));
     let mut harness = harness.with_workers(&joining);
     let mut jobs = vec![0];
     jobs.extend(ages_ms);
     for (number, age_ms) in jobs.into_iter().enumerate() {
         let (id, mut record) = job(number as u64, vec![step(4)]);
-        record.accepted_ms = WALL_MS - age_ms;
+        record.accepted_ms = WALL_CLOCK_MS - age_ms;
         harness.submit_job((id, record));
     }
     harness.commit_all();
     let first = harness.starts();
     for start in first.iter().copied() {
-        harness.started(start);
+        harness.answer_started(start);
     }
     let worker = first[0].0;
     let here = first.iter().filter(|(at, ..)| *at == worker);
@@ -263,7 +268,7 @@
         .map(|(index, (_, task, run))| end(index as u64 + 1, *task, *run, EndKind::Done));
     let ended: Vec<EndedRun> = ended.collect();
     assert_eq!(ended.len(), 2);
-    harness.list(worker, ended);
+    harness.answer_poll(worker, ended);
     harness.commit_all();
     let starts = harness.starts();
     let numbers = starts.iter().map(|(_, task, _)| task.step.job.number());
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -12,12 +12,12 @@
 const WORKERS_COUNT: usize = 24;
 const SEEDS_COUNT: u64 = 4;
 /// Before the burst, for as long as it lasts, and after it, in milliseconds.
-const CALM_MS: u64 = 3_000;
+const BEFORE_MS: u64 = 3_000;
 const BURST_MS: u64 = 5_000;
 const AFTER_MS: u64 = 6_000;
 /// All jobs are done within this time after the load.
 const DONE_WITHIN_MS: u64 = 60_000;
-const TURN_MS: u64 = 50;
+const STEP_MS: u64 = 50;
 /// A queue of gangs.
 const GANG_QUEUE: &str = "mosaic";
 
@@ -114,19 +114,19 @@
     }
 }
 
-/// How the jobs of a play came out.
+/// How the jobs of a scenario came out.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Outcome {
     jobs_count: usize,
     in_time_count: usize,
     /// In time, or late by less than twice their objective.
-    of_worth_count: usize,
+    with_worth_count: usize,
     /// The sum of their worth.
     worth: f64,
     longest_ms: u64,
 }
 
-struct Play {
+struct Scenario {
     features: Features,
     burst_percent: u64,
     lengths_percent: core::ops::Range<u64>,
@@ -134,7 +134,7 @@
     has_takeover: bool,
 }
 
-impl Play {
+impl Scenario {
     fn new(features: Features, burst_percent: u64) -> Self {
         Self {
             features,
@@ -165,19 +165,19 @@
         simulation.elect_with_features(self.features);
         // What the leader before may have started is over by then.
         simulation.run_for(8_000);
-        let handed_in = self.hand_in(&mut simulation);
+        let submitted = self.submit_load(&mut simulation);
         let until_ms = simulation.now_ms + DONE_WITHIN_MS;
-        while simulation.done_ms.len() < handed_in.len() {
+        while simulation.done_ms.len() < submitted.len() {
             assert!(simulation.now_ms < until_ms, "a job was not done");
-            simulation.run_for(TURN_MS);
+            simulation.run_for(STEP_MS);
             simulation.record_outcomes();
         }
         let mut outcome = Outcome::default();
-        for (id, since_ms, limit_ms) in handed_in {
+        for (id, since_ms, limit_ms) in submitted {
             let took_ms = simulation.done_ms[&id] - since_ms;
             outcome.jobs_count += 1;
             outcome.in_time_count += usize::from(took_ms <= limit_ms);
-            outcome.of_worth_count += usize::from(took_ms <= 3 * limit_ms);
+            outcome.with_worth_count += usize::from(took_ms <= 3 * limit_ms);
             outcome.worth += worth_of(took_ms, limit_ms);
             outcome.longest_ms = outcome.longest_ms.max(took_ms);
         }
@@ -185,29 +185,29 @@
     }
 
     /// Plays the load; returns the jobs, when they were handed in, and their objectives.
-    fn hand_in(&self, simulation: &mut Simulation) -> Vec<(JobId, u64, u64)> {
+    fn submit_load(&self, simulation: &mut Simulation) -> Vec<(JobId, u64, u64)> {
         let kinds = kinds();
         let mut due_percent = [0; 3];
-        let mut handed_in = Vec::new();
-        for at_ms in (0..CALM_MS + BURST_MS + AFTER_MS).step_by(TURN_MS as usize) {
-            if self.has_takeover && at_ms == CALM_MS + BURST_MS / 2 {
+        let mut submitted = Vec::new();
+        for at_ms in (0..BEFORE_MS + BURST_MS + AFTER_MS).step_by(STEP_MS as usize) {
+            if self.has_takeover && at_ms == BEFORE_MS + BURST_MS / 2 {
                 simulation.elect();
             }
-            let is_burst = (CALM_MS..CALM_MS + BURST_MS).contains(&at_ms);
+            let is_burst = (BEFORE_MS..BEFORE_MS + BURST_MS).contains(&at_ms);
             let rate_percent = if is_burst { self.burst_percent } else { 50 };
             for (kind, due) in kinds.iter().zip(&mut due_percent) {
-                *due += rate_percent * TURN_MS;
+                *due += rate_percent * STEP_MS;
                 while *due >= kind.period_ms * 100 {
                     *due -= kind.period_ms * 100;
-                    let (id, record) = kind.job(handed_in.len() as u64 + 1, simulation.now_ms);
-                    handed_in.push((id, simulation.now_ms, kind.limit_ms()));
+                    let (id, record) = kind.job(submitted.len() as u64 + 1, simulation.now_ms);
+                    submitted.push((id, simulation.now_ms, kind.limit_ms()));
                     simulation.submit((id, record));
                 }
             }
-            simulation.run_for(TURN_MS);
+            simulation.run_for(STEP_MS);
             simulation.record_outcomes();
         }
-        handed_in
+        submitted
     }
 
     /// Returns the sum of some seeds.
@@ -217,7 +217,7 @@
             let outcome = self.run(seed);
             sum.jobs_count += outcome.jobs_count;
             sum.in_time_count += outcome.in_time_count;
-            sum.of_worth_count += outcome.of_worth_count;
+            sum.with_worth_count += outcome.with_worth_count;
             sum.worth += outcome.worth;
             sum.longest_ms = sum.longest_ms.max(outcome.longest_ms);
         }
@@ -226,10 +226,10 @@
 }
 
 /// Returns how a load comes out without the feature, and with it.
-fn compare(play: impl Fn(Features) -> Play) -> (Outcome, Outcome) {
+fn compare(scenario: impl Fn(Features) -> Scenario) -> (Outcome, Outcome) {
     let off = Features::default().without(Feature::OverloadOrder);
-    let before = play(off).run_all();
-    let after = play(Features::default()).run_all();
+    let before = scenario(off).run_all();
+    let after = scenario(Features::default()).run_all();
     println!("{before:?} without\n{after:?} with");
     (before, after)
 }
@@ -237,7 +237,7 @@
 /// In a burst more jobs are in time, what all are worth is no less, and all are done.
 #[rstest]
 fn place_in_burst_more_in_time(#[values(150, 200, 300)] burst_percent: u64) {
-    let (before, after) = compare(|features| Play::new(features, burst_percent));
+    let (before, after) = compare(|features| Scenario::new(features, burst_percent));
     assert!(after.in_time_count > before.in_time_count);
     assert!(after.worth >= before.worth);
 }
@@ -246,15 +246,15 @@
 /// without. How many are in time tells nothing where all tasks take too long for that.
 #[rstest]
 fn place_in_burst_wrong_estimates(#[values(24..56, 150..350)] lengths: core::ops::Range<u64>) {
-    let play = |features| Play::new(features, 200).with_lengths(lengths.clone());
-    let (before, after) = compare(play);
+    let scenario = |features| Scenario::new(features, 200).with_lengths(lengths.clone());
+    let (before, after) = compare(scenario);
     assert!(after.worth >= before.worth);
 }
 
 /// A leader that comes in the midst of a burst orders the work as the one before.
 #[test]
 fn place_in_burst_takeover() {
-    let (before, after) = compare(|features| Play::new(features, 200).with_takeover());
+    let (before, after) = compare(|features| Scenario::new(features, 200).with_takeover());
     assert!(after.in_time_count >= before.in_time_count);
     assert!(after.worth >= before.worth);
 }
@@ -262,18 +262,18 @@
 /// Without a burst the feature changes nothing.
 #[test]
 fn place_in_calm_as_without() {
-    let (before, after) = compare(|features| Play::new(features, 50));
+    let (before, after) = compare(|features| Scenario::new(features, 50));
     assert_eq!(before, after);
 }
 
-/// What a flood took is free as soon as its callers have gone.
+/// What a burst took is free as soon as its callers have gone.
 #[test]
 fn cancel_flood_frees_room() {
     let mut simulation = Simulation::new(1, WORKERS_COUNT, Faults::default(), None);
     simulation.run_durations_percent = Some(60..140);
     simulation.configure(configuration());
     let short = &kinds()[0];
-    let flood: Vec<JobId> = (1..400)
+    let burst: Vec<JobId> = (1..400)
         .map(|number| {
             let (id, record) = short.job(number, simulation.now_ms);
             simulation.submit((id, record));
@@ -281,13 +281,13 @@
         })
         .collect();
     simulation.run_for(200);
-    flood.into_iter().for_each(|id| simulation.cancel(id));
+    burst.into_iter().for_each(|id| simulation.cancel(id));
     let begun_ms = simulation.now_ms;
     let (id, record) = short.job(400, begun_ms);
     simulation.submit((id, record));
     while !simulation.done_ms.contains_key(&id) {
-        simulation.run_for(TURN_MS);
+        simulation.run_for(STEP_MS);
         simulation.record_outcomes();
-        assert!(simulation.now_ms < begun_ms + short.limit_ms() + TURN_MS);
+        assert!(simulation.now_ms < begun_ms + short.limit_ms() + STEP_MS);
     }
 }
--- a/crates/scheduler/tests/scheduler/packing.rs
+++ b/crates/scheduler/tests/scheduler/packing.rs
@@ -7,7 +7,7 @@
 use ospreywing_types::Resources;
 
 const WITH_ACCELERATORS: Resources = Resources::new(128_000, 524_288, 8);
-const WITHOUT: Resources = Resources::new(128_000, 524_288, 0);
+const WITHOUT_ACCELERATORS: Resources = Resources::new(128_000, 524_288, 0);
 const LARGE: Resources = Resources::new(62_000, 133_120, 8);
 const SMALL: Resources = Resources::new(11_000, 32_768, 1);
 
@@ -34,7 +34,7 @@
     harness.commit_all();
     let starts = harness.starts();
     for start in &starts {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     let listed: Vec<_> = harness.scheduler.listed_workers().collect();
     let id_of = |key| listed.iter().find(|(other, _)| *other == key);
@@ -48,7 +48,7 @@
 #[test]
 fn candidates_no_accelerator_needed() {
     let with_accelerators = Resources::new(64_000, 524_288, 8);
-    let mut harness = harness(&[with_accelerators, WITHOUT]);
+    let mut harness = harness(&[with_accelerators, WITHOUT_ACCELERATORS]);
     let plain = Resources::new(30_000, 32_768, 0);
     assert_eq!(start(&mut harness, 1, 1, plain), ["w1"]);
 }
@@ -57,8 +57,8 @@
 #[test]
 fn candidates_room_of_larger_left() {
     let whole = Resources::new(64_000, 524_288, 8);
-    let broken_into = Resources::new(117_000, 524_288, 7);
-    let mut harness = harness(&[whole, broken_into]);
+    let partly_used = Resources::new(117_000, 524_288, 7);
+    let mut harness = harness(&[whole, partly_used]);
     // One of the larger has come, and is gone.
     harness.submit(1, tasks(1, LARGE));
     harness.cancel(1);
@@ -77,7 +77,7 @@
 /// A task that needs nothing starts, and is no shape to keep room for.
 #[test]
 fn place_nothing_needed() {
-    let mut harness = harness(&[WITH_ACCELERATORS, WITHOUT]);
+    let mut harness = harness(&[WITH_ACCELERATORS, WITHOUT_ACCELERATORS]);
     assert_eq!(start(&mut harness, 1, 1, LARGE), ["w0"]);
     assert_eq!(start(&mut harness, 2, 1, Resources::ZERO).len(), 1);
     assert_eq!(start(&mut harness, 3, 1, SMALL), Vec::<String>::new());
--- a/crates/scheduler/tests/scheduler/packing_load.rs
+++ b/crates/scheduler/tests/scheduler/packing_load.rs
@@ -16,7 +16,7 @@
 /// How long 95 of 100 large tasks wait at most: the time in which a task must be started
 /// that has room. Without packing 5 s to 21 s.
 const LARGE_WAIT_LIMIT_MS: u64 = 3_000;
-const LARGE_IN_TIME_LEAST: f64 = 0.95;
+const LARGE_IN_TIME_MIN: f64 = 0.95;
 /// What the small tasks' share in time may fall by.
 const SMALL_LOST_LIMIT: f64 = 0.02;
 const FAULTS_MS: u64 = 12_000;
@@ -103,7 +103,7 @@
 }
 
 /// Returns a load of tasks that fill workers and of small ones, on workers of three sizes.
-fn uneven(load: f64) -> Load {
+fn mixed_sizes(load: f64) -> Load {
     let cores = |milli| Kind {
         demand: Resources::new(milli, 2 * milli, 0),
         share: 0.5,
@@ -211,7 +211,12 @@
 }
 
 /// Plays a load; returns what became of the large and of the small tasks.
-fn play(seed: u64, load: &Load, features: Features, policy: Option<AdvicePolicy>) -> [Outcome; 2] {
+fn run_load(
+    seed: u64,
+    load: &Load,
+    features: Features,
+    policy: Option<AdvicePolicy>,
+) -> [Outcome; 2] {
     let mut simulation = new_simulation(seed, load, Faults::default(), policy);
     simulation.elect_with_features(features);
     simulation.run_for(500);
@@ -238,10 +243,14 @@
 }
 
 /// Plays a load with several seeds; returns what became of both kinds together.
-fn play_all(load: &Load, features: Features, policy: Option<AdvicePolicy>) -> [Outcome; 2] {
+fn run_load_with_all_seeds(
+    load: &Load,
+    features: Features,
+    policy: Option<AdvicePolicy>,
+) -> [Outcome; 2] {
     let mut all = [Outcome::default(), Outcome::default()];
     for seed in 0..SEEDS_COUNT {
-        for (sum, one) in all.iter_mut().zip(play(seed, load, features, policy)) {
+        for (sum, one) in all.iter_mut().zip(run_load(seed, load, features, policy)) {
             sum.waits_ms.extend(one.waits_ms);
             sum.in_time_count += one.in_time_count;
         }
@@ -269,17 +278,14 @@
 #[case::whole_workers(accelerated(0.8, 0.25, &[8]))]
 #[case::parts_of_workers(accelerated(0.8, 0.5, &[2, 4, 8]))]
 #[case::much_load(accelerated(0.9, 0.5, &[2, 4, 8]))]
-#[case::workers_of_three_sizes(uneven(0.8))]
+#[case::workers_of_three_sizes(mixed_sizes(0.8))]
 fn place_large_beside_small(#[case] load: Load) {
     let policy = Some(advice());
-    let [_, small_before] = play_all(&load, without_packing(), policy);
-    let [mut large, small] = play_all(&load, Features::default(), policy);
+    let [_, small_before] = run_load_with_all_seeds(&load, without_packing(), policy);
+    let [mut large, small] = run_load_with_all_seeds(&load, Features::default(), policy);
     let wait_ms = large.wait_ms(95);
     assert!(wait_ms <= LARGE_WAIT_LIMIT_MS, "large: {wait_ms} ms");
-    assert!(
-        large.in_time() >= LARGE_IN_TIME_LEAST,
-        "large tasks are late"
-    );
+    assert!(large.in_time() >= LARGE_IN_TIME_MIN, "large tasks are late");
     let lost = small_before.in_time() - small.in_time();
     assert!(lost <= SMALL_LOST_LIMIT, "small: {lost:.3} of their share");
 }
@@ -289,11 +295,11 @@
 fn place_workers_alike(#[values(false, true)] has_advice: bool) {
     let load = Load {
         capacities: vec![Resources::new(16_000, 65_536, 0)],
-        ..uneven(0.9)
+        ..mixed_sizes(0.9)
     };
     let policy = has_advice.then(advice);
-    let [large_before, small_before] = play(0, &load, without_packing(), policy);
-    let [large, small] = play(0, &load, Features::default(), policy);
+    let [large_before, small_before] = run_load(0, &load, without_packing(), policy);
+    let [large, small] = run_load(0, &load, Features::default(), policy);
     assert_eq!(large, large_before);
     assert_eq!(small, small_before);
 }
@@ -317,7 +323,7 @@
         let mut arrivals = Arrivals::new(seed);
         arrivals.submit_for(&mut simulation, &load, FAULTS_MS / 2);
         let half: Vec<usize> = (0..WORKERS_COUNT / 2).collect();
-        simulation.lose(&half);
+        simulation.crash_workers(&half);
         simulation.elect();
         arrivals.submit_for(&mut simulation, &load, FAULTS_MS / 2);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
--- a/crates/scheduler/tests/scheduler/cases.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -26,15 +26,15 @@
         if state == JobState::default() {
             harness.commit_all();
             let start = harness.starts()[0];
-            harness.started(start);
-            harness.list(worker, vec![failed(1, start.1, start.2)]);
+            harness.answer_started(start);
+            harness.answer_poll(worker, vec![failed(1, start.1, start.2)]);
         } else {
             let task = ospreywing_scheduler::StepKey {
                 job: id,
                 round: 0,
                 step: 0,
             };
-            harness.list(worker, vec![failed(1, task.task(0), 1)]);
+            harness.answer_poll(worker, vec![failed(1, task.task(0), 1)]);
         }
         if let Some(last) = harness.commit_all().pop() {
             state = last;
@@ -55,7 +55,7 @@
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let first = harness.starts()[0];
-    harness.started(first);
+    harness.answer_started(first);
     harness.leave_poll_unanswered(first.0);
     harness.actions.clear();
     for _ in 0..4 {
@@ -82,7 +82,7 @@
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let first = harness.starts()[0];
-    harness.started(first);
+    harness.answer_started(first);
     for _ in 0..3 {
         harness.leave_poll_unanswered(first.0);
     }
@@ -116,7 +116,7 @@
         validity: Duration::from_ms(1500),
     };
     let mut harness = Harness::with_advice(Recovered::default(), &workers(10), Some(policy));
-    harness.tell(Event::NodesListed(vec!["n1".into()]));
+    harness.handle(Event::NodesListed(vec!["n1".into()]));
     let gang = StepSpec {
         is_gang: true,
         ..step(2)
@@ -149,7 +149,7 @@
 #[test]
 fn yields_to_gangs_while_there_is_time() {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(3), Some(advice()));
-    harness.tell(Event::NodesListed(vec!["n1".into()]));
+    harness.handle(Event::NodesListed(vec!["n1".into()]));
     let gang = StepSpec {
         is_gang: true,
         ..step(4)
@@ -180,14 +180,14 @@
 /// gang of two ask for room there.
 fn gang_before_full_workers((id, record): (JobId, JobRecord), progress_percent: u32) -> Harness {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(2), Some(advice()));
-    harness.tell(Event::NodesListed(vec!["n1".into()]));
+    harness.handle(Event::NodesListed(vec!["n1".into()]));
     harness.submit_job((id, record));
     harness.answer_advice_calls(&["w0", "w1"]);
     harness.commit_all();
     let starts = harness.starts();
     assert_eq!(starts.len(), 4);
     for start in &starts {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     harness.answer_polls_with_progress(&starts, progress_percent);
     let gang = StepSpec {
@@ -217,7 +217,7 @@
             checkpoint,
             ..end(number, task, run, EndKind::Stopped)
         };
-        harness.list(worker, vec![end]);
+        harness.answer_poll(worker, vec![end]);
     }
     harness.commit_all();
     let starts = harness.starts();
@@ -262,7 +262,7 @@
     let mut harness = Harness::with_advice(Recovered::default(), &workers(24), Some(advice()));
     // Enough of them that no call waits for another.
     let nodes = (0..60).map(|number| format!("n{number}").into());
-    harness.tell(Event::NodesListed(nodes.collect()));
+    harness.handle(Event::NodesListed(nodes.collect()));
     let gang = |tasks_count| StepSpec {
         is_gang: true,
         ..step(tasks_count)
@@ -290,7 +290,7 @@
 fn choose_named_beside_open_calls() {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(12), Some(advice()));
     let nodes = (0..6).map(|number| format!("n{number}").into());
-    harness.tell(Event::NodesListed(nodes.collect()));
+    harness.handle(Event::NodesListed(nodes.collect()));
     for number in 1..=6 {
         harness.submit(number, vec![step(2)]);
     }
@@ -328,12 +328,12 @@
     harness.submit(1, vec![filler.clone()]);
     harness.commit_all();
     let first = harness.starts()[0];
-    harness.started(first);
+    harness.answer_started(first);
     harness.submit(2, vec![serving]);
     harness.commit_all();
     assert_eq!(harness.starts().len(), 1, "the serving task starts");
     assert_eq!(harness.stops(), vec![first], "the filler is stopped");
-    harness.list(first.0, vec![end(1, first.1, first.2, EndKind::Stopped)]);
+    harness.answer_poll(first.0, vec![end(1, first.1, first.2, EndKind::Stopped)]);
     harness.submit(3, vec![filler]);
     harness.commit_all();
     assert_eq!(harness.starts(), vec![], "no filler comes beside it");
@@ -350,7 +350,7 @@
     };
     let mut harness = Harness::with_advice(Recovered::default(), &workers(24), Some(policy));
     let nodes = (0..6).map(|number| format!("n{number}").into());
-    harness.tell(Event::NodesListed(nodes.collect()));
+    harness.handle(Event::NodesListed(nodes.collect()));
     let gang = StepSpec {
         is_gang: true,
         ..step(2)
@@ -370,7 +370,7 @@
     for _ in 0..20 {
         harness.now = harness.now + Duration::from_ms(20);
         harness.answer_advice_calls(&good);
-        harness.tell(Event::Tick);
+        harness.handle(Event::Tick);
     }
     harness.commit_all();
     assert_eq!(harness.starts().len(), 2, "the third starts on another");
@@ -387,9 +387,9 @@
     for number in 1..=12 {
         harness.submit(number, vec![step(2)]);
         harness.now = harness.now + Duration::from_ms(30);
-        harness.tell(Event::Tick);
+        harness.handle(Event::Tick);
         // A state that changes again waits for the commit that is on its way.
-        harness.tell(Event::CancelAccepted {
+        harness.handle(Event::CancelAccepted {
             job: JobId::new(number),
         });
     }
@@ -417,14 +417,14 @@
     };
     harness.submit(1, vec![huge]);
     let job = JobId::new(1);
-    harness.tell(Event::CancelAccepted { job });
+    harness.handle(Event::CancelAccepted { job });
     let mut outcomes_count = 0;
     for _ in 0..20 {
         // The store takes 300 ms for each answer.
         let mut lanes = Vec::new();
         for _ in 0..10 {
             harness.now = harness.now + Duration::from_ms(30);
-            harness.tell(Event::Tick);
+            harness.handle(Event::Tick);
             for action in harness.actions.drain(..) {
                 if let Action::Commit { lane, changes } = action {
                     lanes.push(lane);
@@ -436,7 +436,7 @@
             }
         }
         for lane in lanes {
-            harness.tell(Event::Committed { lane });
+            harness.handle(Event::Committed { lane });
         }
     }
     assert_eq!(outcomes_count, 1);
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -27,7 +27,7 @@
 use rstest::rstest;
 
 /// Long enough for a job, and for a worker to be back.
-const WHILE_MS: u64 = 4_000;
+const JOB_MS: u64 = 4_000;
 const OUTCOME_LIMIT_MS: u64 = 20_000;
 /// Longer than a leader waits for the answer to a stop.
 const STOP_RETRY: Duration = Duration::from_ms(1_000);
@@ -38,7 +38,7 @@
     simulation.report_incarnation_starts(false);
     for number in 1..=3 {
         simulation.submit(job(number, vec![step(2 * workers_count as u32)]));
-        simulation.run_for(WHILE_MS);
+        simulation.run_for(JOB_MS);
     }
     simulation
 }
@@ -57,7 +57,7 @@
 fn take_end_next_life_forgets_ends(#[case] spec: StepSpec, #[values(1, 2, 3)] seed: u64) {
     let mut simulation = simulation_at_work(seed, 1);
     simulation.restart(0);
-    simulation.run_for(WHILE_MS);
+    simulation.run_for(JOB_MS);
     simulation.submit(job(9, vec![spec]));
     simulation.run_until_done(OUTCOME_LIMIT_MS);
     assert_eq!(simulation.phase(JobId::new(9)), Some(Phase::Complete));
@@ -71,14 +71,14 @@
     let mut simulation = simulation_at_work(seed, 1);
     simulation.workers[0].ignores_foreign_acks = true;
     simulation.restart(0);
-    simulation.run_for(WHILE_MS);
+    simulation.run_for(JOB_MS);
     simulation.submit(job(9, vec![spec]));
     simulation.run_until_done(OUTCOME_LIMIT_MS);
     assert_eq!(simulation.phase(JobId::new(9)), Some(Phase::Complete));
 }
 
 /// Has a worker answer a look as the life with this start, without runs.
-fn answer_as(harness: &mut Harness, key: WorkerKey, life_start_ms: u64, ended: Vec<EndedRun>) {
+fn answer_poll_as(harness: &mut Harness, key: WorkerKey, life_start_ms: u64, ended: Vec<EndedRun>) {
     let sent_at = harness.now;
     harness.now = harness.now + Duration::from_ms(20);
     let reply = HoldReply::Listed {
@@ -87,7 +87,7 @@
         running: Vec::new(),
         ended,
     };
-    harness.tell(Event::HoldAnswered {
+    harness.handle(Event::HoldAnswered {
         worker: key,
         sent_at,
         reply,
@@ -99,7 +99,7 @@
     let workers = workers(1);
     let mut harness = Harness::new(Recovered::default(), &workers);
     let first = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut harness, first, 1, Vec::new());
+    answer_poll_as(&mut harness, first, 1, Vec::new());
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let start = harness.starts()[0];
@@ -113,7 +113,7 @@
     let (mut harness, (first, task, run)) = harness_with_start();
     // Each repeat of it is lost too.
     for _ in 0..3 {
-        harness.tell(Event::StartAnswered {
+        harness.handle(Event::StartAnswered {
             worker: first,
             task,
             run,
@@ -122,9 +122,9 @@
     }
     assert_eq!(harness.stops(), [(first, task, run)]);
     harness.cancel(1);
-    answer_as(&mut harness, first, 1, Vec::new());
+    answer_poll_as(&mut harness, first, 1, Vec::new());
     harness.actions.clear();
-    answer_as(&mut harness, first, 2, Vec::new());
+    answer_poll_as(&mut harness, first, 2, Vec::new());
     let next = harness.scheduler.worker_key("w0").expect("a worker");
     assert_ne!(next, first);
     assert_eq!(harness.stops(), [(next, task, run)]);
@@ -136,15 +136,15 @@
 fn begin_next_life_refuses_open_start_until_answered() {
     let (mut harness, start) = harness_with_start();
     let (first, task, run) = start;
-    harness.tell(Event::StartAnswered {
+    harness.handle(Event::StartAnswered {
         worker: first,
         task,
         run,
         reply: StartReply::Unanswered,
     });
     // The repeat is carried out, and the run ends well.
-    harness.started(start);
-    answer_as(
+    harness.answer_started(start);
+    answer_poll_as(
         &mut harness,
         first,
         1,
@@ -152,23 +152,23 @@
     );
     harness.commit_all();
     harness.actions.clear();
-    answer_as(&mut harness, first, 2, Vec::new());
+    answer_poll_as(&mut harness, first, 2, Vec::new());
     let next = harness.scheduler.worker_key("w0").expect("a worker");
-    assert_eq!(sent_stops(&mut harness), [(next, task, run)]);
+    assert_eq!(drain_stops(&mut harness), [(next, task, run)]);
     harness.now = harness.now + STOP_RETRY;
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     assert_eq!(
         harness.stops(),
         [(next, task, run)],
         "repeated, and answered now"
     );
     harness.now = harness.now + STOP_RETRY;
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     assert!(harness.stops().is_empty(), "repeated after its answer");
 }
 
 /// Takes out the stops that were sent, and answers none.
-fn sent_stops(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
+fn drain_stops(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
     let taken = core::mem::take(&mut harness.actions);
     let stops = taken.into_iter().filter_map(|action| match action {
         Action::Stop { to, task, run } => Some((to.worker, task, run)),
@@ -184,21 +184,21 @@
     let workers = workers(1);
     let mut harness = Harness::new(Recovered::default(), &workers);
     let first = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_as(
+    answer_poll_as(
         &mut harness,
         first,
         1,
-        vec![end(7, stray_task(), 1, EndKind::Done)],
+        vec![end(7, unrelated_task(), 1, EndKind::Done)],
     );
-    answer_as(&mut harness, first, 2, Vec::new());
+    answer_poll_as(&mut harness, first, 2, Vec::new());
     let next = harness.scheduler.worker_key("w0").expect("a worker");
     harness.list_incarnation(&workers[0], 2);
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let start = harness.starts()[0];
     assert_eq!(start.0, next);
-    harness.started(start);
-    answer_as(
+    harness.answer_started(start);
+    answer_poll_as(
         &mut harness,
         next,
         2,
@@ -222,26 +222,26 @@
 #[rstest]
 #[case::it_is_the_later(2)]
 #[case::it_was_written_late(1)]
-fn take_entry_of_other_life(#[case] answering: u64) {
+fn take_entry_of_other_life(#[case] answering_ms: u64) {
     let workers = workers(1);
     let mut harness = Harness::new(Recovered::default(), &workers);
     let first = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut harness, first, 1, Vec::new());
+    answer_poll_as(&mut harness, first, 1, Vec::new());
     harness.list_incarnation(&workers[0], 2);
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     assert_eq!(harness.starts(), [], "nothing starts there meanwhile");
     let asked = |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == first);
     assert!(harness.actions.iter().any(asked), "it is asked at once");
-    answer_as(&mut harness, first, answering, Vec::new());
+    answer_poll_as(&mut harness, first, answering_ms, Vec::new());
     harness.commit_all();
     let is_used = !harness.starts().is_empty();
-    assert_eq!(is_used, answering == 2);
+    assert_eq!(is_used, answering_ms == 2);
     // The life that answers writes its entry again some time.
-    harness.list_incarnation(&workers[0], answering);
+    harness.list_incarnation(&workers[0], answering_ms);
     harness.commit_all();
     let key = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut harness, key, answering, Vec::new());
+    answer_poll_as(&mut harness, key, answering_ms, Vec::new());
     harness.commit_all();
     assert!(is_used || !harness.starts().is_empty());
 }
@@ -254,7 +254,7 @@
 }
 
 /// Has a job wait for the worker; returns how many starts were sent.
-fn starts_of_waiting_job(harness: &mut Harness) -> usize {
+fn starts_after_commits_count(harness: &mut Harness) -> usize {
     harness.commit_all();
     harness.starts().len()
 }
@@ -263,17 +263,17 @@
 #[rstest]
 #[case::first_answer(&[2])]
 #[case::later_answer(&[1, 2])]
-fn begin_life_entry_not_written_yet(#[case] answering: &[u64]) {
+fn begin_life_entry_not_written_yet(#[case] answering_ms: &[u64]) {
     let worker = &workers(1)[0];
     let mut harness = harness_with_entry(worker, 1);
-    for life_start_ms in answering {
+    for life_start_ms in answering_ms {
         let key = harness.scheduler.worker_key("w0").expect("a worker");
-        answer_as(&mut harness, key, *life_start_ms, Vec::new());
+        answer_poll_as(&mut harness, key, *life_start_ms, Vec::new());
     }
     harness.submit(1, vec![step(1)]);
-    assert_eq!(starts_of_waiting_job(&mut harness), 0);
+    assert_eq!(starts_after_commits_count(&mut harness), 0);
     harness.list_incarnation(worker, 2);
-    assert_eq!(starts_of_waiting_job(&mut harness), 1);
+    assert_eq!(starts_after_commits_count(&mut harness), 1);
 }
 
 /// A start that was reckoned on the clock of the life before may have leased the next one for
@@ -282,15 +282,15 @@
 fn give_up_lapsed_lease_by_clock_of_life_before() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     let first = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut harness, first, 1, Vec::new());
+    answer_poll_as(&mut harness, first, 1, Vec::new());
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let start = harness.starts()[0];
-    harness.started(start);
+    harness.answer_started(start);
     let (_, task, run) = start;
     let sent_at = harness.now;
     harness.now = harness.now + Duration::from_ms(20);
-    harness.tell(Event::HoldAnswered {
+    harness.handle(Event::HoldAnswered {
         worker: first,
         sent_at,
         reply: HoldReply::Listed {
@@ -309,9 +309,9 @@
     let next = harness.scheduler.worker_key("w0").expect("a worker");
     harness.list_workers(&workers(2));
     let other = harness.scheduler.worker_key("w1").expect("a worker");
-    harness.list(other, Vec::new());
+    harness.answer_poll(other, Vec::new());
     let mut waited_s = 0;
-    while starts_of_waiting_job(&mut harness) == 0 {
+    while starts_after_commits_count(&mut harness) == 0 {
         harness.leave_poll_unanswered(next);
         waited_s += 1;
         assert!(waited_s < 12, "the run is given up some time");
@@ -322,15 +322,15 @@
 
 /// What happens to a start until another life answers.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Before {
+enum StartState {
     /// It is on its way.
-    OnItsWay,
+    InFlight,
     /// It was answered after the look was sent.
-    AnsweredSince,
+    AnsweredAfterPoll,
     /// It was answered before, and the worker has not listed it since.
     Answered,
     /// Its first sending was not answered, its second one was.
-    AnsweredInPart,
+    AnsweredOnRepeat,
     /// Neither of its sendings was answered, so it is being stopped.
     Unanswered,
 }
@@ -338,50 +338,50 @@
 /// What a life does not list that answers for the first time may have begun there, may still
 /// begin, or is lost: it is waited for, stopped there, or started again at once.
 #[rstest]
-#[case::on_its_way(Before::OnItsWay, 0, 0)]
-#[case::answered_since(Before::AnsweredSince, 0, 0)]
-#[case::answered(Before::Answered, 0, 1)]
-#[case::answered_in_part(Before::AnsweredInPart, 1, 0)]
-#[case::unanswered(Before::Unanswered, 1, 0)]
+#[case::in_flight(StartState::InFlight, 0, 0)]
+#[case::answered_after_poll(StartState::AnsweredAfterPoll, 0, 0)]
+#[case::answered(StartState::Answered, 0, 1)]
+#[case::answered_on_repeat(StartState::AnsweredOnRepeat, 1, 0)]
+#[case::unanswered(StartState::Unanswered, 1, 0)]
 fn begin_next_life_unlisted_run(
-    #[case] before: Before,
+    #[case] before: StartState,
     #[case] stops_count: usize,
     #[case] starts_count: usize,
 ) {
     let worker = &workers(1)[0];
     let mut harness = harness_with_entry(worker, 1);
     let first = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut harness, first, 1, Vec::new());
+    answer_poll_as(&mut harness, first, 1, Vec::new());
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let start = harness.starts()[0];
     let unanswered = |harness: &mut Harness| {
-        harness.tell(Event::StartAnswered {
+        harness.handle(Event::StartAnswered {
             worker: start.0,
             task: start.1,
             run: start.2,
             reply: StartReply::Unanswered,
         });
     };
-    let look_sent_at = harness.now;
+    let poll_sent_at = harness.now;
     harness.now = harness.now + Duration::from_ms(20);
     match before {
-        Before::OnItsWay => {}
-        Before::AnsweredSince | Before::Answered => harness.started(start),
-        Before::AnsweredInPart => {
+        StartState::InFlight => {}
+        StartState::AnsweredAfterPoll | StartState::Answered => harness.answer_started(start),
+        StartState::AnsweredOnRepeat => {
             unanswered(&mut harness);
-            harness.started(start);
+            harness.answer_started(start);
         }
-        Before::Unanswered => (0..3).for_each(|_| unanswered(&mut harness)),
+        StartState::Unanswered => (0..3).for_each(|_| unanswered(&mut harness)),
     }
     harness.now = harness.now + Duration::from_ms(20);
     let sent_at = match before {
-        Before::AnsweredSince => look_sent_at,
+        StartState::AnsweredAfterPoll => poll_sent_at,
         _ => harness.now,
     };
     harness.list_incarnation(worker, 2);
     harness.actions.clear();
-    harness.tell(Event::HoldAnswered {
+    harness.handle(Event::HoldAnswered {
         worker: first,
         sent_at,
         reply: HoldReply::Listed {
@@ -397,11 +397,11 @@
     assert!(stops.iter().all(|stop| *stop == (next, start.1, start.2)));
     harness.commit_all();
     assert_eq!(harness.starts().len(), starts_count);
-    if before == Before::OnItsWay {
+    if before == StartState::InFlight {
         // Its answer counts for the life that may have it: unlisted from then on, it is gone.
-        harness.started(start);
+        harness.answer_started(start);
         harness.now = harness.now + Duration::from_ms(20);
-        answer_as(&mut harness, next, 2, Vec::new());
+        answer_poll_as(&mut harness, next, 2, Vec::new());
         assert_eq!(harness.stops(), [(next, start.1, start.2)]);
     }
 }
@@ -419,7 +419,7 @@
     harness.now = harness.now + Duration::from_ms(20);
     harness.list_workers(&[FakeWorker::new("w0", 1000), other]);
     harness.submit(1, vec![step(1)]);
-    harness.tell(Event::HoldAnswered {
+    harness.handle(Event::HoldAnswered {
         worker: key,
         sent_at,
         reply: HoldReply::Listed {
@@ -429,12 +429,12 @@
             ended: Vec::new(),
         },
     });
-    assert_eq!(starts_of_waiting_job(&mut harness), 0);
-    harness.list(key, Vec::new());
-    assert_eq!(starts_of_waiting_job(&mut harness), 1);
+    assert_eq!(starts_after_commits_count(&mut harness), 0);
+    harness.answer_poll(key, Vec::new());
+    assert_eq!(starts_after_commits_count(&mut harness), 1);
 }
 
-fn stray_task() -> TaskKey {
+fn unrelated_task() -> TaskKey {
     first_task(JobId::new(99))
 }
 
@@ -443,7 +443,7 @@
 #[rstest]
 #[case::same_life(1, 0)]
 #[case::next_life(2, 1)]
-fn record_lost_lives_after_takeover(#[case] answering: u64, #[case] crashes_count: usize) {
+fn record_lost_lives_after_takeover(#[case] answering_ms: u64, #[case] crashes_count: usize) {
     let (id, record) = job(1, vec![step(1)]);
     let bytes = placed_at_incarnation("w0", 1, 1).to_bytes();
     let state = JobState::from_bytes(&bytes).expect("it was written here");
@@ -454,9 +454,9 @@
     };
     let workers = workers(1);
     let mut harness = Harness::after_evicted_leader(recovered);
-    harness.list_incarnation(&workers[0], answering);
+    harness.list_incarnation(&workers[0], answering_ms);
     let key = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_as(&mut harness, key, answering, Vec::new());
+    answer_poll_as(&mut harness, key, answering_ms, Vec::new());
     let states = harness.commit_all();
     let state = states.last().expect("the task is placed anew");
     assert_eq!(state.crashes.len(), crashes_count);
@@ -467,7 +467,7 @@
 #[rstest]
 #[case::same_life(1, &[])]
 #[case::next_life(2, &[true])]
-fn retract_silence_after_takeover(#[case] answering: u64, #[case] confirmed: &[bool]) {
+fn retract_silence_after_takeover(#[case] answering_ms: u64, #[case] confirmed: &[bool]) {
     let (id, record) = job(1, vec![step(1)]);
     let recovered = Recovered {
         jobs: vec![(id, record)],
@@ -476,14 +476,14 @@
     };
     let workers = workers(1);
     let mut harness = Harness::after_evicted_leader(recovered);
-    harness.list_incarnation(&workers[0], answering);
+    harness.list_incarnation(&workers[0], answering_ms);
     let key = harness.scheduler.worker_key("w0").expect("a worker");
     // Until every lease of an earlier leader is over.
     for _ in 0..10 {
         harness.leave_poll_unanswered(key);
     }
     harness.commit_all();
-    answer_as(&mut harness, key, answering, Vec::new());
+    answer_poll_as(&mut harness, key, answering_ms, Vec::new());
     let states = harness.commit_all();
     let state = states.last().expect("the task is placed anew");
     let found = state.crashes.iter().map(|crash| crash.is_confirmed);
--- a/crates/scheduler/tests/scheduler/repeats.rs
+++ b/crates/scheduler/tests/scheduler/retries.rs
@@ -21,7 +21,7 @@
 }
 
 fn answer(harness: &mut Harness, (worker, task, run): Start, reply: StartReply) {
-    harness.tell(Event::StartAnswered {
+    harness.handle(Event::StartAnswered {
         worker,
         task,
         run,
@@ -65,7 +65,7 @@
     harness.commit_all();
     assert_eq!(harness.starts(), vec![], "the worker's list has to tell");
     let (worker, task, run) = start;
-    harness.list(worker, vec![end(1, task, run, EndKind::Done)]);
+    harness.answer_poll(worker, vec![end(1, task, run, EndKind::Done)]);
     harness.commit_all();
     let view = harness.scheduler.job(JobId::new(1)).expect("a known job");
     assert_eq!(view.phase, Phase::Complete);
@@ -91,10 +91,10 @@
 #[test]
 fn on_hold_answered_asked_again_at_once() {
     let (mut harness, start) = after_start();
-    harness.started(start);
+    harness.answer_started(start);
     harness.actions.clear();
     let sent_at = harness.now;
-    harness.tell(Event::HoldAnswered {
+    harness.handle(Event::HoldAnswered {
         worker: start.0,
         sent_at,
         reply: HoldReply::Unanswered,
@@ -112,7 +112,7 @@
     let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
     for (expected_count, reply_count) in [(1, 1), (0, 2)] {
         let sent_at = harness.now;
-        harness.tell(Event::HoldAnswered {
+        harness.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::Unanswered,
@@ -130,12 +130,12 @@
 #[test]
 fn on_hold_answered_silent_worker_is_given_longer() {
     let (mut harness, start) = after_start();
-    harness.started(start);
-    let mut patience_ms = Vec::new();
+    harness.answer_started(start);
+    let mut timeouts_ms = Vec::new();
     for _ in 0..4 {
         harness.actions.clear();
         let sent_at = harness.now;
-        harness.tell(Event::HoldAnswered {
+        harness.handle(Event::HoldAnswered {
             worker: start.0,
             sent_at,
             reply: HoldReply::Unanswered,
@@ -145,9 +145,9 @@
             Action::Hold { to, patience, .. } if to.worker == start.0 => Some(patience.as_ms()),
             _ => None,
         });
-        patience_ms.push(asked.expect("it is asked again"));
+        timeouts_ms.push(asked.expect("it is asked again"));
     }
-    assert_eq!(patience_ms, [250, 500, 1000, 1000]);
+    assert_eq!(timeouts_ms, [250, 500, 1000, 1000]);
 }
 
 /// When no start is answered, as where this node or its link is overloaded, repeats must
@@ -194,7 +194,7 @@
     harness.commit_all();
     let first = harness.starts();
     for start in &first {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     for _ in 0..8 {
         harness.leave_poll_unanswered(first[0].0);
@@ -202,10 +202,10 @@
     harness.commit_all();
     let second = harness.starts();
     assert_eq!(second.len(), 2, "it is started again elsewhere");
-    harness.started(second[0]);
+    harness.answer_started(second[0]);
     let done = |number: u64, start: &Start| end(number, start.1, start.2, EndKind::Done);
     let ends = vec![done(1, &first[0]), done(2, &first[1])];
-    harness.list(first[0].0, ends);
+    harness.answer_poll(first[0].0, ends);
     answer(&mut harness, second[1], StartReply::Unanswered);
     assert_eq!(harness.starts(), vec![], "its task is done");
     assert_eq!(harness.stops(), second, "nothing is left to win");
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -14,7 +14,7 @@
 }
 
 /// Returns the longest time that the renewals sent so far wait at their workers.
-fn longest_wait(harness: &Harness) -> Duration {
+fn longest_poll_wait(harness: &Harness) -> Duration {
     let waits = harness.actions.iter().filter_map(|action| match action {
         Action::Hold { wait, .. } => Some(*wait),
         _ => None,
@@ -41,7 +41,7 @@
         harness.answer_poll_running(start.0, start.1);
     }
     harness.commit_all();
-    assert_eq!(longest_wait(&harness), Duration::from_ms(expected_ms));
+    assert_eq!(longest_poll_wait(&harness), Duration::from_ms(expected_ms));
 }
 
 fn placed_count(harness: &Harness) -> usize {
@@ -62,16 +62,16 @@
     }
     harness.commit_all();
     let first = harness.starts()[0];
-    harness.started(first);
+    harness.answer_started(first);
     harness.commit_all();
     assert_eq!(placed_count(&harness), 1);
     // A pass over all that waits, in vain.
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     let ended = vec![end(1, first.1, first.2, EndKind::Done)];
     harness.answer_poll_after(Duration::from_ms(15), first.0, ended);
     assert_eq!(placed_count(&harness), 1, "15 ms after a pass");
     harness.now = harness.now + Duration::from_ms(20);
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     assert_eq!(placed_count(&harness), 2, "35 ms after a pass");
 }
 
@@ -91,26 +91,26 @@
     for number in 1..=70 {
         let (job, record) = job(number, vec![filling_step()]);
         let record = Box::new(record);
-        harness.tell(Event::JobAccepted { job, record });
+        harness.handle(Event::JobAccepted { job, record });
     }
     harness.now = harness.now + Duration::from_ms(50);
-    harness.tell(Event::Tick);
-    harness.tell(Event::Tick);
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
+    harness.handle(Event::Tick);
+    harness.handle(Event::Tick);
     assert_eq!(
         commit_sizes(&harness),
         [30, 30],
         "two full ones, and ten that wait"
     );
     harness.now = harness.now + Duration::from_ms(22);
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     assert_eq!(commit_sizes(&harness), [30, 30, 10]);
 }
 
 /// Lists so many nodes that can ask the adviser.
 fn list_nodes(harness: &mut Harness, nodes_count: usize) {
     let nodes = (0..nodes_count).map(|number| format!("n{number}").into());
-    harness.tell(Event::NodesListed(nodes.collect()));
+    harness.handle(Event::NodesListed(nodes.collect()));
 }
 
 /// Returns a gang whose members fill a worker each.
@@ -136,7 +136,7 @@
     let mut starts = Vec::new();
     for _ in 0..40 {
         harness.now = harness.now + Duration::from_ms(50);
-        harness.tell(Event::Tick);
+        harness.handle(Event::Tick);
         let named_counts = harness.answer_advice_calls(&good);
         assert!(
             named_counts.iter().all(|count| *count <= 100),
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -23,14 +23,14 @@
 const LATE_LIMIT_MS: u64 = 15_000;
 /// One innocent job in so many may be failed, at most, where three tasks crash ten
 /// workers and everything else goes wrong beside it: the bound on restarts goes first.
-const INNOCENTS_ONE_IN: usize = 1000;
+const OTHER_JOBS_FAILED_ONE_IN: usize = 1000;
 
 const NO_FAULTS: Faults = Faults {
     lost_answer: 0,
     late_order: 0,
     failing_run: 0,
     crash: 0,
-    cut: 0,
+    partition: 0,
     takeover: 0,
     trouble: 0,
     drain: 0,
@@ -49,7 +49,7 @@
     late_order: 40,
     failing_run: 40,
     crash: 10,
-    cut: 20,
+    partition: 20,
     takeover: 20,
     trouble: 10,
     drain: 5,
@@ -64,10 +64,10 @@
 };
 
 /// Seeds that found something, in whichever case: they are searched always.
-const CRASH_SEEDS_FOUND: [u64; 8] = [71, 119, 123, 284, 311, 500_089, 500_370, 13];
-const RESTART_SEEDS_FOUND: [u64; 2] = [4_000_023, 4_000_458];
-const GANG_SEEDS_FOUND: [u64; 1] = [502_288];
-const LIMIT_SEEDS_FOUND: [u64; 3] = [73, 800_209, 800_536];
+const CRASH_REGRESSION_SEEDS: [u64; 8] = [71, 119, 123, 284, 311, 500_089, 500_370, 13];
+const RESTART_REGRESSION_SEEDS: [u64; 2] = [4_000_023, 4_000_458];
+const GANG_REGRESSION_SEEDS: [u64; 1] = [502_288];
+const LIMIT_REGRESSION_SEEDS: [u64; 3] = [73, 800_209, 800_536];
 
 /// Returns the seeds to be searched.
 fn seeds() -> Range<u64> {
@@ -94,7 +94,7 @@
     }
 }
 
-fn search(faults: Faults, policy: Option<AdvicePolicy>) {
+fn search_seeds(faults: Faults, policy: Option<AdvicePolicy>) {
     for seed in seeds() {
         // Shown where the test fails.
         println!("seed {seed}");
@@ -125,10 +125,10 @@
 #[case::lost_answers(Faults { lost_answer: 80, ..Faults::default() })]
 #[case::late_orders(Faults { late_order: 80, ..Faults::default() })]
 #[case::crashes(Faults { crash: 30, ..Faults::default() })]
-#[case::cuts(Faults { cut: 40, ..Faults::default() })]
+#[case::partitions(Faults { partition: 40, ..Faults::default() })]
 #[case::takeovers(Faults { takeover: 30, ..Faults::default() })]
-#[case::long_leases(Faults { takeover: 10, cut: 40, trouble: 20, ..Faults::default() })]
-#[case::two_lives(Faults { takeover: 20, crash: 30, ..Faults::default() })]
+#[case::long_leases(Faults { takeover: 10, partition: 40, trouble: 20, ..Faults::default() })]
+#[case::two_incarnations(Faults { takeover: 20, crash: 30, ..Faults::default() })]
 #[case::stale_entries(Faults {
     takeover: 20,
     crash: 30,
@@ -141,7 +141,7 @@
     pause: 60,
     lost_answer: 40,
     late_order: 40,
-    cut: 20,
+    partition: 20,
     crash: 10,
     ..Faults::default()
 })]
@@ -155,7 +155,7 @@
 })]
 #[case::everything(ALL_FAULTS)]
 fn scheduler_keeps_its_rules(#[case] faults: Faults, #[values(false, true)] has_advice: bool) {
-    search(faults, has_advice.then(advice));
+    search_seeds(faults, has_advice.then(advice));
 }
 
 /// Workers that start again under the ids that they had, at once or while nobody hears of
@@ -164,7 +164,7 @@
 #[case::alone(Faults { restart: 60, ..Faults::default() })]
 #[case::lost_answers(Faults { restart: 60, lost_answer: 80, ..Faults::default() })]
 #[case::takeovers(Faults { restart: 60, takeover: 40, ..Faults::default() })]
-#[case::cuts(Faults { restart: 40, cut: 40, crash: 10, ..Faults::default() })]
+#[case::partitions(Faults { restart: 40, partition: 40, crash: 10, ..Faults::default() })]
 #[case::trouble(Faults { restart: 40, trouble: 40, takeover: 10, ..Faults::default() })]
 #[case::paused(Faults { restart: 40, pause: 60, ..Faults::default() })]
 #[case::failing_runs(Faults { restart: 40, failing_run: 120, drain: 10, ..Faults::default() })]
@@ -182,7 +182,7 @@
     for seed in seeds() {
         let mut simulation = Simulation::new(seed, 6, faults, has_advice.then(advice));
         simulation.report_incarnation_starts(ignores_foreign_acks);
-        play_restarts(seed, simulation);
+        run_with_restarts(seed, simulation);
     }
 }
 
@@ -195,7 +195,7 @@
     for seed in seeds() {
         let mut simulation = Simulation::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, Some(advice()));
         simulation.report_incarnation_starts(ignores_foreign_acks);
-        play_restarts(seed, simulation);
+        run_with_restarts(seed, simulation);
     }
 }
 
@@ -203,7 +203,7 @@
 /// before the leader has heard of that one. Its task has ended well elsewhere meanwhile.
 #[rstest]
 fn late_start_in_life_not_heard_of(#[values(3125, 3202, 3260, 912_641)] seed: u64) {
-    play_late_orders_without_advice(seed);
+    run_late_orders_without_advice(seed);
 }
 
 /// The same, but the leader has heard of the next life, and its stop of the start got no
@@ -216,13 +216,13 @@
     )]
     seed: u64,
 ) {
-    play_late_orders_without_advice(seed);
+    run_late_orders_without_advice(seed);
 }
 
-fn play_late_orders_without_advice(seed: u64) {
+fn run_late_orders_without_advice(seed: u64) {
     let mut simulation = Simulation::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, None);
     simulation.report_incarnation_starts(false);
-    play_restarts(seed, simulation);
+    run_with_restarts(seed, simulation);
 }
 
 /// Hands jobs of all kinds in while faults strike.
@@ -240,7 +240,7 @@
     simulation.run_for(FAULTS_MS);
 }
 
-fn play_restarts(seed: u64, mut simulation: Simulation) {
+fn run_with_restarts(seed: u64, mut simulation: Simulation) {
     // Shown where the test fails.
     println!("seed {seed}");
     simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
@@ -254,14 +254,14 @@
 #[case::takeovers(Faults { cordon: 60, takeover: 40, ..Faults::default() })]
 #[case::late_orders(Faults { cordon: 60, late_order: 80, lost_answer: 40, ..Faults::default() })]
 #[case::trouble(Faults { cordon: 60, trouble: 40, takeover: 10, ..Faults::default() })]
-#[case::held_orders(Faults { cordon: 60, held_order: 300, cut: 20, ..Faults::default() })]
+#[case::held_orders(Faults { cordon: 60, held_order: 300, partition: 20, ..Faults::default() })]
 #[case::paused(Faults { cordon: 60, pause: 60, ..Faults::default() })]
 #[case::restarts(Faults { cordon: 60, restart: 40, crash: 20, ..Faults::default() })]
 #[case::everything(Faults { cordon: 60, held_order: 100, pause: 20, ..ALL_FAULTS })]
 fn scheduler_keeps_out_of_cordons(#[case] faults: Faults, #[values(false, true)] has_advice: bool) {
     for seed in seeds() {
         let mut simulation = Simulation::new(seed, 9, faults, has_advice.then(advice));
-        simulation.lay_out_data_centres(3);
+        simulation.assign_data_centres(3);
         if faults.restart > 0 {
             simulation.report_incarnation_starts(false);
         }
@@ -281,17 +281,17 @@
 /// Runs about as long as leases, and leaders that follow one another at the end of
 /// the store's trouble, in which leases are long.
 #[rstest]
-#[case::late_cuts(Faults { trouble: 60, takeover: 5, cut: 10, ..Faults::default() })]
+#[case::late_partitions(Faults { trouble: 60, takeover: 5, partition: 10, ..Faults::default() })]
 #[case::lost_answers(Faults {
     trouble: 60,
     takeover: 5,
-    cut: 10,
+    partition: 10,
     lost_answer: 40,
     ..Faults::default()
 })]
 #[case::one_leader(Faults {
     trouble: 30,
-    cut: 20,
+    partition: 20,
     lost_answer: 40,
     late_order: 40,
     crash: 5,
@@ -319,7 +319,7 @@
 #[case::quiet(Faults::default())]
 #[case::everything(ALL_FAULTS)]
 fn scheduler_serves_gangs_on_few_good_workers(#[case] faults: Faults) {
-    for seed in seeds().chain(GANG_SEEDS_FOUND) {
+    for seed in seeds().chain(GANG_REGRESSION_SEEDS) {
         // Shown where the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 16, faults, Some(advice()));
@@ -407,7 +407,7 @@
 #[rstest]
 #[case::alone(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, ..Faults::default() })]
-#[case::cuts(Faults { cut: 30, lost_answer: 40, ..Faults::default() })]
+#[case::partitions(Faults { partition: 30, lost_answer: 40, ..Faults::default() })]
 #[case::crashes(Faults { crash: 20, takeover: 10, ..Faults::default() })]
 #[case::trouble(Faults { trouble: 40, takeover: 20, ..Faults::default() })]
 #[case::everything(Faults { failing_run: 0, resize: 20, pause: 20, ..ALL_FAULTS })]
@@ -415,12 +415,12 @@
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
-    let mut innocents_count = 0;
-    for seed in seeds().chain(CRASH_SEEDS_FOUND) {
+    let mut other_jobs_failed_count = 0;
+    for seed in seeds().chain(CRASH_REGRESSION_SEEDS) {
         let simulation = Simulation::new(seed, 10, faults, has_advice.then(advice));
-        innocents_count += play_crashing_jobs(seed, simulation);
+        other_jobs_failed_count += run_crashing_jobs(seed, simulation);
     }
-    check_innocents(innocents_count);
+    check_other_jobs_failed(other_jobs_failed_count);
 }
 
 /// The same where workers that are crashed start again under their ids, beside others that do.
@@ -428,31 +428,34 @@
 #[case::alone(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, ..Faults::default() })]
 #[case::restarts(Faults { restart: 10, takeover: 20, ..Faults::default() })]
-#[case::cuts(Faults { cut: 30, lost_answer: 40, restart: 10, ..Faults::default() })]
+#[case::partitions(Faults { partition: 30, lost_answer: 40, restart: 10, ..Faults::default() })]
 fn scheduler_gives_up_what_restarts_workers(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
-    let mut innocents_count = 0;
-    for seed in seeds().chain(CRASH_SEEDS_FOUND).chain(RESTART_SEEDS_FOUND) {
+    let mut other_jobs_failed_count = 0;
+    for seed in seeds()
+        .chain(CRASH_REGRESSION_SEEDS)
+        .chain(RESTART_REGRESSION_SEEDS)
+    {
         let mut simulation = Simulation::new(seed, 10, faults, has_advice.then(advice));
         simulation.keeps_ids = true;
         simulation.report_incarnation_starts(false);
-        innocents_count += play_crashing_jobs(seed, simulation);
+        other_jobs_failed_count += run_crashing_jobs(seed, simulation);
     }
-    check_innocents(innocents_count);
+    check_other_jobs_failed(other_jobs_failed_count);
 }
 
-fn check_innocents(innocents_count: usize) {
+fn check_other_jobs_failed(other_jobs_failed_count: usize) {
     assert!(
-        innocents_count * INNOCENTS_ONE_IN <= seeds().count() * 13,
-        "{innocents_count} innocent jobs were failed"
+        other_jobs_failed_count * OTHER_JOBS_FAILED_ONE_IN <= seeds().count() * 13,
+        "{other_jobs_failed_count} innocent jobs were failed"
     );
 }
 
 /// Plays jobs of which three crash their workers; returns how many others were failed.
-fn play_crashing_jobs(seed: u64, mut simulation: Simulation) -> usize {
-    let mut innocents_count = 0;
+fn run_crashing_jobs(seed: u64, mut simulation: Simulation) -> usize {
+    let mut other_jobs_failed_count = 0;
     // Shown where the test fails.
     println!("seed {seed}");
     simulation.crashing_jobs = [3, 6, 7].map(JobId::new).into();
@@ -474,11 +477,11 @@
         if simulation.crashing_jobs.contains(&id) {
             assert_eq!(phase, Some(Phase::Failed), "seed {seed}: job {id}");
         } else if phase != Some(Phase::Complete) {
-            innocents_count += 1;
+            other_jobs_failed_count += 1;
             assert!(simulation.rules.may_be_failed(id), "seed {seed}: job {id}");
         }
     }
-    innocents_count
+    other_jobs_failed_count
 }
 
 /// Jobs that are cancelled while their starts are on their way, late or answered in vain,
@@ -521,14 +524,14 @@
 #[case::quiet(Faults { limit: 100, ..Faults::default() })]
 #[case::takeovers(Faults { limit: 100, takeover: 40, ..Faults::default() })]
 #[case::trouble(Faults { limit: 100, trouble: 40, takeover: 10, ..Faults::default() })]
-#[case::cuts(Faults { limit: 60, cut: 40, lost_answer: 40, crash: 10, ..Faults::default() })]
+#[case::partitions(Faults { limit: 60, partition: 40, lost_answer: 40, crash: 10, ..Faults::default() })]
 #[case::paused(Faults { limit: 60, pause: 60, ..Faults::default() })]
 #[case::everything(Faults { limit: 60, resize: 20, pause: 20, stale_entry: 50, ..ALL_FAULTS })]
 fn scheduler_keeps_customers_limits(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
-    for seed in seeds().chain(LIMIT_SEEDS_FOUND) {
+    for seed in seeds().chain(LIMIT_REGRESSION_SEEDS) {
         // Shown where the test fails.
         println!("seed {seed}");
         let policy = has_advice.then(advice);
@@ -543,12 +546,12 @@
                 2 => vec![step(1), after(0, gang(2))],
                 _ => vec![step(6)],
             };
-            let of = match number % 3 {
+            let job = match number % 3 {
                 0 => job(number, steps),
                 1 => job_of("one", number, steps),
                 _ => job_of("two", number, steps),
             };
-            simulation.submit(of);
+            simulation.submit(job);
             simulation.run_for(300);
         }
         simulation.run_for(FAULTS_MS);
@@ -571,7 +574,7 @@
 ) {
     for seed in seeds() {
         let simulation = Simulation::new(seed, 12, faults, has_advice.then(advice));
-        play_reservations(seed, simulation, has_advice.then(advice));
+        run_reservations(seed, simulation, has_advice.then(advice));
     }
 }
 
@@ -586,15 +589,15 @@
     for seed in seeds() {
         let mut simulation = Simulation::new(seed, 12, faults, has_advice.then(advice));
         simulation.elect_with_features(Features::all().without(Feature::Backfill));
-        play_reservations(seed, simulation, has_advice.then(advice));
+        run_reservations(seed, simulation, has_advice.then(advice));
     }
 }
 
-fn play_reservations(seed: u64, mut simulation: Simulation, policy: Option<AdvicePolicy>) {
+fn run_reservations(seed: u64, mut simulation: Simulation, policy: Option<AdvicePolicy>) {
     // Shown where the test fails.
     println!("seed {seed}");
     simulation.good_one_in = 1;
-    simulation.lay_out_services();
+    simulation.split_services();
     let customers = vec![customer("one", 4, 2.0), customer("two", 6, 100.0)];
     simulation.configure(with_other_service(configuration_with(2, policy, customers)));
     simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -12,7 +12,7 @@
 
 /// The workers hold two tasks of [`step`] each.
 const WORKERS_COUNT: usize = 4;
-const ROOM_TASKS_COUNT: u32 = 8;
+const CAPACITY_TASKS_COUNT: u32 = 8;
 /// How far a tag may be ahead of its service's clock.
 const LAG_LIMIT: Duration = Duration::from_ms(2_000);
 /// The objective of [`step`]: twice its second, and one more.
@@ -22,9 +22,9 @@
 
 fn configure(harness: &mut Harness, version: u64, weights: &[(&str, f64)]) {
     let customers = weights.iter();
-    let customers = customers.map(|(name, weight)| customer(name, ROOM_TASKS_COUNT, *weight));
+    let customers = customers.map(|(name, weight)| customer(name, CAPACITY_TASKS_COUNT, *weight));
     let configuration = configuration_with(version, None, customers.collect());
-    harness.tell(Event::Configured(configuration));
+    harness.handle(Event::Configured(configuration));
 }
 
 fn harness_with(features: Features, weights: &[(&str, f64)]) -> Harness {
@@ -41,7 +41,7 @@
     };
     let (id, mut record) = job_of(of, number, vec![spec]);
     record.accepted_ms = harness.now.as_ms();
-    harness.tell(Event::WallClock(record.accepted_ms));
+    harness.handle(Event::WallClock(record.accepted_ms));
     harness.submit_job((id, record.clone()));
     (id, record)
 }
@@ -50,7 +50,9 @@
 fn start_all(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
     harness.commit_all();
     let starts = harness.starts();
-    starts.iter().for_each(|start| harness.started(*start));
+    starts
+        .iter()
+        .for_each(|start| harness.answer_started(*start));
     starts
 }
 
@@ -60,11 +62,11 @@
 }
 
 /// Has one customer fill the cell and ask for more, and another ask for a task.
-fn flooded(features: Features) -> Harness {
+fn overcommitted(features: Features) -> Harness {
     let mut harness = harness_with(features, &EQUAL);
-    submit(&mut harness, "over", 1, ROOM_TASKS_COUNT);
-    assert_eq!(start_all(&mut harness).len(), ROOM_TASKS_COUNT as usize);
-    submit(&mut harness, "over", 2, ROOM_TASKS_COUNT);
+    submit(&mut harness, "over", 1, CAPACITY_TASKS_COUNT);
+    assert_eq!(start_all(&mut harness).len(), CAPACITY_TASKS_COUNT as usize);
+    submit(&mut harness, "over", 2, CAPACITY_TASKS_COUNT);
     submit(&mut harness, "under", 3, 1);
     harness
 }
@@ -86,7 +88,7 @@
 #[case::shares(Features::default(), vec![1])]
 #[case::without(WITHOUT_SHARES, vec![])]
 fn preempt_for_customer_under_its_share(#[case] features: Features, #[case] expected: Vec<u64>) {
-    let mut harness = flooded(features);
+    let mut harness = overcommitted(features);
     let mut stopped = stopped_within(&mut harness, OBJECTIVE_MS);
     // A stop that is not answered is sent again.
     stopped.dedup();
@@ -103,7 +105,7 @@
         submit(&mut harness, "under", 9, running_count);
         start_all(&mut harness);
     }
-    submit(&mut harness, "over", 1, ROOM_TASKS_COUNT);
+    submit(&mut harness, "over", 1, CAPACITY_TASKS_COUNT);
     start_all(&mut harness);
     submit(&mut harness, "under", 3, 1);
     assert_eq!(stopped_within(&mut harness, length_ms), []);
@@ -143,7 +145,7 @@
 fn rebuild_shares_after_takeover() {
     let weights = [("over", 1.0), ("under", 3.0)];
     let mut harness = harness_with(Features::default(), &weights);
-    let first = submit(&mut harness, "over", 1, ROOM_TASKS_COUNT);
+    let first = submit(&mut harness, "over", 1, CAPACITY_TASKS_COUNT);
     let runs = start_all(&mut harness);
     let second = submit(&mut harness, "over", 2, 2);
     let third = submit(&mut harness, "under", 3, 2);
@@ -184,7 +186,7 @@
 #[case::lowered(&[("over", 1.0), ("under", 3.0)], 4_000)]
 #[case::removed(&[("under", 1.0)], 2_000)]
 fn share_of_weights_changed(#[case] weights: &[(&str, f64)], #[case] share_per_mille: u64) {
-    let mut harness = flooded(Features::default());
+    let mut harness = overcommitted(Features::default());
     harness.commit_all();
     assert_eq!(view(&harness, "over").share_per_mille, 2_000);
     configure(&mut harness, 5, weights);
@@ -196,7 +198,7 @@
 #[test]
 fn share_of_open_queues() {
     let mut harness = harness_with(Features::default(), &[("over", 1.0), ("under", 3.0)]);
-    harness.submit(1, vec![step(ROOM_TASKS_COUNT)]);
+    harness.submit(1, vec![step(CAPACITY_TASKS_COUNT)]);
     start_all(&mut harness);
     submit(&mut harness, "under", 2, 1);
     harness.commit_all();
@@ -210,12 +212,12 @@
 #[test]
 fn borrow_free_room_is_not_owed() {
     let mut harness = harness_with(Features::default(), &EQUAL);
-    submit(&mut harness, "over", 1, ROOM_TASKS_COUNT);
+    submit(&mut harness, "over", 1, CAPACITY_TASKS_COUNT);
     start_all(&mut harness);
     for _ in 0..10 {
         harness.commit_all();
     }
-    submit(&mut harness, "under", 2, ROOM_TASKS_COUNT);
+    submit(&mut harness, "under", 2, CAPACITY_TASKS_COUNT);
     assert_eq!(view(&harness, "over").lag, Duration::ZERO);
     assert_eq!(view(&harness, "under").lag, Duration::ZERO);
 }
@@ -227,7 +229,7 @@
     let mut harness = harness_with(Features::default(), &[]);
     let customers = vec![customer("over", 2, 1.0), customer("under", 8, 1.0)];
     let configuration = configuration_with(5, None, customers);
-    harness.tell(Event::Configured(configuration));
+    harness.handle(Event::Configured(configuration));
     submit(&mut harness, "over", 1, 20);
     assert_eq!(start_all(&mut harness).len(), 2);
     submit(&mut harness, "under", 2, 4);
@@ -241,7 +243,7 @@
 /// The clock of a service never goes back, whatever comes.
 #[test]
 fn virtual_time_goes_on() {
-    let mut harness = flooded(Features::default());
+    let mut harness = overcommitted(Features::default());
     let mut last = Duration::ZERO;
     for number in 0..20_u32 {
         if number % 5 == 0 {
@@ -267,7 +269,7 @@
     let mut harness = harness_with(Features::default(), &weights);
     let spec = StepSpec {
         is_perpetual,
-        ..step(ROOM_TASKS_COUNT)
+        ..step(CAPACITY_TASKS_COUNT)
     };
     let (id, mut record) = job_of(of, 1, vec![spec]);
     record.customer = record.customer.filter(|name| !name.is_empty());
@@ -277,7 +279,7 @@
         submit(&mut harness, name, number, 1);
     }
     let (worker, task, run) = starts[0];
-    harness.list(worker, vec![end(1, task, run, EndKind::Failed)]);
+    harness.answer_poll(worker, vec![end(1, task, run, EndKind::Failed)]);
     let again: Vec<TaskKey> = start_all(&mut harness).iter().map(|it| it.1).collect();
     assert_eq!(again, [task]);
 }
--- a/crates/scheduler/tests/scheduler/support/cordons.rs
+++ b/crates/scheduler/tests/scheduler/support/cordons.rs
@@ -25,7 +25,7 @@
     }
 
     /// Sets or lifts a cordon.
-    pub fn turn(&mut self, now_ms: u64, data_centre: Arc<str>) {
+    pub fn toggle(&mut self, now_ms: u64, data_centre: Arc<str>) {
         if self.since_ms.remove(&data_centre).is_none() {
             self.since_ms.insert(data_centre, now_ms);
         }
--- a/crates/scheduler/tests/scheduler/support/harness.rs
+++ b/crates/scheduler/tests/scheduler/support/harness.rs
@@ -55,7 +55,7 @@
         self.list_workers(workers);
         for worker in workers {
             let key = self.scheduler.worker_key(&worker.id);
-            self.list(key.expect("a listed worker"), Vec::new());
+            self.answer_poll(key.expect("a listed worker"), Vec::new());
         }
         self
     }
@@ -79,12 +79,12 @@
     /// Lists these workers, in this order.
     pub fn list_workers(&mut self, workers: &[FakeWorker]) {
         let list = workers.iter().map(FakeWorker::facts).collect();
-        self.tell(Event::WorkersListed(list));
+        self.handle(Event::WorkersListed(list));
     }
 
     /// Lists a worker that has joined.
     pub fn list_worker(&mut self, worker: &FakeWorker) {
-        self.tell(Event::WorkersListed(vec![worker.facts()]));
+        self.handle(Event::WorkersListed(vec![worker.facts()]));
     }
 
     /// Lists a worker whose entry names the life with this start.
@@ -94,21 +94,21 @@
             life_start,
             ..worker.facts()
         };
-        self.tell(Event::WorkersListed(vec![facts]));
+        self.handle(Event::WorkersListed(vec![facts]));
     }
 
     pub fn cancel(&mut self, number: u64) {
         let job = JobId::new(number);
-        self.tell(Event::CancelAccepted { job });
+        self.handle(Event::CancelAccepted { job });
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         self.scheduler.handle(self.now, event, &mut self.actions);
         self.scheduler.settle(self.now, &mut self.actions);
         self.scheduler.verify().expect("the invariants hold");
     }
 
-    pub fn list(&mut self, worker: WorkerKey, ended: Vec<EndedRun>) {
+    pub fn answer_poll(&mut self, worker: WorkerKey, ended: Vec<EndedRun>) {
         self.answer_poll_after(Duration::from_ms(60), worker, ended);
     }
 
@@ -116,7 +116,7 @@
     pub fn answer_poll_after(&mut self, length: Duration, worker: WorkerKey, ended: Vec<EndedRun>) {
         let sent_at = self.now;
         self.now = self.now + length;
-        self.tell(Event::HoldAnswered {
+        self.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::Listed {
@@ -148,7 +148,7 @@
         };
         let sent_at = self.now;
         self.now = self.now + Duration::from_ms(60);
-        self.tell(Event::HoldAnswered {
+        self.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::Listed {
@@ -185,7 +185,7 @@
                 running: running.collect(),
                 ended: Vec::new(),
             };
-            self.tell(Event::HoldAnswered {
+            self.handle(Event::HoldAnswered {
                 worker,
                 sent_at,
                 reply,
@@ -196,14 +196,14 @@
     pub fn leave_poll_unanswered(&mut self, worker: WorkerKey) {
         self.now = self.now + Duration::from_ms(700);
         let sent_at = self.now;
-        self.tell(Event::HoldAnswered {
+        self.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::Unanswered,
         });
         // The next look is sent after a while, and is not answered either.
         self.now = self.now + Duration::from_ms(300);
-        self.tell(Event::Tick);
+        self.handle(Event::Tick);
     }
 
     /// Answers commits until there are none; returns the states written.
@@ -211,7 +211,7 @@
         let mut states = Vec::new();
         for _ in 0..20 {
             self.now = self.now + Duration::from_ms(30);
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
             states.extend(self.answer_commits());
         }
         states
@@ -231,7 +231,7 @@
             }
         }
         for lane in lanes {
-            self.tell(Event::Committed { lane });
+            self.handle(Event::Committed { lane });
         }
         states
     }
@@ -248,8 +248,8 @@
         starts
     }
 
-    pub fn started(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
-        self.tell(Event::StartAnswered {
+    pub fn answer_started(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
+        self.handle(Event::StartAnswered {
             worker,
             task,
             run,
@@ -278,7 +278,7 @@
                 validity: Duration::from_ms(1500),
             };
             let named = workers.iter().map(|to| to.worker).collect();
-            self.tell(Event::AdviceAnswered { step, named, reply });
+            self.handle(Event::AdviceAnswered { step, named, reply });
         }
         named_counts
     }
@@ -298,7 +298,7 @@
         stops.dedup();
         for (worker, task, run) in stops.iter().copied() {
             let reply = StopReply::Stopping;
-            self.tell(Event::StopAnswered {
+            self.handle(Event::StopAnswered {
                 worker,
                 task,
                 run,
@@ -316,7 +316,7 @@
         let record = Box::new(record);
         // The scheduler places at a pace of its own.
         self.now = self.now + Duration::from_ms(20);
-        self.tell(Event::JobAccepted { job, record });
+        self.handle(Event::JobAccepted { job, record });
     }
 }
 
--- a/crates/scheduler/tests/scheduler/support/limits.rs
+++ b/crates/scheduler/tests/scheduler/support/limits.rs
@@ -32,7 +32,11 @@
     }
 
     /// Notes what the operators have set.
-    pub fn note<'a>(&mut self, now_ms: u64, customers: impl Iterator<Item = &'a Customer>) {
+    pub fn record_limits<'a>(
+        &mut self,
+        now_ms: u64,
+        customers: impl Iterator<Item = &'a Customer>,
+    ) {
         for customer in customers {
             let limits = self.limits.entry(customer.name.to_string()).or_default();
             limits.push((now_ms, customer.limit));
