--- a/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
@@ -20,7 +20,7 @@
             self.has_advice,
             "a ticket where one is needed"
         );
-        let is_late = self.draw(self.faults.late_order);
+        let is_late = self.draw_fault(self.faults.late_order);
         let after_ms = self.delay(is_late) + self.relay_hold_ms();
         if is_late {
             self.post_unanswered_start(term, &to, &order);
@@ -44,11 +44,11 @@
             run: order.run,
             reply: StartReply::Unanswered,
         };
-        self.post(ORDER_LIMIT_MS, Message::Tell { term, event });
+        self.post(ORDER_LIMIT_MS, Message::HandleEvent { term, event });
     }
 
     pub(super) fn send_stop(&mut self, term: u64, to: Endpoint, task: TaskKey, run: u32) {
-        let is_late = self.draw(self.faults.late_order);
+        let is_late = self.draw_fault(self.faults.late_order);
         let after_ms = self.delay(is_late);
         let is_answered = !is_late;
         self.post(
@@ -65,7 +65,7 @@
 
     /// Returns how long a relay holds a start.
     fn relay_hold_ms(&mut self) -> u64 {
-        if self.faults.held_order > 0 && self.draw(self.faults.held_order) {
+        if self.faults.held_order > 0 && self.draw_fault(self.faults.held_order) {
             self.rng.random_range(0..RELAY_HOLD_LIMIT_MS)
         } else {
             0
@@ -87,16 +87,16 @@
 
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
-            Message::Tell { term, event } => self.tell(term, event),
-            Message::Cut { worker, length_ms } => self.cut(worker, length_ms),
+            Message::HandleEvent { term, event } => self.send_to_leader(term, event),
+            Message::Partition { worker, length_ms } => self.partition(worker, length_ms),
             Message::Heal { worker } => self.workers[worker].is_partitioned = false,
-            Message::Die { worker } => self.replace(worker),
-            Message::Crash { worker, task } => self.crash(worker, task),
+            Message::ReplaceWorker { worker } => self.replace_worker(worker),
+            Message::Crash { worker, task } => self.crash_by_task(worker, task),
             Message::StartReplacement { worker } => self.start_replacement(worker),
-            Message::Restart { worker } => self.start_next_incarnation(worker),
+            Message::StartNextIncarnation { worker } => self.start_next_incarnation(worker),
             Message::WriteEntry { worker } => self.write_entry(worker),
             Message::Resize { worker, per_mille } => self.resize(worker, per_mille),
-            Message::Wake { term } => self.wake(term),
+            Message::ResumeLeader { term } => self.resume_leader(term),
             Message::ListWorkers => self.list_workers(),
             Message::EndTrouble => self.end_trouble(),
             Message::Commit {
@@ -104,7 +104,7 @@
                 lane,
                 changes,
             } => self.deliver_commit(term, lane, changes),
-            Message::Hold {
+            Message::Poll {
                 term,
                 to,
                 until_ms,
@@ -122,7 +122,7 @@
                     sent_at,
                     reply,
                 };
-                self.post(after_ms, Message::Tell { term, event });
+                self.post(after_ms, Message::HandleEvent { term, event });
             }
             Message::Start {
                 term,
@@ -166,7 +166,7 @@
                 }
             }
         }
-        self.tell(term, Event::Committed { lane });
+        self.send_to_leader(term, Event::Committed { lane });
     }
 
     fn is_lost(&mut self, index: usize) -> bool {
@@ -211,8 +211,8 @@
         if term >= worker.fence {
             self.rules.record_acks(worker, now_ms, last_seen);
         }
-        let reply = worker.hold(now_ms, term, until_ms, last_seen, LEASE_LIMIT_MS);
-        if self.draw(self.faults.lost_answer) {
+        let reply = worker.answer_poll(now_ms, term, until_ms, last_seen, LEASE_LIMIT_MS);
+        if self.draw_fault(self.faults.lost_answer) {
             return HoldReply::Unanswered;
         }
         reply
@@ -229,7 +229,7 @@
         let worker = &self.workers[index];
         self.trace
             .print_start(self.now_ms, worker, order, !is_answered, reply);
-        if self.draw(self.faults.lost_answer) {
+        if self.draw_fault(self.faults.lost_answer) {
             reply = StartReply::Unanswered;
         }
         if !is_answered {
@@ -246,7 +246,7 @@
             run: order.run,
             reply,
         };
-        self.post(after_ms, Message::Tell { term, event });
+        self.post(after_ms, Message::HandleEvent { term, event });
     }
 
     fn start_at(
@@ -265,7 +265,7 @@
         if ticket.is_some() && *ticket != Some(self.workers[index].ticket()) {
             return StartReply::Refused(RefusedStart::Ticket);
         }
-        let reply = self.workers[index].admits(now_ms, term, order);
+        let reply = self.workers[index].admit_start(now_ms, term, order);
         if reply != StartReply::Started {
             return reply;
         }
@@ -287,7 +287,7 @@
         }
         let started = self.started_ms.entry(order.task.step.job);
         started.or_insert(now_ms);
-        let fails = self.draw(self.faults.failing_run);
+        let fails = self.draw_fault(self.faults.failing_run);
         let own = self.job_run_durations_ms.get(&order.task.step.job);
         let lengths_ms = own.unwrap_or(&self.run_durations_ms).clone();
         let spec = &self.jobs[&order.task.step.job].spec.steps[order.task.step.step as usize];
@@ -305,9 +305,9 @@
                 EndKind::Done
             },
             demand: spec.demand,
-            saves: spec.saves_progress,
+            saves_checkpoints: spec.saves_progress,
         };
-        self.workers[index].begin(now_ms, order, run, LEASE_LIMIT_MS);
+        self.workers[index].begin_run(now_ms, order, run, LEASE_LIMIT_MS);
         let task = order.task;
         if task.index == 0 && self.crashing_jobs.contains(&task.step.job) {
             let after_ms = self.rng.random_range(CRASH_AFTER_MS);
@@ -336,7 +336,10 @@
         }
         let worker = &self.workers[index];
         self.trace.print_stop(self.now_ms, worker, task, run, reply);
-        if !is_answered || reply == StopReply::Unanswered || self.draw(self.faults.lost_answer) {
+        if !is_answered
+            || reply == StopReply::Unanswered
+            || self.draw_fault(self.faults.lost_answer)
+        {
             return;
         }
         let event = Event::StopAnswered {
@@ -345,7 +348,7 @@
             run,
             reply,
         };
-        self.post(1, Message::Tell { term, event });
+        self.post(1, Message::HandleEvent { term, event });
     }
 
     pub(super) fn record_done(&mut self) {
--- a/crates/scheduler/tests/scheduler/support/simulation/faults.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/faults.rs
@@ -36,9 +36,9 @@
 
 impl Simulation {
     /// Takes workers down at once; they are back after a while.
-    pub fn lose(&mut self, workers: &[usize]) {
+    pub fn crash_workers(&mut self, workers: &[usize]) {
         for &worker in workers {
-            if let Some(listed_ms) = self.crash_incarnation(worker) {
+            if let Some(listed_ms) = self.end_incarnation(worker) {
                 self.post(listed_ms, Message::ListWorkers);
                 let away_ms = self.rng.random_range(AWAY_MS);
                 self.post(away_ms, Message::StartReplacement { worker });
@@ -46,53 +46,53 @@
         }
     }
 
-    pub(super) fn strike(&mut self) {
+    pub(super) fn inject_faults(&mut self) {
         if self.now_ms < self.last_faults_at_ms + 100 {
             return;
         }
         self.last_faults_at_ms = self.now_ms;
         let index = self.rng.random_range(0..self.workers.len());
-        if self.draw(self.faults.crash) {
-            self.replace(index);
+        if self.draw_fault(self.faults.crash) {
+            self.replace_worker(index);
         }
-        if self.draw(self.faults.cut) {
+        if self.draw_fault(self.faults.partition) {
             let length_ms = self.rng.random_range(500..9_000);
-            self.cut(index, length_ms);
+            self.partition(index, length_ms);
         }
-        if self.draw(self.faults.takeover) {
+        if self.draw_fault(self.faults.takeover) {
             self.elect();
         }
-        if self.draw(self.faults.trouble) && !self.has_trouble {
+        if self.draw_fault(self.faults.trouble) && !self.has_trouble {
             self.has_trouble = true;
             self.send_to_leaders(Event::StoreTrouble(true));
             let length_ms = self.rng.random_range(TROUBLE_MS);
             self.post(length_ms, Message::EndTrouble);
         }
-        if self.faults.pause > 0 && self.draw(self.faults.pause) {
+        if self.faults.pause > 0 && self.draw_fault(self.faults.pause) {
             self.pause_leader();
         }
-        if self.faults.stale_entry > 0 && self.draw(self.faults.stale_entry) {
+        if self.faults.stale_entry > 0 && self.draw_fault(self.faults.stale_entry) {
             self.relist_dead_worker();
         }
-        if self.faults.resize > 0 && self.draw(self.faults.resize) {
+        if self.faults.resize > 0 && self.draw_fault(self.faults.resize) {
             self.shrink_at_random();
         }
-        if self.faults.restart > 0 && self.draw(self.faults.restart) {
+        if self.faults.restart > 0 && self.draw_fault(self.faults.restart) {
             let index = self.rng.random_range(0..self.workers.len());
             self.restart(index);
         }
-        if self.faults.limit > 0 && self.draw(self.faults.limit) {
+        if self.faults.limit > 0 && self.draw_fault(self.faults.limit) {
             self.change_limits();
         }
-        if self.faults.cordon > 0 && self.draw(self.faults.cordon) {
+        if self.faults.cordon > 0 && self.draw_fault(self.faults.cordon) {
             self.toggle_cordon();
         }
         let index = self.rng.random_range(0..self.workers.len());
-        if self.draw(self.faults.drain) && self.workers[index].is_alive {
+        if self.draw_fault(self.faults.drain) && self.workers[index].is_alive {
             self.workers[index].is_draining = true;
             self.list_workers();
             let length_ms = self.rng.random_range(DRAIN_MS);
-            self.post(length_ms, Message::Die { worker: index });
+            self.post(length_ms, Message::ReplaceWorker { worker: index });
         }
     }
 
@@ -114,7 +114,7 @@
     fn toggle_cordon(&mut self) {
         let index = self.rng.random_range(0..self.workers.len());
         let data_centre = self.workers[index].data_centre.clone();
-        self.cordon_rule.turn(self.now_ms, data_centre);
+        self.cordon_rule.toggle(self.now_ms, data_centre);
         self.send_to_leaders(Event::CordonsListed(self.cordon_rule.data_centres()));
     }
 
@@ -138,14 +138,14 @@
         };
         leader.is_paused = true;
         let term = leader.fence;
-        self.post(length_ms, Message::Wake { term });
+        self.post(length_ms, Message::ResumeLeader { term });
         if length_ms >= LEADER_LEASE_MS {
             self.elect();
         }
     }
 
     /// Lets a leader take in at once what has come while it stood still.
-    pub(super) fn wake(&mut self, term: u64) {
+    pub(super) fn resume_leader(&mut self, term: u64) {
         let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == term) else {
             return;
         };
@@ -165,27 +165,27 @@
 
     pub(super) fn end_trouble(&mut self) {
         self.has_trouble = false;
-        if self.faults.takeover > 0 && self.draw(TROUBLE_ENDS_TERM) {
+        if self.faults.takeover > 0 && self.draw_fault(TROUBLE_ENDS_TERM) {
             self.elect();
-            if self.faults.cut > 0 {
+            if self.faults.partition > 0 {
                 let worker = self.rng.random_range(0..self.workers.len());
                 let length_ms = self.rng.random_range(EARLY_CUT_MS);
                 let after_ms = self.rng.random_range(EARLY_CUT_AFTER_MS);
-                self.post(after_ms, Message::Cut { worker, length_ms });
+                self.post(after_ms, Message::Partition { worker, length_ms });
             }
         }
         self.send_to_leaders(Event::StoreTrouble(false));
     }
 
     /// Cuts a worker off for a while.
-    pub(super) fn cut(&mut self, index: usize, length_ms: u64) {
+    pub(super) fn partition(&mut self, index: usize, length_ms: u64) {
         self.workers[index].is_partitioned = true;
         self.post(length_ms, Message::Heal { worker: index });
     }
 
     /// Ends a worker's life and begins the next of its machine.
-    pub(super) fn replace(&mut self, index: usize) {
-        if let Some(listed_ms) = self.crash_incarnation(index) {
+    pub(super) fn replace_worker(&mut self, index: usize) {
+        if let Some(listed_ms) = self.end_incarnation(index) {
             self.start_replacement(index);
             self.post(listed_ms, Message::ListWorkers);
         }
@@ -193,10 +193,10 @@
 
     /// Has a worker crash and start again under its id.
     pub fn restart(&mut self, index: usize) {
-        if let Some(listed_ms) = self.crash_incarnation(index) {
+        if let Some(listed_ms) = self.end_incarnation(index) {
             self.post(listed_ms, Message::ListWorkers);
             let away_ms = self.rng.random_range(RESTART_MS);
-            self.post(away_ms, Message::Restart { worker: index });
+            self.post(away_ms, Message::StartNextIncarnation { worker: index });
         }
     }
 
@@ -219,16 +219,16 @@
     }
 
     /// Ends a worker's life by a task that started there; it is back after a while.
-    pub(super) fn crash(&mut self, index: usize, task: TaskKey) {
+    pub(super) fn crash_by_task(&mut self, index: usize, task: TaskKey) {
         let runs = self.workers[index].runs.keys();
         let others = runs.filter(|other| other.step.job != task.step.job);
-        self.innocent_runs_lost_count += others.count();
-        if let Some(listed_ms) = self.crash_incarnation(index) {
+        self.other_runs_lost_count += others.count();
+        if let Some(listed_ms) = self.end_incarnation(index) {
             self.rules.record_worker_crash(task);
             self.post(listed_ms, Message::ListWorkers);
             let away_ms = self.rng.random_range(AWAY_MS);
             let back = match self.keeps_ids {
-                true => Message::Restart { worker: index },
+                true => Message::StartNextIncarnation { worker: index },
                 false => Message::StartReplacement { worker: index },
             };
             self.post(away_ms, back);
@@ -236,7 +236,7 @@
     }
 
     /// Ends a worker's life; returns how long it is still listed.
-    fn crash_incarnation(&mut self, index: usize) -> Option<u64> {
+    fn end_incarnation(&mut self, index: usize) -> Option<u64> {
         if !core::mem::replace(&mut self.workers[index].is_alive, false) {
             return None;
         }
--- a/crates/scheduler/tests/scheduler/support/simulation/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -26,9 +26,9 @@
 pub const LEASE_LIMIT_MS: u64 = 6000;
 /// The leader's lease.
 const LEADER_LEASE_MS: u64 = 2000;
-const TICK_MS: u64 = 20;
+const TICK_PERIOD_MS: u64 = 20;
 /// The time of day at which the first lives start.
-const FIRST_START_MS: u64 = 5_000_000;
+const FIRST_INCARNATION_START_MS: u64 = 5_000_000;
 /// How long a relay holds an order at most.
 const RELAY_HOLD_LIMIT_MS: u64 = 600;
 /// How long a commit takes while the store is in trouble.
@@ -45,7 +45,7 @@
     /// Ticks at which a worker's power goes.
     pub crash: u32,
     /// Ticks at which a worker is cut off for a while.
-    pub cut: u32,
+    pub partition: u32,
     /// Ticks at which the leader is replaced, the old one acting on for a while.
     pub takeover: u32,
     /// Ticks at which the store becomes slow for a while and leases long.
@@ -69,7 +69,7 @@
 }
 
 enum Message {
-    Hold {
+    Poll {
         term: u64,
         to: Endpoint,
         until_ms: Option<u64>,
@@ -94,18 +94,18 @@
         lane: u32,
         changes: Vec<Change>,
     },
-    Tell {
+    HandleEvent {
         term: u64,
         event: Event,
     },
-    Cut {
+    Partition {
         worker: usize,
         length_ms: u64,
     },
     Heal {
         worker: usize,
     },
-    Die {
+    ReplaceWorker {
         worker: usize,
     },
     Crash {
@@ -115,7 +115,7 @@
     StartReplacement {
         worker: usize,
     },
-    Restart {
+    StartNextIncarnation {
         worker: usize,
     },
     WriteEntry {
@@ -125,7 +125,7 @@
         worker: usize,
         per_mille: u32,
     },
-    Wake {
+    ResumeLeader {
         term: u64,
     },
     ListWorkers,
@@ -156,7 +156,7 @@
     messages: BTreeMap<(u64, u64), Message>,
     next_message: u64,
     jobs: BTreeMap<JobId, JobRecord>,
-    order: Vec<JobId>,
+    submitted_jobs: Vec<JobId>,
     cancels: Vec<JobId>,
     states: BTreeMap<JobId, Vec<u8>>,
     /// Jobs of which the store keeps the outcome only.
@@ -176,7 +176,7 @@
     /// Jobs whose first task crashes each worker that starts it.
     pub crashing_jobs: BTreeSet<JobId>,
     /// Runs of other jobs that were lost with workers which such tasks crashed.
-    pub innocent_runs_lost_count: usize,
+    pub other_runs_lost_count: usize,
     /// When each job was first seen to have its outcome.
     pub done_ms: BTreeMap<JobId, u64>,
     /// When a run of each job was first started.
@@ -219,7 +219,7 @@
             messages: BTreeMap::new(),
             next_message: 0,
             jobs: BTreeMap::new(),
-            order: Vec::new(),
+            submitted_jobs: Vec::new(),
             cancels: Vec::new(),
             states: BTreeMap::new(),
             ended: BTreeMap::new(),
@@ -232,7 +232,7 @@
             good_one_in: 0,
             advice_calls_count: 0,
             crashing_jobs: BTreeSet::new(),
-            innocent_runs_lost_count: 0,
+            other_runs_lost_count: 0,
             done_ms: BTreeMap::new(),
             started_ms: BTreeMap::new(),
             crash_policy: CrashPolicy::default(),
@@ -255,7 +255,7 @@
     /// Brings a configuration into force.
     pub fn configure(&mut self, configuration: Configuration) {
         let customers = configuration.customers.values();
-        self.limit_rule.note(self.now_ms, customers);
+        self.limit_rule.record_limits(self.now_ms, customers);
         self.configuration = configuration.clone();
         self.send_to_leaders(Event::Configured(configuration));
     }
@@ -279,7 +279,7 @@
     }
 
     /// Makes every second worker one of another service.
-    pub fn lay_out_services(&mut self) {
+    pub fn split_services(&mut self) {
         for worker in self.workers.iter_mut().skip(1).step_by(2) {
             worker.service = Arc::from(OTHER_SERVICE);
         }
@@ -295,7 +295,7 @@
     }
 
     /// Puts so many workers in a row into each rack.
-    pub fn lay_out_racks(&mut self, size: usize) {
+    pub fn assign_racks(&mut self, size: usize) {
         for (number, worker) in self.workers.iter_mut().enumerate() {
             worker.rack = Some(Arc::from(format!("r{}", number / size)));
         }
@@ -303,7 +303,7 @@
     }
 
     /// Spreads the workers over so many data centres.
-    pub fn lay_out_data_centres(&mut self, count: usize) {
+    pub fn assign_data_centres(&mut self, count: usize) {
         for (number, worker) in self.workers.iter_mut().enumerate() {
             worker.data_centre = Arc::from(format!("d{}", number % count));
         }
@@ -319,7 +319,7 @@
     /// Has the workers tell when they have started.
     pub fn report_incarnation_starts(&mut self, ignores_foreign_acks: bool) {
         for worker in &mut self.workers {
-            worker.set_incarnation_start(FIRST_START_MS);
+            worker.set_incarnation_start(FIRST_INCARNATION_START_MS);
             worker.ignores_foreign_acks = ignores_foreign_acks;
         }
         self.list_workers();
@@ -329,7 +329,7 @@
         Instant::from_ms(self.now_ms)
     }
 
-    fn draw(&mut self, per_mille: u32) -> bool {
+    fn draw_fault(&mut self, per_mille: u32) -> bool {
         let are_faults_over = self.now_ms >= self.faults_end_ms;
         let drawn = self.rng.random_range(0..1000) < per_mille;
         drawn && !are_faults_over
@@ -349,7 +349,10 @@
             // One that stands still gives no order, and knows when it wakes.
             before.acts_until_ms = if before.is_paused { 0 } else { until_ms };
         }
-        let active = self.order.iter().filter(|id| !self.ended.contains_key(id));
+        let active = self
+            .submitted_jobs
+            .iter()
+            .filter(|id| !self.ended.contains_key(id));
         let jobs = active.map(|id| (*id, self.jobs[id].clone()));
         let states = self.states.iter().map(|(id, bytes)| {
             let state = JobState::from_bytes(bytes).expect("a state that was written here");
@@ -382,7 +385,7 @@
             backlog: Vec::new(),
         });
         self.send_to_leaders(Event::NodesListed(vec![Arc::from("n1"), Arc::from("n2")]));
-        self.tell(fence, Event::StoreTrouble(self.has_trouble));
+        self.send_to_leader(fence, Event::StoreTrouble(self.has_trouble));
         self.list_all_workers(fence);
     }
 
@@ -420,12 +423,12 @@
     fn list_all_workers(&mut self, fence: u64) {
         self.list_workers();
         let list = self.published_workers.values().cloned().collect();
-        self.tell(fence, Event::WorkersListed(list));
+        self.send_to_leader(fence, Event::WorkersListed(list));
     }
 
     pub fn submit(&mut self, (id, record): (JobId, JobRecord)) {
         self.jobs.insert(id, record.clone());
-        self.order.push(id);
+        self.submitted_jobs.push(id);
         let record = Box::new(record);
         self.send_to_leaders(Event::JobAccepted { job: id, record });
     }
@@ -449,11 +452,11 @@
     fn send_to_leaders(&mut self, event: Event) {
         let fences: Vec<u64> = self.leaders.iter().map(|leader| leader.fence).collect();
         for fence in fences {
-            self.tell(fence, event.clone());
+            self.send_to_leader(fence, event.clone());
         }
     }
 
-    fn tell(&mut self, fence: u64, event: Event) {
+    fn send_to_leader(&mut self, fence: u64, event: Event) {
         self.send_batch_to_leader(fence, vec![event]);
     }
 
@@ -510,7 +513,7 @@
                 let after_ms = self.rng.random_range(0..5);
                 self.post(
                     after_ms,
-                    Message::Hold {
+                    Message::Poll {
                         term,
                         to,
                         until_ms,
@@ -541,7 +544,7 @@
                 };
                 let named = workers.iter().map(|to| to.worker).collect();
                 let event = Event::AdviceAnswered { step, named, reply };
-                self.post(expected.as_ms(), Message::Tell { term, event });
+                self.post(expected.as_ms(), Message::HandleEvent { term, event });
             }
             Action::StepDown => {
                 if let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == term) {
@@ -556,7 +559,7 @@
     pub fn run_for(&mut self, length_ms: u64) {
         let until_ms = self.now_ms + length_ms;
         while self.now_ms < until_ms {
-            let next_tick_ms = (self.now_ms / TICK_MS + 1) * TICK_MS;
+            let next_tick_ms = (self.now_ms / TICK_PERIOD_MS + 1) * TICK_PERIOD_MS;
             let due = self.messages.keys().next().copied();
             match due {
                 Some((at_ms, number)) if at_ms <= next_tick_ms => {
@@ -578,13 +581,13 @@
             worker.advance(now_ms);
         }
         self.record_done();
-        self.strike();
+        self.inject_faults();
         self.send_to_leaders(Event::Tick);
     }
 
     /// Notes which jobs have their outcome by now.
     pub fn record_outcomes(&mut self) {
-        let open: Vec<JobId> = self.order.clone();
+        let open: Vec<JobId> = self.submitted_jobs.clone();
         let open = open.into_iter().filter(|id| !self.done_ms.contains_key(id));
         for id in open.collect::<Vec<JobId>>() {
             if !matches!(self.phase(id), None | Some(Phase::Active)) {
@@ -613,13 +616,13 @@
         let until_ms = self.now_ms + limit_ms;
         while self.now_ms < until_ms {
             self.run_for(200);
-            let ids: Vec<JobId> = self.order.clone();
+            let ids: Vec<JobId> = self.submitted_jobs.clone();
             let is_open = |id: &JobId| matches!(self.phase(*id), None | Some(Phase::Active));
             if !ids.iter().any(is_open) {
                 return;
             }
         }
-        let open: Vec<JobId> = self.order.clone();
+        let open: Vec<JobId> = self.submitted_jobs.clone();
         let open: Vec<String> = open
             .iter()
             .filter(|id| matches!(self.phase(**id), None | Some(Phase::Active)))
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -22,13 +22,14 @@
     pub kind: EndKind,
     pub demand: Resources,
     /// Whether it saves checkpoints.
-    pub saves: bool,
+    pub saves_checkpoints: bool,
 }
 
 impl FakeRun {
     /// Returns the checkpoint that was saved last, in a text that names its task.
     fn checkpoint(&self, task: TaskKey) -> Option<String> {
-        self.saves.then(|| format!("{task} run {}", self.run))
+        self.saves_checkpoints
+            .then(|| format!("{task} run {}", self.run))
     }
 }
 
@@ -264,7 +265,7 @@
         self.lease_until_ms = self.lease_until_ms.max(until_ms.min(most_ms));
     }
 
-    pub fn hold(
+    pub fn answer_poll(
         &mut self,
         now_ms: u64,
         fence: u64,
@@ -297,7 +298,7 @@
     }
 
     /// Takes a start; the run is added by the caller, which checks the rules.
-    pub fn admits(&mut self, now_ms: u64, fence: u64, order: &StartOrder) -> StartReply {
+    pub fn admit_start(&mut self, now_ms: u64, fence: u64, order: &StartOrder) -> StartReply {
         if !self.raise_fence(fence) {
             return StartReply::Refused(RefusedStart::Fence);
         }
@@ -328,7 +329,7 @@
         StopReply::Stopping
     }
 
-    pub fn begin(&mut self, now_ms: u64, order: &StartOrder, run: FakeRun, limit_ms: u64) {
+    pub fn begin_run(&mut self, now_ms: u64, order: &StartOrder, run: FakeRun, limit_ms: u64) {
         self.lease(now_ms, order.until_ms, limit_ms);
         self.runs.insert(order.task, run);
     }
--- a/crates/scheduler/tests/scheduler/takeover.rs
+++ b/crates/scheduler/tests/scheduler/takeover.rs
@@ -13,7 +13,7 @@
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
     let (worker, task, run) = harness.starts()[0];
-    harness.started((worker, task, run));
+    harness.answer_started((worker, task, run));
     (harness, task, run)
 }
 
@@ -39,7 +39,7 @@
 fn take_running_cancel_recorded_before() {
     let (mut harness, task, run) = after_start();
     let id = JobId::new(1);
-    harness.tell(Event::CancelAccepted { job: id });
+    harness.handle(Event::CancelAccepted { job: id });
     let state = harness.commit_all().pop().expect("a recorded cancel");
     assert_eq!(state.phase, Phase::Canceled);
     let (mut next, worker) = next_leader(state);
@@ -81,7 +81,7 @@
 #[test]
 fn take_job_unreadable() {
     let (mut next, worker, _) = next_leader_without_state();
-    next.list(worker, Vec::new());
+    next.answer_poll(worker, Vec::new());
     // Its client hands it in again.
     next.submit(1, vec![step(1)]);
     next.commit_all();
@@ -103,7 +103,7 @@
 fn take_end_unreadable_job() {
     let (mut next, worker, task) = next_leader_without_state();
     let ended = vec![end(1, task, 1, EndKind::Done)];
-    next.list(worker, ended);
+    next.answer_poll(worker, ended);
     next.submit(2, vec![step(1)]);
     next.commit_all();
     let forgets =
--- a/crates/scheduler/tests/scheduler/waiting.rs
+++ b/crates/scheduler/tests/scheduler/wait_reasons.rs
@@ -1,4 +1,4 @@
-//! Why steps wait: each reason is told, once it has lasted.
+//! Why steps wait: each reason is reasons_of, once it has lasted.
 
 use crate::support::harness::{workers, Harness};
 use crate::support::{advice, configuration_with, customer, job_of, step};
@@ -8,10 +8,10 @@
 use ospreywing_types::Duration;
 use rstest::rstest;
 
-/// As long as a wait lasts before it is told, and a little more.
-const LONG: Duration = Duration::from_ms(3100);
+/// As long as a wait lasts before it is reasons_of, and a little more.
+const LOGGED_AFTER: Duration = Duration::from_ms(3100);
 /// The time between two cycles of these tests.
-const PACE: Duration = Duration::from_ms(100);
+const CYCLE: Duration = Duration::from_ms(100);
 
 fn gang(tasks_count: u32) -> StepSpec {
     StepSpec {
@@ -21,12 +21,12 @@
 }
 
 /// Lets time pass in which nothing is answered; returns the lines on waits.
-fn wait_for(harness: &mut Harness, length: Duration) -> Vec<Decision> {
+fn logged_waits_during(harness: &mut Harness, length: Duration) -> Vec<Decision> {
     let until = harness.now + length;
     let mut lines = Vec::new();
     while harness.now < until {
-        harness.now = harness.now + PACE;
-        harness.tell(Event::Tick);
+        harness.now = harness.now + CYCLE;
+        harness.handle(Event::Tick);
         for action in core::mem::take(&mut harness.actions) {
             match action {
                 Action::Log(line) if line.kind == DecisionKind::StepWaits => lines.push(line),
@@ -37,7 +37,7 @@
     lines
 }
 
-fn told(lines: &[Decision]) -> Vec<&str> {
+fn reasons_of(lines: &[Decision]) -> Vec<&str> {
     lines.iter().map(|line| line.reason).collect()
 }
 
@@ -47,8 +47,8 @@
     // Two fit.
     harness.submit(1, vec![step(3)]);
     harness.commit_all();
-    let lines = wait_for(&mut harness, LONG);
-    assert_eq!(told(&lines), [WaitReason::Room.as_str()]);
+    let lines = logged_waits_during(&mut harness, LOGGED_AFTER);
+    assert_eq!(reasons_of(&lines), [WaitReason::Room.as_str()]);
     assert!(lines[0].figure >= 3000, "since when it waits");
     let status = harness.scheduler.status(harness.now);
     let room = status.waits[WaitReason::Room as usize];
@@ -59,10 +59,10 @@
 #[test]
 fn step_waits_for_advice() {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(2), Some(advice()));
-    harness.tell(Event::NodesListed(vec!["n1".into()]));
+    harness.handle(Event::NodesListed(vec!["n1".into()]));
     harness.submit(1, vec![step(1)]);
-    let lines = wait_for(&mut harness, LONG);
-    assert_eq!(told(&lines), [WaitReason::Advice.as_str()]);
+    let lines = logged_waits_during(&mut harness, LOGGED_AFTER);
+    assert_eq!(reasons_of(&lines), [WaitReason::Advice.as_str()]);
 }
 
 #[rstest]
@@ -71,11 +71,11 @@
 fn step_waits_for_limit(#[case] spec: StepSpec) {
     let mut harness = Harness::new(Recovered::default(), &workers(4));
     let customers = vec![customer("one", 2, 100.0)];
-    harness.tell(Event::Configured(configuration_with(2, None, customers)));
+    harness.handle(Event::Configured(configuration_with(2, None, customers)));
     harness.submit_job(job_of("one", 1, vec![spec]));
     harness.commit_all();
-    let lines = wait_for(&mut harness, LONG);
-    assert_eq!(told(&lines), [WaitReason::Limit.as_str()]);
+    let lines = logged_waits_during(&mut harness, LOGGED_AFTER);
+    assert_eq!(reasons_of(&lines), [WaitReason::Limit.as_str()]);
 }
 
 /// Told again each ten seconds, and no more once it has started.
@@ -84,15 +84,15 @@
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     harness.submit(1, vec![step(3)]);
     harness.commit_all();
-    let lines = wait_for(&mut harness, Duration::from_s(14));
+    let lines = logged_waits_during(&mut harness, Duration::from_s(14));
     assert_eq!(lines.len(), 2);
     harness.list_workers(&workers(2));
     let key = harness.scheduler.worker_key("w1").expect("a worker");
-    harness.list(key, Vec::new());
+    harness.answer_poll(key, Vec::new());
     harness.commit_all();
     harness.actions.clear();
-    let lines = wait_for(&mut harness, Duration::from_s(14));
-    assert_eq!(told(&lines), [] as [&str; 0]);
+    let lines = logged_waits_during(&mut harness, Duration::from_s(14));
+    assert_eq!(reasons_of(&lines), [] as [&str; 0]);
     let status = harness.scheduler.status(harness.now);
     assert!(status.waits.iter().all(|wait| wait.steps_count == 0));
 }
--- a/crates/scheduler/tests/scheduler/awaiting.rs
+++ b/crates/scheduler/tests/scheduler/worker_reservations.rs
@@ -8,7 +8,7 @@
 /// The workers of these tests.
 const WORKERS_COUNT: usize = 6;
 /// The job that fills a worker.
-const LARGE: u64 = 99;
+const LARGE_JOB: u64 = 99;
 
 /// Returns the step of one task that fills a worker.
 fn filling_step() -> StepSpec {
@@ -28,7 +28,7 @@
         Some(advice()),
     );
     let nodes = (0..4).map(|number| format!("n{number}").into());
-    harness.tell(Event::NodesListed(nodes.collect()));
+    harness.handle(Event::NodesListed(nodes.collect()));
     harness.submit_job(low_priority_job(1, 2 * WORKERS_COUNT as u32));
     let ids: Vec<String> = (0..WORKERS_COUNT)
         .map(|number| format!("w{number}"))
@@ -39,7 +39,7 @@
     let starts = harness.starts();
     assert_eq!(starts.len(), 2 * WORKERS_COUNT);
     for start in &starts {
-        harness.started(*start);
+        harness.answer_started(*start);
     }
     harness.answer_polls_with_progress(&starts, progress_percent);
     (harness, starts)
@@ -47,7 +47,7 @@
 
 fn tick(harness: &mut Harness, good: &[&str]) -> Vec<usize> {
     harness.now = harness.now + Duration::from_ms(20);
-    harness.tell(Event::Tick);
+    harness.handle(Event::Tick);
     harness.answer_advice_calls(good)
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn seek_for_tasks_learns_of_all_workers_at_once() {
     let (mut harness, _) = full_workers(80);
-    harness.submit(LARGE, vec![filling_step()]);
+    harness.submit(LARGE_JOB, vec![filling_step()]);
     let named: usize = harness.answer_advice_calls(&["w4"]).into_iter().sum();
     assert_eq!(named, WORKERS_COUNT, "also those without room");
 }
@@ -64,21 +64,21 @@
 #[test]
 fn await_workers_keeps_later_work_off() {
     let (mut harness, starts) = full_workers(80);
-    harness.submit(LARGE, vec![filling_step()]);
+    harness.submit(LARGE_JOB, vec![filling_step()]);
     harness.answer_advice_calls(&["w4"]);
     // One half of the good worker is free, and something small wants it.
     let w4 = harness.scheduler.worker_key("w4").expect("a listed worker");
     let mut on_w4 = starts.iter().filter(|(worker, ..)| *worker == w4);
     let (_, first, run) = *on_w4.next().expect("a run");
     let (_, second, second_run) = *on_w4.next().expect("another run");
-    harness.list(w4, vec![end(1, first, run, EndKind::Done)]);
+    harness.answer_poll(w4, vec![end(1, first, run, EndKind::Done)]);
     harness.submit_job(low_priority_job(2, 1));
     for _ in 0..5 {
         tick(&mut harness, &["w4"]);
     }
     harness.commit_all();
     assert_eq!(harness.starts(), vec![], "the room is kept");
-    harness.list(w4, vec![end(2, second, second_run, EndKind::Done)]);
+    harness.answer_poll(w4, vec![end(2, second, second_run, EndKind::Done)]);
     for _ in 0..5 {
         tick(&mut harness, &["w4"]);
     }
@@ -86,13 +86,13 @@
     let starts = harness.starts();
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].0, w4);
-    assert_eq!(starts[0].1.step.job, JobId::new(LARGE));
+    assert_eq!(starts[0].1.step.job, JobId::new(LARGE_JOB));
 }
 
 #[test]
 fn preempt_for_tasks_stops_what_loses_little() {
     let (mut harness, _) = full_workers(10);
-    harness.submit(LARGE, vec![filling_step()]);
+    harness.submit(LARGE_JOB, vec![filling_step()]);
     harness.answer_advice_calls(&["w4"]);
     tick(&mut harness, &["w4"]);
     let w4 = harness.scheduler.worker_key("w4").expect("a listed worker");
@@ -104,7 +104,7 @@
 #[test]
 fn preempt_for_tasks_spares_what_is_nearly_done() {
     let (mut harness, _) = full_workers(80);
-    harness.submit(LARGE, vec![filling_step()]);
+    harness.submit(LARGE_JOB, vec![filling_step()]);
     harness.answer_advice_calls(&["w4"]);
     tick(&mut harness, &["w4"]);
     assert_eq!(harness.stops(), vec![]);
