--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -32,7 +32,7 @@
 const PLAYS_COUNT: usize = 3;
 const LEASE_LIMIT: Duration = Duration::from_ms(10_000);
 /// One worker of so many is good for a job.
-const GOOD_ONE_IN: u64 = 2;
+const SUITABLE_ONE_IN: u64 = 2;
 
 /// Counts allocations; the benchmark has one thread.
 struct CountingAllocator;
@@ -209,7 +209,7 @@
                 ..
             } => {
                 self.cost.calls_count += 1;
-                let good = workers.iter().filter(|to| is_good(to.worker, step.job));
+                let good = workers.iter().filter(|to| is_suitable(to.worker, step.job));
                 let tickets = good.map(|to| Ticket {
                     worker: to.id.clone(),
                     text: Arc::from("ticket"),
@@ -288,8 +288,8 @@
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
-fn is_good(worker: WorkerKey, job: JobId) -> bool {
-    (u64::from(worker.as_u32()) + job.number()).is_multiple_of(GOOD_ONE_IN)
+fn is_suitable(worker: WorkerKey, job: JobId) -> bool {
+    (u64::from(worker.as_u32()) + job.number()).is_multiple_of(SUITABLE_ONE_IN)
 }
 
 fn configuration(advice: Option<AdvicePolicy>) -> Configuration {
--- a/crates/scheduler/tests/scheduler/backfill_load.rs
+++ b/crates/scheduler/tests/scheduler/backfill_load.rs
@@ -170,7 +170,7 @@
 
 fn run_burst(seed: u64, factor: u64, policy: Option<AdvicePolicy>) -> Scenario {
     let mut scenario = Scenario::new(seed, BURST_WORKERS_COUNT, BURST_LIMIT_COUNT, policy);
-    scenario.simulation.good_one_in = 1;
+    scenario.simulation.suitable_one_in = 1;
     scenario.simulation.split_services();
     for at_ms in (0..BURST_MS).step_by(50) {
         if at_ms % BURST_SHORT_PERIOD_MS == 0 {
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -75,7 +75,7 @@
     fn answer_advice(&mut self) {
         let ids: Vec<String> = self.workers.iter().map(|w| w.id.to_string()).collect();
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-        self.harness.answer_advice_calls(&ids);
+        self.harness.answer_advice_requests(&ids);
     }
 
     /// Has the worker crash_worker under a start, and its next life come up.
--- a/crates/scheduler/tests/scheduler/gang_load.rs
+++ b/crates/scheduler/tests/scheduler/gang_load.rs
@@ -50,7 +50,7 @@
 fn run_load(seed: u64) -> InTime {
     let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), Some(advice()));
     assert_eq!(simulation.workers.len(), WORKERS_COUNT);
-    simulation.good_one_in = SUITABLE_ONE_IN;
+    simulation.suitable_one_in = SUITABLE_ONE_IN;
     simulation.run_durations_ms = 600..1_400;
     let mut gangs: Vec<(JobId, u64)> = Vec::new();
     let mut low_priority: Vec<(JobId, u64)> = Vec::new();
--- a/crates/scheduler/tests/scheduler/packing_load.rs
+++ b/crates/scheduler/tests/scheduler/packing_load.rs
@@ -19,7 +19,7 @@
 const LARGE_IN_TIME_MIN: f64 = 0.95;
 /// What the small tasks' share in time may fall by.
 const SMALL_LOST_LIMIT: f64 = 0.02;
-const FAULTS_MS: u64 = 12_000;
+const FAULT_PHASE_MS: u64 = 12_000;
 const RECOVERY_LIMIT_MS: u64 = 90_000;
 const LOAD_MS: u64 = 40_000;
 /// How long runs take, in percent of their estimates.
@@ -319,13 +319,13 @@
     for seed in 0..SEEDS_COUNT {
         println!("seed {seed}");
         let mut simulation = new_simulation(seed, &load, faults, has_advice.then(advice));
-        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         let mut arrivals = Arrivals::new(seed);
-        arrivals.submit_for(&mut simulation, &load, FAULTS_MS / 2);
+        arrivals.submit_for(&mut simulation, &load, FAULT_PHASE_MS / 2);
         let half: Vec<usize> = (0..WORKERS_COUNT / 2).collect();
         simulation.crash_workers(&half);
         simulation.elect();
-        arrivals.submit_for(&mut simulation, &load, FAULTS_MS / 2);
+        arrivals.submit_for(&mut simulation, &load, FAULT_PHASE_MS / 2);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -95,7 +95,7 @@
 #[test]
 fn seek_for_gang_few_good_workers() {
     let mut simulation = Simulation::new(3, 16, Faults::default(), Some(advice()));
-    simulation.good_one_in = 4;
+    simulation.suitable_one_in = 4;
     for number in 1..=6 {
         let gang = StepSpec {
             is_gang: true,
@@ -124,7 +124,7 @@
     for number in 1..=3 {
         harness.submit(number, vec![gang.clone()]);
     }
-    let first = harness.answer_advice_calls(&["w0", "w1", "w9"]);
+    let first = harness.answer_advice_requests(&["w0", "w1", "w9"]);
     assert_eq!(
         first,
         vec![8, 4, 4],
@@ -138,7 +138,7 @@
     );
     // The gang waits a while before it looks further, after each call.
     for _ in 0..20 {
-        harness.answer_advice_calls(&["w0", "w1", "w9"]);
+        harness.answer_advice_requests(&["w0", "w1", "w9"]);
         harness.commit_all();
     }
     assert_eq!(harness.starts().len(), 2, "the third starts on another");
@@ -161,17 +161,17 @@
     let good = [["w0", "w1"], ["w2", "w2"], ["w0", "w1"]];
     for (steps, good) in [gang.clone(), step(1), gang].into_iter().zip(good) {
         harness.submit(harness.now.as_ms(), vec![steps]);
-        harness.answer_advice_calls(&good);
+        harness.answer_advice_requests(&good);
         harness.commit_all();
     }
     assert_eq!(harness.starts().len(), 5, "the second gang waits");
     harness.submit(9, vec![patient]);
     harness.commit_all();
-    assert_eq!(harness.answer_advice_calls(&["w0", "w1", "w2"]), vec![]);
+    assert_eq!(harness.answer_advice_requests(&["w0", "w1", "w2"]), vec![]);
     // Its objective is 21 s, of which it needs 10 and keeps 4 in hand.
     harness.now = harness.now + Duration::from_ms(8_000);
     harness.commit_all();
-    assert_eq!(harness.answer_advice_calls(&["w0", "w1", "w2"]).len(), 1);
+    assert_eq!(harness.answer_advice_requests(&["w0", "w1", "w2"]).len(), 1);
     harness.commit_all();
     assert_eq!(harness.starts().len(), 1);
 }
@@ -182,7 +182,7 @@
     let mut harness = Harness::with_advice(Recovered::default(), &workers(2), Some(advice()));
     harness.handle(Event::NodesListed(vec!["n1".into()]));
     harness.submit_job((id, record));
-    harness.answer_advice_calls(&["w0", "w1"]);
+    harness.answer_advice_requests(&["w0", "w1"]);
     harness.commit_all();
     let starts = harness.starts();
     assert_eq!(starts.len(), 4);
@@ -195,7 +195,7 @@
         ..step(2)
     };
     harness.submit(99, vec![gang]);
-    harness.answer_advice_calls(&["w0", "w1"]);
+    harness.answer_advice_requests(&["w0", "w1"]);
     harness.commit_all();
     harness
 }
@@ -208,7 +208,7 @@
     let stops = harness.stops();
     assert_eq!(stops.len(), 2, "as many as the gang needs");
     assert_eq!(harness.starts(), vec![], "the room is not free yet");
-    harness.answer_advice_calls(&["w0", "w1"]);
+    harness.answer_advice_requests(&["w0", "w1"]);
     harness.commit_all();
     assert_eq!(harness.starts(), vec![], "nor with the tickets there");
     for (number, (worker, task, run)) in (1..).zip(stops.iter().copied()) {
@@ -270,11 +270,11 @@
     // More than all good workers hold.
     for number in 1..=20 {
         harness.submit(number, vec![gang(20)]);
-        harness.answer_advice_calls(&["w0", "w1"]);
+        harness.answer_advice_requests(&["w0", "w1"]);
     }
     harness.submit(21, vec![gang(2)]);
     for _ in 0..4 {
-        harness.answer_advice_calls(&["w2", "w3"]);
+        harness.answer_advice_requests(&["w2", "w3"]);
         harness.commit_all();
     }
     let starts = harness.starts();
@@ -303,12 +303,12 @@
     first_named.sort();
     first_named.dedup();
     assert_eq!(first_named.len(), 6, "each call begins with another worker");
-    harness.answer_advice_calls(&["w0", "w1", "w2", "w3", "w4", "w5"]);
+    harness.answer_advice_requests(&["w0", "w1", "w2", "w3", "w4", "w5"]);
     harness.commit_all();
     assert_eq!(harness.starts().len(), 12, "no step needs another call");
     // What was counted on is free again for later calls.
     harness.submit(7, vec![step(2)]);
-    assert!(!harness.answer_advice_calls(&["w11"]).is_empty());
+    assert!(!harness.answer_advice_requests(&["w11"]).is_empty());
 }
 
 /// A filler is evicted for a task that serves users, and none is placed beside one.
@@ -359,7 +359,7 @@
         harness.submit(number, vec![gang.clone()]);
     }
     let good = ["w0", "w1", "w9"];
-    assert_eq!(harness.answer_advice_calls(&good), vec![8, 8, 8]);
+    assert_eq!(harness.answer_advice_requests(&good), vec![8, 8, 8]);
     harness.commit_all();
     assert_eq!(
         harness.starts().len(),
@@ -369,7 +369,7 @@
     let begun = harness.now;
     for _ in 0..20 {
         harness.now = harness.now + Duration::from_ms(20);
-        harness.answer_advice_calls(&good);
+        harness.answer_advice_requests(&good);
         harness.handle(Event::Tick);
     }
     harness.commit_all();
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -137,7 +137,7 @@
     for _ in 0..40 {
         harness.now = harness.now + Duration::from_ms(50);
         harness.handle(Event::Tick);
-        let named_counts = harness.answer_advice_calls(&good);
+        let named_counts = harness.answer_advice_requests(&good);
         assert!(
             named_counts.iter().all(|count| *count <= 100),
             "{named_counts:?}"
@@ -161,7 +161,7 @@
     let mut harness = Harness::with_advice(Recovered::default(), &workers(300), Some(advice()));
     list_nodes(&mut harness, nodes_count);
     harness.submit(1, vec![filling_gang(120)]);
-    let named = harness.answer_advice_calls(&[]);
+    let named = harness.answer_advice_requests(&[]);
     assert_eq!(named.len(), calls_count, "{named:?}");
     assert_eq!(named.iter().sum::<usize>(), named_count, "{named:?}");
 }
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -17,7 +17,7 @@
 const SEEDS_VARIABLE: &str = "OSPREYWING_SEARCH_SEEDS";
 /// Sets the first seed; 0 otherwise.
 const FIRST_SEED_VARIABLE: &str = "OSPREYWING_SEARCH_FIRST_SEED";
-const FAULTS_MS: u64 = 12_000;
+const FAULT_PHASE_MS: u64 = 12_000;
 const RECOVERY_LIMIT_MS: u64 = 90_000;
 /// Orders are carried out up to 12 s late; then their runs are found and stopped.
 const LATE_LIMIT_MS: u64 = 15_000;
@@ -32,7 +32,7 @@
     crash: 0,
     partition: 0,
     takeover: 0,
-    trouble: 0,
+    degraded_store: 0,
     drain: 0,
     resize: 0,
     pause: 0,
@@ -51,7 +51,7 @@
     crash: 10,
     partition: 20,
     takeover: 20,
-    trouble: 10,
+    degraded_store: 10,
     drain: 5,
     ..NO_FAULTS
 };
@@ -99,7 +99,7 @@
         // Shown where the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 6, faults, policy);
-        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=10 {
             let steps = match number % 4 {
                 0 => vec![gang(3)],
@@ -110,7 +110,7 @@
             simulation.submit(job(number, steps));
             simulation.run_for(400);
         }
-        simulation.run_for(FAULTS_MS);
+        simulation.run_for(FAULT_PHASE_MS);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
         assert!(
             simulation.rules.starts_count >= 10,
@@ -127,7 +127,7 @@
 #[case::crashes(Faults { crash: 30, ..Faults::default() })]
 #[case::partitions(Faults { partition: 40, ..Faults::default() })]
 #[case::takeovers(Faults { takeover: 30, ..Faults::default() })]
-#[case::long_leases(Faults { takeover: 10, partition: 40, trouble: 20, ..Faults::default() })]
+#[case::long_leases(Faults { takeover: 10, partition: 40, degraded_store: 20, ..Faults::default() })]
 #[case::two_incarnations(Faults { takeover: 20, crash: 30, ..Faults::default() })]
 #[case::stale_entries(Faults {
     takeover: 20,
@@ -146,9 +146,9 @@
     ..Faults::default()
 })]
 #[case::resized(Faults { resize: 80, ..Faults::default() })]
-#[case::resized_in_trouble(Faults {
+#[case::resized_while_store_degraded(Faults {
     resize: 80,
-    trouble: 30,
+    degraded_store: 30,
     takeover: 10,
     lost_answer: 40,
     ..Faults::default()
@@ -165,7 +165,7 @@
 #[case::lost_answers(Faults { restart: 60, lost_answer: 80, ..Faults::default() })]
 #[case::takeovers(Faults { restart: 60, takeover: 40, ..Faults::default() })]
 #[case::partitions(Faults { restart: 40, partition: 40, crash: 10, ..Faults::default() })]
-#[case::trouble(Faults { restart: 40, trouble: 40, takeover: 10, ..Faults::default() })]
+#[case::degraded_store(Faults { restart: 40, degraded_store: 40, takeover: 10, ..Faults::default() })]
 #[case::paused(Faults { restart: 40, pause: 60, ..Faults::default() })]
 #[case::failing_runs(Faults { restart: 40, failing_run: 120, drain: 10, ..Faults::default() })]
 #[case::everything(Faults {
@@ -237,13 +237,13 @@
         simulation.submit(job(number, steps));
         simulation.run_for(400);
     }
-    simulation.run_for(FAULTS_MS);
+    simulation.run_for(FAULT_PHASE_MS);
 }
 
 fn run_with_restarts(seed: u64, mut simulation: Simulation) {
     // Shown where the test fails.
     println!("seed {seed}");
-    simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+    simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
     submit_during_faults(&mut simulation);
     simulation.run_until_done(RECOVERY_LIMIT_MS);
 }
@@ -253,7 +253,7 @@
 #[case::alone(Faults { cordon: 60, ..Faults::default() })]
 #[case::takeovers(Faults { cordon: 60, takeover: 40, ..Faults::default() })]
 #[case::late_orders(Faults { cordon: 60, late_order: 80, lost_answer: 40, ..Faults::default() })]
-#[case::trouble(Faults { cordon: 60, trouble: 40, takeover: 10, ..Faults::default() })]
+#[case::degraded_store(Faults { cordon: 60, degraded_store: 40, takeover: 10, ..Faults::default() })]
 #[case::held_orders(Faults { cordon: 60, held_order: 300, partition: 20, ..Faults::default() })]
 #[case::paused(Faults { cordon: 60, pause: 60, ..Faults::default() })]
 #[case::restarts(Faults { cordon: 60, restart: 40, crash: 20, ..Faults::default() })]
@@ -267,7 +267,7 @@
         }
         // Shown where the test fails.
         println!("seed {seed}");
-        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         submit_during_faults(&mut simulation);
         simulation.lift_cordons();
         simulation.run_until_done(RECOVERY_LIMIT_MS);
@@ -281,16 +281,16 @@
 /// Runs about as long as leases, and leaders that follow one another at the end of
 /// the store's trouble, in which leases are long.
 #[rstest]
-#[case::late_partitions(Faults { trouble: 60, takeover: 5, partition: 10, ..Faults::default() })]
+#[case::late_partitions(Faults { degraded_store: 60, takeover: 5, partition: 10, ..Faults::default() })]
 #[case::lost_answers(Faults {
-    trouble: 60,
+    degraded_store: 60,
     takeover: 5,
     partition: 10,
     lost_answer: 40,
     ..Faults::default()
 })]
 #[case::one_leader(Faults {
-    trouble: 30,
+    degraded_store: 30,
     partition: 20,
     lost_answer: 40,
     late_order: 40,
@@ -304,12 +304,12 @@
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 8, faults, None);
         simulation.run_durations_ms = 200..7_000;
-        simulation.faults_end_ms = simulation.now_ms + 2 * FAULTS_MS;
+        simulation.faults_end_ms = simulation.now_ms + 2 * FAULT_PHASE_MS;
         for number in 1..=16 {
             simulation.submit(job(number, vec![step(2)]));
             simulation.run_for(900);
         }
-        simulation.run_for(FAULTS_MS);
+        simulation.run_for(FAULT_PHASE_MS);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
@@ -323,8 +323,8 @@
         // Shown where the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 16, faults, Some(advice()));
-        simulation.good_one_in = 4;
-        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        simulation.suitable_one_in = 4;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=24 {
             let steps = match number % 3 {
                 // Two good workers, which crashes leave, hold four.
@@ -335,7 +335,7 @@
             simulation.submit(job(number, steps));
             simulation.run_for(300);
         }
-        simulation.run_for(FAULTS_MS);
+        simulation.run_for(FAULT_PHASE_MS);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
@@ -351,8 +351,8 @@
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 8, faults, Some(advice()));
         // All are good, so that patient work fills them all.
-        simulation.good_one_in = 1;
-        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        simulation.suitable_one_in = 1;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=20 {
             // Patient work fills the workers before each gang comes.
             let job = match number % 2 {
@@ -362,7 +362,7 @@
             simulation.submit(job);
             simulation.run_for(900);
         }
-        simulation.run_for(FAULTS_MS);
+        simulation.run_for(FAULT_PHASE_MS);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
         resumed_count += simulation.rules.resumed_count;
     }
@@ -383,7 +383,7 @@
         simulation.run_durations_ms = 3_000..9_000;
         let customers = vec![customer("one", 16, 2.0), customer("two", 16, 2.0)];
         simulation.configure(configuration_with(2, None, customers));
-        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=16 {
             let (id, mut record) = match number % 4 {
                 1 => low_priority_job(number, 20),
@@ -395,7 +395,7 @@
             simulation.submit((id, record));
             simulation.run_for(600);
         }
-        simulation.run_for(FAULTS_MS);
+        simulation.run_for(FAULT_PHASE_MS);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
         resumed_count += simulation.rules.resumed_count;
     }
@@ -409,7 +409,7 @@
 #[case::takeovers(Faults { takeover: 40, ..Faults::default() })]
 #[case::partitions(Faults { partition: 30, lost_answer: 40, ..Faults::default() })]
 #[case::crashes(Faults { crash: 20, takeover: 10, ..Faults::default() })]
-#[case::trouble(Faults { trouble: 40, takeover: 20, ..Faults::default() })]
+#[case::degraded_store(Faults { degraded_store: 40, takeover: 20, ..Faults::default() })]
 #[case::everything(Faults { failing_run: 0, resize: 20, pause: 20, ..ALL_FAULTS })]
 fn scheduler_gives_up_what_crashes_workers(
     #[case] faults: Faults,
@@ -459,7 +459,7 @@
     // Shown where the test fails.
     println!("seed {seed}");
     simulation.crashing_jobs = [3, 6, 7].map(JobId::new).into();
-    simulation.faults_end_ms = simulation.now_ms + 2 * FAULTS_MS;
+    simulation.faults_end_ms = simulation.now_ms + 2 * FAULT_PHASE_MS;
     for number in 1..=16 {
         let steps = match number % 4 {
             0 => vec![gang(3)],
@@ -469,7 +469,7 @@
         simulation.submit(job(number, steps));
         simulation.run_for(500);
     }
-    simulation.run_for(FAULTS_MS);
+    simulation.run_for(FAULT_PHASE_MS);
     simulation.run_until_done(RECOVERY_LIMIT_MS);
     for number in 1..=16 {
         let id = JobId::new(number);
@@ -505,13 +505,13 @@
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 6, faults, has_advice.then(advice));
         simulation.run_durations_ms = 200..60_000;
-        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=10 {
             simulation.submit(job(number, vec![step(2)]));
             simulation.run_for(100 + seed % 7 * 100);
             simulation.cancel(JobId::new(number));
         }
-        simulation.run_for(FAULTS_MS);
+        simulation.run_for(FAULT_PHASE_MS);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
         simulation.run_for(LATE_LIMIT_MS);
         simulation.assert_no_strays();
@@ -523,7 +523,7 @@
 #[rstest]
 #[case::quiet(Faults { limit: 100, ..Faults::default() })]
 #[case::takeovers(Faults { limit: 100, takeover: 40, ..Faults::default() })]
-#[case::trouble(Faults { limit: 100, trouble: 40, takeover: 10, ..Faults::default() })]
+#[case::degraded_store(Faults { limit: 100, degraded_store: 40, takeover: 10, ..Faults::default() })]
 #[case::partitions(Faults { limit: 60, partition: 40, lost_answer: 40, crash: 10, ..Faults::default() })]
 #[case::paused(Faults { limit: 60, pause: 60, ..Faults::default() })]
 #[case::everything(Faults { limit: 60, resize: 20, pause: 20, stale_entry: 50, ..ALL_FAULTS })]
@@ -538,7 +538,7 @@
         let mut simulation = Simulation::new(seed, 8, faults, policy);
         let customers = vec![customer("one", 4, 2.0), customer("two", 6, 100.0)];
         simulation.configure(configuration_with(2, policy, customers));
-        simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=16 {
             let steps = match number % 4 {
                 0 => vec![gang(3)],
@@ -554,7 +554,7 @@
             simulation.submit(job);
             simulation.run_for(300);
         }
-        simulation.run_for(FAULTS_MS);
+        simulation.run_for(FAULT_PHASE_MS);
         simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
@@ -596,11 +596,11 @@
 fn run_reservations(seed: u64, mut simulation: Simulation, policy: Option<AdvicePolicy>) {
     // Shown where the test fails.
     println!("seed {seed}");
-    simulation.good_one_in = 1;
+    simulation.suitable_one_in = 1;
     simulation.split_services();
     let customers = vec![customer("one", 4, 2.0), customer("two", 6, 100.0)];
     simulation.configure(with_other_service(configuration_with(2, policy, customers)));
-    simulation.faults_end_ms = simulation.now_ms + FAULTS_MS;
+    simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
     for number in 1..=32 {
         let spec = match number % 8 {
             0 => gang(4),
@@ -615,6 +615,6 @@
         simulation.submit((id, record));
         simulation.run_for(200);
     }
-    simulation.run_for(FAULTS_MS);
+    simulation.run_for(FAULT_PHASE_MS);
     simulation.run_until_done(RECOVERY_LIMIT_MS);
 }
--- a/crates/scheduler/tests/scheduler/support/cordons.rs
+++ b/crates/scheduler/tests/scheduler/support/cordons.rs
@@ -1,22 +1,22 @@
-//! The rule on cordons, checked from the outside at each start.
+//! Checks cordons at each start, independently of the scheduler.
 
 use super::worker::FakeWorker;
 use ospreywing_scheduler::StartOrder;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How long after a cordon a start may come that was on its way.
+/// How long after a cordon a start may arrive that was in flight.
 const IN_FLIGHT_MS: u64 = 100;
 
-/// The cordons that stand, and since when.
+/// The current cordons, with the time at which each was set.
 pub struct CordonRule {
     since_ms: BTreeMap<Arc<str>, u64>,
-    /// How long an order may be on its way.
+    /// How long an order may be in flight.
     in_flight_ms: u64,
 }
 
 impl CordonRule {
-    /// Creates the rule for a world in which relays hold orders up to `relay_hold_ms`.
+    /// Creates the rule for a simulation in which relays hold orders up to `relay_hold_ms`.
     pub const fn new(relay_hold_ms: u64) -> Self {
         Self {
             since_ms: BTreeMap::new(),
@@ -48,7 +48,7 @@
         };
         assert!(
             now_ms <= since_ms + self.in_flight_ms,
-            "{} starts on {} at {now_ms} ms, whose data centre was cordoned at {since_ms} ms",
+            "{} starts at {now_ms} ms on {}, whose data centre was cordoned at {since_ms} ms",
             order.task,
             worker.id
         );
--- a/crates/scheduler/tests/scheduler/support/harness.rs
+++ b/crates/scheduler/tests/scheduler/support/harness.rs
@@ -1,4 +1,4 @@
-//! A scheduler whose surroundings answer by hand, one event after the other.
+//! A harness around one scheduler: the test answers the scheduler's calls, one event at a time.
 
 use super::worker::FakeWorker;
 use super::{configuration, job};
@@ -10,14 +10,14 @@
 };
 use ospreywing_types::{Duration, Instant};
 
-/// The longest lease of a worker.
+/// The longest lease that a worker accepts.
 pub const LEASE_LIMIT: Duration = Duration::from_ms(6000);
 /// The fence of the leader's term.
 pub const FENCE: u64 = 7;
-/// For how long an evicted leader may act on, where a test has one.
+/// How long an evicted leader may still act, in tests that have one.
 const LEADER_LEASE: Duration = Duration::from_ms(1500);
 
-/// A scheduler with workers that answer by hand.
+/// A scheduler, its clock, and the actions that it has emitted and no one has handled yet.
 pub struct Harness {
     pub now: Instant,
     pub scheduler: Scheduler,
@@ -44,13 +44,13 @@
         Self::begin(config, recovered, advice).with_workers(workers)
     }
 
-    /// Begins a term in a cell whose workers keep leases of `limit` at most.
+    /// Begins a term in a cell whose workers accept leases of `limit` at most.
     pub fn with_lease_limit(limit: Duration, workers: &[FakeWorker]) -> Self {
         let config = SchedulerConfig::new(FENCE, limit);
         Self::begin(config, Recovered::default(), None).with_workers(workers)
     }
 
-    /// Lists workers that have nothing.
+    /// Lists workers, each of which answers its first poll without any run.
     pub fn with_workers(mut self, workers: &[FakeWorker]) -> Self {
         self.list_workers(workers);
         for worker in workers {
@@ -60,8 +60,8 @@
         self
     }
 
-    /// Begins a term after that of a leader which may act on for a while; no
-    /// worker has been listed or heard of.
+    /// Begins a term after that of an evicted leader, which may still act for a while. No
+    /// worker has been listed or polled yet.
     pub fn after_evicted_leader(recovered: Recovered) -> Self {
         let config = SchedulerConfig::new(FENCE, LEASE_LIMIT).with_leader_lease(LEADER_LEASE);
         Self::begin(config, recovered, None)
@@ -82,12 +82,12 @@
         self.handle(Event::WorkersListed(list));
     }
 
-    /// Lists a worker that has joined.
+    /// Lists a single worker.
     pub fn list_worker(&mut self, worker: &FakeWorker) {
         self.handle(Event::WorkersListed(vec![worker.facts()]));
     }
 
-    /// Lists a worker whose entry names the life with this start.
+    /// Lists a worker whose entry names the incarnation that started at this time.
     pub fn list_incarnation(&mut self, worker: &FakeWorker, life_start_ms: u64) {
         let life_start = Some(LifeStart::from_ms(life_start_ms));
         let facts = WorkerFacts {
@@ -102,17 +102,21 @@
         self.handle(Event::CancelAccepted { job });
     }
 
+    /// Handles an event, runs the work that is due, and checks the scheduler's invariants.
     pub fn handle(&mut self, event: Event) {
         self.scheduler.handle(self.now, event, &mut self.actions);
         self.scheduler.settle(self.now, &mut self.actions);
-        self.scheduler.verify().expect("the invariants hold");
+        self.scheduler
+            .verify()
+            .expect("the scheduler's invariants hold");
     }
 
+    /// Answers a poll of a worker without running runs and with these ends.
     pub fn answer_poll(&mut self, worker: WorkerKey, ended: Vec<EndedRun>) {
         self.answer_poll_after(Duration::from_ms(60), worker, ended);
     }
 
-    /// Has a worker list ends, in an answer that takes so long.
+    /// Answers a poll as [`Self::answer_poll`] does, `length` after it was sent.
     pub fn answer_poll_after(&mut self, length: Duration, worker: WorkerKey, ended: Vec<EndedRun>) {
         let sent_at = self.now;
         self.now = self.now + length;
@@ -128,11 +132,12 @@
         });
     }
 
+    /// Answers a poll with a task's first run as running and without ends.
     pub fn answer_poll_running(&mut self, worker: WorkerKey, task: TaskKey) {
         self.answer_poll_running_and_ended(worker, task, Vec::new());
     }
 
-    /// Has a worker list a task's first run as alive, and ends.
+    /// Answers a poll with a task's first run as running, and with these ends.
     pub fn answer_poll_running_and_ended(
         &mut self,
         worker: WorkerKey,
@@ -160,7 +165,7 @@
         });
     }
 
-    /// Has the workers list runs that are so far on.
+    /// Answers one poll of each worker, with its runs at this progress.
     pub fn answer_polls_with_progress(
         &mut self,
         runs: &[(WorkerKey, TaskKey, u32)],
@@ -193,6 +198,7 @@
         }
     }
 
+    /// Lets a poll time out, and time pass until the next one is sent.
     pub fn leave_poll_unanswered(&mut self, worker: WorkerKey) {
         self.now = self.now + Duration::from_ms(700);
         let sent_at = self.now;
@@ -201,12 +207,12 @@
             sent_at,
             reply: HoldReply::Unanswered,
         });
-        // The next look is sent after a while, and is not answered either.
+        // The next poll is sent after a while, and is not answered either.
         self.now = self.now + Duration::from_ms(300);
         self.handle(Event::Tick);
     }
 
-    /// Answers commits until there are none; returns the states written.
+    /// Ticks 20 times, 30 ms apart, and acknowledges all commits; returns the states written.
     pub fn commit_all(&mut self) -> Vec<JobState> {
         let mut states = Vec::new();
         for _ in 0..20 {
@@ -217,7 +223,7 @@
         states
     }
 
-    /// Answers the open commits, at once; returns the states written.
+    /// Acknowledges the open commits at once; returns the states written.
     pub fn answer_commits(&mut self) -> Vec<JobState> {
         let mut states = Vec::new();
         let taken = core::mem::take(&mut self.actions);
@@ -236,6 +242,7 @@
         states
     }
 
+    /// Drains the starts that were sent.
     pub fn starts(&mut self) -> Vec<(WorkerKey, TaskKey, u32)> {
         let taken = core::mem::take(&mut self.actions);
         let mut starts = Vec::new();
@@ -248,6 +255,7 @@
         starts
     }
 
+    /// Answers a start as carried out.
     pub fn answer_started(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         self.handle(Event::StartAnswered {
             worker,
@@ -257,9 +265,9 @@
         });
     }
 
-    /// Answers the open calls for advice, finding only these workers good;
-    /// returns how many workers each call named.
-    pub fn answer_advice_calls(&mut self, good: &[&str]) -> Vec<usize> {
+    /// Answers the open advice calls, with tickets for the suitable workers only; returns how
+    /// many workers each call named.
+    pub fn answer_advice_requests(&mut self, good: &[&str]) -> Vec<usize> {
         let taken = core::mem::take(&mut self.actions);
         let mut named_counts = Vec::new();
         for action in taken {
@@ -283,8 +291,8 @@
         named_counts
     }
 
-    /// Takes out and answers the stops that were sent, each once however often
-    /// it was sent.
+    /// Drains the stops that were sent and answers them. A stop that was sent repeatedly is
+    /// returned and answered once.
     pub fn stops(&mut self) -> Vec<(WorkerKey, TaskKey, u32)> {
         let taken = core::mem::take(&mut self.actions);
         let mut stops = Vec::new();
@@ -314,13 +322,13 @@
 
     pub fn submit_job(&mut self, (job, record): (JobId, JobRecord)) {
         let record = Box::new(record);
-        // The scheduler places at a pace of its own.
+        // Long enough for the scheduler's placing interval.
         self.now = self.now + Duration::from_ms(20);
         self.handle(Event::JobAccepted { job, record });
     }
 }
 
-/// Returns the state that a change writes, as a leader would read it.
+/// Returns the state that a change writes, decoded as the next leader would.
 fn state_of(change: Change) -> Option<JobState> {
     match change.kind {
         ChangeKind::Progress(bytes) => JobState::from_bytes(&bytes).ok(),
--- a/crates/scheduler/tests/scheduler/support/limits.rs
+++ b/crates/scheduler/tests/scheduler/support/limits.rs
@@ -1,25 +1,25 @@
-//! The rule on customers' limits, checked from the outside at each start.
+//! Checks customers' limits at each start, independently of the scheduler.
 
 use super::worker::FakeWorker;
 use ospreywing_scheduler::{Customer, JobId, JobRecord, StartOrder, TaskKey};
 use ospreywing_types::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long a limit counts that was lowered: a message on its way; an order that is
-/// carried out late.
+/// How long a limit still applies after it was lowered: as long as a message is in flight, or
+/// as an order may be delayed.
 const PROMPT_ORDER_MS: u64 = 100;
 const LATE_ORDER_MS: u64 = 12_100;
 
 /// The limits that customers have had.
 pub struct LimitRule {
-    /// Each customer's limits, and when each came into force.
+    /// Each customer's limits, with the time at which each took effect.
     limits: BTreeMap<String, Vec<(u64, Resources)>>,
-    /// For how long a limit counts that was lowered.
+    /// How long a limit still applies after it was lowered.
     lowered_limit_ms: u64,
 }
 
 impl LimitRule {
-    /// Creates the rule for a world in which orders may be carried out late.
+    /// Creates the rule for a simulation in which orders may be carried out late.
     pub fn new(has_late_orders: bool) -> Self {
         let lowered_limit_ms = match has_late_orders {
             true => LATE_ORDER_MS,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Notes what the operators have set.
+    /// Records the customers' limits as configured.
     pub fn record_limits<'a>(
         &mut self,
         now_ms: u64,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns the highest limit of a customer that counts now.
+    /// Returns the highest limit of a customer that applies now.
     fn highest(&self, now_ms: u64, customer: &str) -> Option<Resources> {
         let limits = self.limits.get(customer)?;
         let from_ms = now_ms.saturating_sub(self.lowered_limit_ms);
@@ -55,11 +55,11 @@
         highest.reduce(|one, other| one.max(other))
     }
 
-    /// Checks a start that worker `index` is about to carry out; `done` are the tasks with
-    /// an end as done.
+    /// Checks a start that worker `index` is about to carry out. `done` holds the tasks that
+    /// have ended as done.
     ///
-    /// The members of a gang end together on real workers, and one by one on these: once
-    /// one is done, none of them counts.
+    /// On real workers the members of a gang end together, on fake ones one by one: once one is
+    /// done, none of them counts against the limit.
     pub fn check_start(
         &self,
         now_ms: u64,
@@ -93,7 +93,7 @@
         }
         assert!(
             used.fits_in(&limit),
-            "with {} customer {customer} has {used} running at {now_ms} ms, and may have {limit}: {:?}",
+            "with {} customer {customer} has {used} running at {now_ms} ms, and its limit is {limit}: {:?}",
             order.task,
             self.limits[customer]
         );
--- a/crates/scheduler/tests/scheduler/support/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/mod.rs
@@ -1,5 +1,6 @@
-//! A cell in miniature: fake workers, a fake store and an adviser, driven
-//! through time by a seed, with every rule checked from the outside.
+//! Test support: a harness that drives one scheduler event by event, and a seeded simulation of
+//! a cell (fake workers, store and adviser) whose rules are checked independently of the
+//! scheduler.
 
 pub mod cordons;
 pub mod harness;
@@ -18,17 +19,17 @@
 
 /// The queue of most jobs in these tests.
 pub const QUEUE: &str = "render";
-/// A queue that is less urgent.
+/// A less urgent queue, with priority 2 instead of 1.
 pub const LOW_PRIORITY_QUEUE: &str = "bundle";
-/// The service of all workers in these tests.
+/// The service of most workers in these tests.
 pub const SERVICE: &str = "gallery";
 /// A queue of another service, and that service.
 pub const OTHER_QUEUE: &str = "restore";
 pub const OTHER_SERVICE: &str = "attic";
-/// How often a task may fail.
+/// The number of times that a task may fail.
 pub const ATTEMPTS_COUNT: u32 = 3;
 
-/// Returns a configuration with an urgent queue and a patient one.
+/// Returns a configuration with [`QUEUE`] and [`LOW_PRIORITY_QUEUE`].
 pub fn configuration(advice: Option<AdvicePolicy>) -> Configuration {
     let queue = |name: &str, priority| Queue {
         name: name.to_owned(),
@@ -51,7 +52,7 @@
     }
 }
 
-/// Returns an adviser's policy with short calls.
+/// Returns an advice policy with short calls.
 pub fn advice() -> AdvicePolicy {
     AdvicePolicy {
         decision_ms: 40.0,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Returns a step of tasks that take half a worker each.
+/// Returns a step of tasks that need half a worker's cores each.
 pub fn step(tasks_count: u32) -> StepSpec {
     StepSpec {
         tasks_count,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Returns a job of the steps.
+/// Returns a job with these steps, in [`QUEUE`].
 pub fn job(number: u64, steps: Vec<StepSpec>) -> (JobId, JobRecord) {
     let record = JobRecord {
         queue: QUEUE.to_owned(),
@@ -86,7 +87,7 @@
     (JobId::new(number), record)
 }
 
-/// Returns a job of the patient queue: tasks that save checkpoints and have
+/// Returns a job of one step in [`LOW_PRIORITY_QUEUE`]. Its tasks save checkpoints and have
 /// time to spare.
 pub fn low_priority_job(number: u64, tasks_count: u32) -> (JobId, JobRecord) {
     let saving = StepSpec {
@@ -99,7 +100,7 @@
     (id, record)
 }
 
-/// Returns the first task of a job.
+/// Returns the key of a job's first task.
 pub const fn first_task(job: JobId) -> TaskKey {
     TaskKey {
         step: StepKey {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Returns the state of a job whose only task was given to a worker.
+/// Returns the state of a job whose only task is placed on a worker.
 pub fn placed_state(worker: &str, run: u32) -> JobState {
     let (_, record) = job(1, vec![step(1)]);
     let mut round = RoundState::new(0, &record);
@@ -128,7 +129,7 @@
     }
 }
 
-/// Returns the same, given to the life of the worker with this start.
+/// Returns the same state, with the task placed on the incarnation that started at this time.
 pub fn placed_at_incarnation(worker: &str, life_start_ms: u64, run: u32) -> JobState {
     let mut state = placed_state(worker, run);
     let status = &mut state.rounds[0].steps[0].tasks[0].status;
@@ -139,8 +140,8 @@
     state
 }
 
-/// Returns a customer that may have so many tasks of [`step`] running, and hand in so many
-/// jobs a second.
+/// Returns a customer that may run `tasks_count` tasks of [`step`] at once and submit
+/// `jobs_per_s` jobs a second.
 pub fn customer(name: &str, tasks_count: u32, jobs_per_s: f64) -> Customer {
     Customer {
         name: Arc::from(name),
@@ -149,7 +150,7 @@
     }
 }
 
-/// Returns a configuration with these customers.
+/// Returns [`configuration`] with these customers.
 pub fn configuration_with(
     version: u64,
     advice: Option<AdvicePolicy>,
@@ -170,7 +171,7 @@
     (id, record)
 }
 
-/// Adds a queue of another service, which comes before the others.
+/// Adds a queue of another service, with a higher priority than the others.
 pub fn with_other_service(mut configuration: Configuration) -> Configuration {
     let queue = Queue {
         name: OTHER_QUEUE.to_owned(),
--- a/crates/scheduler/tests/scheduler/support/rules.rs
+++ b/crates/scheduler/tests/scheduler/support/rules.rs
@@ -1,14 +1,14 @@
-//! The rules, checked from the outside at each start and at the end.
+//! Rules on tasks, checked independently of the scheduler at each start and acknowledgement.
 
 use super::worker::FakeWorker;
 use ospreywing_scheduler::{EndKind, JobId, JobRecord, StartOrder, StepKey, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What has been seen of all tasks.
+/// The history of all tasks of a simulation.
 #[derive(Default)]
 pub struct Rules {
-    /// Tasks with an end `done` that was taken note of: a worker was told to
-    /// forget it whose lease had not lapsed in between. Such a note stands for good.
+    /// Tasks with an end `done` that was recorded for good: it was acknowledged to its worker,
+    /// whose lease had held since the end.
     pub done_recorded: BTreeSet<TaskKey>,
     /// When each task was started last.
     started_at_ms: BTreeMap<TaskKey, u64>,
@@ -16,25 +16,24 @@
     pub first_started_ms: BTreeMap<TaskKey, u64>,
     /// Tasks with any end `done`.
     pub done: BTreeSet<TaskKey>,
-    /// Runs that failed and were noted, by task.
+    /// Runs with an acknowledged end `failed`, by task.
     pub failed_recorded: BTreeMap<TaskKey, BTreeSet<u32>>,
-    /// Notes of ends `done` that don't count, since the lease lapsed in between.
+    /// Acknowledged ends `done` that don't count, because the lease had expired since the end.
     pub expired_records_count: usize,
-    /// Tasks with an end `done` that a worker was told to forget, its lease lapsed or not.
+    /// Tasks with an acknowledged end `done`, whether or not the lease had expired.
     pub done_acked: BTreeSet<TaskKey>,
     pub starts_count: usize,
-    /// Starts that went on from a checkpoint.
+    /// Starts from a checkpoint.
     pub resumed_count: usize,
-    /// The checkpoint that the members of a gang's run bring.
+    /// The checkpoint that the starts of each gang's run carry.
     gang_checkpoints: BTreeMap<(StepKey, u32), Option<String>>,
-    /// How many workers each task has crashed, and how often it was started after the
-    /// crashes from which on starts are counted.
+    /// How many workers each task has crashed, and its starts after the first crashes.
     pub crashes: BTreeMap<TaskKey, CrashCount>,
-    /// How many workers were lost while a run of the task was on them, whatever the cause.
+    /// How many workers were lost while a run of the task was on them, for any cause.
     worker_losses: BTreeMap<TaskKey, usize>,
 }
 
-/// The crashes of one task, and its starts after the first three.
+/// The crashes that a task caused, and its starts after the first three.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CrashCount {
     pub crashes_count: usize,
@@ -45,14 +44,13 @@
 const UNCOUNTED_CRASHES_COUNT: usize = 3;
 /// The workers that must have been lost under a task before its job may be failed.
 const LOSSES_BEFORE_FAILURE_COUNT: usize = 2;
-/// The starts after these that break the rule.
+/// The number of counted starts that breaks the rule.
 const STARTS_AFTER_LIMIT_COUNT: usize = 3;
 
 impl Rules {
-    /// Notes the ends that a worker is about to forget.
+    /// Records the ends that a worker is about to forget.
     ///
-    /// A start after an end `done` breaks the rule also where the end is taken
-    /// note of only later.
+    /// A start after an end `done` breaks the rule even if the end is acknowledged only later.
     pub fn record_acks(&mut self, worker: &FakeWorker, now_ms: u64, last_seen: u64) {
         for end in worker.ended.iter().filter(|end| end.number <= last_seen) {
             let task = end.task;
@@ -69,7 +67,7 @@
                     assert!(
                         started_at_ms <= ended_at_ms,
                         "{task} started again at {started_at_ms} ms after its run {} had \
-                         ended as done at {ended_at_ms} ms, which was noted at {now_ms} ms",
+                         ended as done at {ended_at_ms} ms, which was recorded at {now_ms} ms",
                         end.run
                     );
                 }
@@ -103,7 +101,7 @@
         );
         assert!(
             !self.done_acked.contains(&task),
-            "{task} starts after its end was acknowledged, lapsed or not"
+            "{task} starts after its end was acknowledged, lease expired or not"
         );
         let failed_count = self.failed_recorded.get(&task).map_or(0, BTreeSet::len);
         assert!(
@@ -130,8 +128,8 @@
         self.check_checkpoint(order, spec.is_gang);
     }
 
-    /// Checks that a start brings a checkpoint of its own task, or of its gang,
-    /// and all members of a gang's run the same.
+    /// Checks that a start carries a checkpoint of its own task or gang, and that all members
+    /// of a gang's run carry the same one.
     fn check_checkpoint(&mut self, order: &StartOrder, is_gang: bool) {
         let task = order.task;
         if let Some(checkpoint) = &order.checkpoint {
@@ -143,36 +141,39 @@
             };
             assert!(
                 checkpoint.starts_with(&owner),
-                "{task} brings the checkpoint {checkpoint}"
+                "{task} starts from the checkpoint {checkpoint}"
             );
         }
         if is_gang {
             let of_run = self.gang_checkpoints.entry((task.step, order.run));
             let first = of_run.or_insert_with(|| order.checkpoint.clone());
-            assert_eq!(first, &order.checkpoint, "{task}: members bring different");
+            assert_eq!(
+                first, &order.checkpoint,
+                "{task}: the members of a gang start from different checkpoints"
+            );
         }
     }
 
-    /// Notes that a worker has crashed under a task that causes this.
+    /// Records a worker crash that a task caused.
     pub fn record_worker_crash(&mut self, task: TaskKey) {
         self.crashes.entry(task).or_default().crashes_count += 1;
     }
 
-    /// Notes that a worker is lost with what runs there.
+    /// Records the loss of a worker and the runs on it.
     pub fn record_worker_loss(&mut self, worker: &FakeWorker) {
         for task in worker.runs.keys() {
             *self.worker_losses.entry(*task).or_default() += 1;
         }
     }
 
-    /// Returns whether a job may be failed for the workers that were lost under one of
-    /// its tasks.
+    /// Returns whether a job may be failed for the workers that were lost under one of its
+    /// tasks.
     pub fn may_be_failed(&self, job: JobId) -> bool {
         let mut lost = self.worker_losses.iter();
         lost.any(|(task, count)| task.step.job == job && *count >= LOSSES_BEFORE_FAILURE_COUNT)
     }
 
-    /// Checks that a task which crashes its workers is not started on and on.
+    /// Checks that the starts of a task that crashes its workers are bounded.
     fn check_crashes(&mut self, task: TaskKey) {
         let Some(count) = self.crashes.get_mut(&task) else {
             return;
@@ -181,13 +182,13 @@
             count.starts_after_count += 1;
             assert!(
                 count.starts_after_count < STARTS_AFTER_LIMIT_COUNT,
-                "{task} starts again and again after it has crashed {} workers",
+                "{task} is started too often after it has crashed {} workers",
                 count.crashes_count
             );
         }
     }
 
-    /// Checks that a start is not more than the worker holds.
+    /// Checks that a worker's runs fit its capacity with the start included.
     pub fn check_capacity(
         &self,
         now_ms: u64,
@@ -205,7 +206,7 @@
         let id = &worker.id;
         assert!(
             used.fits_in(&worker.effective_capacity(now_ms)),
-            "{id} is given more than it holds"
+            "{id} gets starts beyond its capacity"
         );
     }
 }
--- a/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! Messages on their way, and what becomes of them where they arrive.
+//! Messages in flight, and their handling on arrival.
 
 use super::{Message, Simulation, LEASE_LIMIT_MS, RELAY_HOLD_LIMIT_MS};
 use crate::support::worker::{FakeRun, FakeWorker};
@@ -8,8 +8,8 @@
 };
 use rand::Rng;
 
-/// When an order or a renewal is taken for unanswered.
-const ORDER_LIMIT_MS: u64 = 700;
+/// The timeout of a call to a worker.
+const CALL_TIMEOUT_MS: u64 = 700;
 /// How soon a task that crashes its workers does so.
 const CRASH_AFTER_MS: core::ops::Range<u64> = 0..20;
 
@@ -18,7 +18,7 @@
         assert_eq!(
             order.ticket.is_some(),
             self.has_advice,
-            "a ticket where one is needed"
+            "a start has a ticket if and only if its queue needs advice"
         );
         let is_late = self.draw_fault(self.faults.late_order);
         let after_ms = self.delay(is_late) + self.relay_hold_ms();
@@ -44,7 +44,7 @@
             run: order.run,
             reply: StartReply::Unanswered,
         };
-        self.post(ORDER_LIMIT_MS, Message::HandleEvent { term, event });
+        self.post(CALL_TIMEOUT_MS, Message::HandleEvent { term, event });
     }
 
     pub(super) fn send_stop(&mut self, term: u64, to: Endpoint, task: TaskKey, run: u32) {
@@ -63,7 +63,7 @@
         );
     }
 
-    /// Returns how long a relay holds a start.
+    /// Returns for how long a relay holds a start.
     fn relay_hold_ms(&mut self) -> u64 {
         if self.faults.held_order > 0 && self.draw_fault(self.faults.held_order) {
             self.rng.random_range(0..RELAY_HOLD_LIMIT_MS)
@@ -82,7 +82,7 @@
 
     fn worker_index(&self, to: &Endpoint) -> usize {
         let found = self.workers.iter().position(|worker| worker.id == to.id);
-        found.expect("a worker of this world")
+        found.expect("a worker of this simulation")
     }
 
     pub(super) fn deliver(&mut self, message: Message) {
@@ -98,7 +98,7 @@
             Message::Resize { worker, per_mille } => self.resize(worker, per_mille),
             Message::ResumeLeader { term } => self.resume_leader(term),
             Message::ListWorkers => self.list_workers(),
-            Message::EndTrouble => self.end_trouble(),
+            Message::EndStoreDegradation => self.end_store_degradation(),
             Message::Commit {
                 term,
                 lane,
@@ -113,7 +113,7 @@
             } => {
                 let reply = self.deliver_poll(term, &to, until_ms, last_seen);
                 let after_ms = if reply == HoldReply::Unanswered {
-                    ORDER_LIMIT_MS
+                    CALL_TIMEOUT_MS
                 } else {
                     2
                 };
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A commit of a leader that has been followed does nothing.
+    /// A commit of a leader that has been succeeded has no effect.
     fn deliver_commit(&mut self, term: u64, lane: u32, changes: Vec<Change>) {
         if self.leaders.last().map(|leader| leader.fence) != Some(term) {
             if let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == term) {
@@ -156,7 +156,7 @@
                 ChangeKind::Outcome(bytes) => {
                     let ended = StoredJob::from_bytes(&bytes).expect("an outcome");
                     let StoredJob::Ended(outcome) = ended else {
-                        panic!("an outcome is no record");
+                        panic!("a job's record was stored in place of its outcome");
                     };
                     self.states.remove(&change.job);
                     self.ended.insert(change.job, outcome);
@@ -174,7 +174,7 @@
         !worker.is_alive || worker.is_partitioned
     }
 
-    /// Returns whether a later life of a dead worker's machine answers.
+    /// Returns whether another incarnation answers at the address of a worker that is gone.
     fn is_other_incarnation(&self, index: usize) -> bool {
         let dead = &self.workers[index];
         let is_next = |other: &FakeWorker| {
@@ -201,7 +201,7 @@
         self.workers[index].advance(now_ms);
         self.record_done();
         let worker = &mut self.workers[index];
-        // Only the life that is meant is told what to forget.
+        // Only the incarnation that the poll names is told what to forget.
         let is_meant = to.life_start.is_none() || to.life_start == worker.life_start;
         let last_seen = if is_meant {
             worker.forgotten_end(last_seen)
@@ -236,7 +236,7 @@
             return;
         }
         let after_ms = if reply == StartReply::Unanswered {
-            ORDER_LIMIT_MS
+            CALL_TIMEOUT_MS
         } else {
             1
         };
--- a/crates/scheduler/tests/scheduler/support/simulation/faults.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: drawn at each tick, and how they strike.
+//! Faults: when they are drawn, and their effects.
 
 use super::{Message, Simulation, LEADER_LEASE_MS};
 use crate::support::step;
@@ -6,42 +6,42 @@
 use ospreywing_scheduler::{Event, TaskKey};
 use rand::Rng;
 
-/// How long a dead worker is listed; its machine's next life is listed beside it.
-const LISTED_DEAD_MS: core::ops::Range<u64> = 500..9_000;
-/// How long a worker that drains stays.
+/// How long a worker is listed after its incarnation is over, beside its machine's next one.
+const LISTED_AFTER_END_MS: core::ops::Range<u64> = 500..9_000;
+/// How long a draining worker stays.
 const DRAIN_MS: core::ops::Range<u64> = 2_000..5_000;
-/// How long the store's trouble lasts.
-const TROUBLE_MS: core::ops::Range<u64> = 1_000..6_000;
-/// In how many of a thousand cases the store's trouble ends with a new leader,
-/// where leaders are replaced at all.
-const TROUBLE_ENDS_TERM: u32 = 500;
-/// How soon after such a term began a worker is cut off, and for how long.
-const EARLY_CUT_AFTER_MS: core::ops::Range<u64> = 20..800;
-const EARLY_CUT_MS: core::ops::Range<u64> = 3_000..9_000;
-/// How long a worker is away that a task has crashed: some leases lapse before it is back.
-const AWAY_MS: core::ops::Range<u64> = 2_000..8_000;
-/// How long a worker's room is changed, and how soon its entry says so.
+/// How long the store is degraded.
+const STORE_DEGRADED_MS: core::ops::Range<u64> = 1_000..6_000;
+/// How often a degraded store recovers with a new leader, in thousandths, in simulations with
+/// takeovers.
+const DEGRADATION_ENDS_TERM_PER_MILLE: u32 = 500;
+/// How soon after the begin of such a term a worker is partitioned, and for how long.
+const EARLY_PARTITION_AFTER_MS: core::ops::Range<u64> = 20..800;
+const EARLY_PARTITION_MS: core::ops::Range<u64> = 3_000..9_000;
+/// How long a worker that a task has crashed is down: some leases expire before it is back.
+const CRASH_DOWNTIME_MS: core::ops::Range<u64> = 2_000..8_000;
+/// How long a worker's capacity stays reduced, and the delay after which its entry follows.
 const RESIZED_MS: core::ops::Range<u64> = 1_000..9_000;
 const ENTRY_DELAY_MS: core::ops::Range<u64> = 100..1_500;
-/// How long a worker is away that starts again under its id, which start it then tells, and
-/// what its clock shows at the begin of the world's: less or more than before.
-const RESTART_MS: core::ops::Range<u64> = 20..3_000;
+/// How long a worker is down that starts again under its id, the start that it then reports,
+/// and what its clock then shows when the simulation's is at 0: less or more than before.
+const RESTART_DOWNTIME_MS: core::ops::Range<u64> = 20..3_000;
 const WALL_MS: core::ops::Range<u64> = 1_000_000..9_000_000;
 const CLOCK_BASE_MS: core::ops::Range<u64> = 0..60_000;
-/// How long a leader stands still. Where that is longer than its lease, another leads.
+/// How long a leader is paused. If longer than its lease, another leader is elected.
 const PAUSE_MS: core::ops::Range<u64> = 200..4_000;
 
-/// The tasks of the usual size that a customer's limit holds: the largest gang at least.
+/// The range of customers' limits, in tasks of [`step`]; the largest gang fits the lowest.
 const LIMIT_TASKS_COUNT: core::ops::Range<u32> = 4..14;
 
 impl Simulation {
-    /// Takes workers down at once; they are back after a while.
+    /// Crashes these workers at once; replacements start after a while.
     pub fn crash_workers(&mut self, workers: &[usize]) {
         for &worker in workers {
             if let Some(listed_ms) = self.end_incarnation(worker) {
                 self.post(listed_ms, Message::ListWorkers);
-                let away_ms = self.rng.random_range(AWAY_MS);
-                self.post(away_ms, Message::StartReplacement { worker });
+                let downtime_ms = self.rng.random_range(CRASH_DOWNTIME_MS);
+                self.post(downtime_ms, Message::StartReplacement { worker });
             }
         }
     }
@@ -62,17 +62,17 @@
         if self.draw_fault(self.faults.takeover) {
             self.elect();
         }
-        if self.draw_fault(self.faults.trouble) && !self.has_trouble {
-            self.has_trouble = true;
+        if self.draw_fault(self.faults.degraded_store) && !self.is_store_degraded {
+            self.is_store_degraded = true;
             self.send_to_leaders(Event::StoreTrouble(true));
-            let length_ms = self.rng.random_range(TROUBLE_MS);
-            self.post(length_ms, Message::EndTrouble);
+            let length_ms = self.rng.random_range(STORE_DEGRADED_MS);
+            self.post(length_ms, Message::EndStoreDegradation);
         }
         if self.faults.pause > 0 && self.draw_fault(self.faults.pause) {
             self.pause_leader();
         }
         if self.faults.stale_entry > 0 && self.draw_fault(self.faults.stale_entry) {
-            self.relist_dead_worker();
+            self.relist_ended_worker();
         }
         if self.faults.resize > 0 && self.draw_fault(self.faults.resize) {
             self.shrink_at_random();
@@ -96,11 +96,11 @@
         }
     }
 
-    /// Sets other limits for all customers, each between a few tasks and plenty.
+    /// Draws a new limit for each customer.
     fn change_limits(&mut self) {
         let mut configuration = self.configuration.clone();
         configuration.version += self.rng.random_range(1..5);
-        // In the order of their names, so that a seed is played alike each time.
+        // Sorted by name, so that a seed always gives the same limits.
         let mut customers: Vec<_> = configuration.customers.values_mut().collect();
         customers.sort_by(|one, other| one.name.cmp(&other.name));
         for customer in customers {
@@ -110,7 +110,7 @@
         self.configure(configuration);
     }
 
-    /// Cordons the data centre of some worker, or lifts its cordon.
+    /// Cordons the data centre of a random worker, or lifts its cordon.
     fn toggle_cordon(&mut self) {
         let index = self.rng.random_range(0..self.workers.len());
         let data_centre = self.workers[index].data_centre.clone();
@@ -118,19 +118,19 @@
         self.send_to_leaders(Event::CordonsListed(self.cordon_rule.data_centres()));
     }
 
-    /// Lists a worker again whose life was over before.
-    fn relist_dead_worker(&mut self) {
+    /// Lists a worker again whose incarnation was over before.
+    fn relist_ended_worker(&mut self) {
         let index = self.rng.random_range(0..self.workers.len());
         if self.workers[index].is_alive {
             return;
         }
-        let listed_ms = self.rng.random_range(LISTED_DEAD_MS);
+        let listed_ms = self.rng.random_range(LISTED_AFTER_END_MS);
         self.workers[index].listed_until_ms = self.now_ms + listed_ms;
         self.list_workers();
         self.post(listed_ms, Message::ListWorkers);
     }
 
-    /// Lets the leader stand still for a while; its clock runs on.
+    /// Pauses the leader for a while; its clock keeps running.
     fn pause_leader(&mut self) {
         let length_ms = self.rng.random_range(PAUSE_MS);
         let Some(leader) = self.leaders.last_mut().filter(|l| !l.is_paused) else {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Lets a leader take in at once what has come while it stood still.
+    /// Has a leader handle in one batch the events that arrived while it was paused.
     pub(super) fn resume_leader(&mut self, term: u64) {
         let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == term) else {
             return;
@@ -163,27 +163,27 @@
         self.post(length_ms, Message::Resize { worker, per_mille });
     }
 
-    pub(super) fn end_trouble(&mut self) {
-        self.has_trouble = false;
-        if self.faults.takeover > 0 && self.draw_fault(TROUBLE_ENDS_TERM) {
+    pub(super) fn end_store_degradation(&mut self) {
+        self.is_store_degraded = false;
+        if self.faults.takeover > 0 && self.draw_fault(DEGRADATION_ENDS_TERM_PER_MILLE) {
             self.elect();
             if self.faults.partition > 0 {
                 let worker = self.rng.random_range(0..self.workers.len());
-                let length_ms = self.rng.random_range(EARLY_CUT_MS);
-                let after_ms = self.rng.random_range(EARLY_CUT_AFTER_MS);
+                let length_ms = self.rng.random_range(EARLY_PARTITION_MS);
+                let after_ms = self.rng.random_range(EARLY_PARTITION_AFTER_MS);
                 self.post(after_ms, Message::Partition { worker, length_ms });
             }
         }
         self.send_to_leaders(Event::StoreTrouble(false));
     }
 
-    /// Cuts a worker off for a while.
+    /// Partitions a worker from the leaders for a while.
     pub(super) fn partition(&mut self, index: usize, length_ms: u64) {
         self.workers[index].is_partitioned = true;
         self.post(length_ms, Message::Heal { worker: index });
     }
 
-    /// Ends a worker's life and begins the next of its machine.
+    /// Ends a worker's incarnation and starts its machine's next one under a new id.
     pub(super) fn replace_worker(&mut self, index: usize) {
         if let Some(listed_ms) = self.end_incarnation(index) {
             self.start_replacement(index);
@@ -191,24 +191,24 @@
         }
     }
 
-    /// Has a worker crash and start again under its id.
+    /// Crashes a worker and starts it again under its id after a while.
     pub fn restart(&mut self, index: usize) {
         if let Some(listed_ms) = self.end_incarnation(index) {
             self.post(listed_ms, Message::ListWorkers);
-            let away_ms = self.rng.random_range(RESTART_MS);
-            self.post(away_ms, Message::StartNextIncarnation { worker: index });
+            let downtime_ms = self.rng.random_range(RESTART_DOWNTIME_MS);
+            self.post(downtime_ms, Message::StartNextIncarnation { worker: index });
         }
     }
 
-    /// Begins the next life of a worker that crashed, under its id. The time of day, by
-    /// which it tells its start, may have been set back or ahead meanwhile.
+    /// Starts the next incarnation of a worker that crashed, under its id. The wall clock,
+    /// which gives the start that it reports, may have been set back or ahead meanwhile.
     pub(super) fn start_next_incarnation(&mut self, index: usize) {
         let wall_ms = self.rng.random_range(WALL_MS);
         let clock_base_ms = self.rng.random_range(CLOCK_BASE_MS);
         self.workers[index].restart(wall_ms, clock_base_ms);
         let worker = &self.workers[index];
         self.trace
-            .print_incarnation(self.now_ms, worker, "starts again");
+            .print_incarnation(self.now_ms, worker, "starts its next incarnation");
         let after_ms = self.rng.random_range(ENTRY_DELAY_MS);
         self.post(after_ms, Message::WriteEntry { worker: index });
     }
@@ -218,7 +218,7 @@
         self.list_workers();
     }
 
-    /// Ends a worker's life by a task that started there; it is back after a while.
+    /// Crashes a worker by a task that started there; the worker is back after a while.
     pub(super) fn crash_by_task(&mut self, index: usize, task: TaskKey) {
         let runs = self.workers[index].runs.keys();
         let others = runs.filter(|other| other.step.job != task.step.job);
@@ -226,16 +226,16 @@
         if let Some(listed_ms) = self.end_incarnation(index) {
             self.rules.record_worker_crash(task);
             self.post(listed_ms, Message::ListWorkers);
-            let away_ms = self.rng.random_range(AWAY_MS);
+            let downtime_ms = self.rng.random_range(CRASH_DOWNTIME_MS);
             let back = match self.keeps_ids {
                 true => Message::StartNextIncarnation { worker: index },
                 false => Message::StartReplacement { worker: index },
             };
-            self.post(away_ms, back);
+            self.post(downtime_ms, back);
         }
     }
 
-    /// Ends a worker's life; returns how long it is still listed.
+    /// Ends a worker's incarnation; returns for how long it is still listed.
     fn end_incarnation(&mut self, index: usize) -> Option<u64> {
         if !core::mem::replace(&mut self.workers[index].is_alive, false) {
             return None;
@@ -243,12 +243,12 @@
         self.rules.record_worker_loss(&self.workers[index]);
         let worker = &self.workers[index];
         self.trace.print_incarnation(self.now_ms, worker, "is lost");
-        let listed_ms = self.rng.random_range(LISTED_DEAD_MS);
+        let listed_ms = self.rng.random_range(LISTED_AFTER_END_MS);
         self.workers[index].listed_until_ms = self.now_ms + listed_ms;
         Some(listed_ms)
     }
 
-    /// Changes a worker's room; its entry says so a little later.
+    /// Changes a worker's capacity; its entry follows after a delay.
     pub(super) fn resize(&mut self, index: usize, per_mille: u32) {
         let now_ms = self.now_ms;
         self.workers[index].resize(now_ms, per_mille);
@@ -256,13 +256,14 @@
         self.post(after_ms, Message::ListWorkers);
     }
 
-    /// Begins the next life of a dead worker's machine, whose id may sort before the
-    /// dead one's or behind it.
+    /// Starts the next incarnation of the machine of a worker that is gone, under an id that
+    /// sorts before or after the previous one.
     pub(super) fn start_replacement(&mut self, index: usize) {
         let (id, address) = (&self.workers[index].id, self.workers[index].address.clone());
         let rack = self.workers[index].rack.clone();
         let data_centre = self.workers[index].data_centre.clone();
-        // Signs whose codes are multiples of 12 keep a worker good for whom it was good.
+        // Both characters have codes that are multiples of 12, so that a worker that is
+        // suitable for a job remains so.
         let fresh = match self.rng.random() {
             true => format!("${id}"),
             false => format!("{id}<"),
--- a/crates/scheduler/tests/scheduler/support/simulation/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The world: time, messages on their way, faults drawn from a seed.
+//! A simulated cell: a clock, messages in flight, and faults drawn from a seed.
 
 mod delivery;
 mod faults;
@@ -22,52 +22,54 @@
 use std::sync::Arc;
 use trace::Trace;
 
-/// The longest lease of a fake worker.
+/// The longest lease that a fake worker accepts.
 pub const LEASE_LIMIT_MS: u64 = 6000;
 /// The leader's lease.
 const LEADER_LEASE_MS: u64 = 2000;
 const TICK_PERIOD_MS: u64 = 20;
-/// The time of day at which the first lives start.
+/// The time of day at which the workers' first incarnations start.
 const FIRST_INCARNATION_START_MS: u64 = 5_000_000;
-/// How long a relay holds an order at most.
+/// The longest time for which a relay holds an order.
 const RELAY_HOLD_LIMIT_MS: u64 = 600;
-/// How long a commit takes while the store is in trouble.
+/// How long a commit takes while the store is degraded.
 const SLOW_COMMIT_MS: core::ops::Range<u64> = 100..3_000;
-/// How often faults strike, in thousandths.
+
+/// How often each fault occurs, in thousandths of what its field names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// Answers that are lost.
     pub lost_answer: u32,
-    /// Orders that are carried out 2 to 12 s late, unanswered.
+    /// Orders that are carried out 2 to 12 s late and never answered.
     pub late_order: u32,
     /// Runs that fail.
     pub failing_run: u32,
-    /// Ticks at which a worker's power goes.
+    /// Ticks at which a worker crashes and another one with a new id starts at its address.
     pub crash: u32,
-    /// Ticks at which a worker is cut off for a while.
+    /// Ticks at which a worker is partitioned from the leaders for a while.
     pub partition: u32,
-    /// Ticks at which the leader is replaced, the old one acting on for a while.
+    /// Ticks at which the leader is replaced while the old one still acts for a while.
     pub takeover: u32,
-    /// Ticks at which the store becomes slow for a while and leases long.
-    pub trouble: u32,
-    /// Ticks at which a worker begins to drain; it goes some seconds later.
+    /// Ticks at which the store becomes slow for a while, so that leases become long.
+    pub degraded_store: u32,
+    /// Ticks at which a worker begins to drain; it leaves some seconds later.
     pub drain: u32,
-    /// Ticks at which a worker's room shrinks for a while.
+    /// Ticks at which a worker's capacity shrinks for a while.
     pub resize: u32,
-    /// Ticks at which the leader stands still, as in a suspend or a freeze.
+    /// Ticks at which the leader is paused, as by a suspended machine or a frozen process.
     pub pause: u32,
-    /// Ticks at which a dead worker's last write comes to the store at last.
+    /// Ticks at which the last write of a worker that is gone reaches the store late.
     pub stale_entry: u32,
-    /// Ticks at which the operators set other limits for all customers.
+    /// Ticks at which operators change the limits of all customers.
     pub limit: u32,
     /// Ticks at which a worker crashes and starts again under its id.
     pub restart: u32,
-    /// Ticks at which the operators cordon a data centre, or lift its cordon.
+    /// Ticks at which operators cordon a data centre, or lift its cordon.
     pub cordon: u32,
     /// Starts that a relay holds for a while.
     pub held_order: u32,
 }
 
+/// A message in flight, or an event of the simulation itself.
 enum Message {
     Poll {
         term: u64,
@@ -129,20 +131,21 @@
         term: u64,
     },
     ListWorkers,
-    EndTrouble,
+    EndStoreDegradation,
 }
 
+/// A term and its scheduler.
 struct Leader {
     fence: u64,
     scheduler: Scheduler,
-    /// When it stops giving orders.
+    /// When it stops sending orders.
     acts_until_ms: u64,
-    /// Whether it stands still, and what has come for it meanwhile.
+    /// Whether it is paused, and the events that have arrived meanwhile.
     is_paused: bool,
     backlog: Vec<Event>,
 }
 
-/// The world.
+/// A simulated cell.
 pub struct Simulation {
     pub now_ms: u64,
     rng: Pcg64,
@@ -151,7 +154,7 @@
     has_advice: bool,
     leaders: Vec<Leader>,
     pub workers: Vec<FakeWorker>,
-    /// The workers as leaders were told of them.
+    /// The workers as last published to the leaders.
     published_workers: BTreeMap<Arc<str>, WorkerFacts>,
     messages: BTreeMap<(u64, u64), Message>,
     next_message: u64,
@@ -159,33 +162,33 @@
     submitted_jobs: Vec<JobId>,
     cancels: Vec<JobId>,
     states: BTreeMap<JobId, Vec<u8>>,
-    /// Jobs of which the store keeps the outcome only.
+    /// Jobs of which the store keeps only the outcome.
     ended: BTreeMap<JobId, JobOutcome>,
     pub rules: Rules,
     last_faults_at_ms: u64,
-    has_trouble: bool,
-    /// How long runs take.
+    is_store_degraded: bool,
+    /// The range of the runs' durations.
     pub run_durations_ms: core::ops::Range<u64>,
-    /// The same as a part of their steps' estimates, where that is set, in percent.
+    /// The same in percent of the steps' estimates; takes precedence where set.
     pub run_durations_percent: Option<core::ops::Range<u64>>,
-    /// After this time no new fault strikes.
+    /// The time from which on no new fault occurs.
     pub faults_end_ms: u64,
-    /// One of so many workers is good for a job; 0 for two of three.
-    pub good_one_in: u64,
+    /// The adviser finds one worker in this many suitable for a job; 0 for two of three.
+    pub suitable_one_in: u64,
     pub advice_calls_count: usize,
     /// Jobs whose first task crashes each worker that starts it.
     pub crashing_jobs: BTreeSet<JobId>,
-    /// Runs of other jobs that were lost with workers which such tasks crashed.
+    /// Runs of other jobs that were lost on workers that such tasks crashed.
     pub other_runs_lost_count: usize,
-    /// When each job was first seen to have its outcome.
+    /// When each job was first seen with its outcome.
     pub done_ms: BTreeMap<JobId, u64>,
     /// When a run of each job was first started.
     pub started_ms: BTreeMap<JobId, u64>,
     crash_policy: CrashPolicy,
     features: Features,
-    /// Whether what a leader has learned comes to the next one.
+    /// Whether a leader hands over to the next one what it has learned.
     pub hands_over_learned: bool,
-    /// How long the runs of a job take on a worker of usual speed, where they differ from others.
+    /// The range of the runs' durations at typical speed, for jobs that differ from the others.
     pub job_run_durations_ms: BTreeMap<JobId, core::ops::Range<u64>>,
     /// Whether workers that a task has crashed start again under their ids.
     pub keeps_ids: bool,
@@ -225,11 +228,11 @@
             ended: BTreeMap::new(),
             rules: Rules::default(),
             last_faults_at_ms: 0,
-            has_trouble: false,
+            is_store_degraded: false,
             run_durations_ms: 200..2_500,
             run_durations_percent: None,
             faults_end_ms: u64::MAX,
-            good_one_in: 0,
+            suitable_one_in: 0,
             advice_calls_count: 0,
             crashing_jobs: BTreeSet::new(),
             other_runs_lost_count: 0,
@@ -252,7 +255,7 @@
         simulation
     }
 
-    /// Brings a configuration into force.
+    /// Applies a configuration.
     pub fn configure(&mut self, configuration: Configuration) {
         let customers = configuration.customers.values();
         self.limit_rule.record_limits(self.now_ms, customers);
@@ -260,7 +263,7 @@
         self.send_to_leaders(Event::Configured(configuration));
     }
 
-    /// Begins a term with another rule on crashes.
+    /// Begins a term with this crash policy.
     pub fn elect_with(&mut self, policy: CrashPolicy) {
         self.crash_policy = policy;
         self.elect();
@@ -272,13 +275,13 @@
         self.elect();
     }
 
-    /// Returns what the leader tells of itself.
+    /// Returns the newest leader's status.
     pub fn status(&self) -> SchedulerStatus {
         let leader = self.leaders.last().expect("a leader");
         leader.scheduler.status(self.now())
     }
 
-    /// Makes every second worker one of another service.
+    /// Moves every second worker to another service.
     pub fn split_services(&mut self) {
         for worker in self.workers.iter_mut().skip(1).step_by(2) {
             worker.service = Arc::from(OTHER_SERVICE);
@@ -286,7 +289,7 @@
         self.list_workers();
     }
 
-    /// Has the workers hold these amounts, in turn.
+    /// Assigns these capacities to the workers, in turn.
     pub fn set_capacities(&mut self, capacities: &[Resources]) {
         for (worker, capacity) in self.workers.iter_mut().zip(capacities.iter().cycle()) {
             worker.set_capacity(*capacity);
@@ -294,7 +297,7 @@
         self.list_workers();
     }
 
-    /// Puts so many workers in a row into each rack.
+    /// Assigns `size` consecutive workers to each rack.
     pub fn assign_racks(&mut self, size: usize) {
         for (number, worker) in self.workers.iter_mut().enumerate() {
             worker.rack = Some(Arc::from(format!("r{}", number / size)));
@@ -302,7 +305,7 @@
         self.list_workers();
     }
 
-    /// Spreads the workers over so many data centres.
+    /// Distributes the workers over so many data centres.
     pub fn assign_data_centres(&mut self, count: usize) {
         for (number, worker) in self.workers.iter_mut().enumerate() {
             worker.data_centre = Arc::from(format!("d{}", number % count));
@@ -316,7 +319,7 @@
         self.send_to_leaders(Event::CordonsListed(self.cordon_rule.data_centres()));
     }
 
-    /// Has the workers tell when they have started.
+    /// Has the workers report the start of their incarnations.
     pub fn report_incarnation_starts(&mut self, ignores_foreign_acks: bool) {
         for worker in &mut self.workers {
             worker.set_incarnation_start(FIRST_INCARNATION_START_MS);
@@ -341,12 +344,12 @@
         self.messages.insert(key, message);
     }
 
-    /// Begins a term; the leader before may act on until its lease is over.
+    /// Begins a term; the previous leader may act until its lease has expired.
     pub fn elect(&mut self) {
         let fence = self.leaders.last().map_or(1, |leader| leader.fence + 1);
         if let Some(before) = self.leaders.last_mut() {
             let until_ms = self.now_ms + self.rng.random_range(0..LEADER_LEASE_MS);
-            // One that stands still gives no order, and knows when it wakes.
+            // A paused leader sends no orders, and learns of its eviction when it resumes.
             before.acts_until_ms = if before.is_paused { 0 } else { until_ms };
         }
         let active = self
@@ -385,11 +388,11 @@
             backlog: Vec::new(),
         });
         self.send_to_leaders(Event::NodesListed(vec![Arc::from("n1"), Arc::from("n2")]));
-        self.send_to_leader(fence, Event::StoreTrouble(self.has_trouble));
+        self.send_to_leader(fence, Event::StoreTrouble(self.is_store_degraded));
         self.list_all_workers(fence);
     }
 
-    /// Returns the workers that are listed, by their ids.
+    /// Returns the workers that are listed, by id.
     fn listed(&self) -> BTreeMap<Arc<str>, WorkerFacts> {
         let now_ms = self.now_ms;
         let is_listed = |worker: &&FakeWorker| worker.is_alive || now_ms < worker.listed_until_ms;
@@ -398,13 +401,13 @@
         facts.map(|facts| (facts.id.clone(), facts)).collect()
     }
 
-    /// Returns how a customer stands with the newest leader.
+    /// Returns a customer's fair share as the newest leader sees it.
     pub fn share_of(&self, customer: &str) -> Option<ShareView> {
         let leader = self.leaders.last()?;
         leader.scheduler.share_of(super::SERVICE, Some(customer))
     }
 
-    /// Tells what has changed of the list of workers, as the platform does.
+    /// Sends the leaders what has changed in the list of workers, as the platform does.
     pub fn list_workers(&mut self) {
         let listed = self.listed();
         let before = core::mem::replace(&mut self.published_workers, listed);
@@ -419,7 +422,7 @@
         }
     }
 
-    /// Tells a new leader the whole list, in the order of the workers' ids.
+    /// Sends a new leader the whole list, ordered by the workers' ids.
     fn list_all_workers(&mut self, fence: u64) {
         self.list_workers();
         let list = self.published_workers.values().cloned().collect();
@@ -438,7 +441,7 @@
         self.send_to_leaders(Event::CancelAccepted { job: id });
     }
 
-    /// Returns what the leader forecasts.
+    /// Returns the newest leader's forecast.
     pub fn forecast(&self) -> Option<Forecast> {
         let leader = self.leaders.last()?;
         leader.scheduler.forecast(self.now())
@@ -460,7 +463,7 @@
         self.send_batch_to_leader(fence, vec![event]);
     }
 
-    /// Tells a leader of what has come together.
+    /// Has a leader handle a batch of events.
     fn send_batch_to_leader(&mut self, fence: u64, events: Vec<Event>) {
         let now = self.now();
         let now_ms = self.now_ms;
@@ -490,7 +493,7 @@
     fn perform(&mut self, term: u64, action: Action) {
         match action {
             Action::Commit { lane, changes } => {
-                let after_ms = match self.has_trouble {
+                let after_ms = match self.is_store_degraded {
                     true => self.rng.random_range(SLOW_COMMIT_MS),
                     false => self.rng.random_range(3..40),
                 };
@@ -531,7 +534,9 @@
                 ..
             } => {
                 self.advice_calls_count += 1;
-                let good = workers.iter().filter(|to| self.is_good(&to.id, step.job));
+                let good = workers
+                    .iter()
+                    .filter(|to| self.is_suitable(&to.id, step.job));
                 let tickets: Vec<Ticket> = good
                     .map(|to| Ticket {
                         worker: to.id.clone(),
@@ -555,7 +560,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock by `length_ms`, delivering messages and ticking.
     pub fn run_for(&mut self, length_ms: u64) {
         let until_ms = self.now_ms + length_ms;
         while self.now_ms < until_ms {
@@ -585,7 +590,7 @@
         self.send_to_leaders(Event::Tick);
     }
 
-    /// Notes which jobs have their outcome by now.
+    /// Records which jobs have their outcome by now.
     pub fn record_outcomes(&mut self) {
         let open: Vec<JobId> = self.submitted_jobs.clone();
         let open = open.into_iter().filter(|id| !self.done_ms.contains_key(id));
@@ -596,14 +601,14 @@
         }
     }
 
-    /// Asserts that nothing of a job that has its outcome runs any more.
+    /// Asserts that no run of a job that has its outcome is still running.
     pub fn assert_no_strays(&self) {
         for worker in self.workers.iter().filter(|worker| worker.is_alive) {
             for (task, run) in &worker.runs {
                 let phase = self.phase(task.step.job);
                 assert!(
                     phase == Some(Phase::Active),
-                    "run {} of {task} goes on at {}, and its job is {phase:?}",
+                    "run {} of {task} is still running at {}, and its job is {phase:?}",
                     run.run,
                     worker.id
                 );
@@ -611,7 +616,11 @@
         }
     }
 
-    /// Runs until every job has its outcome, at most for the given time.
+    /// Runs until every job has its outcome, for `limit_ms` at most.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a job has no outcome by then.
     pub fn run_until_done(&mut self, limit_ms: u64) {
         let until_ms = self.now_ms + limit_ms;
         while self.now_ms < until_ms {
@@ -631,16 +640,16 @@
         panic!("no outcome in time for {open:?}");
     }
 
-    /// Returns the ticket for the life of a worker that is there now.
+    /// Returns the adviser's ticket for the current incarnation of a worker.
     fn ticket_of(&self, to: &Endpoint) -> Arc<str> {
         let worker = self.workers.iter().find(|worker| worker.id == to.id);
         worker.map_or(Arc::from(""), FakeWorker::ticket)
     }
 
-    /// Returns whether the adviser finds a worker good for a job, always alike.
-    fn is_good(&self, worker: &str, job: JobId) -> bool {
+    /// Returns whether the adviser finds a worker suitable for a job; always the same answer.
+    fn is_suitable(&self, worker: &str, job: JobId) -> bool {
         let sum: u64 = worker.bytes().map(u64::from).sum::<u64>() + job.number();
-        match self.good_one_in {
+        match self.suitable_one_in {
             0 => !sum.is_multiple_of(3),
             one_in => sum.is_multiple_of(one_in),
         }
--- a/crates/scheduler/tests/scheduler/support/simulation/trace.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/trace.rs
@@ -1,13 +1,13 @@
-//! What a play prints where it is asked to: decisions, orders as they arrive, lives that
-//! begin and end.
+//! An optional trace of a simulation: decisions, orders as they arrive, and workers'
+//! incarnations.
 
 use crate::support::worker::FakeWorker;
 use ospreywing_scheduler::{Decision, StartOrder, StartReply, StopReply, TaskKey};
 
-/// Set to anything, it has each play print its trace.
+/// If set to any value, each simulation prints its trace.
 const TRACE_VARIABLE: &str = "OSPREYWING_SEARCH_TRACE";
 
-/// Prints what happens in a world, or nothing.
+/// Prints the events of a simulation, or nothing.
 pub(super) struct Trace {
     is_on: bool,
 }
@@ -44,7 +44,7 @@
     ) {
         if self.is_on {
             println!(
-                "{now_ms:>6} {} has a start of {} run {}, late {is_late}: {reply:?}",
+                "{now_ms:>6} {} answers a start of {} run {}, late {is_late}: {reply:?}",
                 worker.id, order.task, order.run
             );
         }
@@ -60,7 +60,7 @@
     ) {
         if self.is_on {
             println!(
-                "{now_ms:>6} {} has a stop of {task} run {run}: {reply:?}",
+                "{now_ms:>6} {} answers a stop of {task} run {run}: {reply:?}",
                 worker.id
             );
         }
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -1,4 +1,4 @@
-//! A fake worker: fence, tombstones, leases on its own clock, a list of ends.
+//! A fake worker, with a fence, tombstones, a lease on its own clock and a list of ends.
 
 use ospreywing_scheduler::{
     EndKind, EndedRun, HoldReply, LifeStart, RefusedStart, RunningRun, StartOrder, StartReply,
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long after it shrank a room counts: three seconds and a heartbeat.
+/// How long a reduced capacity takes to apply: three seconds and a heartbeat.
 const SHRINK_EFFECTIVE_AFTER_MS: u64 = 4_500;
 
-/// What a worker's clock showed at the begin of the world's, at first.
+/// What the clock of a worker's first incarnation shows when the simulation's clock is at 0.
 const CLOCK_BASE_MS: u64 = 7_000;
 
 /// A run on a fake worker.
@@ -21,57 +21,56 @@
     pub ends_at_ms: u64,
     pub kind: EndKind,
     pub demand: Resources,
-    /// Whether it saves checkpoints.
     pub saves_checkpoints: bool,
 }
 
 impl FakeRun {
-    /// Returns the checkpoint that was saved last, in a text that names its task.
+    /// Returns the run's last checkpoint, a text that names its task.
     fn checkpoint(&self, task: TaskKey) -> Option<String> {
         self.saves_checkpoints
             .then(|| format!("{task} run {}", self.run))
     }
 }
 
-/// A fake worker.
+/// A fake worker. Times ending in `_ms` are on the simulation's clock unless stated otherwise.
 pub struct FakeWorker {
     pub id: Arc<str>,
-    /// When its life started, and what its entry in the store says of that.
+    /// The start of its incarnation, and the start that its entry in the store names.
     pub life_start: Option<LifeStart>,
     entry_incarnation_start: Option<LifeStart>,
-    /// What its clock showed at the begin of the world's.
+    /// What its clock shows when the simulation's clock is at 0.
     clock_base_ms: u64,
-    /// Whether it takes no note of an acknowledgement beyond its newest end.
+    /// Whether it ignores acknowledgements of ends that it has not numbered yet.
     pub ignores_foreign_acks: bool,
     pub address: Arc<str>,
     pub service: Arc<str>,
     pub data_centre: Arc<str>,
     pub rack: Option<Arc<str>>,
     pub capacity: Resources,
-    /// What it holds when its room is not changed.
+    /// Its capacity while it isn't resized.
     pub full_capacity: Resources,
-    /// Its room before it shrank, and when that was.
+    /// Its capacity before it shrank last, and when it shrank.
     capacity_before_shrink: (Resources, u64),
     pub is_alive: bool,
     pub is_partitioned: bool,
-    /// How fast its clock runs, in thousandths.
+    /// The rate of its clock, in thousandths.
     pub clock_per_mille: u64,
-    /// How fast it works, in thousandths of the usual speed.
+    /// Its speed, in thousandths of the typical speed.
     pub speed_per_mille: u64,
     pub fence: u64,
     pub lease_until_ms: u64,
-    /// Since when it has been leased without a gap, on the world's clock.
+    /// The begin of its current lease without a gap, on the simulation's clock.
     leased_since_ms: u64,
     pub runs: BTreeMap<TaskKey, FakeRun>,
     pub ended: Vec<EndedRun>,
     pub next_end: u64,
-    /// When the listed ends were, on the world's clock.
+    /// When the listed ends occurred, on the simulation's clock, by the ends' numbers.
     ended_at_ms: BTreeMap<u64, u64>,
-    /// Until when the platform lists it though its life is over.
+    /// Until when the platform lists it after its incarnation is over.
     pub listed_until_ms: u64,
     pub is_draining: bool,
     pub leaves_clock_ms: Option<u64>,
-    /// The highest run that stopped or ended here, by task.
+    /// The highest run of each task that stopped or ended here.
     pub tombstones: BTreeMap<TaskKey, u32>,
 }
 
@@ -124,25 +123,26 @@
         }
     }
 
-    /// Has it hold another amount at most.
+    /// Sets its full and its current capacity.
     pub fn set_capacity(&mut self, capacity: Resources) {
         self.full_capacity = capacity;
         self.capacity = capacity;
     }
 
-    /// Tells its start from now on, as workers do that may start again under their id.
+    /// Sets its incarnation's start, and reports it from now on, as workers that keep their ids
+    /// do.
     pub fn set_incarnation_start(&mut self, wall_ms: u64) {
         self.life_start = Some(LifeStart::from_ms(wall_ms));
         self.write_entry();
     }
 
-    /// Has its entry say what holds now.
+    /// Updates its entry in the store.
     pub const fn write_entry(&mut self) {
         self.entry_incarnation_start = self.life_start;
     }
 
-    /// Starts it again under its id: it knows nothing of before, and its clock and the
-    /// numbers of its ends begin anew. Its entry is written later.
+    /// Starts its next incarnation under the same id: it has no runs, and its clock and the
+    /// numbers of its ends begin anew. Its entry is updated later.
     pub fn restart(&mut self, wall_ms: u64, clock_base_ms: u64) {
         let fresh = Self::new(&self.id, self.clock_per_mille);
         let before = core::mem::replace(self, fresh);
@@ -157,12 +157,12 @@
         self.clock_base_ms = clock_base_ms;
     }
 
-    /// Returns the adviser's ticket, which holds for this life only.
+    /// Returns the adviser's ticket, which is valid for this incarnation only.
     pub fn ticket(&self) -> Arc<str> {
         Arc::from(format!("ticket for {:?}", self.life_start))
     }
 
-    /// Returns up to which end it forgets what it has been told to forget.
+    /// Returns the highest end that an acknowledgement of `last_seen` has it forget.
     pub fn forgotten_end(&self, last_seen: u64) -> u64 {
         let is_foreign = last_seen >= self.next_end;
         if is_foreign && self.ignores_foreign_acks {
@@ -172,8 +172,7 @@
         }
     }
 
-    /// Returns when an end was that is listed, and whether the lease has held
-    /// ever since.
+    /// Returns when a listed end occurred, and whether the worker has been leased ever since.
     pub fn end_time_and_lease(&self, number: u64, now_ms: u64) -> (u64, bool) {
         let ended_at_ms = self.ended_at_ms.get(&number).copied().unwrap_or(now_ms);
         let is_leased = self.clock_ms(now_ms) < self.lease_until_ms;
@@ -183,7 +182,7 @@
         )
     }
 
-    /// Changes its room to a part of what it holds at most.
+    /// Sets its capacity to a part of its full one.
     pub fn resize(&mut self, now_ms: u64, per_mille: u32) {
         let part = |whole: u32| (u64::from(whole) * u64::from(per_mille) / 1000) as u32;
         let full = self.full_capacity;
@@ -196,7 +195,7 @@
         self.capacity = room;
     }
 
-    /// Returns the room that starts are judged by: one that shrank counts a while later.
+    /// Returns the capacity that starts are checked against: a reduction applies after a delay.
     pub fn effective_capacity(&self, now_ms: u64) -> Resources {
         let (before, shrank_at_ms) = self.capacity_before_shrink;
         if now_ms < shrank_at_ms + SHRINK_EFFECTIVE_AFTER_MS {
@@ -210,7 +209,7 @@
         self.clock_base_ms + now_ms * self.clock_per_mille / 1000
     }
 
-    /// Ends what is due; returns the tasks whose runs ended by themselves.
+    /// Ends the runs that are due, or all of them once the lease has expired.
     pub fn advance(&mut self, now_ms: u64) {
         if !self.is_alive {
             return;
@@ -297,7 +296,7 @@
         }
     }
 
-    /// Takes a start; the run is added by the caller, which checks the rules.
+    /// Answers a start. The caller checks the rules and then adds the run.
     pub fn admit_start(&mut self, now_ms: u64, fence: u64, order: &StartOrder) -> StartReply {
         if !self.raise_fence(fence) {
             return StartReply::Refused(RefusedStart::Fence);
--- a/crates/scheduler/tests/scheduler/worker_reservations.rs
+++ b/crates/scheduler/tests/scheduler/worker_reservations.rs
@@ -34,7 +34,7 @@
         .map(|number| format!("w{number}"))
         .collect();
     let good: Vec<&str> = ids.iter().map(String::as_str).collect();
-    harness.answer_advice_calls(&good);
+    harness.answer_advice_requests(&good);
     harness.commit_all();
     let starts = harness.starts();
     assert_eq!(starts.len(), 2 * WORKERS_COUNT);
@@ -48,7 +48,7 @@
 fn tick(harness: &mut Harness, good: &[&str]) -> Vec<usize> {
     harness.now = harness.now + Duration::from_ms(20);
     harness.handle(Event::Tick);
-    harness.answer_advice_calls(good)
+    harness.answer_advice_requests(good)
 }
 
 /// Found on bluemahoe-ops trouble-1 and scale-1: a task that needs a whole worker
@@ -57,7 +57,7 @@
 fn seek_for_tasks_learns_of_all_workers_at_once() {
     let (mut harness, _) = full_workers(80);
     harness.submit(LARGE_JOB, vec![filling_step()]);
-    let named: usize = harness.answer_advice_calls(&["w4"]).into_iter().sum();
+    let named: usize = harness.answer_advice_requests(&["w4"]).into_iter().sum();
     assert_eq!(named, WORKERS_COUNT, "also those without room");
 }
 
@@ -65,7 +65,7 @@
 fn await_workers_keeps_later_work_off() {
     let (mut harness, starts) = full_workers(80);
     harness.submit(LARGE_JOB, vec![filling_step()]);
-    harness.answer_advice_calls(&["w4"]);
+    harness.answer_advice_requests(&["w4"]);
     // One half of the good worker is free, and something small wants it.
     let w4 = harness.scheduler.worker_key("w4").expect("a listed worker");
     let mut on_w4 = starts.iter().filter(|(worker, ..)| *worker == w4);
@@ -93,7 +93,7 @@
 fn preempt_for_tasks_stops_what_loses_little() {
     let (mut harness, _) = full_workers(10);
     harness.submit(LARGE_JOB, vec![filling_step()]);
-    harness.answer_advice_calls(&["w4"]);
+    harness.answer_advice_requests(&["w4"]);
     tick(&mut harness, &["w4"]);
     let w4 = harness.scheduler.worker_key("w4").expect("a listed worker");
     let stops = harness.stops();
@@ -105,7 +105,7 @@
 fn preempt_for_tasks_spares_what_is_nearly_done() {
     let (mut harness, _) = full_workers(80);
     harness.submit(LARGE_JOB, vec![filling_step()]);
-    harness.answer_advice_calls(&["w4"]);
+    harness.answer_advice_requests(&["w4"]);
     tick(&mut harness, &["w4"]);
     assert_eq!(harness.stops(), vec![]);
 }
