--- a/crates/scheduler/tests/scheduler/capacity_changes.rs
+++ b/crates/scheduler/tests/scheduler/capacity_changes.rs
@@ -1,11 +1,11 @@
-//! Workers whose room changes while work is there.
+//! Workers whose capacity changes while runs are on them.
 
 use crate::support::harness::{workers, Harness};
 use crate::support::step;
 use crate::support::worker::FakeWorker;
 use ospreywing_scheduler::{Event, Recovered, StartReply, TaskKey, WorkerKey};
 
-/// Lists the workers, the first of which has so many thousandths of its room left.
+/// Lists `count` workers, the first of which is reduced to `per_mille` of its capacity.
 fn list_workers_resized(harness: &mut Harness, count: usize, per_mille: u32) {
     let mut listed: Vec<FakeWorker> = workers(count);
     listed[0].resize(harness.now.as_ms(), per_mille);
@@ -23,10 +23,10 @@
     harness.starts()
 }
 
-/// A start is checked against the room as it is when it is sent: the record takes a
-/// while to reach the store.
+/// A start is checked against the capacity at the time it is sent: its record takes a while to
+/// reach the store.
 #[test]
-fn send_start_room_shrank() {
+fn send_start_capacity_shrank() {
     let mut harness = submit_to_one_worker(2);
     list_workers_resized(&mut harness, 1, 500);
     assert_eq!(starts_after_commit(&mut harness).len(), 1, "one fits");
@@ -38,9 +38,10 @@
     );
 }
 
-/// What runs on a worker whose room shrank below it runs on, and nothing joins it.
+/// Runs on a worker whose capacity shrank below them keep running, and no other run is placed
+/// there.
 #[test]
-fn list_workers_room_below_what_runs() {
+fn list_workers_capacity_below_running() {
     let mut harness = submit_to_one_worker(2);
     for start in starts_after_commit(&mut harness) {
         harness.answer_started(start);
@@ -51,10 +52,10 @@
     assert_eq!(harness.stops(), Vec::new());
 }
 
-/// An unanswered start may not have arrived: sent again, it could begin beside more than
-/// the worker now holds. It is stopped instead.
+/// An unanswered start may not have arrived. Sent again, it could begin on a worker whose
+/// capacity no longer suffices, so it is stopped instead.
 #[test]
-fn on_start_answered_room_shrank() {
+fn on_start_answered_capacity_shrank() {
     let mut harness = submit_to_one_worker(2);
     let starts = starts_after_commit(&mut harness);
     list_workers_resized(&mut harness, 1, 250);
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -1,9 +1,9 @@
-//! What rules on crashes cost: innocent jobs that are given up, workers that a bad task
-//! crashes, and other jobs' runs that are lost with them.
+//! Compares crash policies: other jobs that are failed, workers that a task crashes, and other
+//! jobs' runs that are lost with them.
 //!
-//! CI plays the product's rule on a small cell. With `OSPREYWING_CRASH_FIGURES` set to a
-//! number of workers, all rules are played on as many, and the figures are printed; they
-//! stand in docs/design/crashes.md.
+//! CI runs the default policy on a small cell. With `OSPREYWING_CRASH_FIGURES` set to a number
+//! of workers, all policies run on as many, and their figures are printed (published in
+//! docs/design/crashes.md).
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{job, step};
@@ -14,11 +14,11 @@
 const FIGURES_VARIABLE: &str = "OSPREYWING_CRASH_FIGURES";
 const CI_WORKERS_COUNT: usize = 50;
 const CI_SEEDS_COUNT: u64 = 3;
-/// Workers of a rack.
+/// Workers in each rack.
 const WORKERS_PER_RACK_COUNT: usize = 10;
-/// How long jobs come, and the time between two.
+/// How long jobs are submitted.
 const LOAD_MS: u64 = 10_000;
-/// Of a hundred places for tasks, those that are taken on average.
+/// The percentage of task slots that are in use on average.
 const LOAD_PERCENT: usize = 40;
 const TASKS_PER_JOB_COUNT: usize = 4;
 const TASKS_PER_WORKER_COUNT: usize = 4;
@@ -26,13 +26,13 @@
 const SAMPLE_PERIOD_MS: u64 = 50;
 const DRAIN_LIMIT_MS: u64 = 90_000;
 
-/// What strikes besides.
+/// A loss of workers in the middle of the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
     Nothing,
-    /// So many of a hundred workers, anywhere, at once.
+    /// So many of a hundred workers, across the cell, at once.
     Percent(usize),
-    /// One rack at once.
+    /// All workers of one rack at once.
     Rack,
 }
 
@@ -40,7 +40,7 @@
 struct Figures {
     other_jobs_failed_count: usize,
     crashes_count: usize,
-    /// The crashes of the task that caused most.
+    /// The crashes caused by the task that caused the most.
     most_crashes_count: usize,
     other_runs_lost_count: usize,
     crashing_jobs_count: usize,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Takes down what the loss says, in the middle of the load.
+/// Crashes the workers that `loss` names.
 fn inject_loss(simulation: &mut Simulation, loss: Loss, workers_count: usize) {
     let lost: Vec<usize> = match loss {
         Loss::Nothing => Vec::new(),
@@ -155,15 +155,18 @@
     };
     [
         ("(a) two crashes of any kind", count_two),
-        ("(b) points, tried alone", product),
-        ("(c) points, suspects apart", with(TrialRule::Anywhere)),
+        ("(b) points, probation alone", product),
+        (
+            "(c) points, probation beside others",
+            with(TrialRule::Anywhere),
+        ),
     ]
 }
 
 fn print_figures(workers_count: usize) {
     let seeds_count = (2_000 / workers_count as u64).clamp(2, 40);
     println!("{workers_count} workers, {seeds_count} seeds");
-    println!("| rule | bad jobs | lost | innocents failed | crashes a bad job | others' runs lost a bad job | mean ms |");
+    println!("| policy | crashing jobs | workers lost | other jobs failed | crashes per crashing job | others' runs lost per crashing job | mean ms |");
     println!("|---|---|---|---|---|---|---|");
     let losses = [
         Loss::Nothing,
@@ -182,15 +185,16 @@
     }
 }
 
-/// A bad task crashes three workers where their next lives are met before leases lapse, and
-/// five at most: the platform's bound. Half of these workers are away for longer.
+/// A task crashes three workers if their next incarnations answer before the leases expire, and
+/// five at most, which is the platform's bound. Half of these workers stay down for longer.
 const MOST_CRASHES_COUNT: usize = 5;
 
-/// No innocent job is given up beside ten bad ones, and no bad task goes on.
+/// With ten crashing jobs no other job is failed, and the crashing tasks are not restarted
+/// without end.
 #[rstest]
 #[case::alone(Loss::Nothing)]
 #[case::rack_lost(Loss::Rack)]
-fn crash_policy_ten_bad_jobs(#[case] loss: Loss) {
+fn crash_policy_ten_crashing_jobs(#[case] loss: Loss) {
     let wanted = std::env::var(FIGURES_VARIABLE);
     if let Some(workers_count) = wanted.ok().and_then(|text| text.parse().ok()) {
         if loss == Loss::Nothing {
--- a/crates/scheduler/tests/scheduler/damaged_records.rs
+++ b/crates/scheduler/tests/scheduler/damaged_records.rs
@@ -1,4 +1,4 @@
-//! What the store keeps, where its bytes are damaged.
+//! Decoding of stored records whose bytes are damaged.
 
 use crate::support::{job, job_of, placed_at_incarnation, placed_state, step};
 use ospreywing_scheduler::{
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Inputs for each form in CI; `OSPREYWING_FUZZ_INPUTS` sets another number.
+/// Inputs for each record in CI; `OSPREYWING_FUZZ_INPUTS` overrides the number.
 const DEFAULT_FUZZ_INPUTS_COUNT: u64 = 20_000;
 const FUZZ_INPUTS_VARIABLE: &str = "OSPREYWING_FUZZ_INPUTS";
 
@@ -18,7 +18,7 @@
     set.unwrap_or(DEFAULT_FUZZ_INPUTS_COUNT)
 }
 
-/// Changes, adds or cuts off some bytes.
+/// Changes a byte, inserts one or cuts off the rest, one to three times.
 fn mutate(rng: &mut Pcg64, bytes: &[u8]) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
     for _ in 0..rng.random_range(1..4) {
@@ -44,7 +44,7 @@
     state
 }
 
-/// Whatever stands in the place of a job's progress, reading it ends.
+/// Decoding a job's progress terminates without a panic, whatever its bytes.
 #[rstest]
 #[case::plain(placed_state("w0", 1))]
 #[case::crashes(with_crash(placed_state("w0", 1)))]
@@ -59,7 +59,7 @@
     }
 }
 
-/// The same for what was accepted, and for outcomes.
+/// The same for accepted jobs and for outcomes.
 #[rstest]
 #[case::job(job(1, vec![step(3)]).1.to_bytes())]
 #[case::job_of_customer(job_of("one", 1, vec![step(3)]).1.to_bytes())]
--- a/crates/scheduler/tests/scheduler/departures.rs
+++ b/crates/scheduler/tests/scheduler/departures.rs
@@ -1,4 +1,4 @@
-//! Workers that list_departure by plan: what would be lost with them is stopped before, and goes on
+//! Planned departures of workers: runs that would be lost are stopped before and resume
 //! elsewhere.
 
 use crate::support::harness::{end, workers, Harness};
@@ -44,13 +44,13 @@
     starts
 }
 
-/// Has a worker's entry say that it leaves after a time.
+/// Lists a worker with an entry that it departs after this time.
 fn list_departure(harness: &mut Harness, worker: &FakeWorker, after_ms: u64) {
-    let mut leaving = FakeWorker::new(&worker.id, 1000);
-    leaving.is_draining = true;
-    // The workers of these tests tell the time of the bench.
-    leaving.leaves_clock_ms = Some(harness.now.as_ms() + after_ms);
-    let change = WorkerChange::Listed(leaving.facts());
+    let mut departing = FakeWorker::new(&worker.id, 1000);
+    departing.is_draining = true;
+    // These workers' clocks show the harness's time.
+    departing.leaves_clock_ms = Some(harness.now.as_ms() + after_ms);
+    let change = WorkerChange::Listed(departing.facts());
     harness.handle(Event::WorkersChanged(vec![change]));
 }
 
@@ -66,18 +66,22 @@
     harness.stops().len()
 }
 
-/// A run that saves loses nothing by a stop just before its worker goes.
+/// A run that saves checkpoints loses nothing if it is stopped just before its worker departs.
 #[test]
 fn stop_before_departures_saving_run() {
     let listed = workers(1);
     let mut harness = Harness::new(Recovered::default(), &listed);
     start_step(&mut harness, saving(1));
     list_departure(&mut harness, &listed[0], 5000);
-    assert_eq!(stops_after(&mut harness, 3000), 0, "it works on");
-    assert_eq!(stops_after(&mut harness, 1000), 1, "in time for its end");
+    assert_eq!(stops_after(&mut harness, 3000), 0, "it keeps running");
+    assert_eq!(
+        stops_after(&mut harness, 1000),
+        1,
+        "early enough to end in time"
+    );
 }
 
-/// What a run that saves nothing still does is lost, so it is stopped at once.
+/// A run that saves no checkpoints would lose all further work, so it is stopped at once.
 #[test]
 fn stop_before_departures_run_without_checkpoints() {
     let listed = workers(1);
@@ -87,7 +91,7 @@
     assert_eq!(stops_after(&mut harness, 200), 1);
 }
 
-/// By its pace a run ends in time, whatever its estimate says.
+/// A run that ends in time by its progress is not stopped, whatever its estimate.
 #[rstest]
 #[case::ends_in_time(60, 0)]
 #[case::too_slow(20, 1)]
@@ -110,7 +114,7 @@
     assert_eq!(stops_after(&mut harness, 500), 0, "it ends in time");
 }
 
-/// All members of a gang are stopped together: one that ends alone breaks the others.
+/// The members of a gang are stopped together: one that ends alone breaks off the others.
 #[test]
 fn stop_before_departures_gang() {
     let listed = workers(3);
@@ -122,7 +126,7 @@
     assert_eq!(stops_after(&mut harness, 1000), 5);
 }
 
-/// A member that is broken off tells an older checkpoint than one that was stopped.
+/// A member that was broken off lists an older checkpoint than one that was stopped.
 #[test]
 fn record_end_gang_stopped_then_broken() {
     let listed = workers(3);
@@ -148,7 +152,7 @@
         _ => None,
     });
     let checkpoints: Vec<Option<String>> = again.collect();
-    // Two of three workers hold four: it waits until another one joins.
+    // Two of three workers hold four tasks: the gang waits until another worker joins.
     assert!(checkpoints.is_empty());
     let joined = FakeWorker::new("w9", 1000);
     let change = WorkerChange::Listed(joined.facts());
@@ -164,9 +168,9 @@
     assert_eq!(checkpoints, vec!["Stopped".to_owned(); 5]);
 }
 
-/// A run that was placed on a worker before it began to list_departure is not sent there any more.
+/// A run that was placed on a worker before its departure was announced is not sent there.
 #[test]
-fn send_start_worker_leaving() {
+fn send_start_worker_departing() {
     let listed = workers(1);
     let mut harness = Harness::new(Recovered::default(), &listed);
     harness.submit(1, vec![step(1)]);
--- a/crates/scheduler/tests/scheduler/job_views.rs
+++ b/crates/scheduler/tests/scheduler/job_views.rs
@@ -1,12 +1,11 @@
-//! Which jobs are told to wait.
+//! What the leader reports of jobs: which count as pending, and whether a phase is settled.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{job, step, QUEUE};
 use ospreywing_scheduler::{EndKind, Event, JobId, Phase, Recovered, StepKey, TaskKey};
 use ospreywing_types::Duration;
 
-/// Returns a term that begins where an earlier leader recorded a start, and the
-/// task.
+/// Returns a term that begins after an earlier leader recorded a start, and the task.
 fn after_recorded_start() -> (Harness, TaskKey) {
     let (id, record) = job(1, vec![step(1)]);
     let mut harness = Harness::new(Recovered::default(), &workers(1));
@@ -17,7 +16,7 @@
         states: vec![(id, state)],
         ..Recovered::default()
     };
-    // Without a worker the run can't be asked for, so it stays in doubt.
+    // No worker is listed that could be polled, so it stays unconfirmed whether the run began.
     let next = Harness::new(kept, &[]);
     let step = StepKey {
         job: id,
@@ -27,10 +26,10 @@
     (next, step.task(0))
 }
 
-/// Found on bluemahoe-ops trouble-2: after a takeover beside a slow store many
-/// starts were recorded and never sent, and their jobs counted as begun.
+/// After a takeover with a slow store many starts were recorded and never sent; their jobs once
+/// counted as begun.
 #[test]
-fn pending_count_start_never_sent() {
+fn pending_count_start_not_sent() {
     let (harness, _) = after_recorded_start();
     assert_eq!(harness.scheduler.pending_count(QUEUE), 1);
 }
@@ -54,12 +53,12 @@
     assert!(view.has_begun);
 }
 
-/// Found by the soak, seed 8019: the store had a job's outcome and its answer was lost.
-/// A node that read the store showed `canceled`, and the leader, which shows an outcome
-/// once it knows that it is stored, showed `queued` 30 ms later. While such a commit is
-/// open the leader does not know.
+/// While the commit of an outcome is in flight the leader can't know whether it is stored. Once
+/// the store had a job's outcome and its answer was lost: a node that read the store reported
+/// `canceled`, and 30 ms later the leader, which reports an outcome only when it knows that it
+/// is stored, reported `queued` (soak seed 8019).
 #[test]
-fn job_outcome_on_its_way() {
+fn job_outcome_in_flight() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -1,5 +1,5 @@
-//! Leases that hold longer than the leader granted them, and lists that tell less
-//! than they seem to: a task must not be started again while its run may be alive.
+//! Leases that hold for longer than the leader granted, and lists of runs that are incomplete
+//! or out of order: a task must not be started again while its run may be alive.
 
 use crate::support::harness::{end, workers, Harness, FENCE, LEASE_LIMIT};
 use crate::support::worker::{FakeRun, FakeWorker};
@@ -11,26 +11,26 @@
 use ospreywing_types::{Duration, Instant, Resources};
 use rstest::rstest;
 
-/// The time between two looks of these tests.
+/// The time between two steps of these tests.
 const POLL_INTERVAL: Duration = Duration::from_ms(20);
-/// When a renewal is taken for unanswered.
+/// When a renewal is considered unanswered.
 const POLL_TIMEOUT: Duration = Duration::from_ms(1050);
 /// The slowest clock of a worker that the platform allows, in thousandths.
 const SLOWEST_CLOCK_PER_MILLE: u64 = 980;
-/// How much longer a leader waits, for a slow clock and for placing anew.
+/// What a leader waits in addition, for a slow clock and to place the task again.
 const LEASE_SLACK: Duration = Duration::from_ms(400);
 /// The most ends that a worker lists at once.
 const ENDS_PER_LIST_COUNT: u64 = 500;
-/// The lease that a leader grants where the store is well.
+/// The lease that a leader grants while the store is healthy.
 const SHORTEST_LEASE: Duration = Duration::from_ms(4000);
-/// Leases that workers would keep in some cells.
+/// A longer lease than usual that workers of some cells accept.
 const LONG_LEASE_LIMIT: Duration = Duration::from_ms(10_000);
-/// How long a lasting task may be away when its worker is lost.
+/// How long a perpetual task may be down after its worker was lost.
 const PERPETUAL_TASK_OUTAGE_LIMIT: Duration = Duration::from_ms(9_000);
 /// A run longer than any lease.
 const LONG_RUN_MS: u64 = 60_000;
 
-/// A leader, and one worker that does what it is told while it is reached.
+/// A leader, and one worker that carries out its orders while it is reachable.
 struct Cell {
     harness: Harness,
     worker: FakeWorker,
@@ -38,9 +38,8 @@
 }
 
 impl Cell {
-    /// Has an earlier leader renew the worker's lease for as long as it may, and
-    /// a leader that knows of no run there begin its term and reach the worker
-    /// so much later.
+    /// An earlier leader renews the worker's lease for as long as it may. A leader that knows
+    /// of no run there begins its term, and reaches the worker `reached_after` later.
     fn after_grant_of_earlier_leader(reached_after: Duration) -> Self {
         let mut worker = FakeWorker::new("w0", SLOWEST_CLOCK_PER_MILLE);
         let mut harness = Harness::after_evicted_leader(Recovered::default());
@@ -63,7 +62,7 @@
         cell
     }
 
-    /// Carries a renewal to the worker and its answer back.
+    /// Delivers a renewal to the worker and its answer to the leader.
     fn renew(&mut self, until_ms: Option<u64>) {
         let sent_at = self.harness.now;
         self.harness.now = sent_at + Duration::from_ms(2);
@@ -79,7 +78,7 @@
         });
     }
 
-    /// Has the worker begin a task's only run, which lasts.
+    /// Has the worker begin the only run of a task, which takes longer than any lease.
     fn begin_long_run(&mut self) -> TaskKey {
         self.harness.submit(1, vec![step(1)]);
         self.harness.commit_all();
@@ -109,11 +108,12 @@
             Action::Start { to, order } if to.worker == self.key => Some(order),
             _ => None,
         });
-        starts.next().expect("a start at the only worker heard of")
+        starts
+            .next()
+            .expect("a start at the only worker that has answered")
     }
 
-    /// Lets time pass while the worker leaves everything unanswered; returns when
-    /// the task was started elsewhere.
+    /// Leaves every poll of the worker unanswered; returns when the task was started elsewhere.
     fn partition_until_restarted(&mut self, limit: Duration) -> Option<Instant> {
         let partitioned_at = self.harness.now;
         let mut other = Some(self.harness.scheduler.worker_key("w1").expect("a worker"));
@@ -146,36 +146,36 @@
     }
 }
 
-/// A lease never shortens and holds for all that runs on a worker, so a run lives
-/// as long as an earlier leader has leased its worker, also a run that only the
-/// new leader has started. The earlier leader may have granted a long lease just
-/// before the new term, or, where it was evicted, until it learned of that.
+/// A lease never shortens and holds for all runs of a worker. So a run lives as long as an
+/// earlier leader has leased its worker, even if only the new leader started it. The earlier
+/// leader may have granted a long lease just before the new term or, where it was evicted,
+/// until it learned of that.
 #[rstest]
 #[case::before_the_term(Duration::ZERO)]
 #[case::while_evicted(Duration::from_ms(1300))]
-fn give_up_lapsed_lease_of_earlier_leader(#[case] reached_after: Duration) {
+fn release_expired_lease_of_earlier_leader(#[case] reached_after: Duration) {
     let mut cell = Cell::after_grant_of_earlier_leader(reached_after);
     let task = cell.begin_long_run();
     let partitioned_at = cell.harness.now;
     let again = cell.partition_until_restarted(Duration::from_s(12));
-    let again = again.expect("a run whose lease is over is given up");
+    let again = again.expect("a run whose lease has expired is released");
     assert!(
         !cell.is_running(task),
-        "{task} was started again {} ms after the cut, and its run was alive",
+        "{task} was started again {} ms after the partition, and its run was alive",
         again.since(partitioned_at).as_ms()
     );
 }
 
-/// A worker that has answered under the new fence takes nothing from an earlier
-/// leader any more, so its lease is bound by the longest from then on, however
-/// long an evicted leader may act on.
+/// A worker that has answered under the new fence accepts nothing from an earlier leader any
+/// more. From then on its lease is bounded by the longest lease, however long an evicted leader
+/// may act.
 #[test]
-fn give_up_lapsed_worker_that_answered_early() {
+fn release_expired_worker_that_answered_early() {
     let mut cell = Cell::after_grant_of_earlier_leader(Duration::ZERO);
     let answered = cell.harness.now;
     let task = cell.begin_long_run();
     let again = cell.partition_until_restarted(Duration::from_s(12));
-    let again = again.expect("a run whose lease is over is given up");
+    let again = again.expect("a run whose lease has expired is released");
     let waited = again.since(answered);
     assert!(
         waited <= LEASE_LIMIT + LEASE_SLACK,
@@ -184,8 +184,8 @@
     );
 }
 
-/// Returns two lives of one machine: the id of the live one sorts before that of
-/// the lost one, or behind it.
+/// Returns two incarnations of one machine: the live one's id sorts before the lost one's, or
+/// after it.
 fn incarnations(is_live_first: bool) -> (FakeWorker, FakeWorker) {
     let (live_id, lost_id) = if is_live_first {
         ("w0", "w1")
@@ -199,11 +199,10 @@
     (live, lost)
 }
 
-/// A worker that crashed other_run in the list for a while, beside the machine's next
-/// life. Where a new leader's first list holds both, their order in it tells
-/// nothing of which is the later one.
+/// A worker that crashed stays listed for a while, beside the machine's next incarnation. Where
+/// a new leader's first list holds both, their order says nothing about which is the later one.
 #[rstest]
-fn add_worker_two_lives_in_first_list(#[values(true, false)] is_live_first: bool) {
+fn add_worker_two_incarnations_in_first_list(#[values(true, false)] is_live_first: bool) {
     let (live, lost) = incarnations(is_live_first);
     let (id, record) = job(1, vec![step(1)]);
     let kept = Recovered {
@@ -238,7 +237,7 @@
     assert_eq!(view.phase, Phase::Complete);
 }
 
-/// Returns a leader that has partitioned_at a step's tasks on its only worker.
+/// Returns a leader that has started a step's tasks on its only worker.
 fn after_starts(tasks_count: u32) -> (Harness, WorkerKey, Vec<TaskKey>) {
     let mut harness = Harness::new(Recovered::default(), &[FakeWorker::new("w0", 1000)]);
     harness.submit(1, vec![step(tasks_count)]);
@@ -252,10 +251,10 @@
     (harness, worker, tasks)
 }
 
-/// What a worker may forget is told by number, so no end below it may be passed
-/// over, in whichever order the ends are listed.
+/// Ends are acknowledged by their highest number, so no lower end may be skipped, in whichever
+/// order they are listed.
 #[test]
-fn take_lists_ends_in_any_order() {
+fn handle_list_ends_in_any_order() {
     let (mut harness, worker, tasks) = after_starts(2);
     let later = end(2, tasks[1], 1, EndKind::Done);
     let earlier = end(1, tasks[0], 1, EndKind::Done);
@@ -268,10 +267,10 @@
     assert_eq!(view.phase, Phase::Complete);
 }
 
-/// A worker lists so many ends at once; a run whose end comes with the next list
-/// was partitioned_at.
+/// A worker lists a limited number of ends at once. A run whose end comes with the next list
+/// was begun.
 #[test]
-fn release_unlisted_more_ends_than_listed_at_once() {
+fn release_unlisted_more_ends_than_one_list() {
     let (id, record) = job(1, vec![step(1)]);
     let kept = Recovered {
         jobs: vec![(id, record)],
@@ -300,7 +299,7 @@
     assert_eq!(view.phase, Phase::Complete);
 }
 
-/// A worker's other runs do not lapse while an end of it waits for a slow store.
+/// The lease of a worker's other runs is renewed while one of its ends waits for a slow store.
 #[test]
 fn renew_leases_end_waits_for_slow_store() {
     let (mut harness, worker, tasks) = after_starts(2);
@@ -314,15 +313,15 @@
     }
     assert!(
         harness.actions.iter().any(is_renewed),
-        "{} is leased anew while the end is not in the store",
+        "the lease for {} is not renewed while the end is not in the store",
         tasks[1]
     );
 }
 
-/// One end of a gang stands for all, and completes the job; until that is in the
-/// store, a new leader needs the ends of the other members too.
+/// The end of one member counts for the whole gang and completes the job. Until that is stored,
+/// a new leader needs the ends of the other members too.
 #[test]
-fn take_end_of_gang_that_is_not_recorded_as_done() {
+fn handle_end_of_gang_not_stored_as_done() {
     let pair = [FakeWorker::new("w0", 1000), FakeWorker::new("w1", 1000)];
     let mut harness = Harness::new(Recovered::default(), &pair);
     let gang = StepSpec {
@@ -337,7 +336,7 @@
     harness.submit(1, vec![gang]);
     harness.commit_all();
     let members = harness.starts();
-    // The workers are asked on, since they have other runs too.
+    // The workers are still polled, since they have other runs too.
     harness.submit(2, vec![other]);
     harness.commit_all();
     let others = harness.starts();
@@ -351,7 +350,7 @@
         let ended = vec![end(1, *task, *run, EndKind::Done)];
         harness.answer_poll_running_and_ended(*worker, other_run, ended);
     }
-    // Less than the time after which leases are renewed beside a commit.
+    // Less than the time after which leases are renewed during a commit.
     for _ in 0..10 {
         harness.now = harness.now + POLL_INTERVAL;
         harness.handle(Event::Tick);
@@ -364,8 +363,8 @@
     assert_eq!(forgotten_count, 2, "the job is recorded as complete");
 }
 
-/// Returns a leader with a run on the first of two workers, and these with another life of
-/// the first one's machine.
+/// Returns a leader with a run on the first of two workers, and both workers with another
+/// incarnation of the first one's machine between them.
 fn with_run_on_live_worker() -> (Harness, [FakeWorker; 3], WorkerKey) {
     let (live, other_incarnation) = incarnations(true);
     let idle = FakeWorker::new("w2", 1000);
@@ -376,23 +375,23 @@
     let start = harness.starts()[0];
     harness.answer_started(start);
     assert_eq!(Some(start.0), harness.scheduler.worker_key("w0"));
-    // The look that is open is answered.
+    // Answers the open poll.
     harness.answer_poll_running(start.0, start.1);
     let [live, idle] = listed;
     (harness, [live, other_incarnation, idle], start.0)
 }
 
-/// Found on aigerim-galleries, in a mix of our own: workers crashed behind a cut and
-/// started again; a write of the earlier life came to the store after the next life had
-/// been listed. The leader, whose term was younger than the earlier life's first entry,
-/// took that one for the newer life, gave up the live one's runs and started them again
-/// elsewhere. An entry alone tells nothing of which life is later: the address does.
+/// Workers crashed during a partition and started again, and a write of the earlier incarnation
+/// reached the store after the next incarnation had been listed. A leader whose term was
+/// younger than the earlier incarnation's first entry once mistook that incarnation for the
+/// newer one, released the runs of the live one and started them again elsewhere. An entry
+/// alone doesn't say which incarnation is later: the answer at its address does.
 #[test]
-fn list_workers_entry_of_earlier_life() {
+fn list_workers_entry_of_earlier_incarnation() {
     let (mut harness, listed, worker) = with_run_on_live_worker();
     harness.list_workers(&listed);
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "its run goes on");
+    assert_eq!(harness.starts(), vec![], "its run keeps running");
     let earlier = harness.scheduler.worker_key("w1").expect("a listed worker");
     harness.handle(Event::HoldAnswered {
         worker: earlier,
@@ -404,16 +403,16 @@
     assert_eq!(harness.starts(), vec![]);
 }
 
-/// Where the listed life is the later one, the worker is asked at once, and its address
-/// answers for it.
+/// Where the listed incarnation is the later one, the worker is polled at once, and the answer
+/// at its address confirms it.
 #[test]
-fn list_workers_entry_of_later_life() {
+fn list_workers_entry_of_later_incarnation() {
     let (mut harness, listed, worker) = with_run_on_live_worker();
     harness.actions.clear();
     harness.list_workers(&listed);
-    let is_asked =
+    let is_poll =
         |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == worker);
-    assert!(harness.actions.iter().any(is_asked), "asked at once");
+    assert!(harness.actions.iter().any(is_poll), "polled at once");
     harness.handle(Event::HoldAnswered {
         worker,
         sent_at: harness.now,
@@ -422,13 +421,13 @@
     let later = harness.scheduler.worker_key("w1").expect("a listed worker");
     harness.answer_poll(later, Vec::new());
     harness.commit_all();
-    assert_eq!(harness.starts().len(), 1, "its run starts again");
+    assert_eq!(harness.starts().len(), 1, "its task starts again");
 }
 
-/// A lasting task is not kept from running again by the long leases of the store's trouble,
-/// also where workers would keep longer ones.
+/// The long leases that are granted while the store is degraded do not delay the restart of a
+/// perpetual task, even where workers accept longer ones.
 #[test]
-fn renew_leases_lost_worker_after_store_trouble() {
+fn renew_leases_lost_worker_after_degraded_store() {
     let workers = workers(2);
     let mut harness = Harness::with_lease_limit(LONG_LEASE_LIMIT, &workers);
     harness.submit(1, vec![step(1)]);
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -1,4 +1,4 @@
-//! Single cases, most of them failures that were found on the users' bench.
+//! Single cases, most of them regression tests for failures seen in test deployments.
 
 use crate::support::harness::{end, failed, workers, Harness};
 use crate::support::simulation::{Faults, Simulation};
@@ -10,10 +10,10 @@
 use ospreywing_types::{Duration, Resources};
 use rstest::rstest;
 
-/// Found on swaramala-ow hunt-0d08-3: a new leader is listed the ends that the
-/// old one had noted but not acknowledged, and counted the failure again.
+/// A worker lists the ends that an earlier leader recorded but did not acknowledge again to the
+/// next leader, which once counted the same failure a second time.
 #[test]
-fn take_end_listed_again_by_next_leader() {
+fn handle_end_listed_again_to_next_leader() {
     let (id, record) = job(1, vec![step(1)]);
     let mut state = JobState::default();
     let mut kept = Recovered {
@@ -41,16 +41,16 @@
         }
         assert_eq!(state.phase, Phase::Active);
         assert_eq!(state.rounds[0].steps[0].tasks[0].failed_runs, vec![1]);
-        // The next leader comes before the second run was sent.
+        // The next leader takes over before the second run was sent.
         state.rounds[0].steps[0].tasks[0].status = TaskStatus::Waiting;
         kept.states = vec![(id, state.clone())];
     }
 }
 
-/// Found on aigerim-galleries mix 303545282396: every retry granted a new
-/// lease, so a silent worker's runs were never given up.
+/// Every retry of a poll once granted a new lease, so that the runs of an unresponsive worker
+/// were never released.
 #[test]
-fn renew_leases_silent_worker() {
+fn renew_leases_unresponsive_worker() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
@@ -64,7 +64,7 @@
     let granted = harness.actions.iter().any(|action| {
         matches!(action, Action::Hold { to, until_ms: Some(_), .. } if to.worker == first.0)
     });
-    assert!(!granted, "a silent worker is granted nothing");
+    assert!(!granted, "an unresponsive worker is granted no lease");
     for _ in 0..6 {
         harness.leave_poll_unanswered(first.0);
     }
@@ -75,9 +75,9 @@
     assert_ne!(worker, first.0);
 }
 
-/// A silent worker's runs are not given up while a lease may hold.
+/// The runs of an unresponsive worker are not released while its lease may hold.
 #[test]
-fn give_up_lapsed_lease_that_may_hold() {
+fn release_expired_lease_may_hold() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
@@ -90,10 +90,10 @@
     assert_eq!(harness.starts(), vec![]);
 }
 
-/// Found on scale-2 of both sites: goodness was learned from workers known to
-/// be good, so that a gang asked about two unknown workers at a time.
+/// The share of suitable workers was once learned from workers known to be suitable, so that a
+/// gang asked about two unknown workers at a time.
 #[test]
-fn seek_for_gang_few_good_workers() {
+fn search_for_gang_few_suitable_workers() {
     let mut simulation = Simulation::new(3, 16, Faults::default(), Some(advice()));
     simulation.suitable_one_in = 4;
     for number in 1..=6 {
@@ -106,10 +106,10 @@
     simulation.run_until_done(40_000);
 }
 
-/// Found on swaramala-ow mix 516891905458: a gang waited for its good workers,
-/// which other gangs kept busy, and asked nobody about the workers that were free.
+/// A gang once waited for its suitable workers, which other gangs kept busy, without asking
+/// about the workers that were free.
 #[test]
-fn seek_for_gang_good_workers_busy() {
+fn search_for_gang_suitable_workers_busy() {
     let policy = AdvicePolicy {
         decision_ms: 1.0,
         per_worker_ms: 10.0,
@@ -128,15 +128,15 @@
     assert_eq!(
         first,
         vec![8, 4, 4],
-        "each call names a part of the workers, more while advisers are idle"
+        "each request names a part of the workers, a larger one while adviser nodes are idle"
     );
     harness.commit_all();
     assert_eq!(
         harness.starts().len(),
         4,
-        "two gangs fill their good workers"
+        "two gangs fill their suitable workers"
     );
-    // The gang waits a while before it looks further, after each call.
+    // After each request the gang waits a while before it asks about further workers.
     for _ in 0..20 {
         harness.answer_advice_requests(&["w0", "w1", "w9"]);
         harness.commit_all();
@@ -144,10 +144,9 @@
     assert_eq!(harness.starts().len(), 2, "the third starts on another");
 }
 
-/// Found on swaramala-ow scale-2: tasks that could wait took the room away bit
-/// by bit that gangs needed at once.
+/// Tasks with time to spare once took, bit by bit, the capacity that gangs needed all at once.
 #[test]
-fn yields_to_gangs_while_there_is_time() {
+fn yields_to_gangs_with_time_to_spare() {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(3), Some(advice()));
     harness.handle(Event::NodesListed(vec!["n1".into()]));
     let gang = StepSpec {
@@ -168,7 +167,7 @@
     harness.submit(9, vec![patient]);
     harness.commit_all();
     assert_eq!(harness.answer_advice_requests(&["w0", "w1", "w2"]), vec![]);
-    // Its objective is 21 s, of which it needs 10 and keeps 4 in hand.
+    // Its objective is 21 s: it needs 10 s and keeps 4 s in reserve.
     harness.now = harness.now + Duration::from_ms(8_000);
     harness.commit_all();
     assert_eq!(harness.answer_advice_requests(&["w0", "w1", "w2"]).len(), 1);
@@ -176,8 +175,8 @@
     assert_eq!(harness.starts().len(), 1);
 }
 
-/// Fills two workers with four tasks of the job, which are so far on, and has a
-/// gang of two ask for room there.
+/// Fills two workers with four tasks of the job, all at this progress, then submits a gang of
+/// two that needs capacity there.
 fn gang_before_full_workers((id, record): (JobId, JobRecord), progress_percent: u32) -> Harness {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(2), Some(advice()));
     harness.handle(Event::NodesListed(vec!["n1".into()]));
@@ -200,17 +199,21 @@
     harness
 }
 
-/// Found on the grown swaramala-ow: gangs came too late although less urgent
-/// work, which could have gone on later from its checkpoints, had their room.
+/// Gangs once started too late although less urgent work held their capacity, which could have
+/// resumed later from its checkpoints.
 #[test]
-fn plan_preemption_saving_work() {
+fn plan_preemption_of_checkpointed_work() {
     let mut harness = gang_before_full_workers(low_priority_job(1, 4), 50);
     let stops = harness.stops();
     assert_eq!(stops.len(), 2, "as many as the gang needs");
-    assert_eq!(harness.starts(), vec![], "the room is not free yet");
+    assert_eq!(harness.starts(), vec![], "the capacity is not free yet");
     harness.answer_advice_requests(&["w0", "w1"]);
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "nor with the tickets there");
+    assert_eq!(
+        harness.starts(),
+        vec![],
+        "not free with the tickets there either"
+    );
     for (number, (worker, task, run)) in (1..).zip(stops.iter().copied()) {
         let checkpoint = Some("half".to_owned());
         let end = EndedRun {
@@ -228,8 +231,8 @@
     assert_eq!(harness.stops(), vec![], "nothing else is stopped");
 }
 
-/// What would lose much, is as urgent, has no time to spare or is nearly done
-/// goes on.
+/// A run is not preempted if it would lose much work, is as urgent, has no time to spare or is
+/// nearly done.
 #[rstest]
 #[case::saves_nothing(|record: &mut JobRecord| record.spec.steps[0].saves_progress = false, 50)]
 #[case::nearly_done(|_: &mut JobRecord| (), 80)]
@@ -246,7 +249,7 @@
     assert_eq!(harness.stops(), vec![]);
 }
 
-/// Work that saves nothing is preempted where it has barely begun.
+/// Work that saves no checkpoints is preempted if it has barely begun.
 #[test]
 fn plan_preemption_barely_begun() {
     let (id, mut record) = low_priority_job(1, 4);
@@ -255,19 +258,19 @@
     assert_eq!(harness.stops().len(), 2);
 }
 
-/// Found on the grown swaramala-ow: gangs beyond those that wait for room were
-/// not looked at, though their good workers were free.
+/// Gangs behind those that wait for capacity were once not considered, though workers suitable
+/// for them were free.
 #[test]
-fn seek_for_gang_beyond_those_that_wait() {
+fn search_for_gang_behind_waiting_gangs() {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(24), Some(advice()));
-    // Enough of them that no call waits for another.
+    // Enough nodes that no request waits for another.
     let nodes = (0..60).map(|number| format!("n{number}").into());
     harness.handle(Event::NodesListed(nodes.collect()));
     let gang = |tasks_count| StepSpec {
         is_gang: true,
         ..step(tasks_count)
     };
-    // More than all good workers hold.
+    // More than all suitable workers hold.
     for number in 1..=20 {
         harness.submit(number, vec![gang(20)]);
         harness.answer_advice_requests(&["w0", "w1"]);
@@ -284,10 +287,10 @@
         .all(|(_, task, _)| task.step.job == JobId::new(21)));
 }
 
-/// Found on the grown gallery's trouble-3: after an outage many steps named the
-/// same three workers, the freest, in call after call, and most of them in vain.
+/// After an outage many steps once named the same three workers, those with the most free
+/// capacity, in request after request, most of which found no capacity left.
 #[test]
-fn choose_named_beside_open_calls() {
+fn choose_queried_beside_open_requests() {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(12), Some(advice()));
     let nodes = (0..6).map(|number| format!("n{number}").into());
     harness.handle(Event::NodesListed(nodes.collect()));
@@ -302,11 +305,15 @@
     }
     first_named.sort();
     first_named.dedup();
-    assert_eq!(first_named.len(), 6, "each call begins with another worker");
+    assert_eq!(
+        first_named.len(),
+        6,
+        "each request begins with another worker"
+    );
     harness.answer_advice_requests(&["w0", "w1", "w2", "w3", "w4", "w5"]);
     harness.commit_all();
-    assert_eq!(harness.starts().len(), 12, "no step needs another call");
-    // What was counted on is free again for later calls.
+    assert_eq!(harness.starts().len(), 12, "no step needs another request");
+    // The capacity that the requests counted on is free again for later ones.
     harness.submit(7, vec![step(2)]);
     assert!(!harness.answer_advice_requests(&["w11"]).is_empty());
 }
@@ -331,18 +338,18 @@
     harness.answer_started(first);
     harness.submit(2, vec![serving]);
     harness.commit_all();
-    assert_eq!(harness.starts().len(), 1, "the serving task starts");
+    assert_eq!(harness.starts().len(), 1, "the serving task starts at once");
     assert_eq!(harness.stops(), vec![first], "the filler is stopped");
     harness.answer_poll(first.0, vec![end(1, first.1, first.2, EndKind::Stopped)]);
     harness.submit(3, vec![filler]);
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "no filler comes beside it");
+    assert_eq!(harness.starts(), vec![], "no filler is placed beside it");
 }
 
-/// Found on the grown gallery's trouble-1: a gang whose good workers others had
-/// taken waited 2.5 s before it asked about workers that were free all the while.
+/// A gang whose suitable workers other gangs had taken once waited 2.5 s before it asked about
+/// workers that had been free all the time.
 #[test]
-fn ask_about_free_completes_room() {
+fn request_about_free_workers_completes_gang() {
     let policy = AdvicePolicy {
         decision_ms: 1.0,
         per_worker_ms: 10.0,
@@ -364,7 +371,7 @@
     assert_eq!(
         harness.starts().len(),
         4,
-        "two gangs fill their good workers"
+        "two gangs fill their suitable workers"
     );
     let begun = harness.now;
     for _ in 0..20 {
@@ -377,8 +384,8 @@
     assert!(harness.now.since(begun) < Duration::from_ms(1500));
 }
 
-/// Found on the grown gallery's trouble-1: beside a store that took 0.24 s for
-/// an answer, three commits at a time were too few and jobs waited for seconds.
+/// With a store that took 0.24 s for an answer, three concurrent commits were once too few, and
+/// jobs waited for seconds.
 #[test]
 fn flush_commits_slow_store() {
     let mut harness = Harness::new(Recovered::default(), &workers(60));
@@ -388,7 +395,7 @@
         harness.submit(number, vec![step(2)]);
         harness.now = harness.now + Duration::from_ms(30);
         harness.handle(Event::Tick);
-        // A state that changes again waits for the commit that is on its way.
+        // A state that changes again waits for its commit in flight.
         harness.handle(Event::CancelAccepted {
             job: JobId::new(number),
         });
@@ -403,14 +410,14 @@
     let committed_count = jobs.len();
     jobs.sort();
     jobs.dedup();
-    assert_eq!(jobs.len(), committed_count, "no job is on its way twice");
+    assert_eq!(jobs.len(), committed_count, "no job is in flight twice");
 }
 
-/// Found on reading: an outcome that was on its way was written once more.
+/// An outcome that was in flight was once written a second time.
 #[test]
-fn settle_ended_jobs_outcome_on_its_way() {
+fn queue_outcomes_outcome_in_flight() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
-    // Nothing of it is placed, so that only the outcome is to be written.
+    // No task of it is placed, so that only the outcome is to be written.
     let huge = StepSpec {
         demand: Resources::new(64_000, 1000, 0),
         ..step(1)
@@ -444,7 +451,7 @@
     assert_eq!(view, Some(Phase::Canceled));
 }
 
-/// A task that can't be started anywhere doesn't keep others from it.
+/// A task that fits no worker doesn't block others.
 #[test]
 fn place_impossible_demand() {
     let mut simulation = Simulation::new(5, 3, Faults::default(), None);
@@ -481,10 +488,10 @@
         .all(|worker| worker.runs.is_empty()));
 }
 
-/// Suspected on swaramala-ow scale-2 974114645300: a worker that once listed a
-/// run that nobody can account for was never asked again, nor given anything.
+/// A worker that once listed a run of an unknown job must still be polled and given work.
+/// Polling was suspected to stop there.
 #[test]
-fn take_running_unknown_job() {
+fn handle_running_unknown_job() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     let worker = harness.scheduler.worker_key("w0").unwrap();
     let stray = job(77, Vec::new()).0;
@@ -501,24 +508,28 @@
         .actions
         .iter()
         .any(|action| matches!(action, Action::Hold { to, .. } if to.worker == worker));
-    assert!(is_asked, "the worker is asked until the stray run is gone");
+    assert!(
+        is_asked,
+        "the worker is polled until the unknown run is gone"
+    );
 }
 
-/// The advice for a step's other tasks outlives the end of one of them.
+/// The advice for a step's other tasks stays valid when one of them ends.
 #[test]
-fn after_end_one_of_many() {
+fn after_end_one_of_many_tasks() {
     let mut simulation = Simulation::new(2, 6, Faults::default(), Some(advice()));
     simulation.submit(job(1, vec![step(40)]));
     simulation.run_until_done(60_000);
-    // One call per wave of tasks, not one per task.
+    // One request per wave of tasks, not one per task.
     assert!(
         simulation.advice_calls_count < 20,
-        "{} calls",
+        "{} advice requests",
         simulation.advice_calls_count
     );
 }
 
-/// A job that fails for good is shown as failed after its attempts, no more.
+/// A job whose task always fails is reported as failed after its attempts, and not started
+/// again.
 #[test]
 fn end_job_attempts_used_up() {
     let faults = Faults {
@@ -536,10 +547,10 @@
     );
 }
 
-/// A worker that does not list a recorded run under the new fence never
-/// begins it: the task starts again at once, with a higher run.
+/// A worker that does not list a recorded run under the new fence can no longer begin it: the
+/// task starts again at once, with a higher run number.
 #[test]
-fn release_unlisted_start_never_sent() {
+fn release_unlisted_start_not_sent() {
     let (id, record) = job(1, vec![step(1)]);
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     harness.submit(1, vec![step(1)]);
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -1,19 +1,19 @@
-//! Workers that start again under the id that they had.
+//! Workers that start again under the same id.
 //!
-//! What users saw: tasks that had ended well ran a second time half a second later; other
-//! jobs never went on, though most of the workers' room was free.
+//! The failures: tasks that had ended well ran a second time half a second later, and other
+//! jobs made no progress though most of the workers' capacity was free.
 //!
-//! The order of events: a worker without runs crashes and is back within a second under its
-//! id. Nobody asks it meanwhile, since nothing runs there. A task starts there and ends well,
-//! as number 1 of the new life. The leader has heard of some ends of the life before, takes
-//! number 1 for one of those, and passes it over. Its next look tells the worker to forget
-//! the ends of the life before: either that covers number 1, and the task seems to have
-//! vanished and starts again, or the worker does not heed it, lists the end on and on, and
-//! the task counts as running until the worker crashes the next time.
+//! The sequence of events: a worker without runs crashes and is back within a second under its
+//! id. It is not polled meanwhile, since nothing runs there. A task starts there and ends well;
+//! its end gets number 1 of the new incarnation. The leader has seen some ends of the previous
+//! incarnation, mistakes number 1 for one of those, and skips it. Its next poll tells the
+//! worker to forget the ends of the previous incarnation. If that covers number 1, the task
+//! seems to have vanished and starts again. If the worker ignores it, it lists the end in every
+//! answer, and the task counts as running until the worker's next crash.
 //!
-//! The evidence: each story has runs on a worker that had started again 0.8 to 2.4 s before.
-//! Tasks that stood still went on within two seconds of their worker's next crash, 12 to
-//! 50 s later. No worker was ever taken for gone.
+//! The evidence: each such task had a run on a worker that had restarted 0.8 to 2.4 s before.
+//! Tasks that made no progress resumed within two seconds of their worker's next crash, 12 to
+//! 50 s later. No worker was ever considered lost.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::simulation::{Faults, Simulation};
@@ -26,13 +26,13 @@
 use ospreywing_types::Duration;
 use rstest::rstest;
 
-/// Long enough for a job, and for a worker to be back.
+/// Long enough for a job, and for a worker to restart.
 const JOB_MS: u64 = 4_000;
 const OUTCOME_LIMIT_MS: u64 = 20_000;
 /// Longer than a leader waits for the answer to a stop.
 const STOP_RETRY: Duration = Duration::from_ms(1_000);
 
-/// Returns a world of workers that tell their start, on which some work has been done.
+/// Returns a simulation of workers that report their incarnations, in which some jobs have run.
 fn simulation_at_work(seed: u64, workers_count: usize) -> Simulation {
     let mut simulation = Simulation::new(seed, workers_count, Faults::default(), None);
     simulation.report_incarnation_starts(false);
@@ -50,11 +50,12 @@
     }
 }
 
-/// The task is started twice, which the rules of the world find.
+/// The end is forgotten unseen, and the task is started twice, which breaks the simulation's
+/// rules.
 #[rstest]
 #[case::tasks(step(2))]
 #[case::gang(gang(2))]
-fn take_end_next_life_forgets_ends(#[case] spec: StepSpec, #[values(1, 2, 3)] seed: u64) {
+fn handle_end_next_incarnation_forgets_ends(#[case] spec: StepSpec, #[values(1, 2, 3)] seed: u64) {
     let mut simulation = simulation_at_work(seed, 1);
     simulation.restart(0);
     simulation.run_for(JOB_MS);
@@ -63,11 +64,14 @@
     assert_eq!(simulation.phase(JobId::new(9)), Some(Phase::Complete));
 }
 
-/// The job waits for ever for the members of its last run.
+/// The end is listed but skipped, and the job never gets its outcome.
 #[rstest]
 #[case::tasks(step(2))]
 #[case::gang(gang(2))]
-fn take_end_next_life_lists_ends_on(#[case] spec: StepSpec, #[values(1, 2, 3)] seed: u64) {
+fn handle_end_next_incarnation_keeps_listing_ends(
+    #[case] spec: StepSpec,
+    #[values(1, 2, 3)] seed: u64,
+) {
     let mut simulation = simulation_at_work(seed, 1);
     simulation.workers[0].ignores_foreign_acks = true;
     simulation.restart(0);
@@ -77,7 +81,7 @@
     assert_eq!(simulation.phase(JobId::new(9)), Some(Phase::Complete));
 }
 
-/// Has a worker answer a look as the life with this start, without runs.
+/// Answers a poll as the incarnation that started at this time, without runs.
 fn answer_poll_as(harness: &mut Harness, key: WorkerKey, life_start_ms: u64, ended: Vec<EndedRun>) {
     let sent_at = harness.now;
     harness.now = harness.now + Duration::from_ms(20);
@@ -94,7 +98,7 @@
     });
 }
 
-/// Returns a bench whose only worker, in its first life, has been sent a task's start.
+/// Returns a harness whose only worker, in its first incarnation, has been sent a start.
 fn harness_with_start() -> (Harness, (WorkerKey, TaskKey, u32)) {
     let workers = workers(1);
     let mut harness = Harness::new(Recovered::default(), &workers);
@@ -106,12 +110,12 @@
     (harness, start)
 }
 
-/// A start that nobody answered may be carried out after its run was given up. The life that
-/// knew of the stop refuses it; the next one has to be told too.
+/// An unanswered start may be carried out after its run was released. The incarnation that
+/// received the stop refuses it; the next incarnation needs a stop of its own.
 #[test]
-fn begin_next_life_refuses_open_start() {
+fn begin_next_incarnation_refuses_open_start() {
     let (mut harness, (first, task, run)) = harness_with_start();
-    // Each repeat of it is lost too.
+    // Each repeat is lost too.
     for _ in 0..3 {
         harness.handle(Event::StartAnswered {
             worker: first,
@@ -130,10 +134,10 @@
     assert_eq!(harness.stops(), [(next, task, run)]);
 }
 
-/// A life that follows is told once more to refuse an unanswered start where the first such
-/// stop got no answer: the start is carried out there otherwise, after its run has ended.
+/// The stop that makes the next incarnation refuse an unanswered start is repeated until it is
+/// answered. Otherwise the start may be carried out there after its run has ended.
 #[test]
-fn begin_next_life_refuses_open_start_until_answered() {
+fn begin_next_incarnation_refuses_open_start_until_answered() {
     let (mut harness, start) = harness_with_start();
     let (first, task, run) = start;
     harness.handle(Event::StartAnswered {
@@ -160,14 +164,17 @@
     assert_eq!(
         harness.stops(),
         [(next, task, run)],
-        "repeated, and answered now"
+        "the stop is repeated, and answered this time"
     );
     harness.now = harness.now + STOP_RETRY;
     harness.handle(Event::Tick);
-    assert!(harness.stops().is_empty(), "repeated after its answer");
+    assert!(
+        harness.stops().is_empty(),
+        "the stop is repeated after its answer"
+    );
 }
 
-/// Takes out the stops that were sent, and answers none.
+/// Drains the stops that were sent without answering them.
 fn drain_stops(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
     let taken = core::mem::take(&mut harness.actions);
     let stops = taken.into_iter().filter_map(|action| match action {
@@ -177,10 +184,10 @@
     stops.collect()
 }
 
-/// Ends of one life don't count as heard of because an earlier one has listed as many, and
-/// are not acknowledged to the wrong one.
+/// An incarnation's ends do not count as seen because an earlier incarnation listed as many,
+/// and the earlier one's ends are not acknowledged to it.
 #[test]
-fn begin_next_life_acknowledges_nothing_of_before() {
+fn begin_next_incarnation_acknowledges_no_earlier_ends() {
     let workers = workers(1);
     let mut harness = Harness::new(Recovered::default(), &workers);
     let first = harness.scheduler.worker_key("w0").expect("a worker");
@@ -207,22 +214,22 @@
     harness.commit_all();
     let phase = harness.scheduler.job(JobId::new(1)).map(|job| job.phase);
     assert_eq!(phase, Some(Phase::Complete));
-    let told = harness.actions.iter().filter_map(|action| match action {
+    let acknowledged = harness.actions.iter().filter_map(|action| match action {
         Action::Hold { to, last_seen, .. } if to.worker == next => Some(*last_seen),
         _ => None,
     });
     assert!(
-        told.max() <= Some(1),
-        "an end of the life before is acknowledged"
+        acknowledged.max() <= Some(1),
+        "an end of the previous incarnation is acknowledged"
     );
 }
 
-/// An entry that names another life takes the worker out of use until the worker itself has
-/// answered: its room may be another, and the entry may be one of an earlier life.
+/// An entry that names another incarnation stops placing on the worker until the worker itself
+/// has answered: its capacity may differ, and the entry may be of an earlier incarnation.
 #[rstest]
-#[case::it_is_the_later(2)]
-#[case::it_was_written_late(1)]
-fn take_entry_of_other_life(#[case] answering_ms: u64) {
+#[case::entry_is_newer(2)]
+#[case::entry_is_stale(1)]
+fn handle_entry_of_other_incarnation(#[case] answering_ms: u64) {
     let workers = workers(1);
     let mut harness = Harness::new(Recovered::default(), &workers);
     let first = harness.scheduler.worker_key("w0").expect("a worker");
@@ -230,14 +237,18 @@
     harness.list_incarnation(&workers[0], 2);
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
-    assert_eq!(harness.starts(), [], "nothing starts there meanwhile");
-    let asked = |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == first);
-    assert!(harness.actions.iter().any(asked), "it is asked at once");
+    assert_eq!(
+        harness.starts(),
+        [],
+        "nothing starts there before it has answered"
+    );
+    let is_poll = |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == first);
+    assert!(harness.actions.iter().any(is_poll), "it is polled at once");
     answer_poll_as(&mut harness, first, answering_ms, Vec::new());
     harness.commit_all();
     let is_used = !harness.starts().is_empty();
     assert_eq!(is_used, answering_ms == 2);
-    // The life that answers writes its entry again some time.
+    // The incarnation that answers updates its entry at some time.
     harness.list_incarnation(&workers[0], answering_ms);
     harness.commit_all();
     let key = harness.scheduler.worker_key("w0").expect("a worker");
@@ -246,24 +257,26 @@
     assert!(is_used || !harness.starts().is_empty());
 }
 
-/// A leader that has met no worker yet, and one whose entry names the life with this start.
+/// Returns a new leader that has polled no worker, and whose worker's entry names the
+/// incarnation that started at this time.
 fn harness_with_entry(worker: &FakeWorker, life_start_ms: u64) -> Harness {
     let mut harness = Harness::after_evicted_leader(Recovered::default());
     harness.list_incarnation(worker, life_start_ms);
     harness
 }
 
-/// Has a job wait for the worker; returns how many starts were sent.
+/// Commits and places what is waiting; returns how many starts were sent.
 fn starts_after_commits_count(harness: &mut Harness) -> usize {
     harness.commit_all();
     harness.starts().len()
 }
 
-/// The room of a life is what its own entry tells: that of another one may hold more.
+/// An incarnation's capacity is known only from its own entry: another incarnation's may be
+/// larger.
 #[rstest]
 #[case::first_answer(&[2])]
 #[case::later_answer(&[1, 2])]
-fn begin_life_entry_not_written_yet(#[case] answering_ms: &[u64]) {
+fn begin_incarnation_entry_not_written_yet(#[case] answering_ms: &[u64]) {
     let worker = &workers(1)[0];
     let mut harness = harness_with_entry(worker, 1);
     for life_start_ms in answering_ms {
@@ -276,10 +289,10 @@
     assert_eq!(starts_after_commits_count(&mut harness), 1);
 }
 
-/// A start that was reckoned on the clock of the life before may have leased the next one for
-/// as long as a worker leases at all, longer than the leader grants.
+/// A start whose lease was computed on the previous incarnation's clock may have leased the
+/// next one for the longest time that a worker accepts, longer than the leader grants.
 #[test]
-fn give_up_lapsed_lease_by_clock_of_life_before() {
+fn release_expired_lease_by_clock_of_previous_incarnation() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     let first = harness.scheduler.worker_key("w0").expect("a worker");
     answer_poll_as(&mut harness, first, 1, Vec::new());
@@ -314,36 +327,37 @@
     while starts_after_commits_count(&mut harness) == 0 {
         harness.leave_poll_unanswered(next);
         waited_s += 1;
-        assert!(waited_s < 12, "the run is given up some time");
+        assert!(waited_s < 12, "the run is never released");
     }
-    // 1.6 s for each round of silence and commits.
-    assert!(waited_s >= 4, "given up after {waited_s} rounds");
+    // Each round of unanswered polls and commits takes 1.6 s.
+    assert!(waited_s >= 4, "released after {waited_s} rounds");
 }
 
-/// What happens to a start until another life answers.
+/// The state of a start when another incarnation answers.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StartState {
-    /// It is on its way.
+    /// It is in flight.
     InFlight,
-    /// It was answered after the look was sent.
+    /// It was answered after the poll was sent.
     AnsweredAfterPoll,
-    /// It was answered before, and the worker has not listed it since.
+    /// It was answered before the poll, and the worker has not listed its run since.
     Answered,
-    /// Its first sending was not answered, its second one was.
+    /// Its first copy was not answered, its second one was.
     AnsweredOnRepeat,
-    /// Neither of its sendings was answered, so it is being stopped.
+    /// None of its copies was answered, so it is being stopped.
     Unanswered,
 }
 
-/// What a life does not list that answers for the first time may have begun there, may still
-/// begin, or is lost: it is waited for, stopped there, or started again at once.
+/// A run that an incarnation does not list in its first answer may have begun there, may still
+/// begin, or is lost. Accordingly the leader waits, stops it there, or starts the task again at
+/// once.
 #[rstest]
 #[case::in_flight(StartState::InFlight, 0, 0)]
 #[case::answered_after_poll(StartState::AnsweredAfterPoll, 0, 0)]
 #[case::answered(StartState::Answered, 0, 1)]
 #[case::answered_on_repeat(StartState::AnsweredOnRepeat, 1, 0)]
 #[case::unanswered(StartState::Unanswered, 1, 0)]
-fn begin_next_life_unlisted_run(
+fn begin_next_incarnation_unlisted_run(
     #[case] before: StartState,
     #[case] stops_count: usize,
     #[case] starts_count: usize,
@@ -398,7 +412,8 @@
     harness.commit_all();
     assert_eq!(harness.starts().len(), starts_count);
     if before == StartState::InFlight {
-        // Its answer counts for the life that may have it: unlisted from then on, it is gone.
+        // The answer counts for the incarnation that may have the run: not listed from then on,
+        // the run is lost.
         harness.answer_started(start);
         harness.now = harness.now + Duration::from_ms(20);
         answer_poll_as(&mut harness, next, 2, Vec::new());
@@ -406,10 +421,10 @@
     }
 }
 
-/// A look that was sent before another life was listed at the worker's address tells nothing
-/// of what came since.
+/// The answer to a poll that was sent before another incarnation was listed at the worker's
+/// address says nothing about the time since.
 #[test]
-fn doubt_outlasts_answer_of_earlier_look() {
+fn incarnation_unconfirmed_after_answer_of_earlier_poll() {
     let known = FakeWorker::new("w0", 1000);
     let mut other = FakeWorker::new("w1", 1000);
     other.address = known.address.clone();
@@ -438,15 +453,18 @@
     first_task(JobId::new(99))
 }
 
-/// Whom a task was given to is on record with the life that was meant. The next leader, which
-/// has met another life only, still learns that the worker crashed under the task.
+/// A placement is recorded with the incarnation that it was meant for. A new leader that has
+/// polled only a later incarnation still records that the worker crashed under the task.
 #[rstest]
 #[case::same_life(1, 0)]
 #[case::next_life(2, 1)]
-fn record_lost_lives_after_takeover(#[case] answering_ms: u64, #[case] crashes_count: usize) {
+fn record_lost_incarnations_after_takeover(
+    #[case] answering_ms: u64,
+    #[case] crashes_count: usize,
+) {
     let (id, record) = job(1, vec![step(1)]);
     let bytes = placed_at_incarnation("w0", 1, 1).to_bytes();
-    let state = JobState::from_bytes(&bytes).expect("it was written here");
+    let state = JobState::from_bytes(&bytes).expect("a state that was encoded here");
     let recovered = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, state)],
@@ -458,16 +476,16 @@
     let key = harness.scheduler.worker_key("w0").expect("a worker");
     answer_poll_as(&mut harness, key, answering_ms, Vec::new());
     let states = harness.commit_all();
-    let state = states.last().expect("the task is placed anew");
+    let state = states.last().expect("the task is placed again");
     assert_eq!(state.crashes.len(), crashes_count);
 }
 
-/// What a silent worker had is on record until it answers. The same life has only been cut
-/// off; another one says that the crash is certain.
+/// A crash under the runs of an unresponsive worker is recorded as unconfirmed until it
+/// answers. The same incarnation was only partitioned; another one confirms the crash.
 #[rstest]
 #[case::same_life(1, &[])]
 #[case::next_life(2, &[true])]
-fn retract_silence_after_takeover(#[case] answering_ms: u64, #[case] confirmed: &[bool]) {
+fn retract_suspected_crashes_after_takeover(#[case] answering_ms: u64, #[case] confirmed: &[bool]) {
     let (id, record) = job(1, vec![step(1)]);
     let recovered = Recovered {
         jobs: vec![(id, record)],
@@ -478,19 +496,20 @@
     let mut harness = Harness::after_evicted_leader(recovered);
     harness.list_incarnation(&workers[0], answering_ms);
     let key = harness.scheduler.worker_key("w0").expect("a worker");
-    // Until every lease of an earlier leader is over.
+    // Until every lease that an earlier leader may have granted has expired.
     for _ in 0..10 {
         harness.leave_poll_unanswered(key);
     }
     harness.commit_all();
     answer_poll_as(&mut harness, key, answering_ms, Vec::new());
     let states = harness.commit_all();
-    let state = states.last().expect("the task is placed anew");
+    let state = states.last().expect("the task is placed again");
     let found = state.crashes.iter().map(|crash| crash.is_confirmed);
     assert_eq!(found.collect::<Vec<bool>>(), confirmed);
 }
 
-/// Where workers tell no starts, progress is written as nodes of the version before read it.
+/// Where workers report no incarnations, progress is stored in the form that nodes of the
+/// previous version read.
 #[rstest]
 #[case::no_start(placed_state("w0", 1), 1)]
 #[case::start(placed_at_incarnation("w0", 7, 1), 6)]
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -1,7 +1,6 @@
-//! Searches over interleavings: seeds draw delays, losses, late orders,
-//! crashes, cuts and takeovers; the rules are checked at each start, the
-//! scheduler's invariants after each event, and every job must have its
-//! outcome once the faults are over.
+//! Searches over interleavings. A seed draws delays, losses, late orders, crashes, partitions
+//! and takeovers. The rules are checked at each start and the scheduler's invariants after each
+//! event, and every job must have its outcome once the faults are over.
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{
@@ -12,17 +11,17 @@
 use rstest::rstest;
 use std::ops::Range;
 
-/// Seeds per case in CI; `OSPREYWING_SEARCH_SEEDS` sets another number.
+/// Seeds per case in CI; `OSPREYWING_SEARCH_SEEDS` overrides the number.
 const SEEDS_COUNT: u64 = 25;
 const SEEDS_VARIABLE: &str = "OSPREYWING_SEARCH_SEEDS";
-/// Sets the first seed; 0 otherwise.
+/// Overrides the first seed, 0.
 const FIRST_SEED_VARIABLE: &str = "OSPREYWING_SEARCH_FIRST_SEED";
 const FAULT_PHASE_MS: u64 = 12_000;
 const RECOVERY_LIMIT_MS: u64 = 90_000;
-/// Orders are carried out up to 12 s late; then their runs are found and stopped.
+/// Late orders are carried out up to 12 s late; then their runs must be found and stopped.
 const LATE_LIMIT_MS: u64 = 15_000;
-/// One innocent job in so many may be failed, at most, where three tasks crash ten
-/// workers and everything else goes wrong beside it: the bound on restarts goes first.
+/// At most one job in so many may be failed by mistake, where three tasks crash ten workers
+/// beside all other faults: the bound on restarts has precedence.
 const OTHER_JOBS_FAILED_ONE_IN: usize = 1000;
 
 const NO_FAULTS: Faults = Faults {
@@ -43,7 +42,7 @@
     held_order: 0,
 };
 
-/// Much of what may go wrong at once.
+/// Most faults at once.
 const ALL_FAULTS: Faults = Faults {
     lost_answer: 40,
     late_order: 40,
@@ -56,20 +55,20 @@
     ..NO_FAULTS
 };
 
-/// Workers that start again under their ids, and orders that outlive their connections.
+/// Workers that start again under their ids, and orders that outlast their connections.
 const RESTARTS_BESIDE_LATE_ORDERS: Faults = Faults {
     restart: 40,
     late_order: 80,
     ..NO_FAULTS
 };
 
-/// Seeds that found something, in whichever case: they are searched always.
+/// Seeds that have exposed failures, in any case: always searched.
 const CRASH_REGRESSION_SEEDS: [u64; 8] = [71, 119, 123, 284, 311, 500_089, 500_370, 13];
 const RESTART_REGRESSION_SEEDS: [u64; 2] = [4_000_023, 4_000_458];
 const GANG_REGRESSION_SEEDS: [u64; 1] = [502_288];
 const LIMIT_REGRESSION_SEEDS: [u64; 3] = [73, 800_209, 800_536];
 
-/// Returns the seeds to be searched.
+/// Returns the seeds to search.
 fn seeds() -> Range<u64> {
     let number = |variable| {
         let set = std::env::var(variable);
@@ -96,7 +95,7 @@
 
 fn search_seeds(faults: Faults, policy: Option<AdvicePolicy>) {
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 6, faults, policy);
         simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
@@ -114,7 +113,7 @@
         simulation.run_until_done(RECOVERY_LIMIT_MS);
         assert!(
             simulation.rules.starts_count >= 10,
-            "seed {seed} started next to nothing"
+            "seed {seed}: too few starts to test anything"
         );
     }
 }
@@ -158,8 +157,8 @@
     search_seeds(faults, has_advice.then(advice));
 }
 
-/// Workers that start again under the ids that they had, at once or while nobody hears of
-/// them, with their entries written late.
+/// Workers start again under their ids, at once or before any poll of the leader notices, and
+/// their entries are written late.
 #[rstest]
 #[case::alone(Faults { restart: 60, ..Faults::default() })]
 #[case::lost_answers(Faults { restart: 60, lost_answer: 80, ..Faults::default() })]
@@ -174,7 +173,7 @@
     pause: 20,
     ..ALL_FAULTS
 })]
-fn scheduler_keeps_lives_apart(
+fn scheduler_tells_incarnations_apart(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
     #[values(false, true)] ignores_foreign_acks: bool,
@@ -186,10 +185,10 @@
     }
 }
 
-/// Orders that are carried out 2 to 12 s late, some in the life that follows under the same
-/// id. A ticket holds for one life, so queues with advice are safe.
+/// Orders are carried out 2 to 12 s late, some of them by the next incarnation under the same
+/// id. A ticket is valid for one incarnation, so queues with advice are safe.
 #[rstest]
-fn scheduler_keeps_lives_apart_beside_late_orders(
+fn scheduler_tells_incarnations_apart_beside_late_orders(
     #[values(false, true)] ignores_foreign_acks: bool,
 ) {
     for seed in seeds() {
@@ -199,17 +198,19 @@
     }
 }
 
-/// The same without advice: a start that was never answered is carried out in the next life
-/// before the leader has heard of that one. Its task has ended well elsewhere meanwhile.
+/// The same without advice. The first copy of a start gets no answer; a repeat is carried out
+/// and its run ends well. The first copy is carried out up to 12 s after it was sent by the
+/// worker's next incarnation, before the leader's first poll of that incarnation, so no order
+/// of the leader can arrive sooner.
 #[rstest]
 fn late_start_in_life_not_heard_of(#[values(3125, 3202, 3260, 912_641)] seed: u64) {
     run_late_orders_without_advice(seed);
 }
 
-/// The same, but the leader has heard of the next life, and its stop of the start got no
-/// answer.
+/// The same, except that the leader has polled the next incarnation and sent it a stop for the
+/// start, which got no answer. The stop must be repeated.
 #[rstest]
-fn late_start_refused_by_next_life(
+fn late_start_refused_by_next_incarnation(
     #[values(
         3125, 3202, 3260, 910_127, 910_399, 910_825, 911_339, 911_388, 911_914, 911_919, 912_256,
         912_780
@@ -225,7 +226,7 @@
     run_with_restarts(seed, simulation);
 }
 
-/// Hands jobs of all kinds in while faults strike.
+/// Submits jobs of all kinds while faults are injected.
 fn submit_during_faults(simulation: &mut Simulation) {
     for number in 1..=16 {
         let steps = match number % 4 {
@@ -241,14 +242,14 @@
 }
 
 fn run_with_restarts(seed: u64, mut simulation: Simulation) {
-    // Shown where the test fails.
+    // Printed if the test fails.
     println!("seed {seed}");
     simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
     submit_during_faults(&mut simulation);
     simulation.run_until_done(RECOVERY_LIMIT_MS);
 }
 
-/// Data centres that the operators cordon and open again.
+/// Operators cordon data centres and lift the cordons again.
 #[rstest]
 #[case::alone(Faults { cordon: 60, ..Faults::default() })]
 #[case::takeovers(Faults { cordon: 60, takeover: 40, ..Faults::default() })]
@@ -265,7 +266,7 @@
         if faults.restart > 0 {
             simulation.report_incarnation_starts(false);
         }
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
         simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         submit_during_faults(&mut simulation);
@@ -273,13 +274,13 @@
         simulation.run_until_done(RECOVERY_LIMIT_MS);
         assert!(
             simulation.rules.starts_count >= 16,
-            "seed {seed} started next to nothing"
+            "seed {seed}: too few starts to test anything"
         );
     }
 }
 
-/// Runs about as long as leases, and leaders that follow one another at the end of
-/// the store's trouble, in which leases are long.
+/// Runs about as long as leases, and takeovers as the store recovers, after a time in which
+/// leases were long.
 #[rstest]
 #[case::late_partitions(Faults { degraded_store: 60, takeover: 5, partition: 10, ..Faults::default() })]
 #[case::lost_answers(Faults {
@@ -298,9 +299,9 @@
     drain: 5,
     ..Faults::default()
 })]
-fn scheduler_outlives_long_leases(#[case] faults: Faults) {
+fn scheduler_recovers_from_long_leases(#[case] faults: Faults) {
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 8, faults, None);
         simulation.run_durations_ms = 200..7_000;
@@ -314,20 +315,20 @@
     }
 }
 
-/// Gangs whose good workers are few, among work that could take their room.
+/// Gangs with few suitable workers, beside other work that could take their capacity.
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::everything(ALL_FAULTS)]
-fn scheduler_serves_gangs_on_few_good_workers(#[case] faults: Faults) {
+fn scheduler_serves_gangs_on_few_suitable_workers(#[case] faults: Faults) {
     for seed in seeds().chain(GANG_REGRESSION_SEEDS) {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 16, faults, Some(advice()));
         simulation.suitable_one_in = 4;
         simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=24 {
             let steps = match number % 3 {
-                // Two good workers, which crashes leave, hold four.
+                // The two suitable workers that crashes leave hold four tasks.
                 0 => vec![gang(4)],
                 1 => vec![gang(2), after(0, gang(3))],
                 _ => vec![step(8)],
@@ -340,21 +341,21 @@
     }
 }
 
-/// Gangs that take the room of patient work, which goes on later.
+/// Gangs preempt low-priority work, which resumes later.
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::everything(ALL_FAULTS)]
 fn scheduler_preempts_for_gangs(#[case] faults: Faults) {
     let mut resumed_count = 0;
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 8, faults, Some(advice()));
-        // All are good, so that patient work fills them all.
+        // All workers are suitable, so that low-priority work fills them all.
         simulation.suitable_one_in = 1;
         simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=20 {
-            // Patient work fills the workers before each gang comes.
+            // Low-priority work fills the workers before each gang is submitted.
             let job = match number % 2 {
                 0 => job(number, vec![gang(3)]),
                 _ => low_priority_job(number, 16),
@@ -366,18 +367,19 @@
         simulation.run_until_done(RECOVERY_LIMIT_MS);
         resumed_count += simulation.rules.resumed_count;
     }
-    assert!(resumed_count > 0, "nothing went on from a checkpoint");
+    assert!(resumed_count > 0, "no run resumed from a checkpoint");
 }
 
-/// Long runs of a customer that fills the cell give way to others' short jobs, and go on later.
+/// Long runs of a customer that fills the cell are preempted for others' short jobs, and resume
+/// later.
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, lost_answer: 40, ..Faults::default() })]
 #[case::everything(Faults { resize: 20, pause: 20, ..ALL_FAULTS })]
-fn scheduler_preempts_by_shares(#[case] faults: Faults) {
+fn scheduler_preempts_by_fair_shares(#[case] faults: Faults) {
     let mut resumed_count = 0;
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 8, faults, None);
         simulation.run_durations_ms = 3_000..9_000;
@@ -399,11 +401,11 @@
         simulation.run_until_done(RECOVERY_LIMIT_MS);
         resumed_count += simulation.rules.resumed_count;
     }
-    assert!(resumed_count > 0, "nothing went on from a checkpoint");
+    assert!(resumed_count > 0, "no run resumed from a checkpoint");
 }
 
-/// Jobs of which one task crashes each worker that starts it, beside others: its starts
-/// are bounded, and no other job is failed for them.
+/// One task of some jobs crashes each worker that starts it: its starts are bounded, and no
+/// other job is failed for the crashes.
 #[rstest]
 #[case::alone(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, ..Faults::default() })]
@@ -411,7 +413,7 @@
 #[case::crashes(Faults { crash: 20, takeover: 10, ..Faults::default() })]
 #[case::degraded_store(Faults { degraded_store: 40, takeover: 20, ..Faults::default() })]
 #[case::everything(Faults { failing_run: 0, resize: 20, pause: 20, ..ALL_FAULTS })]
-fn scheduler_gives_up_what_crashes_workers(
+fn scheduler_fails_jobs_that_crash_workers(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
@@ -423,13 +425,13 @@
     check_other_jobs_failed(other_jobs_failed_count);
 }
 
-/// The same where workers that are crashed start again under their ids, beside others that do.
+/// The same where crashed workers start again under their ids, and others restart too.
 #[rstest]
 #[case::alone(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, ..Faults::default() })]
 #[case::restarts(Faults { restart: 10, takeover: 20, ..Faults::default() })]
 #[case::partitions(Faults { partition: 30, lost_answer: 40, restart: 10, ..Faults::default() })]
-fn scheduler_gives_up_what_restarts_workers(
+fn scheduler_fails_jobs_that_restart_workers(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
@@ -449,14 +451,14 @@
 fn check_other_jobs_failed(other_jobs_failed_count: usize) {
     assert!(
         other_jobs_failed_count * OTHER_JOBS_FAILED_ONE_IN <= seeds().count() * 13,
-        "{other_jobs_failed_count} innocent jobs were failed"
+        "{other_jobs_failed_count} jobs that crash no worker were failed"
     );
 }
 
-/// Plays jobs of which three crash their workers; returns how many others were failed.
+/// Runs 16 jobs, of which three crash their workers; returns how many of the others failed.
 fn run_crashing_jobs(seed: u64, mut simulation: Simulation) -> usize {
     let mut other_jobs_failed_count = 0;
-    // Shown where the test fails.
+    // Printed if the test fails.
     println!("seed {seed}");
     simulation.crashing_jobs = [3, 6, 7].map(JobId::new).into();
     simulation.faults_end_ms = simulation.now_ms + 2 * FAULT_PHASE_MS;
@@ -484,8 +486,8 @@
     other_jobs_failed_count
 }
 
-/// Jobs that are cancelled while their starts are on their way, late or answered in vain,
-/// and while leaders follow one another: nothing of them runs on.
+/// Jobs are cancelled while their starts are in flight, late or with a lost answer, and while
+/// leaders are replaced: none of their runs keeps running.
 #[rstest]
 #[case::late_orders(Faults { late_order: 150, lost_answer: 80, ..Faults::default() })]
 #[case::takeovers(Faults { late_order: 80, takeover: 40, ..Faults::default() })]
@@ -496,12 +498,9 @@
     stale_entry: 50,
     ..ALL_FAULTS
 })]
-fn scheduler_stops_what_is_cancelled(
-    #[case] faults: Faults,
-    #[values(false, true)] has_advice: bool,
-) {
+fn scheduler_stops_cancelled_jobs(#[case] faults: Faults, #[values(false, true)] has_advice: bool) {
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 6, faults, has_advice.then(advice));
         simulation.run_durations_ms = 200..60_000;
@@ -518,8 +517,8 @@
     }
 }
 
-/// Customers whose limits are changed all the time, below what they have running and up
-/// again: none has more running than it may.
+/// Customers' limits change continually, to below what they have running and up again: no
+/// customer has more running than its limit allows.
 #[rstest]
 #[case::quiet(Faults { limit: 100, ..Faults::default() })]
 #[case::takeovers(Faults { limit: 100, takeover: 40, ..Faults::default() })]
@@ -532,7 +531,7 @@
     #[values(false, true)] has_advice: bool,
 ) {
     for seed in seeds().chain(LIMIT_REGRESSION_SEEDS) {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
         let policy = has_advice.then(advice);
         let mut simulation = Simulation::new(seed, 8, faults, policy);
@@ -559,8 +558,9 @@
     }
 }
 
-/// Customers whose gangs need up to all of their limit, which is lowered meanwhile, beside
-/// short jobs, at two services: none has more running than it may, and every gang gets in.
+/// Customers' gangs need up to all of their limit, which is lowered meanwhile, beside short
+/// jobs at two services: no customer has more running than its limit allows, and every gang
+/// starts.
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::limits(Faults { limit: 60, ..Faults::default() })]
@@ -578,7 +578,8 @@
     }
 }
 
-/// The same where what a step waits for is taken off its customer's limit.
+/// The same without the backfill feature, where a waiting step's demand counts against its
+/// customer's limit.
 #[rstest]
 fn scheduler_keeps_customers_limits_without_backfill(#[values(false, true)] has_advice: bool) {
     let faults = Faults {
@@ -594,7 +595,7 @@
 }
 
 fn run_reservations(seed: u64, mut simulation: Simulation, policy: Option<AdvicePolicy>) {
-    // Shown where the test fails.
+    // Printed if the test fails.
     println!("seed {seed}");
     simulation.suitable_one_in = 1;
     simulation.split_services();
--- a/crates/scheduler/tests/scheduler/support/harness.rs
+++ b/crates/scheduler/tests/scheduler/support/harness.rs
@@ -265,9 +265,9 @@
         });
     }
 
-    /// Answers the open advice calls, with tickets for the suitable workers only; returns how
-    /// many workers each call named.
-    pub fn answer_advice_requests(&mut self, good: &[&str]) -> Vec<usize> {
+    /// Answers the open advice requests, with tickets for the suitable workers only; returns how
+    /// many workers each request named.
+    pub fn answer_advice_requests(&mut self, suitable: &[&str]) -> Vec<usize> {
         let taken = core::mem::take(&mut self.actions);
         let mut named_counts = Vec::new();
         for action in taken {
@@ -276,7 +276,7 @@
                 continue;
             };
             named_counts.push(workers.len());
-            let found = workers.iter().filter(|to| good.contains(&&*to.id));
+            let found = workers.iter().filter(|to| suitable.contains(&&*to.id));
             let tickets = found.map(|to| Ticket {
                 worker: to.id.clone(),
                 text: "ticket".into(),
--- a/crates/scheduler/tests/scheduler/wait_reasons.rs
+++ b/crates/scheduler/tests/scheduler/wait_reasons.rs
@@ -1,4 +1,4 @@
-//! Why steps wait: each reason is reasons_of, once it has lasted.
+//! The reasons for which steps wait: each is logged once it has lasted.
 
 use crate::support::harness::{workers, Harness};
 use crate::support::{advice, configuration_with, customer, job_of, step};
@@ -8,9 +8,9 @@
 use ospreywing_types::Duration;
 use rstest::rstest;
 
-/// As long as a wait lasts before it is reasons_of, and a little more.
+/// A little longer than a wait lasts before it is logged.
 const LOGGED_AFTER: Duration = Duration::from_ms(3100);
-/// The time between two cycles of these tests.
+/// The time between two cycles in these tests.
 const CYCLE: Duration = Duration::from_ms(100);
 
 fn gang(tasks_count: u32) -> StepSpec {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Lets time pass in which nothing is answered; returns the lines on waits.
+/// Advances the time without any answer; returns the logged decisions on waits.
 fn logged_waits_during(harness: &mut Harness, length: Duration) -> Vec<Decision> {
     let until = harness.now + length;
     let mut lines = Vec::new();
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn step_waits_for_room() {
+fn step_waits_for_capacity() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
-    // Two fit.
+    // Two of three tasks fit.
     harness.submit(1, vec![step(3)]);
     harness.commit_all();
     let lines = logged_waits_during(&mut harness, LOGGED_AFTER);
     assert_eq!(reasons_of(&lines), [WaitReason::Room.as_str()]);
-    assert!(lines[0].figure >= 3000, "since when it waits");
+    assert!(lines[0].figure >= 3000, "how long it has waited");
     let status = harness.scheduler.status(harness.now);
     let room = status.waits[WaitReason::Room as usize];
     assert_eq!(room.steps_count, 1);
@@ -78,9 +78,9 @@
     assert_eq!(reasons_of(&lines), [WaitReason::Limit.as_str()]);
 }
 
-/// Told again each ten seconds, and no more once it has started.
+/// A wait is logged again every ten seconds, and no more once the step has started.
 #[test]
-fn step_waits_told_again() {
+fn step_waits_logged_again() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     harness.submit(1, vec![step(3)]);
     harness.commit_all();
--- a/crates/scheduler/tests/scheduler/worker_reservations.rs
+++ b/crates/scheduler/tests/scheduler/worker_reservations.rs
@@ -1,16 +1,16 @@
-//! Steps that wait for room on workers known to be good.
+//! Steps that wait for capacity on workers known to be suitable, which is reserved for them.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{advice, low_priority_job, step};
 use ospreywing_scheduler::{EndKind, Event, JobId, Recovered, StepSpec, TaskKey, WorkerKey};
 use ospreywing_types::{Duration, Resources};
 
-/// The workers of these tests.
+/// The number of workers in these tests.
 const WORKERS_COUNT: usize = 6;
-/// The job that fills a worker.
+/// The number of the job whose task fills a worker.
 const LARGE_JOB: u64 = 99;
 
-/// Returns the step of one task that fills a worker.
+/// Returns a step of one task that fills a worker.
 fn filling_step() -> StepSpec {
     StepSpec {
         demand: Resources::new(4000, 2000, 0),
@@ -19,8 +19,8 @@
     }
 }
 
-/// Returns a scheduler whose workers are filled by a patient job's tasks that are
-/// so far on, and the starts of these.
+/// Returns a harness whose workers are filled by tasks of a low-priority job at this progress,
+/// and the starts of these.
 fn full_workers(progress_percent: u32) -> (Harness, Vec<(WorkerKey, TaskKey, u32)>) {
     let mut harness = Harness::with_advice(
         Recovered::default(),
@@ -33,8 +33,8 @@
     let ids: Vec<String> = (0..WORKERS_COUNT)
         .map(|number| format!("w{number}"))
         .collect();
-    let good: Vec<&str> = ids.iter().map(String::as_str).collect();
-    harness.answer_advice_requests(&good);
+    let suitable: Vec<&str> = ids.iter().map(String::as_str).collect();
+    harness.answer_advice_requests(&suitable);
     harness.commit_all();
     let starts = harness.starts();
     assert_eq!(starts.len(), 2 * WORKERS_COUNT);
@@ -45,28 +45,28 @@
     (harness, starts)
 }
 
-fn tick(harness: &mut Harness, good: &[&str]) -> Vec<usize> {
+fn tick(harness: &mut Harness, suitable: &[&str]) -> Vec<usize> {
     harness.now = harness.now + Duration::from_ms(20);
     harness.handle(Event::Tick);
-    harness.answer_advice_requests(good)
+    harness.answer_advice_requests(suitable)
 }
 
-/// Found on bluemahoe-ops trouble-1 and scale-1: a task that needs a whole worker
-/// asked about one worker with room at a time, and never began.
+/// A task that needs a whole worker once asked only about workers with free capacity, one at a
+/// time, and never began.
 #[test]
-fn seek_for_tasks_learns_of_all_workers_at_once() {
+fn search_for_tasks_asks_about_all_workers_at_once() {
     let (mut harness, _) = full_workers(80);
     harness.submit(LARGE_JOB, vec![filling_step()]);
     let named: usize = harness.answer_advice_requests(&["w4"]).into_iter().sum();
-    assert_eq!(named, WORKERS_COUNT, "also those without room");
+    assert_eq!(named, WORKERS_COUNT, "also those without free capacity");
 }
 
 #[test]
-fn await_workers_keeps_later_work_off() {
+fn await_workers_reserves_capacity() {
     let (mut harness, starts) = full_workers(80);
     harness.submit(LARGE_JOB, vec![filling_step()]);
     harness.answer_advice_requests(&["w4"]);
-    // One half of the good worker is free, and something small wants it.
+    // One half of the suitable worker is free, and a small task could use it.
     let w4 = harness.scheduler.worker_key("w4").expect("a listed worker");
     let mut on_w4 = starts.iter().filter(|(worker, ..)| *worker == w4);
     let (_, first, run) = *on_w4.next().expect("a run");
@@ -77,7 +77,7 @@
         tick(&mut harness, &["w4"]);
     }
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "the room is kept");
+    assert_eq!(harness.starts(), vec![], "the capacity is reserved");
     harness.answer_poll(w4, vec![end(2, second, second_run, EndKind::Done)]);
     for _ in 0..5 {
         tick(&mut harness, &["w4"]);
@@ -90,19 +90,19 @@
 }
 
 #[test]
-fn preempt_for_tasks_stops_what_loses_little() {
+fn preempt_for_tasks_runs_that_lose_little() {
     let (mut harness, _) = full_workers(10);
     harness.submit(LARGE_JOB, vec![filling_step()]);
     harness.answer_advice_requests(&["w4"]);
     tick(&mut harness, &["w4"]);
     let w4 = harness.scheduler.worker_key("w4").expect("a listed worker");
     let stops = harness.stops();
-    assert_eq!(stops.len(), 2, "both runs of the good worker");
+    assert_eq!(stops.len(), 2, "both runs of the suitable worker");
     assert!(stops.iter().all(|(worker, ..)| *worker == w4));
 }
 
 #[test]
-fn preempt_for_tasks_spares_what_is_nearly_done() {
+fn preempt_for_tasks_runs_nearly_done() {
     let (mut harness, _) = full_workers(80);
     harness.submit(LARGE_JOB, vec![filling_step()]);
     harness.answer_advice_requests(&["w4"]);
