--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -1,4 +1,5 @@
-//! Which jobs are refused at once, and that only those are which would be done too late.
+//! Which jobs are rejected at once, and that these are only jobs that would have finished too
+//! late.
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{configuration, job, step, QUEUE};
@@ -14,16 +15,16 @@
 
 const WORKERS_COUNT: usize = 4;
 const SEEDS_COUNT: u64 = 2;
-/// A short job comes each so many milliseconds, for so long.
+/// The time between two short jobs.
 const PERIOD_MS: u64 = 250;
 const LOAD_MS: u64 = 8_000;
 const STEP_MS: u64 = 50;
 const SHORT_MS: u64 = 500;
-/// The estimate of long tasks, of which the first take all of the room.
+/// The estimate of long tasks, which occupy the whole capacity.
 const LONG_MS: u64 = 30_000;
 /// A short job's objective: twice its estimate, and one second.
 const SHORT_OBJECTIVE_MS: u64 = 2_000;
-/// Everything is done within this time after the load.
+/// The time after the load within which all jobs are done.
 const DONE_WITHIN_MS: u64 = 120_000;
 
 fn short_job(number: u64, now_ms: u64) -> (JobId, JobRecord) {
@@ -36,22 +37,21 @@
     (id, record)
 }
 
-/// How a scenario came out.
+/// The outcome of a scenario.
 #[derive(Default)]
 struct Outcome {
-    /// The jobs that were refused, and when that was for the first time, from the begin of the
-    /// load.
-    refused_ms: BTreeMap<JobId, u64>,
-    /// When refused callers came back.
+    /// When each rejected job was rejected first, since the begin of the load.
+    rejected_ms: BTreeMap<JobId, u64>,
+    /// When the callers of rejected jobs submit them again.
     retries_ms: Vec<u64>,
-    /// How long each job took from when it was first handed in.
+    /// How long each job took since it was first submitted.
     took_ms: BTreeMap<JobId, u64>,
 }
 
 struct Scenario {
     features: Features,
     lengths_percent: core::ops::Range<u64>,
-    /// A new leader begins at this time.
+    /// When a new leader takes over, since the begin of the load.
     takeover_at_ms: Option<u64>,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Plays a load of short jobs beside long tasks that take all room.
+    /// Runs a load of short jobs beside long tasks that occupy the whole capacity.
     fn run(&self, seed: u64) -> Outcome {
         let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
         simulation.run_durations_percent = Some(self.lengths_percent.clone());
@@ -80,7 +80,7 @@
         simulation.run_for(500);
         let begun_ms = simulation.now_ms;
         let mut outcome = Outcome::default();
-        // The jobs by when they are handed in, and when that was for the first time.
+        // When each job is submitted next, with its number, and when it was first due.
         let mut callers: BTreeMap<(u64, u64), u64> = (0..LOAD_MS / PERIOD_MS)
             .map(|number| {
                 let at_ms = begun_ms + number * PERIOD_MS;
@@ -101,7 +101,7 @@
                 match refusal(&simulation, &record) {
                     Some(refusal) => {
                         let since_ms = at_ms - begun_ms;
-                        outcome.refused_ms.entry(id).or_insert(since_ms);
+                        outcome.rejected_ms.entry(id).or_insert(since_ms);
                         let retry_ms = simulation.now_ms + refusal.come_back(draw).as_ms();
                         outcome.retries_ms.push(retry_ms);
                         callers.insert((retry_ms, number), first_ms);
@@ -132,38 +132,38 @@
     Features::default().without(Feature::Admission)
 }
 
-/// Where long work takes all room, short jobs are refused at once that would be worth nothing;
-/// their callers come back at different times, and all are served.
+/// While long tasks occupy the whole capacity, short jobs that would become worthless are
+/// rejected at once. Their callers retry at different times, and all are served in the end.
 #[test]
-fn refuse_only_what_would_be_late() {
-    let mut refused_count = 0;
+fn reject_only_jobs_that_would_be_late() {
+    let mut rejected_count = 0;
     for seed in 0..SEEDS_COUNT {
         let with = Scenario::new(Features::default()).run(seed);
         let without = Scenario::new(without_admission()).run(seed);
-        assert!(without.refused_ms.is_empty());
+        assert!(without.rejected_ms.is_empty());
         assert_eq!(with.took_ms.len(), without.took_ms.len(), "all are served");
-        refused_count += with.refused_ms.len();
-        for id in with.refused_ms.keys() {
+        rejected_count += with.rejected_ms.len();
+        for id in with.rejected_ms.keys() {
             let took_ms = without.took_ms[id];
             assert!(
                 took_ms > 3 * SHORT_OBJECTIVE_MS,
-                "seed {seed}: job {id} was refused and would have taken {took_ms} ms"
+                "seed {seed}: job {id} was rejected and would have taken {took_ms} ms"
             );
         }
         let moments: BTreeSet<u64> = with.retries_ms.iter().map(|at_ms| at_ms / 100).collect();
         assert!(
             2 * moments.len() > with.retries_ms.len().min(40),
-            "callers come back at once"
+            "callers retry at the same time"
         );
     }
-    println!("{refused_count} refused");
-    assert!(refused_count > 0);
+    println!("{rejected_count} rejected");
+    assert!(rejected_count > 0);
 }
 
-/// Tasks that take a fraction of their estimates, or many times as long, don't have anything
-/// refused that would have been served.
+/// If tasks take a fraction of their estimates, or much longer, no job is rejected that would
+/// have been served in time.
 #[test]
-fn refuse_with_wrong_estimates() {
+fn reject_with_wrong_estimates() {
     for lengths_percent in [40..60, 230..250] {
         for seed in 0..SEEDS_COUNT {
             let scenario = |features| Scenario {
@@ -172,16 +172,16 @@
             };
             let with = scenario(Features::default()).run(seed);
             let without = scenario(without_admission()).run(seed);
-            for id in with.refused_ms.keys() {
+            for id in with.rejected_ms.keys() {
                 assert!(without.took_ms[id] > 3 * SHORT_OBJECTIVE_MS);
             }
         }
     }
 }
 
-/// A new leader has nothing refused before it knows what runs.
+/// With a new leader nothing is rejected until it knows what is running.
 #[test]
-fn refuse_nothing_after_takeover() {
+fn reject_nothing_after_takeover() {
     let takeover_ms = 3_000;
     let without_takeover = Scenario::new(Features::default());
     let scenario = Scenario {
@@ -189,15 +189,15 @@
         ..Scenario::new(Features::default())
     };
     let window_ms = takeover_ms..takeover_ms + 4_000;
-    let refused_count = |scenario: &Scenario| {
-        let refused = scenario.run(1).refused_ms;
+    let rejected_count = |scenario: &Scenario| {
+        let refused = scenario.run(1).rejected_ms;
         refused
             .values()
             .filter(|at_ms| window_ms.contains(*at_ms))
             .count()
     };
-    assert!(refused_count(&without_takeover) > 0);
-    assert_eq!(refused_count(&scenario), 0);
+    assert!(rejected_count(&without_takeover) > 0);
+    assert_eq!(rejected_count(&scenario), 0);
 }
 
 fn forecast(done_ms: u64) -> Forecast {
@@ -214,33 +214,33 @@
     }
 }
 
-/// Returns whether a job is refused by a forecast that came so long ago.
-fn is_refused(forecast: &Forecast, record: &JobRecord, since_ms: u64) -> bool {
+/// Returns whether a job is rejected by a forecast that was received `since_ms` ago.
+fn is_rejected(forecast: &Forecast, record: &JobRecord, since_ms: u64) -> bool {
     let since = Duration::from_ms(since_ms);
     let refusal = forecast.refusal(record, &configuration(None), since);
     refusal.is_some()
 }
 
 #[test]
-fn refusal_by_age() {
+fn rejection_by_age() {
     let forecast = forecast(60_000);
     let (_, record) = short_job(1, 0);
     let limit_ms = FORECAST_AGE_LIMIT.as_ms() - forecast.age_ms;
-    assert!(is_refused(&forecast, &record, limit_ms));
-    assert!(!is_refused(&forecast, &record, limit_ms + 1));
+    assert!(is_rejected(&forecast, &record, limit_ms));
+    assert!(!is_rejected(&forecast, &record, limit_ms + 1));
 }
 
 #[test]
-fn refusal_by_worth() {
+fn rejection_when_worthless() {
     let (_, record) = short_job(1, 0);
     let worthless_ms = 3 * SHORT_OBJECTIVE_MS + 200;
-    assert!(!is_refused(&forecast(worthless_ms), &record, 0));
-    assert!(is_refused(&forecast(worthless_ms + 1), &record, 0));
+    assert!(!is_rejected(&forecast(worthless_ms), &record, 0));
+    assert!(is_rejected(&forecast(worthless_ms + 1), &record, 0));
 }
 
-/// A forecast tells nothing of jobs that need less, may take longer, or have no end.
+/// A forecast does not apply to jobs that need less, may take longer, or have no end.
 #[test]
-fn refusal_of_others() {
+fn rejection_of_other_jobs() {
     let forecast = forecast(60_000);
     let (_, record) = short_job(1, 0);
     let mut smaller = record.clone();
@@ -256,13 +256,14 @@
     let mut elsewhere = record;
     elsewhere.queue = crate::support::LOW_PRIORITY_QUEUE.to_owned();
     for record in [smaller, perpetual, scheduled, elsewhere] {
-        assert!(!is_refused(&forecast, &record, 0));
+        assert!(!is_rejected(&forecast, &record, 0));
     }
 }
 
-/// What is forecast is never later than room that is handed out millisecond by millisecond.
+/// The forecast is never later than an allocation of the free capacity millisecond by
+/// millisecond.
 #[test]
-fn done_after_is_no_later_than_room() {
+fn earliest_completion_no_later_than_allocation() {
     for seed in 0..200 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let capacity = Resources::new(16_000, 32_000, 4);
@@ -284,18 +285,18 @@
             .collect();
         let needed = Resources::new(rng.random_range(1..4_000), rng.random_range(1..8_000), 0);
         let needed_ms = 1_000;
-        let mut given = [0u64; 2];
+        let mut allocated = [0u64; 2];
         let mut now_ms = 0;
-        let is_given = |given: [u64; 2]| {
-            given[0] >= u64::from(needed.cores_milli) * needed_ms
-                && given[1] >= u64::from(needed.memory_mib) * needed_ms
+        let is_allocated = |allocated: [u64; 2]| {
+            allocated[0] >= u64::from(needed.cores_milli) * needed_ms
+                && allocated[1] >= u64::from(needed.memory_mib) * needed_ms
         };
-        while !is_given(given) {
+        while !is_allocated(allocated) {
             let mut free = capacity;
             let alive = runs.iter().filter(|(_, left_ms)| now_ms < *left_ms);
             alive.for_each(|(rate, _)| free -= *rate);
-            given[0] += u64::from(free.cores_milli);
-            given[1] += u64::from(free.memory_mib);
+            allocated[0] += u64::from(free.cores_milli);
+            allocated[1] += u64::from(free.memory_mib);
             now_ms += 1;
         }
         let amount = Amounts::of(&needed).times(needed_ms as f64);
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -1,4 +1,4 @@
-//! Which nodes make calls for advice, and which calls wait.
+//! Which nodes make advice requests, and which requests wait.
 
 use crate::support::harness::{workers, Harness};
 use crate::support::{configuration, job, low_priority_job, step, LOW_PRIORITY_QUEUE, QUEUE};
@@ -12,7 +12,7 @@
 
 const NODES_COUNT: usize = 8;
 const WORKERS_COUNT: usize = 40;
-/// A call about any number of workers takes this long.
+/// A request takes this long, for any number of workers.
 const LONG_CALL: Duration = Duration::from_ms(600);
 const SHORT_CALL: Duration = Duration::from_ms(30);
 
@@ -24,7 +24,8 @@
     }
 }
 
-/// Returns a configuration with an urgent queue and a low_priority one, whose drain_calls take so long.
+/// Returns a configuration with an urgent and a low-priority queue, whose requests take so
+/// long.
 fn queues(urgent: Duration, low_priority: Duration) -> Configuration {
     let mut configuration = configuration(None);
     configuration.version = 2;
@@ -43,7 +44,7 @@
     harness
 }
 
-/// Takes the drain_calls that were calls: whose each is, and which node makes it.
+/// Drains the requests that were sent; returns the job of each, and the node that makes it.
 fn drain_calls(harness: &mut Harness) -> Vec<(JobId, Arc<str>)> {
     let taken = core::mem::take(&mut harness.actions);
     let mut calls = Vec::new();
@@ -61,7 +62,7 @@
     nodes.len()
 }
 
-/// Answers a call that named whatever it did: nothing is good.
+/// Answers each request with no suitable worker.
 fn reject_all_workers(harness: &mut Harness) {
     let taken = core::mem::take(&mut harness.actions);
     for action in taken {
@@ -79,12 +80,12 @@
     }
 }
 
-/// Long drain_calls have all nodes but one while there are no short ones, and five of eight
-/// beside many.
+/// Long requests use all nodes but one while there are no short ones, and five of eight beside
+/// many short ones.
 #[rstest]
 #[case::no_short_calls(0, 7)]
 #[case::many_short_calls(60, 5)]
-fn ask_on_nodes_by_load(#[case] short_calls_count: u64, #[case] nodes_count: usize) {
+fn request_advice_on_nodes_by_load(#[case] short_calls_count: u64, #[case] nodes_count: usize) {
     let mut harness = harness_with(NODES_COUNT, queues(SHORT_CALL, LONG_CALL));
     for number in 0..short_calls_count {
         harness.submit_job(job(1000 + number, vec![step(1)]));
@@ -104,10 +105,10 @@
     assert_eq!(nodes_count_of(&long), nodes_count);
 }
 
-/// A low_priority step's long call is calls where a node has nothing to do, an urgent one's waits
-/// there for its turn.
+/// A low-priority step's long request is made only where a node is idle, an urgent one's is
+/// queued at a busy node.
 #[test]
-fn ask_patient_calls_do_not_wait_at_nodes() {
+fn request_advice_low_priority_not_queued_at_nodes() {
     let mut harness = harness_with(2, queues(LONG_CALL, LONG_CALL));
     let urgent = StepSpec {
         estimate_ms: 1_000,
@@ -123,11 +124,11 @@
     assert_eq!(
         jobs_asked,
         [1, 3],
-        "one node takes long calls, and has one to make"
+        "one node makes long requests, and one urgent request is queued there"
     );
 }
 
-/// Returns how many workers each call names that a wide step makes in a cell of so many nodes.
+/// Returns how many workers each request of a wide step names, in a cell of so many nodes.
 fn named_in_cell(nodes_count: usize) -> Vec<usize> {
     let mut configuration = queues(SHORT_CALL, LONG_CALL);
     let queue = configuration.queues.get_mut(QUEUE).expect("the queue");
@@ -146,36 +147,35 @@
     calls.collect()
 }
 
-/// Where many nodes have nothing to do, several ask about fewer workers each: the answer to
-/// the longest part is there in less than half of the time. In a small cell the others stay
-/// free.
+/// Where many nodes are idle, several ask about fewer workers each, so that the answer for the
+/// largest part takes less than half of the time. In a small cell the other nodes stay idle.
 #[rstest]
 #[case::small(7, 1)]
 #[case::large(64, 4)]
 #[case::larger(640, 4)]
-fn ask_in_parts_where_nodes_are_idle(#[case] nodes_count: usize, #[case] parts_count: usize) {
+fn request_advice_in_parts_on_idle_nodes(#[case] nodes_count: usize, #[case] parts_count: usize) {
     let named = named_in_cell(nodes_count);
     assert_eq!(named.iter().sum::<usize>(), WORKERS_COUNT);
     assert_eq!(named.len(), parts_count, "{named:?}");
 }
 
-/// The room on which a job counts whose call for advice is open is others' as soon as the job
-/// is cancelled, also where the call is answered much later.
+/// When a job is cancelled while its advice request is open, the capacity that it counted on is
+/// available to others at once, even if the request is answered much later.
 #[test]
-fn cancel_frees_room_counted_on_at_once() {
+fn cancel_frees_counted_capacity_at_once() {
     let mut harness = harness_with(NODES_COUNT, queues(LONG_CALL, LONG_CALL));
-    // Eight of them fill a worker, so that nothing is learned ahead.
+    // Eight tasks fill a worker, so that no worker is asked about in advance.
     let small = |tasks_count| StepSpec {
         demand: Resources::new(500, 100, 0),
         ..step(tasks_count)
     };
-    // It counts on all workers.
+    // The job counts on all workers.
     harness.submit(1, vec![small(8 * WORKERS_COUNT as u32)]);
     assert!(!drain_calls(&mut harness).is_empty());
     harness.submit(2, vec![small(4)]);
     assert!(
         drain_calls(&mut harness).is_empty(),
-        "no room is left to ask about"
+        "no free capacity is left to ask about"
     );
     harness.now = harness.now + Duration::from_ms(20);
     harness.cancel(1);
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -1,5 +1,5 @@
-//! Limits of customers that only what runs uses up, and the reservation for what waits for
-//! one.
+//! Customers' limits count only what runs, and a step that waits for a limit gets a reservation
+//! on it.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{
@@ -13,9 +13,9 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-/// The workers in these cases hold two tasks each.
+/// The workers of these tests hold two tasks each.
 const WORKERS_COUNT: usize = 8;
-/// A length that surely ends before a second has passed.
+/// A duration that surely ends within a second.
 const BRIEF_MS: u64 = 200;
 
 type Start = (WorkerKey, TaskKey, u32);
@@ -36,7 +36,7 @@
     harness.handle(Event::Configured(with_other_service(configuration)));
 }
 
-/// Takes the starts that were sent and answers them.
+/// Drains the starts that were sent and answers them.
 fn start_all(harness: &mut Harness) -> Vec<Start> {
     for _ in 0..6 {
         harness.now = harness.now + Duration::from_ms(10);
@@ -50,7 +50,7 @@
     starts
 }
 
-/// Lets time pass; returns how many starts were sent meanwhile.
+/// Advances the time; returns how many starts were sent meanwhile.
 fn wait(harness: &mut Harness, length_ms: u64) -> usize {
     let until = harness.now + Duration::from_ms(length_ms);
     let mut started_count = 0;
@@ -60,7 +60,7 @@
     started_count
 }
 
-/// Has all workers list the ends of these runs.
+/// Has the workers list the ends of these runs.
 fn end_all(harness: &mut Harness, starts: &[Start]) {
     let mut by_worker: BTreeMap<WorkerKey, Vec<EndedRun>> = BTreeMap::new();
     for (worker, task, run) in starts {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Hands in a job of the patient queue, which comes after all of the other.
+/// Submits a job of the low-priority queue, which is served after the other one.
 fn submit_low_priority(harness: &mut Harness, number: u64, spec: StepSpec) {
     let (id, mut record) = job_of("one", number, vec![spec]);
     record.queue = LOW_PRIORITY_QUEUE.to_owned();
@@ -102,12 +102,15 @@
     lines.collect()
 }
 
-/// What waits for workers of one service takes nothing of its customer's limit from what
-/// has room at another.
+/// A step that waits for workers of one service does not count against its customer's limit at
+/// another service that has free capacity.
 #[rstest]
 #[case::off(false, 0)]
 #[case::on(true, 3)]
-fn place_gang_beside_other_service_without_room(#[case] is_on: bool, #[case] started_count: usize) {
+fn place_gang_beside_other_service_without_capacity(
+    #[case] is_on: bool,
+    #[case] started_count: usize,
+) {
     let mut harness = harness_with(10, is_on);
     let (id, mut record) = job_of("one", 1, vec![step(10)]);
     record.queue = OTHER_QUEUE.to_owned();
@@ -116,11 +119,11 @@
     assert_eq!(start_all(&mut harness).len(), started_count);
 }
 
-/// A gang without room, which fits the limit, holds nothing of it for less urgent work.
+/// A gang that lacks capacity but fits the limit holds back no less urgent work by that limit.
 #[rstest]
 #[case::off(false, 0)]
 #[case::on(true, 3)]
-fn place_behind_gang_without_room(#[case] is_on: bool, #[case] started_count: usize) {
+fn place_behind_gang_without_capacity(#[case] is_on: bool, #[case] started_count: usize) {
     let mut harness = harness_with(7, is_on);
     harness.submit(1, vec![step(12)]);
     assert_eq!(start_all(&mut harness).len(), 12);
@@ -129,8 +132,8 @@
     assert_eq!(start_all(&mut harness).len(), started_count);
 }
 
-/// Behind a gang that waits for the limit starts what surely ends before its turn, or what
-/// fits beside it then.
+/// Behind a gang that waits for the limit, tasks start that surely end before its turn, or that
+/// fit beside it.
 #[rstest]
 #[case::too_long(5, step(1), 0)]
 #[case::brief(5, brief(1), 1)]
@@ -151,7 +154,8 @@
     assert_eq!(start_all(&mut harness).len(), started_count);
 }
 
-/// The customers' other tasks don't take what a gang has waited for, once that is there.
+/// The customer's other tasks don't take the part of the limit that a gang waits for when it
+/// becomes free.
 #[test]
 fn place_gang_at_end_of_reservation() {
     let mut harness = harness_with(5, true);
@@ -177,8 +181,8 @@
     assert_eq!(start_all(&mut harness).len(), 4);
 }
 
-/// Runs that take far longer than estimated don't keep up the customer's other work for
-/// ever.
+/// Runs that take far longer than estimated don't hold back the customer's other work without
+/// end.
 #[test]
 fn place_behind_reservation_estimates_wrong() {
     let mut harness = harness_with(5, true);
@@ -187,11 +191,11 @@
     harness.submit_job(job_of("one", 2, vec![gang(5)]));
     submit_low_priority(&mut harness, 3, step(1));
     assert_eq!(start_all(&mut harness).len(), 0);
-    // A second until it is due, and two beyond.
+    // The reservation is due after a second, and holds for two more.
     assert_eq!(wait(&mut harness, 3_200), 1);
 }
 
-/// More urgent work goes first, until a gang has waited for long.
+/// More urgent work is placed first, until a gang has waited for long.
 #[rstest]
 #[case::soon(400, 1)]
 #[case::late(2_400, 0)]
@@ -213,8 +217,8 @@
     assert_eq!(start_all(&mut harness).len(), started_count);
 }
 
-/// Below half of the limit a gang holds other work back for two seconds, and then for a while
-/// not at all.
+/// While less than half of the limit is in use, a gang holds other work back for two seconds,
+/// and then for a while not at all.
 #[test]
 fn place_behind_large_gang_below_half() {
     let mut harness = harness_with(6, true);
@@ -229,7 +233,7 @@
     assert_eq!(wait(&mut harness, 300), 1);
 }
 
-/// A gang that can never fit the limit, since it was lowered, holds nothing back.
+/// A gang that can no longer fit the limit, since it was lowered, holds nothing back.
 #[test]
 fn place_behind_gang_beyond_lowered_limit() {
     let mut harness = harness_with(6, true);
@@ -242,20 +246,20 @@
     assert_eq!(start_all(&mut harness).len(), 1);
 }
 
-/// A gang that runs without an end keep out leaves the reservation to one that comes later.
+/// A gang that waits for perpetual runs to end leaves the reservation to a later one.
 #[test]
-fn place_behind_gang_beside_endless_runs() {
+fn place_behind_gang_beside_perpetual_runs() {
     let mut harness = harness_with(5, true);
-    let endless = StepSpec {
+    let perpetual = StepSpec {
         is_perpetual: true,
         ..step(2)
     };
-    harness.submit_job(job_of("one", 1, vec![endless]));
+    harness.submit_job(job_of("one", 1, vec![perpetual]));
     harness.submit_job(job_of("one", 2, vec![step(1)]));
     let running = start_all(&mut harness);
     harness.submit_job(job_of("one", 3, vec![gang(4)]));
     harness.submit_job(job_of("one", 4, vec![gang(3)]));
-    // Until both have been worked out.
+    // Until the reservations of both have been computed.
     for _ in 0..4 {
         assert_eq!(start_all(&mut harness).len(), 0);
     }
@@ -271,9 +275,9 @@
     assert!(started.len() == 3 && started.iter().all(is_gangs));
 }
 
-/// What is held back is told with the reservation that holds it back.
+/// A job that is held back is logged with the reservation that holds it back.
 #[test]
-fn place_behind_reservation_is_told() {
+fn place_behind_reservation_logged() {
     let mut harness = harness_with(5, true);
     harness.submit_job(job_of("one", 1, vec![step(3)]));
     start_all(&mut harness);
@@ -281,12 +285,12 @@
     submit_low_priority(&mut harness, 3, step(1));
     start_all(&mut harness);
     let lines = held_lines(&harness);
-    let told: Vec<(u64, &str)> = lines
+    let logged: Vec<(u64, &str)> = lines
         .iter()
         .map(|line| (line.job.map_or(0, |job| job.number()), line.reason))
         .collect();
     let behind = "limit reserved for another step of its customer";
-    assert_eq!(told, [(2, "limit of its customer"), (3, behind)]);
+    assert_eq!(logged, [(2, "limit of its customer"), (3, behind)]);
     let reserved = lines[1].reserved.expect("a reservation");
     assert_eq!(reserved.step.job.number(), 2);
     assert!(reserved
@@ -296,7 +300,8 @@
     assert_eq!(used, Some(Resources::new(6000, 3000, 0)));
 }
 
-/// Below half of the limit a reservation holds work back for a while, but no perpetual work.
+/// While less than half of the limit is in use, a reservation holds work back for a while, but
+/// no perpetual work.
 #[rstest]
 #[case::plain(false, 0)]
 #[case::perpetual(true, 1)]
--- a/crates/scheduler/tests/scheduler/cordons.rs
+++ b/crates/scheduler/tests/scheduler/cordons.rs
@@ -1,4 +1,4 @@
-//! Cordoned data centres: nothing new starts there, and what runs goes on.
+//! Cordoned data centres: no run starts there, and those that run there keep running.
 
 use crate::support::harness::{workers, Harness};
 use crate::support::worker::FakeWorker;
@@ -11,10 +11,10 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// As long as a wait lasts before it is told, and a little more.
+/// A little longer than a wait lasts before it is logged.
 const LOGGED_AFTER: Duration = Duration::from_ms(3100);
 
-/// Returns workers that stand in the data centres `a` and `b` by turns.
+/// Returns workers that are alternately in the data centres `a` and `b`.
 fn spread_workers(count: usize) -> Vec<FakeWorker> {
     let mut spread = workers(count);
     for (number, worker) in spread.iter_mut().enumerate() {
@@ -38,7 +38,7 @@
     let mut harness = Harness::new(Recovered::default(), &spread_workers(2));
     let open = harness.scheduler.worker_key("w1").expect("a worker in b");
     cordon(&mut harness, &["a"]);
-    // Each worker holds two.
+    // Each worker holds two tasks.
     harness.submit(1, vec![step(4)]);
     let starts = starts_after_commit(&mut harness);
     assert_eq!(starts.len(), 2);
@@ -47,13 +47,13 @@
     assert_eq!(
         starts_after_commit(&mut harness).len(),
         2,
-        "the others, later"
+        "the others start once the cordon is lifted"
     );
 }
 
-/// A record takes a while to reach the store; its start is looked at again then.
+/// Storing the record of a start takes a while, so cordons are checked again before it is sent.
 #[test]
-fn send_start_cordoned_since_placed() {
+fn send_start_cordoned_after_placement() {
     let mut harness = Harness::new(Recovered::default(), &spread_workers(1));
     harness.submit(1, vec![step(2)]);
     cordon(&mut harness, &["a"]);
@@ -62,7 +62,7 @@
     assert_eq!(starts_after_commit(&mut harness).len(), 2);
 }
 
-/// An unanswered start may not have arrived; a repeat would be the one that begins the run.
+/// An unanswered start may not have arrived, and its repeat would begin the run.
 #[test]
 fn on_start_answered_cordoned() {
     let mut harness = Harness::new(Recovered::default(), &spread_workers(1));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn set_cordons_run_goes_on() {
+fn set_cordons_run_continues() {
     let mut harness = Harness::new(Recovered::default(), &spread_workers(1));
     harness.submit(1, vec![step(1)]);
     for start in starts_after_commit(&mut harness) {
@@ -100,7 +100,7 @@
     );
 }
 
-/// A term begins with the cordons that the store kept.
+/// A new term begins with the stored cordons.
 #[test]
 fn new_term_cordoned() {
     let recovered = Recovered {
@@ -115,9 +115,9 @@
     assert!(starts.iter().all(|(worker, ..)| *worker == open));
 }
 
-/// What an earlier leader recorded and did not send is placed anew elsewhere.
+/// A start that an earlier leader recorded and did not send is placed elsewhere.
 #[test]
-fn inherited_start_cordoned() {
+fn recovered_start_cordoned() {
     let (job, record) = crate::support::job(1, vec![step(1)]);
     let recovered = Recovered {
         jobs: vec![(job, record)],
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn place_starts_held() {
+fn place_while_starts_paused() {
     let mut harness = Harness::new(Recovered::default(), &spread_workers(2));
     harness.submit(1, vec![step(1)]);
     harness.handle(Event::StartsHeld(true));
@@ -171,9 +171,9 @@
     assert!(harness.actions.iter().any(is_logged));
 }
 
-/// All members of a gang start together or not at all.
+/// The members of a gang start together or not at all.
 #[test]
-fn send_start_gang_cordoned_since_placed() {
+fn send_start_gang_cordoned_after_placement() {
     let mut harness = Harness::new(Recovered::default(), &spread_workers(4));
     let gang = StepSpec {
         is_gang: true,
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -1,17 +1,17 @@
-//! Tasks that crash_worker the workers on which they start.
+//! Tasks that crash the workers on which they start.
 //!
-//! What users saw: two jobs were started on one worker after the other, some thirty
-//! times each, until the day's end. Every worker crashed 10 ms after the start and was
-//! back 3 s later, and all other work on it was lost each time.
+//! The failure: two jobs were started on one worker after the other, some thirty times each.
+//! Every worker crashed 10 ms after the start and was back 3 s later, and all other work on it
+//! was lost each time.
 //!
-//! The order of events: the start's connection breaks; its repeats are refused; the
-//! worker's next life answers at the address; all runs of the earlier life are given up
-//! and start again elsewhere, the one that caused the crash_worker among them.
+//! The sequence of events: the start's connection breaks; its repeats are refused; the worker's
+//! next incarnation answers at the address; all runs of the earlier incarnation are released
+//! and started again elsewhere, the one that caused the crash among them.
 //!
-//! The cause: a run that was lost with its worker left no trace in its task's progress,
-//! so nothing ever kept the task from starting again. The evidence: in the leader's log,
-//! run after run of the task ends as `run lost, another life answers`, none as `failed`,
-//! and the count of failed runs that bounds its attempts stays at zero.
+//! The cause: a run that was lost with its worker left no trace in its task's progress, so
+//! nothing kept the task from starting again. The evidence: in the leader's log, run after run
+//! of the task ends as `run lost, another life answers`, none as `failed`, and the number of
+//! failed runs, which bounds a task's attempts, stays at zero.
 
 use crate::support::harness::{failed, workers, Harness};
 use crate::support::worker::FakeWorker;
@@ -23,16 +23,16 @@
 use ospreywing_types::Duration;
 use rstest::rstest;
 
-/// How long a worker that crashed is away.
+/// How long a worker that crashed is down.
 const DOWNTIME: Duration = Duration::from_ms(3000);
-/// The crashes after which the bound on restarts counts.
+/// The crashes after which starts are bounded.
 const CRASHES_COUNT: usize = 3;
-/// The starts after these crashes that break it.
+/// The number of starts after these crashes that breaks the bound.
 const STARTS_LIMIT_COUNT: usize = 3;
-/// Far more starts than may happen.
+/// Far more starts than are allowed.
 const ROUNDS_LIMIT_COUNT: usize = 12;
 
-/// A cell in which each worker that starts anything crashes.
+/// A cell in which each worker crashes that carries out a start of the test's task.
 struct CrashingCell {
     harness: Harness,
     workers: Vec<FakeWorker>,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Lets time pass until a start is sent.
+    /// Advances the time until a start is sent.
     fn next_start(&mut self) -> Option<(WorkerKey, TaskKey, u32)> {
         self.next_starts()?.pop()
     }
 
-    /// Lets time pass until starts are sent.
+    /// Advances the time until starts are sent.
     fn next_starts(&mut self) -> Option<Vec<(WorkerKey, TaskKey, u32)>> {
         for _ in 0..100 {
             self.harness.now = self.harness.now + Duration::from_ms(30);
@@ -71,14 +71,14 @@
         None
     }
 
-    /// Finds every worker good.
+    /// Answers the advice requests with tickets for every worker.
     fn answer_advice(&mut self) {
         let ids: Vec<String> = self.workers.iter().map(|w| w.id.to_string()).collect();
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
         self.harness.answer_advice_requests(&ids);
     }
 
-    /// Has the worker crash_worker under a start, and its next life come up.
+    /// Crashes the worker by a start that it has carried out, and starts its next incarnation.
     fn crash_worker(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         let refused = StartReply::Refused(RefusedStart::NotSent);
         for reply in [StartReply::Unanswered, refused, refused] {
@@ -93,14 +93,14 @@
         self.replace_worker(worker);
     }
 
-    /// Has the worker crash_worker for a reason of its own, with a start that it has not answered
-    /// and not carried out.
+    /// Crashes the worker for another cause, after a start that it has neither answered nor
+    /// carried out.
     fn crash_without_run(&mut self, start: (WorkerKey, TaskKey, u32)) {
         self.leave_unanswered(start);
         self.replace_worker(start.0);
     }
 
-    /// Leaves a start and its stop unanswered; a later look lists no run.
+    /// Leaves a start and its stop unanswered; a later poll lists no run.
     fn leave_unanswered(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         for _ in 0..3 {
             self.harness.handle(Event::StartAnswered {
@@ -110,13 +110,13 @@
                 reply: StartReply::Unanswered,
             });
         }
-        // The stop gets no answer either.
+        // The stop is not answered either.
         self.harness.actions.clear();
         self.harness.now = self.harness.now + Duration::from_ms(100);
         self.harness.answer_poll(worker, Vec::new());
     }
 
-    /// Has another life answer at a worker's address.
+    /// Has another incarnation answer at a worker's address.
     fn replace_worker(&mut self, worker: WorkerKey) {
         self.harness.leave_poll_unanswered(worker);
         self.harness.now = self.harness.now + DOWNTIME;
@@ -146,9 +146,9 @@
     }
 }
 
-/// A job is not failed for workers that crash_worker before they carry out its task's start.
+/// A job is not failed for workers that crash before they carry out its task's start.
 #[test]
-fn record_crash_run_was_not_there() {
+fn record_crash_start_not_carried_out() {
     let mut cell = CrashingCell::new(None);
     cell.harness.submit(1, vec![step(1)]);
     for round in 1..=ROUNDS_LIMIT_COUNT {
@@ -164,10 +164,10 @@
     assert_eq!(phase, Some(Phase::Active));
 }
 
-/// A start that a worker carries out late, after a look that did not find its run, counts
-/// where the worker then crashes.
+/// A start that is carried out late, after a poll that did not list its run, still counts if
+/// the worker then crashes.
 #[test]
-fn record_crash_run_came_late() {
+fn record_crash_start_carried_out_late() {
     let mut cell = CrashingCell::new(None);
     cell.harness.submit(1, vec![step(1)]);
     let (worker, task, run) = cell.next_start().expect("a start");
@@ -180,12 +180,12 @@
     assert_eq!(recorded, [task]);
 }
 
-/// The starts of a task that crashes its workers are bounded: three more after three
-/// crashes are too many, whether or not its queue needs advice.
+/// The starts of a task that crashes its workers are bounded, whether or not its queue needs
+/// advice: three starts after three crashes are too many.
 #[rstest]
 #[case::without_advice(None)]
 #[case::with_advice(Some(advice()))]
-fn release_all_run_crashes_its_worker(#[case] policy: Option<AdvicePolicy>) {
+fn release_all_runs_task_crashes_workers(#[case] policy: Option<AdvicePolicy>) {
     let mut cell = CrashingCell::new(policy);
     cell.harness.submit(1, vec![step(1)]);
     let mut starts_count = 0;
@@ -204,8 +204,8 @@
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
-/// Returns a leader with a job whose run has outlived its start, and another one whose
-/// run has just begun on the same worker.
+/// Returns a leader with two runs on one worker: one that is long past its start, and one that
+/// has just begun.
 fn with_old_and_new_run() -> (Harness, WorkerKey) {
     let mut harness = Harness::new(Recovered::default(), &workers(3));
     let mut runs = Vec::new();
@@ -220,7 +220,10 @@
             harness.answer_poll_running(start.0, start.1);
         }
     }
-    assert_eq!(runs[0].0, runs[1].0, "both are on the fullest worker");
+    assert_eq!(
+        runs[0].0, runs[1].0,
+        "both are on the worker with the least free capacity"
+    );
     (harness, runs[0].0)
 }
 
@@ -243,9 +246,9 @@
         .collect()
 }
 
-/// A run that its worker has outlived by a while is a bystander of the crash_worker; the one
-/// that had just begun is tried where nobody else's run would be lost with it, and
-/// nothing joins it there before it has outlived its start.
+/// A run that started well before the worker's crash is a bystander. The one that had just
+/// begun is run on probation, where no other run would be lost with it, and nothing is placed
+/// beside it until it is past its start.
 #[test]
 fn record_crash_new_run_beside_old_one() {
     let (mut harness, worker) = with_old_and_new_run();
@@ -255,7 +258,10 @@
     assert_eq!(suspicions(&states, 2), vec![Suspicion::Suspect]);
     let starts = harness.starts();
     assert_eq!(starts.len(), 2);
-    assert_ne!(starts[0].0, starts[1].0, "the suspect is tried alone");
+    assert_ne!(
+        starts[0].0, starts[1].0,
+        "the suspect is on probation, alone"
+    );
     harness.submit(3, vec![step(1)]);
     harness.commit_all();
     let joined = harness.starts();
@@ -266,7 +272,7 @@
     assert!(joined.iter().all(|start| start.0 != suspect), "{joined:?}");
 }
 
-/// A worker that leaves by plan takes its runs with it and crashes under none.
+/// A worker that drains ends with its runs, which is not recorded as a crash.
 #[test]
 fn record_crash_worker_was_draining() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
@@ -282,17 +288,17 @@
     other_incarnation(&mut harness, start.0);
     let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), Vec::new());
-    assert_eq!(harness.starts().len(), 1, "it goes on elsewhere");
+    assert_eq!(harness.starts().len(), 1, "it is started elsewhere");
 }
 
-/// A suspect that holds tickets waits for a worker of its own; further advice would not
-/// bring one, and would keep the adviser from others.
+/// A suspect that holds tickets waits for a worker of its own. Further advice would not provide
+/// one, and would keep the adviser from others' requests.
 #[test]
-fn place_tasks_suspect_waits() {
+fn place_tasks_suspect_waits_without_advice() {
     let mut cell = CrashingCell::new(Some(advice()));
     cell.harness.submit(1, vec![step(1)]);
     let crashing = cell.next_start().expect("a start");
-    // One run on each worker: there is room, and none is free for a trial.
+    // One run on each worker: there is free capacity, but no worker is free for probation.
     let spread = StepSpec {
         per_worker_limit_count: 1,
         ..step(4)
@@ -307,17 +313,17 @@
         cell.harness.now = cell.harness.now + Duration::from_ms(30);
         cell.harness.handle(Event::Tick);
         cell.harness.answer_commits();
-        let asks = |action: &&Action| matches!(action, Action::Advise { step, .. } if step.job == crashing.1.step.job);
-        calls_count += cell.harness.actions.iter().filter(asks).count();
+        let is_request = |action: &&Action| matches!(action, Action::Advise { step, .. } if step.job == crashing.1.step.job);
+        calls_count += cell.harness.actions.iter().filter(is_request).count();
         cell.answer_advice();
     }
-    assert!(calls_count <= 1, "asked {calls_count} times");
+    assert!(calls_count <= 1, "{calls_count} advice requests");
 }
 
-/// A worker that is silent until its leases are over may have crashed or been cut off:
-/// what was recorded of its runs goes again where the same life answers.
+/// A worker that is unresponsive until its leases have expired may have crashed or been
+/// partitioned. The crash recorded under its runs is retracted if the same incarnation answers.
 #[test]
-fn retract_silence_worker_answers() {
+fn retract_suspected_crashes_worker_answers() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
@@ -341,8 +347,8 @@
     assert_eq!(suspicions(&states, 1), Vec::new());
 }
 
-/// Returns what a leader kept of a job whose task runs on `w0` and under which two
-/// workers have crashed.
+/// Returns the stored state of a job whose task runs on `w0` and under which two workers have
+/// crashed.
 fn state_of_suspect() -> JobState {
     let task = first_task(JobId::new(1));
     let mut state = placed_state("w0", 3);
@@ -357,17 +363,17 @@
     state
 }
 
-/// A new leader gives the verdict from what the store keeps: it does not know how far an
-/// inherited run was, but that it was alone on its worker.
+/// A new leader applies the crash limits to the stored records: it does not know how far a
+/// recovered run was, but that it was alone on its worker.
 #[test]
-fn record_crash_inherited_run_alone() {
+fn record_crash_recovered_run_alone() {
     let (id, record) = job(1, vec![step(1)]);
-    let kept = Recovered {
+    let recovered = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, state_of_suspect())],
         ..Recovered::default()
     };
-    let mut harness = Harness::new(kept, &[]);
+    let mut harness = Harness::new(recovered, &[]);
     harness.list_workers(&workers(2));
     let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
     let other = harness.scheduler.worker_key("w1").expect("a listed worker");
@@ -379,9 +385,9 @@
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
-/// One member that crashes its worker each time is enough to give up its gang.
+/// If one member crashes its worker each time, the job of its gang is failed.
 #[test]
-fn record_crash_member_of_gang() {
+fn record_crash_gang_member() {
     let mut cell = CrashingCell::new(None);
     let gang = StepSpec {
         is_gang: true,
@@ -414,8 +420,8 @@
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
-/// Crashes are stored behind the rest of a job's progress, which is written as before
-/// where there are none.
+/// Crashes are stored after the rest of a job's progress; without crashes the stored form is
+/// the earlier one.
 #[test]
 fn to_bytes_with_crashes() {
     let with = state_of_suspect();
--- a/crates/scheduler/tests/scheduler/customers.rs
+++ b/crates/scheduler/tests/scheduler/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: what each may have running, whose job is whose, and stored forms.
+//! Customers: limits on what each may have running, access to their jobs, and stored records.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{configuration_with, customer, job_of, step, LOW_PRIORITY_QUEUE};
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use std::sync::Arc;
 
-/// The workers in these cases hold two tasks each.
+/// The workers of these tests hold two tasks each.
 const WORKERS_COUNT: usize = 10;
 
 fn harness_with(tasks_count: u32) -> Harness {
@@ -26,7 +26,7 @@
     )));
 }
 
-/// Takes the starts that were sent and answers them; returns how many there were.
+/// Drains the starts that were sent and answers them; returns how many there were.
 fn start_all(harness: &mut Harness) -> usize {
     harness.commit_all();
     let starts = harness.starts();
@@ -53,7 +53,7 @@
     for start in &starts {
         harness.answer_started(*start);
     }
-    // Nobody else's work is held back by it.
+    // Other work is not held back by the limit.
     harness.submit(2, vec![step(4)]);
     assert_eq!(start_all(&mut harness), 4);
     let (worker, task, run) = starts[0];
@@ -61,9 +61,9 @@
     assert_eq!(start_all(&mut harness), 1);
 }
 
-/// What is held back is told once, with what the customer has and may have.
+/// A job that is held back is logged once, with its customer's use and limit.
 #[test]
-fn place_beyond_limit_is_told() {
+fn place_beyond_limit_logged() {
     let mut harness = harness_with(2);
     harness.submit_job(job_of("one", 1, vec![step(5)]));
     harness.commit_all();
@@ -82,9 +82,10 @@
     assert_eq!(held, [expected]);
 }
 
-/// A gang that has lost a member waits for the others to end, not for its customer's limit.
+/// A gang that has lost a member waits for the other members to end, not for its customer's
+/// limit.
 #[test]
-fn place_broken_gang_is_not_held() {
+fn place_broken_gang_not_held_by_limit() {
     let mut harness = harness_with(3);
     harness.submit_job(job_of("one", 1, vec![gang(3)]));
     harness.commit_all();
@@ -111,8 +112,8 @@
     assert_eq!(start_all(&mut harness), started_count);
 }
 
-/// A gang that waits for its customer's limit is not kept out by less urgent tasks of the
-/// same customer; where less than half of the limit is in use, these start all the same.
+/// Less urgent tasks of the same customer don't overtake a gang that waits for the customer's
+/// limit. If less than half of the limit is in use, they start nevertheless.
 #[rstest]
 #[case::most_is_in_use(3, 0)]
 #[case::little_is_in_use(1, 2)]
@@ -135,12 +136,15 @@
     limit(&mut harness, 5, 1);
     harness.submit_job(job_of("one", 2, vec![step(2)]));
     assert_eq!(start_all(&mut harness), 0);
-    assert!(harness.stops().is_empty(), "what runs is let run");
+    assert!(
+        harness.stops().is_empty(),
+        "runs beyond the limit keep running"
+    );
     limit(&mut harness, 9, 7);
     assert_eq!(start_all(&mut harness), 3);
 }
 
-/// A start that was recorded before its customer's limit was lowered is not sent after it.
+/// A start that was recorded before its customer's limit was lowered is not sent afterwards.
 #[test]
 fn send_start_limit_lowered() {
     let mut harness = harness_with(4);
@@ -150,10 +154,10 @@
     assert_eq!(harness.starts().len(), 1);
 }
 
-/// What an earlier leader recorded counts from the first moment, also where its worker has
-/// not been heard of.
+/// Runs that an earlier leader recorded count against the limit from the begin of the term,
+/// even if their worker has not answered a poll.
 #[test]
-fn place_after_takeover_silent_worker() {
+fn place_after_takeover_unresponsive_worker() {
     let (id, record) = job_of("one", 1, vec![step(2)]);
     let mut round = RoundState::new(0, &record);
     let task = &mut round.steps[0].tasks[0];
@@ -179,7 +183,7 @@
     assert_eq!(start_all(&mut harness), 1);
 }
 
-/// A customer that the operators have removed keeps its last limit, and its jobs run.
+/// A customer that operators have removed keeps its last limit, and its jobs run.
 #[test]
 fn place_customer_removed() {
     let mut harness = harness_with(2);
@@ -213,10 +217,10 @@
 
 #[rstest]
 #[case::own(Some("one"), Some("one"), true)]
-#[case::others(Some("one"), Some("two"), false)]
-#[case::nobody(Some("one"), None, false)]
+#[case::other_customers(Some("one"), Some("two"), false)]
+#[case::no_caller(Some("one"), None, false)]
 #[case::open_to_all(None, Some("two"), true)]
-#[case::open_to_nobody(None, None, true)]
+#[case::open_to_no_caller(None, None, true)]
 fn job_for_caller(
     #[case] owner: Option<&str>,
     #[case] caller: Option<&str>,
@@ -227,7 +231,7 @@
     record.customer = owner.map(str::to_owned);
     harness.submit_job((id, record));
     assert_eq!(harness.scheduler.job_for(caller, id).is_some(), is_open);
-    // It stays whose it is once only its outcome is kept.
+    // Its owner stays the same once only its outcome is kept.
     harness.handle(Event::CancelAccepted { job: id });
     harness.commit_all();
     assert_eq!(harness.scheduler.job_for(caller, id).is_some(), is_open);
@@ -235,7 +239,7 @@
 
 #[rstest]
 #[case::customers(Some("one"))]
-#[case::nobodys(None)]
+#[case::no_customer(None)]
 fn stored_job_forms(#[case] owner: Option<&str>) {
     let (_, mut record) = job_of("one", 1, vec![step(2)]);
     record.customer = owner.map(str::to_owned);
@@ -246,13 +250,13 @@
     assert_eq!(read, Ok(StoredJob::Ended(outcome)));
 }
 
-/// A record of the version before customers, as that version wrote it.
+/// A record as written by the version that preceded customers.
 #[test]
 fn stored_job_earlier_form() {
-    // Its form, a queue, a service, the time 5, a text, no step, no schedule.
+    // Its form, a queue, a service, the time 5, a text, no steps, no schedule.
     let bytes = [1, 1, b'q', 1, b's', 5, 1, b't', 0, 0];
     let Ok(StoredJob::Accepted(record)) = StoredJob::from_bytes(&bytes) else {
-        panic!("a record of the version before is read");
+        panic!("a record of the earlier version is not readable");
     };
     assert_eq!((record.queue.as_str(), record.accepted_ms), ("q", 5));
     assert_eq!(record.customer, None);
@@ -262,8 +266,8 @@
     assert_eq!(ended, Ok(StoredJob::Ended(outcome)));
 }
 
-/// A worker whose service the operators have not set gets nothing, also where it was listed
-/// before the service was dropped.
+/// Nothing is placed on a worker whose service is not configured, even if it was listed before
+/// the service was removed.
 #[test]
 fn place_worker_without_service() {
     let mut harness = harness_with(4);
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -1,4 +1,5 @@
-//! Learned lengths and speeds as plain values: how near they are, and what misleads them.
+//! Learned durations and speeds as plain values: their accuracy, and data that could mislead
+//! them.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{job, low_priority_job, placed_state, step};
@@ -14,20 +15,20 @@
 use std::sync::Arc;
 
 const QUEUE: &str = "render";
-/// The spread of the lengths of a queue's jobs, as a logarithm.
+/// The standard deviation of the logarithm of a queue's task durations.
 const LENGTH_SPREAD: f64 = 0.5;
-/// The factor by which an estimate is off at most.
+/// The factor by which an estimate is wrong at most.
 const ESTIMATE_ERROR_FACTOR: f64 = 2.5;
 const TYPICAL_MS: f64 = 1_500.0;
 const SEED: u64 = 20;
 
-/// Returns a number that is spread like the normal distribution.
+/// Returns an approximately normally distributed number.
 fn normal(rng: &mut Pcg64) -> f64 {
     let sum: f64 = (0..12).map(|_| rng.random::<f64>()).sum();
     sum - 6.0
 }
 
-/// A step's estimate and length.
+/// A step's class, with its estimate, and its actual duration.
 #[derive(Clone, Copy)]
 struct Sample {
     kind: LengthKind,
@@ -50,38 +51,41 @@
     Instant::from_ms(1_000 + step * 500)
 }
 
-/// Returns the durations after so many steps, and what was told of the last half.
+/// Returns the durations learned from so many steps, and the forecasts for the last half of
+/// them.
 fn learn(count: u64, estimate_factor: f64) -> (Durations, Vec<(Sample, Option<LengthForecast>)>) {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let mut durations = Durations::default();
-    let mut told = Vec::new();
+    let mut forecasts = Vec::new();
     for step in 0..count {
         let sample = draw_sample(&mut rng, TYPICAL_MS, estimate_factor);
         if step >= count / 2 {
-            told.push((sample, durations.forecast(at(step), QUEUE, sample.kind)));
+            forecasts.push((sample, durations.forecast(at(step), QUEUE, sample.kind)));
         }
         durations.record(at(step), QUEUE, sample.kind, sample.actual);
     }
-    (durations, told)
+    (durations, forecasts)
 }
 
-fn error(told: Duration, actual: Duration) -> f64 {
-    let ratio = told.as_ms().max(1) as f64 / actual.as_ms().max(1) as f64;
+fn error(forecast: Duration, actual: Duration) -> f64 {
+    let ratio = forecast.as_ms().max(1) as f64 / actual.as_ms().max(1) as f64;
     ratio.ln().abs()
 }
 
-/// A forecast is nearer than the estimate, and its bounds hold as often as they say.
+/// A forecast is more accurate than the estimate, and its bounds hold as often as they claim.
 #[test]
-fn durations_forecast_nearer_than_estimate() {
-    let (durations, told) = learn(800, ESTIMATE_ERROR_FACTOR);
-    let with_forecast: Vec<(Sample, LengthForecast)> = told
+fn durations_forecast_better_than_estimate() {
+    let (durations, forecasts) = learn(800, ESTIMATE_ERROR_FACTOR);
+    let with_forecast: Vec<(Sample, LengthForecast)> = forecasts
         .into_iter()
-        .filter_map(|(sample, told)| Some((sample, told?)))
+        .filter_map(|(sample, forecast)| Some((sample, forecast?)))
         .collect();
     assert!(with_forecast.len() >= 380, "forecasts after 400 steps");
     let count = with_forecast.len() as f64;
-    let mean = |told: fn(&(Sample, LengthForecast)) -> Duration| {
-        let errors = with_forecast.iter().map(|it| error(told(it), it.0.actual));
+    let mean = |duration: fn(&(Sample, LengthForecast)) -> Duration| {
+        let errors = with_forecast
+            .iter()
+            .map(|it| error(duration(it), it.0.actual));
         errors.sum::<f64>() / count
     };
     let (by_forecast, by_estimate) = (mean(|it| it.1.likely), mean(|it| it.0.kind.estimate));
@@ -98,36 +102,37 @@
         part(|it| it.0.actual > it.1.late),
     );
     println!("{below:.3} shorter than sure, {above:.3} longer than late");
-    // Jobs must not be given up that could make it, nor room be promised that is not free.
+    // Jobs that could be on time must not be given up, nor capacity promised that won't be
+    // free.
     assert!(below <= 0.15 && above <= 0.15, "{below} {above}");
-    let told = durations.error();
-    assert!(told.forecast_percent < told.estimate_percent);
+    let errors = durations.error();
+    assert!(errors.forecast_percent < errors.estimate_percent);
 }
 
-/// Of the jobs that a forecast calls late for sure nine in ten are.
+/// Nine in ten of the jobs that a forecast calls surely late are late.
 #[test]
-fn durations_forecast_tells_what_is_late() {
-    let (_, told) = learn(800, ESTIMATE_ERROR_FACTOR);
-    let room = Duration::from_ms(TYPICAL_MS as u64);
-    let called_late = told
+fn durations_forecast_surely_late() {
+    let (_, forecasts) = learn(800, ESTIMATE_ERROR_FACTOR);
+    let limit = Duration::from_ms(TYPICAL_MS as u64);
+    let called_late = forecasts
         .iter()
-        .filter(|(_, told)| told.is_some_and(|told| told.sure > room));
+        .filter(|(_, forecast)| forecast.is_some_and(|forecast| forecast.sure > limit));
     let called_late: Vec<Sample> = called_late.map(|(sample, _)| *sample).collect();
-    let late = called_late.iter().filter(|sample| sample.actual > room);
+    let late = called_late.iter().filter(|sample| sample.actual > limit);
     let late_count = late.count();
     let share = late_count as f64 / called_late.len() as f64;
     println!("{share:.3} of {} are late", called_late.len());
     assert!(late_count >= 20 && share >= 0.9);
 }
 
-/// Estimates that are right are not made worse.
+/// Accurate estimates are not made worse.
 #[test]
-fn durations_forecast_keeps_right_estimates() {
-    let (_, told) = learn(800, 1.0);
-    for (sample, told) in told {
-        let told = told.map_or(sample.kind.estimate, |told| told.likely);
-        let off = error(told, sample.actual);
-        assert!(off <= 0.15, "{told} for {}", sample.actual);
+fn durations_forecast_accurate_estimates() {
+    let (_, forecasts) = learn(800, 1.0);
+    for (sample, forecast) in forecasts {
+        let forecast = forecast.map_or(sample.kind.estimate, |forecast| forecast.likely);
+        let off = error(forecast, sample.actual);
+        assert!(off <= 0.15, "{forecast} for {}", sample.actual);
     }
 }
 
@@ -146,8 +151,8 @@
     assert_eq!(durations.forecast(much_later, QUEUE, sample.kind), None);
 }
 
-/// A queue whose work becomes three times as long: what was learned before is forgotten
-/// within two windows.
+/// When a queue's tasks become three times as long, the earlier durations are forgotten within
+/// two windows.
 #[test]
 fn durations_forecast_follows_change() {
     let mut rng = Pcg64::seed_from_u64(SEED);
@@ -161,12 +166,12 @@
         let sample = draw_sample(&mut rng, typical_ms, 1.0);
         durations.record(at(step), QUEUE, same_estimate, sample.actual);
     }
-    let told = durations.forecast(at(1_500), QUEUE, same_estimate);
-    let likely = told.expect("a forecast").likely;
+    let forecast = durations.forecast(at(1_500), QUEUE, same_estimate);
+    let likely = forecast.expect("a forecast").likely;
     assert!(error(likely, Duration::from_ms(4_500)) < 0.2, "{likely}");
 }
 
-/// However many queues there are, what is kept is bounded.
+/// The memory is bounded, however many queues there are.
 #[test]
 fn durations_keep_bounded_memory() {
     let mut durations = Durations::default();
@@ -189,7 +194,7 @@
         .collect()
 }
 
-/// Has each machine do so many runs at its speed, which differ as those of a step do.
+/// Records so many runs of each machine, whose speeds vary as those of a step's tasks do.
 fn run(speeds: &mut Speeds, rng: &mut Pcg64, now: Instant, fleet: &[(Arc<str>, f64)], count: u32) {
     for _ in 0..count {
         for (machine, speed) in fleet {
@@ -204,27 +209,27 @@
     numbered.map(|(number, id)| (id, speed(number))).collect()
 }
 
-/// Nine of ten machines are told slow, usual or fast as they are after ten runs.
+/// After ten runs nine of ten machines are classified correctly as slow, typical or fast.
 #[test]
-fn speeds_tell_kinds_of_machines() {
+fn speeds_classify_machines() {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let machines = machines(200);
     let fleet = fleet_of(&machines, |number| [0.77, 1.0, 2.0][number % 3]);
     let mut speeds = Speeds::default();
     run(&mut speeds, &mut rng, at(0), &fleet, 10);
     let kind = |speed: f64| usize::from(speed > 0.87) + usize::from(speed > 1.41);
-    let told = fleet.iter().filter(|(id, speed)| {
-        let told = speeds.speed(at(1), id).expect("a speed after ten runs");
-        kind(told) == kind(*speed)
+    let correct = fleet.iter().filter(|(id, speed)| {
+        let learned = speeds.speed(at(1), id).expect("a speed after ten runs");
+        kind(learned) == kind(*speed)
     });
-    let right = told.count();
-    println!("{right} of 200 machines are told right");
+    let right = correct.count();
+    println!("{right} of 200 machines are classified correctly");
     assert!(right >= 180);
 }
 
-/// One report in ten that is off by a factor of a hundred moves no speed by a quarter.
+/// If one report in ten is wrong by a factor of a hundred, no speed changes by a quarter.
 #[test]
-fn speeds_stand_crazy_reports() {
+fn speeds_ignore_outliers() {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let machines = machines(20);
     let fleet = fleet_of(&machines, |_| 1.0);
@@ -238,26 +243,26 @@
         }
     }
     for machine in &machines {
-        let told = speeds.speed(at(10), machine).expect("a speed");
-        assert!((0.75..1.34).contains(&told), "{told}");
+        let learned = speeds.speed(at(10), machine).expect("a speed");
+        assert!((0.75..1.34).contains(&learned), "{learned}");
     }
     assert_eq!(speeds.eject_slow(at(10), &machines), vec![]);
 }
 
-/// Returns speeds that were learned from machines which are all as fast as usual.
-fn usual_speeds(rng: &mut Pcg64, machines: &[Arc<str>], runs_count: u32) -> Speeds {
+/// Returns speeds learned from machines that all have the typical speed.
+fn typical_speeds(rng: &mut Pcg64, machines: &[Arc<str>], runs_count: u32) -> Speeds {
     let mut speeds = Speeds::default();
     let usual = fleet_of(machines, |_| 1.0);
     run(&mut speeds, rng, at(0), &usual, runs_count);
     speeds
 }
 
-/// A speed that flips is told within five runs, though it was learned from a hundred.
+/// A changed speed is learned within five runs, even after a hundred runs at another one.
 #[test]
-fn speeds_follow_flip() {
+fn speeds_follow_change() {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let machines = machines(1);
-    let mut speeds = usual_speeds(&mut rng, &machines, 100);
+    let mut speeds = typical_speeds(&mut rng, &machines, 100);
     run(
         &mut speeds,
         &mut rng,
@@ -265,25 +270,26 @@
         &fleet_of(&machines, |_| 0.4),
         5,
     );
-    let told = speeds.speed(at(2), "m0").expect("a speed");
-    assert!(told < 0.6, "{told}");
+    let learned = speeds.speed(at(2), "m0").expect("a speed");
+    assert!(learned < 0.6, "{learned}");
     let (runs_count, age) = speeds.evidence(at(2), "m0").expect("evidence");
     assert_eq!((runs_count, age), (105, Duration::from_ms(500)));
 }
 
-/// A machine that turns slow comes last, is tried again, and comes last for longer where it
-/// still is; one that is slow by usual_speed does not.
+/// A machine that becomes slow is ejected, i.e. used last. After a while it is used again, and
+/// ejected for longer if it is still slow. A machine whose baseline speed is slow is not
+/// ejected.
 #[test]
-fn speeds_eject_slow_of_late() {
+fn speeds_eject_recently_slow() {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let machines = machines(20);
     let mut speeds = Speeds::default();
-    let usual_speed = |number| if number == 1 { 0.5 } else { 1.0 };
+    let baseline_speed = |number| if number == 1 { 0.5 } else { 1.0 };
     run(
         &mut speeds,
         &mut rng,
         at(0),
-        &fleet_of(&machines, usual_speed),
+        &fleet_of(&machines, baseline_speed),
         20,
     );
     assert_eq!(speeds.eject_slow(at(1), &machines), vec![]);
@@ -318,12 +324,12 @@
     assert_eq!(second, expected(Duration::from_s(10)));
 }
 
-/// A part of a service's machines comes last at most, and none where all turn slow.
+/// Only a part of a service's machines is ejected at a time, and none where all become slow.
 #[test]
-fn speeds_eject_few() {
+fn speeds_eject_limited() {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let machines = machines(40);
-    let mut speeds = usual_speeds(&mut rng, &machines, 20);
+    let mut speeds = typical_speeds(&mut rng, &machines, 20);
     let mut others = speeds.clone();
     let third = |number| if number % 3 == 0 { 0.3 } else { 1.0 };
     run(&mut speeds, &mut rng, at(1), &fleet_of(&machines, third), 5);
@@ -332,7 +338,7 @@
     assert_eq!(
         speeds.eject_slow(at(3), &machines),
         vec![],
-        "a tenth is out"
+        "a tenth is ejected already"
     );
     run(
         &mut others,
@@ -344,7 +350,7 @@
     assert_eq!(others.eject_slow(at(2), &machines), vec![], "all are slow");
 }
 
-/// How a run is done that may tell what its queue's tasks take.
+/// What distinguishes a run from one that the durations are learned from.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunKind {
     is_failed: bool,
@@ -355,15 +361,15 @@
     is_filler: bool,
 }
 
-/// Returns how many sizes of steps are learned after a run.
-fn learned_count(told: RunKind) -> usize {
+/// Returns how many step sizes are learned from a run.
+fn learned_count(run_kind: RunKind) -> usize {
     let mut state = placed_state("w0", 1);
     let task = &mut state.rounds[0].steps[0].tasks[0];
     task.status = TaskStatus::Waiting;
-    task.checkpoint = told.has_checkpoint.then(|| "half".to_owned());
+    task.checkpoint = run_kind.has_checkpoint.then(|| "half".to_owned());
     let mut spec = step(1);
-    spec.data_rack = told.is_away_from_data.then(|| "r9".to_owned());
-    spec.is_filler = told.is_filler;
+    spec.data_rack = run_kind.is_away_from_data.then(|| "r9".to_owned());
+    spec.is_filler = run_kind.is_filler;
     let recovered = Recovered {
         jobs: vec![job(1, vec![spec])],
         states: vec![(JobId::new(1), state)],
@@ -373,7 +379,7 @@
     harness.commit_all();
     let start = harness.starts()[0];
     let (worker, task, run) = start;
-    if told.is_repeated {
+    if run_kind.is_repeated {
         let reply = StartReply::Unanswered;
         harness.handle(Event::StartAnswered {
             worker,
@@ -385,10 +391,10 @@
     }
     harness.answer_started(start);
     harness.now = harness.now + Duration::from_ms(900);
-    if !told.is_seen_late {
+    if !run_kind.is_seen_late {
         harness.answer_polls_with_progress(&[start], 90);
     }
-    let kind = if told.is_failed {
+    let kind = if run_kind.is_failed {
         EndKind::Failed
     } else {
         EndKind::Done
@@ -397,7 +403,7 @@
     harness.scheduler.status(harness.now).learned_sizes_count
 }
 
-/// Only a run whose whole time is known and was spent on the work tells anything.
+/// Durations are learned only from runs whose whole time is known and was spent on the work.
 #[rstest]
 #[case::whole(RunKind::default(), 2)]
 #[case::failed(RunKind { is_failed: true, ..RunKind::default() }, 0)]
@@ -406,12 +412,12 @@
 #[case::start_repeated(RunKind { is_repeated: true, ..RunKind::default() }, 0)]
 #[case::away_from_data(RunKind { is_away_from_data: true, ..RunKind::default() }, 0)]
 #[case::filler(RunKind { is_filler: true, ..RunKind::default() }, 0)]
-fn learn_from_whole_runs_only(#[case] told: RunKind, #[case] sizes_count: usize) {
-    assert_eq!(learned_count(told), sizes_count);
+fn learn_from_whole_runs_only(#[case] run_kind: RunKind, #[case] sizes_count: usize) {
+    assert_eq!(learned_count(run_kind), sizes_count);
 }
 
-/// Returns how many runs are stopped on workers that leave in 4 s, where a step's tasks take
-/// ten seconds by the estimate and four of them were done in one.
+/// Returns how many runs are stopped on workers that depart in 4 s, where a step's tasks take
+/// ten seconds by their estimate and four of them have taken one second.
 fn stopped_count(features: Features) -> usize {
     let leaving = workers(2);
     let mut harness = Harness::with_features(features, &leaving);
@@ -450,7 +456,8 @@
     harness.stops().len()
 }
 
-/// What is done in time by the tasks of its step is not stopped for its estimate.
+/// A run that ends in time by the durations of its step's other tasks is not stopped for its
+/// estimate.
 #[test]
 fn stop_before_departures_by_tasks_of_step() {
     assert_eq!(stopped_count(Features::default()), 0);
@@ -458,11 +465,14 @@
     assert_eq!(stopped_count(without), 4);
 }
 
-/// Returns a scheduler that was handed something.
+/// Returns a harness whose scheduler was handed over what an earlier one learned.
 fn scheduler_with(learned: &Learned) -> Harness {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.scheduler.take_learned(harness.now, learned);
-    harness.scheduler.verify().expect("the invariants hold");
+    harness
+        .scheduler
+        .verify()
+        .expect("the scheduler's invariants hold");
     harness
 }
 
@@ -493,20 +503,20 @@
     }
 }
 
-/// What is handed on comes out as it went in.
+/// The learned data is unchanged by a handover.
 #[test]
-fn take_learned_keeps_all() {
+fn restore_learned_unchanged() {
     let learned = Learned {
         sizes: vec![learned_size(700, 100)],
         speeds: vec![learned_speed(500)],
     };
     let harness = scheduler_with(&learned);
     assert_eq!(harness.scheduler.learned(harness.now), learned);
-    let bytes = postcard::to_allocvec(&learned).expect("a form");
+    let bytes = postcard::to_allocvec(&learned).expect("the learned data is serializable");
     assert_eq!(postcard::from_bytes(&bytes), Ok(learned));
 }
 
-/// What can't be, and what is too old, is left out.
+/// Invalid and outdated data is skipped.
 #[rstest]
 #[case::too_old(learned_size(700, 700_000))]
 #[case::zero(learned_size(0, 0))]
@@ -514,7 +524,7 @@
     lengths: LearnedQuantiles { sure: 9, likely: 5, late: 7, spread_milli: 0 },
     ..learned_size(700, 0)
 })]
-fn take_learned_leaves_out_what_cannot_be(#[case] size: LearnedSize) {
+fn restore_learned_skips_invalid(#[case] size: LearnedSize) {
     let learned = Learned {
         sizes: vec![size],
         speeds: vec![learned_speed(0), learned_speed(u32::MAX)],
@@ -523,8 +533,8 @@
     assert!(harness.scheduler.learned(harness.now).is_empty());
 }
 
-/// Returns the workers, by their numbers, that the tasks of a job are given to, where of six
-/// the first two or the last two take a third longer.
+/// Returns the ids of the workers on which the tasks of a job are placed, in a service of six
+/// workers of which the two numbered `slow` take a third longer.
 fn placed_on(features: Features, slow: [usize; 2], job: (JobId, JobRecord)) -> Vec<String> {
     let all = workers(6);
     let mut harness = Harness::with_features(features, &all);
@@ -557,11 +567,11 @@
     (id, record)
 }
 
-/// Pressing work keeps off slow workers, patient work takes them, and a patient gang takes
-/// workers of one speed where they hold it whole. Without learning the first ones are taken.
+/// Urgent work avoids slow workers and low-priority work takes them. A low-priority gang takes
+/// workers of one speed that hold all of it. Without learning the first workers are taken.
 #[rstest]
-#[case::pressing([0, 1], job(1, vec![step(1)]), &["w2"], &["w0"])]
-#[case::patient([4, 5], low_priority_job(1, 1), &["w4"], &["w0"])]
+#[case::urgent([0, 1], job(1, vec![step(1)]), &["w2"], &["w0"])]
+#[case::low_priority([4, 5], low_priority_job(1, 1), &["w4"], &["w0"])]
 #[case::low_priority_gang([4, 5], low_priority_gang(4), &["w4", "w4", "w5", "w5"], &["w0", "w0", "w1", "w1"])]
 #[case::wide_gang([0, 1], low_priority_gang(6),
     &["w2", "w2", "w3", "w3", "w4", "w4"], &["w0", "w0", "w1", "w1", "w2", "w2"])]
--- a/crates/scheduler/tests/scheduler/overload.rs
+++ b/crates/scheduler/tests/scheduler/overload.rs
@@ -1,4 +1,4 @@
-//! Which jobs are chosen to be in time where not all can be.
+//! Which jobs are selected to finish on time when not all can.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{job, step};
@@ -12,7 +12,7 @@
 
 const CAPACITY: Resources = Resources::new(10_000, 10_000, 10);
 
-/// Returns a job that needs all of the room for so long.
+/// Returns a job that needs the whole capacity for `whole_ms`.
 fn contender(key: u64, whole_ms: u64, time_left_ms: u64) -> Contender<u64> {
     Contender {
         key,
@@ -30,26 +30,26 @@
     demand
 }
 
-/// Returns the keys of the jobs that are to be in time.
-fn in_time(demand: &mut Demand<u64>) -> Vec<u64> {
+/// Returns the keys of the jobs that are selected to finish on time.
+fn on_time(demand: &mut Demand<u64>) -> Vec<u64> {
     let selected = demand.select().into_iter();
     let is_in_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
-    let in_time = selected.filter(|it| is_in_time(&it.selection));
-    let mut keys: Vec<u64> = in_time.map(|it| it.key).collect();
+    let on_time = selected.filter(|it| is_in_time(&it.selection));
+    let mut keys: Vec<u64> = on_time.map(|it| it.key).collect();
     keys.sort_unstable();
     keys
 }
 
 #[test]
-fn select_keeps_all_that_fit() {
+fn select_all_jobs_fit() {
     let jobs = [contender(1, 400, 1000), contender(2, 400, 1000)];
     let mut demand = demand(Occupancy::default(), &jobs);
     assert!(demand.load_percent() < ENTER_LOAD_PERCENT);
-    assert_eq!(in_time(&mut demand), [1, 2]);
+    assert_eq!(on_time(&mut demand), [1, 2]);
 }
 
 #[test]
-fn select_leaves_out_largest() {
+fn select_excludes_largest() {
     let jobs = [
         contender(1, 800, 1000),
         contender(2, 300, 1100),
@@ -57,30 +57,30 @@
     ];
     let mut demand = demand(Occupancy::default(), &jobs);
     assert!(demand.load_percent() > ENTER_LOAD_PERCENT);
-    assert_eq!(in_time(&mut demand), [2, 3]);
+    assert_eq!(on_time(&mut demand), [2, 3]);
 }
 
-/// Of jobs that are as large, the one is left out that is most likely to be late.
+/// Of jobs of equal size, the one that is most likely to be late is excluded.
 #[test]
-fn select_leaves_out_soonest_of_equals() {
+fn select_excludes_soonest_due_of_equals() {
     let jobs = [1000, 1100, 1200].map(|left_ms| contender(left_ms, 500, left_ms));
     assert_eq!(
-        in_time(&mut demand(Occupancy::default(), &jobs)),
+        on_time(&mut demand(Occupancy::default(), &jobs)),
         [1100, 1200]
     );
 }
 
 #[test]
-fn select_leaves_out_less_important_first() {
+fn select_excludes_lower_priority_first() {
     let mut important = contender(1, 800, 1000);
     important.priority = 0;
     let jobs = [important, contender(2, 300, 1000)];
-    assert_eq!(in_time(&mut demand(Occupancy::default(), &jobs)), [1]);
+    assert_eq!(on_time(&mut demand(Occupancy::default(), &jobs)), [1]);
 }
 
-/// Jobs that need different resources don't keep each other out.
+/// Jobs that need different resources don't compete.
 #[test]
-fn select_tells_resources_apart() {
+fn select_different_resources() {
     let with = |key, resources: Resources| Contender {
         work: Amounts::of(&resources).times(800.0),
         ..contender(key, 0, 1000)
@@ -89,12 +89,12 @@
         with(1, Resources::new(10_000, 0, 0)),
         with(2, Resources::new(0, 0, 10)),
     ];
-    assert_eq!(in_time(&mut demand(Occupancy::default(), &jobs)), [1, 2]);
+    assert_eq!(on_time(&mut demand(Occupancy::default(), &jobs)), [1, 2]);
 }
 
-/// Room that runs take for longer than a job's objective is not there for it.
+/// Capacity that runs occupy for longer than a job's objective is not available to it.
 #[test]
-fn select_counts_what_runs() {
+fn select_with_running_tasks() {
     let mut occupancy = Occupancy::default();
     occupancy.add(Amounts::of(&CAPACITY).times(0.5), None);
     occupancy.add(
@@ -102,11 +102,11 @@
         Some(Duration::from_ms(100)),
     );
     let jobs = [contender(1, 400, 1000), contender(2, 200, 1000)];
-    assert_eq!(in_time(&mut demand(occupancy, &jobs)), [2]);
+    assert_eq!(on_time(&mut demand(occupancy, &jobs)), [2]);
 }
 
 #[test]
-fn select_late_within_worth() {
+fn select_late_before_worthless() {
     let late = |key, whole_ms| Contender {
         time_left: None,
         worth_left: Some(Duration::from_ms(1000)),
@@ -130,18 +130,19 @@
     assert_eq!(demand.select().len(), 1);
 }
 
-/// A policy to next_job the next job.
+/// A policy to choose the next job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Policy {
-    /// The one that is due first.
+    /// The job that is due first.
     SoonestDue,
-    /// The one that needs least.
+    /// The job that needs least.
     Smallest,
-    /// As the module chooses, the one of these first that is due first.
+    /// Of the jobs that the module selects, the one that is due first.
     Selected,
 }
 
-/// A job of a load: when it comes, how long it takes all of the room, and when it is due.
+/// A job of a load: when it arrives, how long it occupies the whole capacity, and when it is
+/// due.
 #[derive(Clone, Copy, Debug)]
 struct LoadJob {
     at_ms: u64,
@@ -149,7 +150,7 @@
     due_ms: u64,
 }
 
-/// Returns a load of twice the room for ten seconds.
+/// Returns a load of twice the capacity for ten seconds.
 fn load(seed: u64) -> Vec<LoadJob> {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut jobs = Vec::new();
@@ -167,7 +168,7 @@
     jobs
 }
 
-/// Serves a load job by job; returns how many are in time.
+/// Serves a load job by job; returns how many jobs are on time.
 fn serve(jobs: &[LoadJob], policy: Policy) -> usize {
     let mut waiting: Vec<LoadJob> = Vec::new();
     let mut arriving = jobs.iter().copied().peekable();
@@ -217,10 +218,10 @@
     }
 }
 
-/// Under twice the room, what the module chooses has more jobs in time than the one that is
-/// due first, and than the smallest first.
+/// Under a load of twice the capacity, the module's selection has more jobs on time than
+/// serving the soonest due first, or the smallest first.
 #[test]
-fn select_beats_other_ways() {
+fn select_beats_other_policies() {
     let served = |policy| {
         (0..20)
             .map(|seed| serve(&load(seed), policy))
@@ -234,18 +235,18 @@
     assert!(selected > smallest);
 }
 
-/// What the wall clock shows.
+/// The time of day in these tests.
 const WALL_CLOCK_MS: u64 = 100_000;
-/// The age of a job of a second whose objective, 3 s, has been over for longer than any job of
-/// an overloaded service should wait; its worth was over after 9.
+/// The age of a job that takes a second and has been past its objective of 3 s for longer than
+/// any job of an overloaded service should wait; it is worthless after 9 s.
 const AGED_MS: u64 = 34_000;
 
-/// Returns two workers, both taken by four tasks of the first job, of which two end once the
-/// jobs are there that are older by so much.
+/// Fills two workers with four tasks of a first job, submits jobs of these ages, and ends two
+/// of the tasks; returns the numbers of the jobs that are started in their place.
 fn started_in_overload(features: Features, ages_ms: &[u64]) -> Vec<u64> {
     let joining = workers(2);
     let mut harness = Harness::with_features(features, &[]);
-    // Jobs may be as old as the clock tells.
+    // Jobs may be accepted at any time since the clock's zero.
     harness.now = Instant::from_ms(WALL_CLOCK_MS);
     harness.handle(Event::WallClock(WALL_CLOCK_MS));
     let mut harness = harness.with_workers(&joining);
@@ -275,8 +276,8 @@
     numbers.collect()
 }
 
-/// A job of an overloaded service that is long late comes before those that could be in time,
-/// the one that was accepted first at a time. Without the feature it comes last.
+/// A job of an overloaded service that has been late for long precedes those that could be on
+/// time; of several such jobs the one accepted first. Without the feature it comes last.
 #[test]
 fn service_order_aged_first() {
     let ages_ms = [0, 0, AGED_MS, AGED_MS + 1000, 0];
@@ -286,37 +287,38 @@
     assert_eq!(started_in_overload(off, &ages_ms), [1, 1]);
 }
 
-/// A turn ends, so that a gang that never fits does not keep room from others for ever, and
-/// comes again.
+/// The precedence of a long-late job ends after a while, so that a gang that never fits does
+/// not keep capacity from others without end, and recurs later.
 #[test]
-fn service_order_aged_in_turns() {
-    let turn_over_ms = 3_000 + 36_000;
-    let next_turn_ms = 3_000 + 61_000;
+fn service_order_aged_alternately() {
+    let past_precedence_ms = 3_000 + 36_000;
+    let next_precedence_ms = 3_000 + 61_000;
     let first_started = |aged_ms| started_in_overload(Features::default(), &[0, 0, aged_ms, 0])[0];
-    assert_ne!(first_started(turn_over_ms), 3);
-    assert_eq!(first_started(next_turn_ms), 3);
+    assert_ne!(first_started(past_precedence_ms), 3);
+    assert_eq!(first_started(next_precedence_ms), 3);
 }
 
-/// What is past all worth comes after what is late, and that after what can be in time.
+/// Worthless jobs come after late ones, and these after jobs that can be on time.
 #[test]
-fn service_order_overdue_last() {
-    let overdue_ms = 20_000;
+fn service_order_worthless_last() {
+    let worthless_ms = 20_000;
     assert_eq!(
-        started_in_overload(Features::default(), &[overdue_ms, 4_000, 0]),
+        started_in_overload(Features::default(), &[worthless_ms, 4_000, 0]),
         [3, 3]
     );
     assert_eq!(
-        started_in_overload(Features::default(), &[overdue_ms, 4_000, 4_000]),
+        started_in_overload(Features::default(), &[worthless_ms, 4_000, 4_000]),
         [2, 2]
     );
 }
 
-/// A service in which what waits has room is not overloaded, however late that is.
+/// A service with free capacity for all that waits is not overloaded, however late the jobs
+/// are.
 #[test]
-fn service_order_as_usual_with_room() {
-    let overdue_ms = 20_000;
+fn service_order_unchanged_with_free_capacity() {
+    let worthless_ms = 20_000;
     assert_eq!(
-        started_in_overload(Features::default(), &[overdue_ms]),
+        started_in_overload(Features::default(), &[worthless_ms]),
         [1, 1]
     );
 }
--- a/crates/scheduler/tests/scheduler/packing.rs
+++ b/crates/scheduler/tests/scheduler/packing.rs
@@ -1,4 +1,4 @@
-//! On which workers tasks are placed that need more than processors.
+//! On which workers tasks are placed that need more than cores and memory.
 
 use crate::support::harness::Harness;
 use crate::support::step;
@@ -28,7 +28,7 @@
     }]
 }
 
-/// Hands a job in and returns the workers that start its tasks.
+/// Submits a job and returns the workers that start its tasks.
 fn start(harness: &mut Harness, number: u64, tasks_count: u32, demand: Resources) -> Vec<String> {
     harness.submit(number, tasks(tasks_count, demand));
     harness.commit_all();
@@ -43,8 +43,8 @@
         .collect()
 }
 
-/// A task that needs no accelerator goes to a worker without, though one with accelerators
-/// is fuller.
+/// A task that needs no accelerator goes to a worker without any, though a worker with
+/// accelerators has less free capacity.
 #[test]
 fn candidates_no_accelerator_needed() {
     let with_accelerators = Resources::new(64_000, 524_288, 8);
@@ -53,19 +53,20 @@
     assert_eq!(start(&mut harness, 1, 1, plain), ["w1"]);
 }
 
-/// A small task goes where no larger one fits, though another worker has fewer processors.
+/// A small task goes where no larger task fits, though another worker has fewer cores.
 #[test]
-fn candidates_room_of_larger_left() {
+fn candidates_capacity_for_larger_left() {
     let whole = Resources::new(64_000, 524_288, 8);
     let partly_used = Resources::new(117_000, 524_288, 7);
     let mut harness = harness(&[whole, partly_used]);
-    // One of the larger has come, and is gone.
+    // A larger task was submitted and cancelled.
     harness.submit(1, tasks(1, LARGE));
     harness.cancel(1);
     assert_eq!(start(&mut harness, 2, 1, SMALL), ["w1"]);
 }
 
-/// Below half of a service's use whatever has room starts, in whole workers too.
+/// While less than half of a service is in use, every task that fits starts, even on empty
+/// workers.
 #[test]
 fn place_small_little_used() {
     let mut harness = harness(&[WITH_ACCELERATORS; 8]);
@@ -74,7 +75,7 @@
     assert_eq!(start(&mut harness, 2, 64, SMALL).len(), 64);
 }
 
-/// A task that needs nothing starts, and is no shape to keep room for.
+/// A task that needs nothing starts, and no capacity is kept for its shape.
 #[test]
 fn place_nothing_needed() {
     let mut harness = harness(&[WITH_ACCELERATORS, WITHOUT_ACCELERATORS]);
@@ -83,9 +84,10 @@
     assert_eq!(start(&mut harness, 3, 1, SMALL), Vec::<String>::new());
 }
 
-/// However many shapes come, few are kept; the verifier counts them.
+/// The number of recorded shapes is bounded, however many are submitted; the verifier checks
+/// it.
 #[test]
-fn take_job_many_shapes() {
+fn accept_job_many_shapes() {
     let mut harness = harness(&[WITH_ACCELERATORS]);
     for number in 1..=60 {
         let cores_milli = 1 << (number % 15);
@@ -97,9 +99,10 @@
     assert_eq!(status.service_rooms.len(), 1);
 }
 
-/// Operators see which of the tasks that come still fits, and in how much of what is free.
+/// The status shows the largest of the submitted shapes that still fits, and in what part of
+/// the free capacity.
 #[test]
-fn status_room_broken_up() {
+fn status_capacity_fragmented() {
     let mut harness = harness(&[WITH_ACCELERATORS; 2]);
     assert_eq!(start(&mut harness, 1, 1, LARGE).len(), 1);
     assert_eq!(start(&mut harness, 2, 4, SMALL).len(), 4);
@@ -109,8 +112,8 @@
     assert_eq!((room.fit_count, room.whole_percent), (4, 0));
 }
 
-/// In a service that is half used, small tasks that can wait leave room for the largest that
-/// come; those that can't wait use it.
+/// In a service that is half used, small tasks with time to spare leave capacity free for the
+/// largest shape; urgent ones use it.
 #[test]
 fn place_small_half_used() {
     let mut harness = harness(&[WITH_ACCELERATORS; 4]);
@@ -128,8 +131,8 @@
     assert_eq!(
         harness.starts(),
         Vec::new(),
-        "the last whole worker is kept"
+        "the last empty worker is kept free"
     );
-    // Once a pressing one has broken into it, nothing is left to keep.
+    // Once an urgent task runs on it, no capacity is left to keep free.
     assert_eq!(start(&mut harness, 4, 1, SMALL), ["w3", "w3"]);
 }
--- a/crates/scheduler/tests/scheduler/retries.rs
+++ b/crates/scheduler/tests/scheduler/retries.rs
@@ -1,4 +1,4 @@
-//! Calls to workers that are repeated where no answer came.
+//! Repeats of calls to workers that were not answered.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::step;
@@ -8,10 +8,10 @@
 };
 use rstest::rstest;
 
-/// A start that was sent: worker, task, run.
+/// A start that was sent: worker, task and run.
 type Start = (WorkerKey, TaskKey, u32);
 
-/// Returns a scheduler that has sent one start, and the start.
+/// Returns a harness that has sent one start, and the start.
 fn after_start() -> (Harness, Start) {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
@@ -29,10 +29,10 @@
     });
 }
 
-/// Found on bluemahoe-ops scale-2: every start whose answer was lost was stopped
-/// and its task started again, though the worker had it.
+/// Every start whose answer was lost was once stopped and its task started again, though the
+/// worker was running it.
 #[test]
-fn on_start_answered_sent_again_without_answer() {
+fn on_start_answered_unanswered_sent_again() {
     let (mut harness, start) = after_start();
     answer(&mut harness, start, StartReply::Unanswered);
     assert_eq!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn on_start_answered_stopped_after_three_without_answer() {
+fn on_start_answered_unanswered_thrice_stopped() {
     let (mut harness, start) = after_start();
     for _ in 0..2 {
         answer(&mut harness, start, StartReply::Unanswered);
@@ -55,7 +55,7 @@
     assert_eq!(harness.stops(), vec![start]);
 }
 
-/// A short run may have ended before the repeat of its start came.
+/// A short run may have ended before the repeat of its start arrived.
 #[test]
 fn on_start_answered_repeat_refused_as_old() {
     let (mut harness, start) = after_start();
@@ -63,7 +63,11 @@
     assert_eq!(harness.starts(), vec![start]);
     answer(&mut harness, start, StartReply::Refused(RefusedStart::Old));
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "the worker's list has to tell");
+    assert_eq!(
+        harness.starts(),
+        vec![],
+        "the worker's answer to a poll decides"
+    );
     let (worker, task, run) = start;
     harness.answer_poll(worker, vec![end(1, task, run, EndKind::Done)]);
     harness.commit_all();
@@ -71,12 +75,12 @@
     assert_eq!(view.phase, Phase::Complete);
 }
 
-/// The start that was not answered may still be carried out.
+/// The copy of the start that was not answered may still be carried out.
 #[rstest]
 #[case::room(RefusedStart::Room)]
 #[case::unhealthy(RefusedStart::Unhealthy)]
 #[case::not_sent(RefusedStart::NotSent)]
-fn on_start_answered_repeat_refused_is_in_doubt(#[case] why: RefusedStart) {
+fn on_start_answered_repeat_refused_unconfirmed(#[case] why: RefusedStart) {
     let (mut harness, start) = after_start();
     answer(&mut harness, start, StartReply::Unanswered);
     assert_eq!(harness.starts(), vec![start]);
@@ -86,10 +90,9 @@
     assert!(others.iter().all(|other| *other == start), "no other run");
 }
 
-/// Found on bluemahoe-ops scale-2: one lost answer kept the ends of a worker's
-/// runs unknown for two seconds.
+/// One lost answer once left the ends of a worker's runs unknown for two seconds.
 #[test]
-fn on_hold_answered_asked_again_at_once() {
+fn on_hold_answered_unanswered_polled_again_at_once() {
     let (mut harness, start) = after_start();
     harness.answer_started(start);
     harness.actions.clear();
@@ -99,15 +102,15 @@
         sent_at,
         reply: HoldReply::Unanswered,
     });
-    let asked = harness.actions.iter().find_map(|action| match action {
+    let poll = harness.actions.iter().find_map(|action| match action {
         Action::Hold { to, until_ms, .. } if to.worker == start.0 => Some(*until_ms),
         _ => None,
     });
-    assert_eq!(asked, Some(None), "at once, and without a grant");
+    assert_eq!(poll, Some(None), "polled at once, without a lease renewal");
 }
 
 #[test]
-fn on_hold_answered_one_without_answer_keeps_worker() {
+fn on_hold_answered_one_unanswered_keeps_worker() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
     for (expected_count, reply_count) in [(1, 1), (0, 2)] {
@@ -120,15 +123,15 @@
         let status = harness.scheduler.status(harness.now);
         assert_eq!(
             status.placeable_workers_count, expected_count,
-            "after {reply_count} without answer"
+            "after {reply_count} unanswered polls"
         );
     }
 }
 
-/// A look that is repeated with the same limit is answered too late each time,
-/// where this node or a link is slow.
+/// If a poll were repeated with the same timeout, each answer would be too late where this node
+/// or a link is slow.
 #[test]
-fn on_hold_answered_silent_worker_is_given_longer() {
+fn on_hold_answered_unresponsive_worker_longer_timeout() {
     let (mut harness, start) = after_start();
     harness.answer_started(start);
     let mut timeouts_ms = Vec::new();
@@ -141,17 +144,17 @@
             reply: HoldReply::Unanswered,
         });
         harness.commit_all();
-        let asked = harness.actions.iter().find_map(|action| match action {
+        let poll = harness.actions.iter().find_map(|action| match action {
             Action::Hold { to, patience, .. } if to.worker == start.0 => Some(patience.as_ms()),
             _ => None,
         });
-        timeouts_ms.push(asked.expect("it is asked again"));
+        timeouts_ms.push(poll.expect("it is polled again"));
     }
     assert_eq!(timeouts_ms, [250, 500, 1000, 1000]);
 }
 
-/// When no start is answered, as where this node or its link is overloaded, repeats must
-/// not make that worse: a fifth of what is sent, and a hundred at once.
+/// When no start is answered, as where this node or its link is overloaded, repeats must not
+/// add to the load: they are limited to a fifth of what is sent, and to a hundred at once.
 #[test]
 fn repeat_start_budget_used_up() {
     const STARTS_COUNT: usize = 160;
@@ -170,21 +173,21 @@
     }
     assert_eq!(
         repeats_count, 100,
-        "the budget was full, and earned nothing more"
+        "the whole budget is used, and none is earned"
     );
     assert_eq!(
         harness.stops().len(),
         STARTS_COUNT,
-        "the others are stopped at once"
+        "the starts are stopped once the budget is used up"
     );
 }
 
-/// Found by the search, gangs on few good workers, everything, seed 502288: a gang was
-/// given up with its silent worker and started again elsewhere; then the worker answered
-/// and listed that the first run had ended well. The second run went on, and a start of
-/// it that had no answer was sent again after the end had been acknowledged.
+/// A gang on an unresponsive worker was released and started again elsewhere. Then the worker
+/// answered and listed that the first run had ended well. The second run once kept running, and
+/// an unanswered start of it was sent again after the end had been acknowledged (search for
+/// gangs on few suitable workers with all faults, seed 502288).
 #[test]
-fn take_end_gang_done_in_earlier_run() {
+fn handle_end_gang_done_in_earlier_run() {
     let gang = StepSpec {
         is_gang: true,
         ..step(2)
@@ -201,12 +204,16 @@
     }
     harness.commit_all();
     let second = harness.starts();
-    assert_eq!(second.len(), 2, "it is started again elsewhere");
+    assert_eq!(second.len(), 2, "the gang is started again elsewhere");
     harness.answer_started(second[0]);
     let done = |number: u64, start: &Start| end(number, start.1, start.2, EndKind::Done);
     let ends = vec![done(1, &first[0]), done(2, &first[1])];
     harness.answer_poll(first[0].0, ends);
     answer(&mut harness, second[1], StartReply::Unanswered);
     assert_eq!(harness.starts(), vec![], "its task is done");
-    assert_eq!(harness.stops(), second, "nothing is left to win");
+    assert_eq!(
+        harness.stops(),
+        second,
+        "the second run is stopped, as its task is done"
+    );
 }
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -1,4 +1,4 @@
-//! What a leader of many workers and waiting steps spares itself.
+//! What a leader of many workers and waiting steps omits to limit its load.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{advice, job, step};
@@ -6,14 +6,14 @@
 use ospreywing_types::Duration;
 use rstest::rstest;
 
-/// Returns a step of one task, which fills a worker.
+/// Returns a step of one task that fills a worker.
 fn filling_step() -> StepSpec {
     let mut spec = step(1);
     spec.demand.cores_milli = 4000;
     spec
 }
 
-/// Returns the longest time that the renewals sent so far wait at their workers.
+/// Returns the longest time for which the polls sent so far may wait at their workers.
 fn longest_poll_wait(harness: &Harness) -> Duration {
     let waits = harness.actions.iter().filter_map(|action| match action {
         Action::Hold { wait, .. } => Some(*wait),
@@ -22,8 +22,8 @@
     waits.max().unwrap_or_default()
 }
 
-/// Renewals of 600 busy workers take 600 answers in 1.2 s; each 0.8 s they took
-/// a third more of the leader's time.
+/// Renewals for 600 busy workers take 600 answers in 1.2 s; in 0.8 s they took a third more of
+/// the leader's time.
 #[rstest]
 #[case(2, 800)]
 #[case(400, 800)]
@@ -52,10 +52,10 @@
     harness.actions.iter().filter(is_placed).count()
 }
 
-/// A pass over 300 waiting steps leaves 30 ms to everything else, in which
-/// it looked at them three times more.
+/// After a pass over 300 waiting steps 30 ms are left to everything else. Without that pause
+/// the steps were passed over three more times in it.
 #[test]
-fn place_rests_after_many_waiting_steps() {
+fn place_pauses_after_many_waiting_steps() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     for number in 1..=301 {
         harness.submit(number, vec![filling_step()]);
@@ -65,7 +65,7 @@
     harness.answer_started(first);
     harness.commit_all();
     assert_eq!(placed_count(&harness), 1);
-    // A pass over all that waits, in vain.
+    // A pass over all waiting steps that places none.
     harness.handle(Event::Tick);
     let ended = vec![end(1, first.1, first.2, EndKind::Done)];
     harness.answer_poll_after(Duration::from_ms(15), first.0, ended);
@@ -75,7 +75,7 @@
     assert_eq!(placed_count(&harness), 2, "35 ms after a pass");
 }
 
-/// Returns how many changes each commit sent so far carries.
+/// Returns how many changes each commit sent so far contains.
 fn commit_sizes(harness: &Harness) -> Vec<usize> {
     let sizes = harness.actions.iter().filter_map(|action| match action {
         Action::Commit { changes, .. } => Some(changes.len()),
@@ -84,7 +84,7 @@
     sizes.collect()
 }
 
-/// With 70 changes at a time, the last of them waited for 44 ms before.
+/// When each commit had 70 changes, the last change waited for 44 ms.
 #[test]
 fn flush_commits_full_groups_at_once() {
     let mut harness = Harness::new(Recovered::default(), &workers(70));
@@ -100,20 +100,20 @@
     assert_eq!(
         commit_sizes(&harness),
         [30, 30],
-        "two full ones, and ten that wait"
+        "two full commits, and ten changes that wait"
     );
     harness.now = harness.now + Duration::from_ms(22);
     harness.handle(Event::Tick);
     assert_eq!(commit_sizes(&harness), [30, 30, 10]);
 }
 
-/// Lists so many nodes that can ask the adviser.
+/// Lists so many nodes that can make advice requests.
 fn list_nodes(harness: &mut Harness, nodes_count: usize) {
     let nodes = (0..nodes_count).map(|number| format!("n{number}").into());
     harness.handle(Event::NodesListed(nodes.collect()));
 }
 
-/// Returns a gang whose members fill a worker each.
+/// Returns a gang each of whose members fills a worker.
 fn filling_gang(members_count: u32) -> StepSpec {
     StepSpec {
         tasks_count: members_count,
@@ -122,11 +122,12 @@
     }
 }
 
-/// A call may name 100 workers; a gang on more has its tickets from several.
+/// A request names at most 100 workers; a gang of more members gets its tickets from several
+/// requests.
 #[rstest]
 #[case::one_node(1)]
 #[case::many_nodes(40)]
-fn ask_gang_on_more_workers_than_a_call_names(#[case] nodes_count: usize) {
+fn request_advice_gang_wider_than_a_request(#[case] nodes_count: usize) {
     let workers = workers(130);
     let ids: Vec<String> = workers.iter().map(|worker| worker.id.to_string()).collect();
     let good: Vec<&str> = ids.iter().map(String::as_str).collect();
@@ -148,12 +149,12 @@
     assert_eq!(starts.len(), 120, "the whole gang");
 }
 
-/// A gang that needs many workers learned of 100 of them in each call, one after
-/// the other. With many idle nodes it learns of all at once, each node about a few.
+/// A gang that needs many workers once asked about 100 of them at a time, in one request after
+/// the other. With many idle nodes it asks about all at once, each node about a part.
 #[rstest]
 #[case::few_nodes(8, 1, 100)]
 #[case::many_nodes(64, 8, 300)]
-fn seek_for_gang_learns_in_parts(
+fn search_for_gang_asks_in_parts(
     #[case] nodes_count: usize,
     #[case] calls_count: usize,
     #[case] named_count: usize,
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -1,4 +1,5 @@
-//! Shares of room: whose work comes first, whose runs give way, and what a new leader knows.
+//! Fair shares: whose work is placed first, whose runs are preempted, and what a new leader
+//! restores.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{configuration_with, customer, job_of, step, SERVICE};
@@ -13,9 +14,9 @@
 /// The workers hold two tasks of [`step`] each.
 const WORKERS_COUNT: usize = 4;
 const CAPACITY_TASKS_COUNT: u32 = 8;
-/// How far a tag may be ahead of its service's clock.
+/// How far a customer's tag may be ahead of its service's virtual time.
 const LAG_LIMIT: Duration = Duration::from_ms(2_000);
-/// The objective of [`step`]: twice its second, and one more.
+/// The objective of [`step`]: twice its estimate of a second, and one second.
 const OBJECTIVE_MS: u64 = 3_000;
 const WITHOUT_SHARES: Features = Features::all().without(Feature::FairShares);
 const EQUAL: [(&str, f64); 2] = [("over", 1.0), ("under", 1.0)];
@@ -33,20 +34,20 @@
     harness
 }
 
-/// Has a customer hand in a job of tasks that save checkpoints.
-fn submit(harness: &mut Harness, of: &str, number: u64, tasks_count: u32) -> (JobId, JobRecord) {
+/// Submits a customer's job of tasks that save checkpoints.
+fn submit(harness: &mut Harness, name: &str, number: u64, tasks_count: u32) -> (JobId, JobRecord) {
     let spec = StepSpec {
         saves_progress: true,
         ..step(tasks_count)
     };
-    let (id, mut record) = job_of(of, number, vec![spec]);
+    let (id, mut record) = job_of(name, number, vec![spec]);
     record.accepted_ms = harness.now.as_ms();
     harness.handle(Event::WallClock(record.accepted_ms));
     harness.submit_job((id, record.clone()));
     (id, record)
 }
 
-/// Starts what has room; returns the runs.
+/// Starts what fits; returns the runs.
 fn start_all(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
     harness.commit_all();
     let starts = harness.starts();
@@ -56,12 +57,12 @@
     starts
 }
 
-fn view(harness: &Harness, of: &str) -> ShareView {
-    let view = harness.scheduler.share_of(SERVICE, Some(of));
+fn view(harness: &Harness, name: &str) -> ShareView {
+    let view = harness.scheduler.share_of(SERVICE, Some(name));
     view.expect("a customer with open jobs")
 }
 
-/// Has one customer fill the cell and ask for more, and another ask for a task.
+/// One customer fills the cell and submits more, and another submits a single task.
 fn overcommitted(features: Features) -> Harness {
     let mut harness = harness_with(features, &EQUAL);
     submit(&mut harness, "over", 1, CAPACITY_TASKS_COUNT);
@@ -71,7 +72,7 @@
     harness
 }
 
-/// Lets time pass; returns whose runs are being stopped.
+/// Advances the time; returns the jobs whose runs are being stopped.
 fn stopped_within(harness: &mut Harness, length_ms: u64) -> Vec<u64> {
     let until_ms = harness.now.as_ms() + length_ms;
     let mut stopped = Vec::new();
@@ -83,11 +84,11 @@
     stopped
 }
 
-/// One run is stopped, which makes room for the one task that would come too late.
+/// One run is stopped, which frees capacity for the one task that would otherwise be late.
 #[rstest]
 #[case::shares(Features::default(), vec![1])]
 #[case::without(WITHOUT_SHARES, vec![])]
-fn preempt_for_customer_under_its_share(#[case] features: Features, #[case] expected: Vec<u64>) {
+fn preempt_for_customer_under_share(#[case] features: Features, #[case] expected: Vec<u64>) {
     let mut harness = overcommitted(features);
     let mut stopped = stopped_within(&mut harness, OBJECTIVE_MS);
     // A stop that is not answered is sent again.
@@ -95,7 +96,8 @@
     assert_eq!(stopped, expected);
 }
 
-/// Nothing is stopped while there is time, nor for a customer that has half of its share.
+/// Nothing is stopped while there is time to spare, nor for a customer that uses half of its
+/// share.
 #[rstest]
 #[case::has_time(0, 600)]
 #[case::has_half(2, OBJECTIVE_MS)]
@@ -117,7 +119,7 @@
     facts.id.clone()
 }
 
-/// Returns the state of a job of which these runs are alive.
+/// Returns the state of a job with these runs.
 fn running_state(
     runs: &[(WorkerKey, TaskKey, u32)],
     harness: &Harness,
@@ -139,8 +141,8 @@
     }
 }
 
-/// A new leader has the same accounts from the records alone; only the tags begin at the
-/// clock, and none was ahead of it by more than the limit.
+/// A new leader rebuilds the same accounts from the records. Only the tags start at the virtual
+/// time, and none was ahead of it by more than the limit.
 #[test]
 fn rebuild_shares_after_takeover() {
     let weights = [("over", 1.0), ("under", 3.0)];
@@ -180,7 +182,7 @@
     );
 }
 
-/// The shares follow new weights; a customer that was removed keeps its last.
+/// Shares follow changed weights; a customer that was removed keeps its last weight.
 #[rstest]
 #[case::raised(&[("over", 3.0), ("under", 1.0)], 1_333)]
 #[case::lowered(&[("over", 1.0), ("under", 3.0)], 4_000)]
@@ -194,7 +196,7 @@
     assert_eq!(view(&harness, "over").share_per_mille, share_per_mille);
 }
 
-/// Jobs from open queues have one account, of the customers' mean weight.
+/// Jobs from open queues share one account, with the customers' mean weight.
 #[test]
 fn share_of_open_queues() {
     let mut harness = harness_with(Features::default(), &[("over", 1.0), ("under", 3.0)]);
@@ -203,14 +205,14 @@
     submit(&mut harness, "under", 2, 1);
     harness.commit_all();
     let view = harness.scheduler.share_of(SERVICE, None);
-    // Two parts of five are its share, and it has all.
+    // Its share is two fifths, and it uses the whole capacity.
     assert_eq!(view.expect("open jobs").share_per_mille, 2_500);
 }
 
-/// What a customer runs while nobody else asks for the room is not owed later, and one that
-/// was idle has saved nothing up.
+/// What a customer runs while nobody else needs the capacity is not charged later, and one that
+/// was idle has accumulated no credit.
 #[test]
-fn borrow_free_room_is_not_owed() {
+fn borrow_free_capacity_not_charged() {
     let mut harness = harness_with(Features::default(), &EQUAL);
     submit(&mut harness, "over", 1, CAPACITY_TASKS_COUNT);
     start_all(&mut harness);
@@ -222,10 +224,10 @@
     assert_eq!(view(&harness, "under").lag, Duration::ZERO);
 }
 
-/// What a customer's own limit holds back makes no service short: there is room for all that
-/// may start.
+/// Demand beyond a customer's own limit does not make a service's capacity short: there is
+/// enough for all that may start.
 #[test]
-fn ask_beyond_limit_is_not_short() {
+fn demand_beyond_limit_not_short() {
     let mut harness = harness_with(Features::default(), &[]);
     let customers = vec![customer("over", 2, 1.0), customer("under", 8, 1.0)];
     let configuration = configuration_with(5, None, customers);
@@ -240,9 +242,9 @@
     assert_eq!(view.lag, Duration::ZERO);
 }
 
-/// The clock of a service never goes back, whatever comes.
+/// The virtual time of a service never decreases.
 #[test]
-fn virtual_time_goes_on() {
+fn virtual_time_never_decreases() {
     let mut harness = overcommitted(Features::default());
     let mut last = Duration::ZERO;
     for number in 0..20_u32 {
@@ -257,12 +259,12 @@
     }
 }
 
-/// A task of perpetual work that has begun, and one of an open queue, has its room again before
-/// work of customers within their shares.
+/// A task of perpetual work that has run before, or one of an open queue, is placed again
+/// before the work of customers within their shares.
 #[rstest]
 #[case::perpetual("over", true)]
 #[case::open_queue("", false)]
-fn place_again_beyond_share(#[case] of: &str, #[case] is_perpetual: bool) {
+fn place_again_over_share(#[case] name: &str, #[case] is_perpetual: bool) {
     let others = ["under", "third", "fourth", "fifth"];
     let mut weights = others.map(|name| (name, 1.0)).to_vec();
     weights.push(("over", 1.0));
@@ -271,7 +273,7 @@
         is_perpetual,
         ..step(CAPACITY_TASKS_COUNT)
     };
-    let (id, mut record) = job_of(of, 1, vec![spec]);
+    let (id, mut record) = job_of(name, 1, vec![spec]);
     record.customer = record.customer.filter(|name| !name.is_empty());
     harness.submit_job((id, record));
     let starts = start_all(&mut harness);
