--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -1,9 +1,9 @@
-//! What a leader's decisions cost for each run, without I/O.
+//! Measures the cost of a leader's decisions per run, without I/O.
 //!
-//! The scheduler is driven by workers, a store and an adviser that answer at set times.
-//! Counted are the processor time in its code (the least of three plays), what it allocates and the
-//! bytes of what it commits. Run it with `cargo harness -p ospreywing-scheduler`; the table
-//! stands in docs/design/scale.md.
+//! The scheduler is driven by workers, a store and an adviser that answer at set times. The
+//! benchmark measures the processor time of the scheduler's code (the least of three
+//! repetitions), its allocations and the bytes of its commits. Run it with `cargo bench -p
+//! ospreywing-scheduler`; the results are published in docs/design/scale.md.
 
 use ospreywing_scheduler::{
     Action, AdvicePolicy, AdviceReply, ChangeKind, Configuration, EndKind, EndedRun, Endpoint,
@@ -20,35 +20,35 @@
 
 const QUEUE: &str = "render";
 const SERVICE: &str = "gallery";
-/// How long the load goes on.
+/// The length of the load after the warm-up.
 const LOAD_MS: u64 = 10_000;
-/// How long it is before figures are taken.
+/// The time before the measurement begins.
 const WARM_UP_MS: u64 = 3_000;
 const TICK_MS: u64 = 20;
 const COMMIT_MS: u64 = 8;
 const CALL_MS: u64 = 4;
 const RUN_MS: u64 = 800;
 const TASKS_PER_JOB_COUNT: u32 = 4;
-const PLAYS_COUNT: usize = 3;
+const REPETITIONS_COUNT: usize = 3;
 const LEASE_LIMIT: Duration = Duration::from_ms(10_000);
-/// One worker of so many is good for a job.
+/// One worker in this many is suitable for a job.
 const SUITABLE_ONE_IN: u64 = 2;
 
-/// Counts allocations; the benchmark has one thread.
+/// Counts allocations; the benchmark has a single thread.
 struct CountingAllocator;
 
 static ALLOCATIONS_COUNT: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: every call is passed on to the system's allocator as it came.
+// SAFETY: every call is passed on unchanged to the system's allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS_COUNT.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        // SAFETY: `pointer` came from `alloc` above with this layout.
+        // SAFETY: `pointer` was returned by `alloc` above for this layout.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -56,7 +56,7 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// A worker that runs what it is told, each run as long as the others.
+/// A worker that carries out all starts, with runs of equal duration.
 #[derive(Default)]
 struct Worker {
     running: BTreeMap<TaskKey, (u32, u64)>,
@@ -65,7 +65,7 @@
 }
 
 impl Worker {
-    fn sweep(&mut self, now_ms: u64) {
+    fn end_due_runs(&mut self, now_ms: u64) {
         let due = self.running.iter().filter(|(_, run)| run.1 <= now_ms);
         for task in due.map(|(task, _)| *task).collect::<Vec<TaskKey>>() {
             let (run, _) = self
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns when a look that may wait is answered.
+    /// Returns when a poll is answered that may wait at the worker for an end.
     fn answers_at_ms(&self, now_ms: u64, wait: Duration) -> u64 {
         let until_ms = now_ms + wait.as_ms();
         if !self.ended.is_empty() {
@@ -94,28 +94,28 @@
     }
 }
 
-/// What a play costs.
+/// The cost of a load.
 #[derive(Clone, Copy, Default)]
 struct Cost {
-    busy_ns: u64,
+    processor_time_ns: u64,
     runs_count: u64,
     allocations_count: u64,
     committed_bytes: u64,
     calls_count: u64,
 }
 
-/// A leader and what surrounds it.
+/// A leader, with simulated workers, store and adviser.
 struct Cell {
     scheduler: Scheduler,
     now_ms: u64,
     due: BTreeMap<(u64, u64), Due>,
-    dues_count: u64,
+    posted_count: u64,
     workers: HashMap<WorkerKey, Worker>,
     actions: Vec<Action>,
     cost: Cost,
 }
 
-/// What happens at a set time.
+/// Something that is due at a set time.
 enum Due {
     Event(Box<Event>),
     Poll { to: Endpoint, sent_at: Instant },
@@ -131,7 +131,7 @@
             scheduler: Scheduler::new(config, configuration(advice), now, recovered),
             now_ms,
             due: BTreeMap::new(),
-            dues_count: 0,
+            posted_count: 0,
             workers: HashMap::new(),
             actions: Vec::new(),
             cost: Cost::default(),
@@ -146,10 +146,10 @@
     fn handle(&mut self, event: Event) {
         let now = Instant::from_ms(self.now_ms);
         let allocated = ALLOCATIONS_COUNT.load(Ordering::Relaxed);
-        let begun_ns = busy_ns();
+        let begun_ns = processor_time_ns();
         self.scheduler.handle(now, event, &mut self.actions);
         self.scheduler.settle(now, &mut self.actions);
-        self.cost.busy_ns += busy_ns() - begun_ns;
+        self.cost.processor_time_ns += processor_time_ns() - begun_ns;
         self.cost.allocations_count += ALLOCATIONS_COUNT.load(Ordering::Relaxed) - allocated;
         for action in core::mem::take(&mut self.actions) {
             self.perform(action);
@@ -157,8 +157,8 @@
     }
 
     fn post(&mut self, at_ms: u64, due: Due) {
-        self.dues_count += 1;
-        self.due.insert((at_ms, self.dues_count), due);
+        self.posted_count += 1;
+        self.due.insert((at_ms, self.posted_count), due);
     }
 
     fn handle_after(&mut self, after_ms: u64, event: Event) {
@@ -244,7 +244,7 @@
     fn poll(&mut self, to: &Endpoint, sent_at: Instant) {
         let now_ms = self.now_ms;
         let worker = self.workers.entry(to.worker).or_default();
-        worker.sweep(now_ms);
+        worker.end_due_runs(now_ms);
         let running = worker.running.iter().map(|(task, run)| RunningRun {
             task: *task,
             run: run.0,
@@ -282,8 +282,8 @@
     }
 }
 
-/// Returns the processor time of this thread, which other load does not lengthen.
-fn busy_ns() -> u64 {
+/// Returns the processor time of this thread, which does not depend on other load.
+fn processor_time_ns() -> u64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
@@ -348,11 +348,11 @@
     })
 }
 
-fn play(workers_count: usize, starts_per_s: u64, advice: Option<AdvicePolicy>) -> Cost {
+fn run_load(workers_count: usize, starts_per_s: u64, advice: Option<AdvicePolicy>) -> Cost {
     let mut cell = Cell::new(workers_count, advice);
     let begun_ms = cell.now_ms;
     let mut jobs_count = 0;
-    let mut warm = Cost::default();
+    let mut warm_up = Cost::default();
     for ticks_count in 0..(WARM_UP_MS + LOAD_MS) / TICK_MS {
         let at_ms = begun_ms + ticks_count * TICK_MS;
         cell.run_until(at_ms);
@@ -364,16 +364,16 @@
             cell.handle(Event::JobAccepted { job, record });
         }
         if at_ms - begun_ms < WARM_UP_MS {
-            warm = cell.cost;
+            warm_up = cell.cost;
         }
     }
     let all = cell.cost;
     Cost {
-        busy_ns: all.busy_ns - warm.busy_ns,
-        runs_count: all.runs_count - warm.runs_count,
-        allocations_count: all.allocations_count - warm.allocations_count,
-        committed_bytes: all.committed_bytes - warm.committed_bytes,
-        calls_count: all.calls_count - warm.calls_count,
+        processor_time_ns: all.processor_time_ns - warm_up.processor_time_ns,
+        runs_count: all.runs_count - warm_up.runs_count,
+        allocations_count: all.allocations_count - warm_up.allocations_count,
+        committed_bytes: all.committed_bytes - warm_up.committed_bytes,
+        calls_count: all.calls_count - warm_up.calls_count,
     }
 }
 
@@ -388,12 +388,15 @@
     for workers_count in [1_100, 3_000] {
         for starts_per_s in [100, 250, 500] {
             for (name, policy) in [("no", None), ("yes", Some(advice))] {
-                let plays = (0..PLAYS_COUNT).map(|_| play(workers_count, starts_per_s, policy));
-                let cost = plays.min_by_key(|cost| cost.busy_ns).unwrap_or_default();
+                let costs =
+                    (0..REPETITIONS_COUNT).map(|_| run_load(workers_count, starts_per_s, policy));
+                let cost = costs
+                    .min_by_key(|cost| cost.processor_time_ns)
+                    .unwrap_or_default();
                 let each = |sum: u64| sum as f64 / cost.runs_count.max(1) as f64;
                 println!(
                     "| {workers_count} | {starts_per_s} | {name} | {:.1} | {:.1} | {:.0} | {:.2} |",
-                    each(cost.busy_ns) / 1000.0,
+                    each(cost.processor_time_ns) / 1000.0,
                     each(cost.allocations_count),
                     each(cost.committed_bytes),
                     each(cost.calls_count),
--- a/crates/scheduler/tests/scheduler/backfill_load.rs
+++ b/crates/scheduler/tests/scheduler/backfill_load.rs
@@ -1,4 +1,4 @@
-//! Loads of one customer that its limit binds: short jobs beside gangs.
+//! Loads of one customer that are bounded by its limit: short jobs beside gangs.
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{
@@ -12,13 +12,13 @@
 const SEEDS_COUNT: u64 = 4;
 const ESTIMATE_MS: u64 = 900;
 
-/// A job that was handed in, and when.
+/// A job, and when it was submitted.
 struct SubmittedJob {
     id: JobId,
     at_ms: u64,
 }
 
-/// A world with one customer, and what was handed in of it.
+/// A simulation with one customer, and the jobs that it submitted.
 struct Scenario {
     simulation: Simulation,
     shorts: Vec<SubmittedJob>,
@@ -64,7 +64,7 @@
         self.simulation.submit((id, record));
     }
 
-    /// Returns how long each of the jobs waited for its first start, in order.
+    /// Returns how long each of the jobs waited for its first start, sorted.
     fn waits_ms(&self, submitted: &[SubmittedJob]) -> Vec<u64> {
         let started = &self.simulation.rules.first_started_ms;
         let mut waits_ms: Vec<u64> = submitted
@@ -79,7 +79,7 @@
     }
 }
 
-/// Returns the 95th percentile of waits in order.
+/// Returns the 95th percentile of sorted waits.
 fn percentile_95(waits_ms: &[u64]) -> u64 {
     waits_ms[waits_ms.len() * 95 / 100]
 }
@@ -103,17 +103,18 @@
 /// The tasks that the customer of the stream may have running.
 const STREAM_LIMIT_COUNT: u32 = 12;
 const STREAM_MS: u64 = 12_000;
-/// A gang of nearly all of it comes in after this time.
+/// A gang of nearly all of them is submitted at this time.
 const STREAM_GANG_COUNT: u32 = 11;
 const STREAM_GANG_AT_MS: u64 = 3_000;
-/// How soon it is to start: a second until it holds others back, two for which it may, and
-/// a start's own time.
+/// How soon the gang must start: one second until it holds others back, two seconds for which
+/// it may do so, and the time of a start.
 const STREAM_GANG_BOUND_MS: u64 = 3_200;
-/// How long a short job may wait meanwhile: the platform's bound.
+/// The platform's bound on how long a short job may wait meanwhile.
 const STREAM_SHORT_BOUND_MS: u64 = 3_000;
 
-/// A steady stream of short jobs, which keeps about half of the limit in use, and a gang that
-/// needs nearly all of it; where there is a new leader, so long after it came.
+/// Runs a steady stream of short jobs, which keeps about half of the limit in use, and a gang
+/// that needs nearly all of it. A new leader may take over at this time after the gang was
+/// submitted.
 fn run_stream(seed: u64, takeover_after_ms: Option<u64>) -> Scenario {
     let mut scenario = Scenario::new(seed, 16, STREAM_LIMIT_COUNT, None);
     for at_ms in (0..STREAM_MS).step_by(50) {
@@ -132,40 +133,40 @@
     scenario
 }
 
-/// A gang that needs more than half of the limit gets in, and no short job waits for longer
-/// than it may. A new leader counts from its first moment.
+/// A gang that needs more than half of the limit starts, and no short job waits longer than
+/// allowed. A new leader measures the waits from the begin of its term.
 #[rstest]
 #[case::one_leader(None)]
 #[case::takeover_before_it_holds(Some(600))]
 #[case::takeover_while_it_holds(Some(1_300))]
-fn place_large_gang_in_stream(#[case] takeover_after_ms: Option<u64>) {
+fn place_large_gang_beside_stream(#[case] takeover_after_ms: Option<u64>) {
     for seed in 0..SEEDS_COUNT {
         let scenario = run_stream(seed, takeover_after_ms);
         let gang_ms = scenario.waits_ms(&scenario.gangs)[0];
         let shorts_ms = scenario.waits_ms(&scenario.shorts).last().copied();
         println!("seed {seed}: the gang {gang_ms} ms, shorts up to {shorts_ms:?} ms");
         let bound_ms = STREAM_GANG_BOUND_MS + takeover_after_ms.unwrap_or(0);
-        assert!(gang_ms <= bound_ms, "the gang waits");
+        assert!(gang_ms <= bound_ms, "the gang waits too long");
         assert!(
             shorts_ms <= Some(STREAM_SHORT_BOUND_MS),
-            "a short job waits"
+            "a short job waits too long"
         );
     }
 }
 
-/// The usual of the flood's customer: a short job each so often, and a gang at another
-/// service, of up to half of the limit.
+/// The usual load of the burst's customer: a short job in each period, and a gang of up to half
+/// of the limit at another service.
 const BURST_SHORT_PERIOD_MS: u64 = 1_000;
 const BURST_GANG_PERIOD_MS: u64 = 5_000;
 const BURST_WORKERS_COUNT: usize = 48;
 const BURST_LIMIT_COUNT: u32 = 32;
 const BURST_GANG_COUNTS: [u32; 4] = [16, 4, 8, 4];
 const BURST_MS: u64 = 16_000;
-/// What a short job may wait for its first start: what its objective leaves beside its own
-/// length, which is twice that and a second.
+/// How long a short job may wait for its first start: what its objective, twice its duration
+/// and a second, leaves beside its duration.
 const BURST_SHORT_BOUND_MS: u64 = 1_000 + ESTIMATE_MS;
-/// The same for a gang: two seconds until it comes before more urgent work, the longest run
-/// in its way, and two for advice and room.
+/// The same for a gang: two seconds until it precedes more urgent work, the longest run that it
+/// waits for, and two seconds for advice and capacity.
 const BURST_GANG_BOUND_MS: u64 = 2_000 + 1_200 + 2_000;
 
 fn run_burst(seed: u64, factor: u64, policy: Option<AdvicePolicy>) -> Scenario {
@@ -190,10 +191,10 @@
     scenario
 }
 
-/// Neither the short jobs of one service nor the gangs of another keep the others from the
-/// customer's limit, which holds what comes on average but not all that comes at once.
+/// Neither the short jobs of one service nor the gangs of another exhaust the customer's limit,
+/// which suffices for the average load but not for a whole burst at once.
 #[rstest]
-fn place_shorts_beside_flood_of_gangs(
+fn place_shorts_beside_burst_of_gangs(
     #[values(2, 5, 10)] factor: u64,
     #[values(false, true)] has_advice: bool,
 ) {
@@ -203,7 +204,10 @@
         let shorts_ms = percentile_95(&scenario.waits_ms(&scenario.shorts));
         let gangs_ms = percentile_95(&scenario.waits_ms(&scenario.gangs));
         println!("seed {seed}: shorts {shorts_ms} ms, gangs {gangs_ms} ms");
-        assert!(shorts_ms <= BURST_SHORT_BOUND_MS, "short jobs wait");
-        assert!(gangs_ms <= BURST_GANG_BOUND_MS, "gangs wait");
+        assert!(
+            shorts_ms <= BURST_SHORT_BOUND_MS,
+            "short jobs wait too long"
+        );
+        assert!(gangs_ms <= BURST_GANG_BOUND_MS, "gangs wait too long");
     }
 }
--- a/crates/scheduler/tests/scheduler/customers_load.rs
+++ b/crates/scheduler/tests/scheduler/customers_load.rs
@@ -1,4 +1,5 @@
-//! A load of many customers, one of which sends many times its usual: what the others get.
+//! A load of many customers, one of which submits a multiple of its usual load: what the others
+//! get.
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{advice, configuration_with, customer, job_of, step};
@@ -6,44 +7,44 @@
 use ospreywing_types::Resources;
 use rstest::rstest;
 
-/// The customers of the cell, the first of which floods it.
+/// The number of customers, the first of which submits a burst.
 const CUSTOMERS_COUNT: u64 = 8;
-/// The jobs a second that each may hand in, and how often each does, in milliseconds.
+/// The jobs a second that each customer may submit, and the period at which it does.
 const JOBS_PER_S: f64 = 3.0;
 const PERIOD_MS: u64 = 500;
-/// The tasks that each may have running: the first may take the whole cell.
+/// The tasks that each customer may have running; the first one may fill the whole cell.
 const LIMIT_TASKS_COUNT: u32 = 20;
 const BURST_LIMIT_TASKS_COUNT: u32 = 48;
 const LOAD_MS: u64 = 12_000;
 const WORKERS_COUNT: usize = 12;
-/// What the others' share of jobs in time may fall by.
+/// How much the others' share of jobs on time may decrease.
 const SHARE_LOST_LIMIT: f64 = 0.02;
 const SEEDS_COUNT: u64 = 6;
 const DISRUPTION_SEEDS_COUNT: u64 = 3;
-/// The longest that a job of a customer under its share waits while a customer beyond its own
-/// is given room: until a run of the longest length ends, and is replaced.
+/// The longest that a job of a customer under its share waits while a customer over its own
+/// share gets capacity: until a run of the longest duration ends, and its successor is placed.
 const WAIT_LIMIT_MS: u64 = 2_000;
-/// How far a customer within its rate and share may be ahead of the clock: less than makes
-/// its work come later.
+/// How far a customer within its rate and share may be ahead of the virtual time: less than
+/// what delays its work.
 const LAG_LIMIT_MS: u64 = 1_000;
-/// The part of the jobs done without shares that must be done with them.
+/// The percentage of the jobs done without fair shares that must be done with them.
 const DONE_PERCENT: usize = 97;
-/// A job's objective: twice its task's second, and one more.
+/// A job's objective: twice its task's estimate of a second, and one second.
 const OBJECTIVE_MS: u64 = 3_000;
 
-/// What the flooding customer sends, so many times its usual.
+/// What the first customer submits, in multiples of its usual load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Burst {
-    /// Jobs as before, more of them.
+    /// More jobs of the usual size.
     Many,
-    /// As many jobs, within its rate, of more tasks.
+    /// As many jobs as usual, within its rate, of more tasks.
     Wide,
-    /// The same, each task of which fills a worker.
+    /// The same, with tasks each of which fills a worker.
     Huge,
 }
 
 impl Burst {
-    /// Returns how many jobs come at a time, and the step of each.
+    /// Returns how many jobs are submitted at a time, and the step of each.
     fn jobs(self, factor: u64) -> (u64, StepSpec) {
         let small = StepSpec {
             estimate_ms: 1_000,
@@ -67,19 +68,19 @@
     }
 }
 
-/// What goes wrong in a load.
+/// What else is disrupted during a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disruption {
     Nothing,
-    /// The leader is lost in the middle of the burst, and the next one soon after.
+    /// The leader is replaced in the middle of the burst, and again soon after.
     LeadersLost,
-    /// The flooding customer's weight is raised in the middle.
+    /// The weight of the customer with the burst is raised in the middle.
     WeightRaised,
-    /// The flooding customer is removed in the middle.
+    /// The customer with the burst is removed in the middle.
     CustomerRemoved,
-    /// The flooding customer is idle before.
+    /// The customer with the burst is idle before it.
     IdleBefore,
-    /// Tasks take 2.5 times as long as they are said to, or that part.
+    /// Tasks take 2.5 times as long as estimated, or are estimated at 2.5 times their duration.
     EstimatesLow,
     EstimatesHigh,
 }
@@ -93,12 +94,13 @@
         }
     }
 
-    /// Returns whether the flooding customer sends anything so long after the begin.
+    /// Returns whether the customer with the burst submits anything at this time since the
+    /// begin.
     const fn sends_burst_at(self, at_ms: u64) -> bool {
         !matches!(self, Self::IdleBefore) || at_ms >= LOAD_MS / 2
     }
 
-    /// Strikes, where its time has come.
+    /// Applies the disruption if it is due.
     fn inject(self, at_ms: u64, simulation: &mut Simulation, load: &Load) {
         let is_middle = at_ms == LOAD_MS / 2;
         match self {
@@ -117,7 +119,7 @@
     }
 }
 
-/// A load to be played.
+/// The parameters of a load.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     burst: Burst,
@@ -127,7 +129,7 @@
     disruption: Disruption,
 }
 
-/// Few jobs, within their customer's rate, that ask for far more than there is.
+/// Few jobs, within their customer's rate, that need far more than the cell's capacity.
 const HUGE_LOAD: Load = Load {
     burst: Burst::Huge,
     factor: 10,
@@ -136,15 +138,15 @@
     disruption: Disruption::Nothing,
 };
 
-/// What came of a load.
+/// The outcome of a load.
 struct Outcome {
-    /// The share of the others' jobs that had their outcome within their objective.
+    /// The part of the others' jobs that were done within their objective.
     others_share: f64,
-    /// All jobs that were done by the end of the load.
+    /// The number of all jobs that were done by the end of the load.
     done_count: usize,
     /// The longest that a job of the others waited for its first start.
     longest_wait_ms: u64,
-    /// The furthest that one of the others was ahead of its share.
+    /// The furthest that one of the others was ahead of the virtual time.
     largest_lag_ms: u64,
 }
 
@@ -171,7 +173,7 @@
     simulation
 }
 
-/// Plays a load.
+/// Runs a load.
 fn run_load(seed: u64, load: &Load) -> Outcome {
     let mut simulation = simulation_of(seed, load);
     let begun_ms = simulation.now_ms;
@@ -207,7 +209,7 @@
         simulation.record_outcomes();
     }
     let others: Vec<_> = submitted.iter().filter(|(_, by, _)| *by != 0).collect();
-    let in_time = others.iter().filter(|(id, _, since_ms)| {
+    let on_time = others.iter().filter(|(id, _, since_ms)| {
         let done_ms = simulation.done_ms.get(id);
         done_ms.is_some_and(|done_ms| done_ms - since_ms <= OBJECTIVE_MS)
     });
@@ -217,15 +219,15 @@
         started_ms.unwrap_or(end_ms) - since_ms
     });
     Outcome {
-        others_share: in_time.count() as f64 / others.len() as f64,
+        others_share: on_time.count() as f64 / others.len() as f64,
         done_count,
         longest_wait_ms: waits_ms.max().unwrap_or(0),
         largest_lag_ms,
     }
 }
 
-/// Plays a load with and without its burst; returns what the others lose of their share, the
-/// mean of so many seeds.
+/// Runs a load with and without its burst; returns the decrease of the others' share of jobs on
+/// time, averaged over the seeds.
 fn share_lost(load: &Load, seeds_count: u64) -> f64 {
     let usual = Load {
         burst: Burst::Many,
@@ -237,22 +239,28 @@
         let before = run_load(seed, &usual);
         let beside = run_load(seed, load);
         println!(
-            "seed {seed}: {:.3} alone, {:.3} beside a burst; waits of {} ms, {} ms ahead",
+            "seed {seed}: {:.3} without a burst, {:.3} beside it; waits of {} ms, a lag of {} ms",
             before.others_share, beside.others_share, beside.longest_wait_ms, beside.largest_lag_ms
         );
         lost += (before.others_share - beside.others_share) / seeds_count as f64;
         if load.features.has(Feature::FairShares) {
-            assert!(beside.longest_wait_ms <= WAIT_LIMIT_MS, "others wait");
-            assert!(beside.largest_lag_ms < LAG_LIMIT_MS, "others come later");
+            assert!(
+                beside.longest_wait_ms <= WAIT_LIMIT_MS,
+                "others wait too long"
+            );
+            assert!(
+                beside.largest_lag_ms < LAG_LIMIT_MS,
+                "others are delayed for their lag"
+            );
         }
     }
     println!("lost {lost:.3}");
     lost
 }
 
-/// One customer's burst costs the others next to nothing.
+/// One customer's burst costs the others almost nothing.
 #[rstest]
-fn place_beside_flood(
+fn place_beside_burst(
     #[values(Burst::Many, Burst::Wide, Burst::Huge)] burst: Burst,
     #[values(2, 5, 10)] factor: u64,
     #[values(false, true)] has_advice: bool,
@@ -270,9 +278,9 @@
     );
 }
 
-/// The same where something goes wrong besides.
+/// The same with another disruption.
 #[rstest]
-fn place_beside_flood_in_trouble(
+fn place_beside_burst_with_disruption(
     #[values(
         Disruption::LeadersLost,
         Disruption::WeightRaised,
@@ -294,20 +302,21 @@
     );
 }
 
-/// Without shares a few huge jobs take what others need: this is the load that shares answer.
+/// Without fair shares a few huge jobs take what others need: this load shows what shares
+/// prevent.
 #[test]
-fn place_beside_flood_without_shares() {
+fn place_beside_burst_without_shares() {
     let load = Load {
         features: Features::all().without(Feature::FairShares),
         ..HUGE_LOAD
     };
     let lost = share_lost(&load, DISRUPTION_SEEDS_COUNT);
-    assert!(lost > 0.1, "the others lose {lost:.3} only");
+    assert!(lost > 0.1, "the others lose only {lost:.3}");
 }
 
-/// The flooding customer still gets what nobody else asks for.
+/// The customer with the burst still gets the capacity that nobody else needs.
 #[rstest]
-fn place_flood_in_free_room(#[values(Burst::Many, Burst::Wide)] burst: Burst) {
+fn place_burst_in_free_capacity(#[values(Burst::Many, Burst::Wide)] burst: Burst) {
     let shared = Load { burst, ..HUGE_LOAD };
     let unshared = Load {
         features: Features::all().without(Feature::FairShares),
--- a/crates/scheduler/tests/scheduler/gang_load.rs
+++ b/crates/scheduler/tests/scheduler/gang_load.rs
@@ -1,5 +1,5 @@
-//! A load of gangs that take a third of a worker a member, beside work that can wait: how
-//! many gangs are done in time, and whether the low_priority work is done as well.
+//! A load of gangs, each member of which takes a third of a worker, beside low-priority work:
+//! how many gangs are on time, and whether the low-priority work is done as well.
 
 use crate::support::harness::{workers, Harness};
 use crate::support::simulation::{Faults, Simulation};
@@ -9,23 +9,24 @@
 use ospreywing_types::Resources;
 
 const WORKERS_COUNT: usize = 24;
-/// One of so many workers is good for a job.
+/// One worker in this many is suitable for a job.
 const SUITABLE_ONE_IN: u64 = 4;
 const SEEDS_COUNT: u64 = 8;
 const LOAD_MS: u64 = 16_000;
-/// A gang and a low_priority job come each so many milliseconds.
+/// The time between two gangs, and between two low-priority jobs.
 const PERIOD_MS: u64 = 500;
 const GANG_MEMBERS_COUNT: u32 = 16;
 const LOW_PRIORITY_TASKS_COUNT: u32 = 30;
-/// A gang's objective: twice its estimate of a second, and one more.
+/// A gang's objective: twice its estimate of a second, and one second.
 const GANG_OBJECTIVE_MS: u64 = 3_000;
-/// The same of a low_priority job, whose estimate is 10 s.
+/// A low-priority job's objective: twice its estimate of 10 s, and one second.
 const LOW_PRIORITY_OBJECTIVE_MS: u64 = 21_000;
-/// The share of gangs in time: 0.774 where low_priority work leaves room to gangs only once less
-/// than a third of the processors is free, 0.805 where that is half, 0.820 always.
-const GANGS_IN_TIME_MIN: f64 = 0.79;
+/// The lowest share of gangs on time. It is 0.774 where low-priority work leaves capacity to
+/// gangs only once less than a third of the cores is free, 0.805 where that limit is half, and
+/// 0.820 where it always does.
+const GANGS_ON_TIME_MIN: f64 = 0.79;
 
-/// Returns a gang three members of which fill a worker.
+/// Returns a gang, three members of which fill a worker.
 fn gang_job(number: u64) -> (JobId, ospreywing_scheduler::JobRecord) {
     let spec = StepSpec {
         demand: Resources::new(1300, 1000, 0),
@@ -41,13 +42,13 @@
     (id, record)
 }
 
-/// The shares of a run_load's jobs that were done in time.
-struct InTime {
+/// The shares of jobs on time.
+struct OnTime {
     gangs: f64,
     low_priority: f64,
 }
 
-fn run_load(seed: u64) -> InTime {
+fn run_load(seed: u64) -> OnTime {
     let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), Some(advice()));
     assert_eq!(simulation.workers.len(), WORKERS_COUNT);
     simulation.suitable_one_in = SUITABLE_ONE_IN;
@@ -80,39 +81,39 @@
         simulation.run_for(100);
         simulation.record_outcomes();
     }
-    InTime {
+    OnTime {
         gangs: share(&simulation, &gangs, GANG_OBJECTIVE_MS),
         low_priority: share(&simulation, &low_priority, LOW_PRIORITY_OBJECTIVE_MS),
     }
 }
 
 fn share(simulation: &Simulation, jobs: &[(JobId, u64)], objective_ms: u64) -> f64 {
-    let in_time = jobs.iter().filter(|(id, since_ms)| {
+    let on_time = jobs.iter().filter(|(id, since_ms)| {
         let done_ms = simulation.done_ms.get(id);
         done_ms.is_some_and(|done_ms| done_ms - since_ms <= objective_ms)
     });
-    in_time.count() as f64 / jobs.len() as f64
+    on_time.count() as f64 / jobs.len() as f64
 }
 
 #[test]
-fn place_gangs_beside_patient_work() {
+fn place_gangs_beside_low_priority_work() {
     let mut gangs = 0.0;
     for seed in 0..SEEDS_COUNT {
-        let in_time = run_load(seed);
+        let on_time = run_load(seed);
         println!(
-            "seed {seed}: {:.3} of the gangs in time, {:.3} of the low-priority jobs",
-            in_time.gangs, in_time.low_priority
+            "seed {seed}: {:.3} of the gangs on time, {:.3} of the low-priority jobs",
+            on_time.gangs, on_time.low_priority
         );
-        assert!(in_time.low_priority >= 0.99, "low-priority work is late");
-        gangs += in_time.gangs / SEEDS_COUNT as f64;
+        assert!(on_time.low_priority >= 0.99, "low-priority work is late");
+        gangs += on_time.gangs / SEEDS_COUNT as f64;
     }
     assert!(
-        gangs >= GANGS_IN_TIME_MIN,
-        "{gangs:.3} of the gangs were done in time"
+        gangs >= GANGS_ON_TIME_MIN,
+        "{gangs:.3} of the gangs were on time"
     );
 }
 
-/// The fake workers of this load hold three members each.
+/// Each fake worker of this load holds three members.
 #[test]
 fn fake_worker_holds_three_members() {
     let worker = FakeWorker::new("w0", 1000);
@@ -121,8 +122,8 @@
     assert!(!member.times(4).fits_in(&worker.capacity));
 }
 
-/// Of two gangs that are equally urgent and can't both have their room, the smaller is
-/// served first, though the larger came earlier.
+/// Of two gangs that are equally urgent and don't both fit, the smaller one is served first,
+/// though the larger one was submitted earlier.
 #[test]
 fn service_order_smaller_gang_first() {
     let mut harness = Harness::new(Recovered::default(), &[]);
@@ -130,7 +131,7 @@
         is_gang: true,
         ..step(tasks_count)
     };
-    // Neither fits on one worker.
+    // Neither gang fits on one worker.
     let smaller = StepSpec {
         demand: Resources::new(1300, 1000, 0),
         per_worker_limit_count: 2,
--- a/crates/scheduler/tests/scheduler/learning_load.rs
+++ b/crates/scheduler/tests/scheduler/learning_load.rs
@@ -1,5 +1,5 @@
-//! A load of short urgent jobs beside low_priority work, on workers some of which take twice as
-//! long: how many of the short jobs are in time.
+//! A load of short urgent jobs beside low-priority work, on workers some of which take twice as
+//! long: how many of the urgent jobs are on time.
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{configuration, job, low_priority_job, step, LOW_PRIORITY_QUEUE, QUEUE};
@@ -7,24 +7,24 @@
 use std::collections::BTreeMap;
 
 const WORKERS_COUNT: usize = 40;
-/// One worker of so many works at half the usual speed.
+/// One worker in this many runs at half the typical speed.
 const SLOW_ONE_IN: usize = 7;
 const SLOW_PER_MILLE: u64 = 500;
 const SEEDS_COUNT: u64 = 6;
-/// Speeds are learned in the first part, and what comes then counts.
+/// Speeds are learned in a first phase; only jobs submitted after it are measured.
 const LEARN_MS: u64 = 8_000;
 const LOAD_MS: u64 = 20_000;
 const URGENT_PERIOD_MS: u64 = 100;
 const LOW_PRIORITY_PERIOD_MS: u64 = 500;
-/// An urgent job's estimate, what it really takes on a worker of usual speed, and the time
-/// that it has in all: its estimate and half a second.
+/// An urgent job's estimate, its actual duration at typical speed, and its objective, which is
+/// its estimate and half a second.
 const URGENT_ESTIMATE_MS: u64 = 700;
 const URGENT_MS: core::ops::Range<u64> = 600..800;
 const URGENT_OBJECTIVE_MS: u64 = 1_200;
 const LOW_PRIORITY_TASKS_COUNT: u32 = 12;
 const LOW_PRIORITY_MS: core::ops::Range<u64> = 800..1_200;
 
-/// Returns a configuration in which urgent jobs have half a second beside their estimate.
+/// Returns a configuration in which urgent jobs have half a second beyond their estimate.
 fn strict_configuration() -> Configuration {
     let mut strict = Configuration {
         version: 2,
@@ -56,7 +56,7 @@
     (id, record)
 }
 
-/// A scenario: the world, and when each urgent job came.
+/// A simulation, and when each urgent job was submitted.
 struct Scenario {
     simulation: Simulation,
     next_number: u64,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Lets all jobs end; none comes any more.
+    /// Runs until all jobs are done, without submitting more.
     fn finish(&mut self) {
         for _ in 0..URGENT_OBJECTIVE_MS / 50 {
             self.simulation.run_for(50);
@@ -118,15 +118,15 @@
         self.simulation.assert_no_strays();
     }
 
-    /// Returns the share of the urgent jobs that came since then and were done in time.
+    /// Returns the share of jobs on time of the urgent jobs submitted since this time.
     fn urgent_share(&self, since_ms: u64) -> f64 {
         let counted = self.urgent.iter();
         let counted: Vec<_> = counted.filter(|(_, at_ms)| **at_ms >= since_ms).collect();
-        let in_time = counted.iter().filter(|(id, at_ms)| {
+        let on_time = counted.iter().filter(|(id, at_ms)| {
             let done_ms = self.simulation.done_ms.get(id);
             done_ms.is_some_and(|done_ms| done_ms - **at_ms <= URGENT_OBJECTIVE_MS)
         });
-        in_time.count() as f64 / counted.len() as f64
+        on_time.count() as f64 / counted.len() as f64
     }
 }
 
@@ -134,7 +134,7 @@
     Features::default().without(Feature::Learning)
 }
 
-/// Plays the load on workers some of which are slow; returns the urgent jobs' share.
+/// Runs the load with some slow workers; returns the urgent jobs' share on time.
 fn slow_share(seed: u64, features: Features) -> f64 {
     let mut scenario = Scenario::new(seed, features).with_slow_workers();
     scenario.run(LEARN_MS);
@@ -144,27 +144,27 @@
     scenario.urgent_share(since_ms)
 }
 
-/// Short jobs go to workers of usual speed and low_priority work to the slow ones: nearly all of
-/// the short ones are in time.
+/// Urgent jobs are placed on workers of typical speed and low-priority work on the slow ones,
+/// so that nearly all urgent jobs are on time.
 #[test]
 fn place_urgent_beside_slow_workers() {
     let (mut with, mut without) = (0.0, 0.0);
     for seed in 0..SEEDS_COUNT {
         let shares = [Features::default(), without_learning()].map(|it| slow_share(seed, it));
         println!(
-            "seed {seed}: {:.3} with, {:.3} without",
+            "seed {seed}: {:.3} with learning, {:.3} without",
             shares[0], shares[1]
         );
         with += shares[0] / SEEDS_COUNT as f64;
         without += shares[1] / SEEDS_COUNT as f64;
     }
-    println!("{with:.3} with, {without:.3} without");
+    println!("{with:.3} with learning, {without:.3} without");
     assert!(with >= 0.95, "{with:.3} of the urgent jobs were in time");
     assert!(with >= without + 0.03, "{with:.3} and {without:.3} without");
 }
 
-/// The slow workers become usual ones and others slow: for a while the belief is wrong.
-/// Nothing is lost but time, and it is learned anew.
+/// The slow workers become typical and others become slow, so that the learned speeds are wrong
+/// for a while. Jobs are only delayed, and the speeds are learned again.
 #[test]
 fn place_urgent_after_speeds_flip() {
     let mut scenario = Scenario::new(1, Features::default()).with_slow_workers();
@@ -181,9 +181,9 @@
     assert!(share >= 0.9, "{share:.3} of the urgent jobs were in time");
 }
 
-/// All workers turn slow at once: none of them comes last for it.
+/// When all workers become slow at once, none of them is ejected.
 #[test]
-fn place_while_all_turn_slow() {
+fn place_while_all_become_slow() {
     let mut scenario = Scenario::new(2, Features::default());
     scenario.run(LEARN_MS);
     for worker in &mut scenario.simulation.workers {
@@ -197,10 +197,10 @@
     scenario.finish();
 }
 
-/// Workers that stand still for a while come last, a few of them at a time, and work again
-/// once they do.
+/// Workers that nearly stop are ejected, only a few of them at a time, and are used again once
+/// they recover.
 #[test]
-fn place_beside_workers_that_stand_still() {
+fn place_beside_stalled_workers() {
     let mut scenario = Scenario::new(3, Features::default());
     scenario.run(LEARN_MS);
     for worker in scenario.simulation.workers.iter_mut().take(2) {
@@ -210,7 +210,7 @@
     let ejected_count = scenario.simulation.status().ejected_workers_count;
     assert!(
         (1..=4).contains(&ejected_count),
-        "{ejected_count} come last"
+        "{ejected_count} are ejected"
     );
     for worker in &mut scenario.simulation.workers {
         worker.speed_per_mille = 1000;
@@ -223,7 +223,7 @@
 /// Before anything is learned, and right after a takeover, the decisions are those without
 /// learning: the same jobs are done at the same times.
 #[test]
-fn place_without_knowledge_as_without_learning() {
+fn place_before_learning_as_without_it() {
     let done = |features| {
         let mut scenario = Scenario::new(4, features).with_slow_workers();
         scenario.run(1_000);
@@ -236,13 +236,13 @@
     assert_eq!(with, done(without_learning()));
 }
 
-/// Returns the share of the urgent jobs in time right after a takeover.
+/// Returns the urgent jobs' share on time right after a takeover.
 fn share_after_takeover(seed: u64, hands_over_learned: bool) -> f64 {
     let mut scenario = Scenario::new(seed, Features::default()).with_slow_workers();
     scenario.simulation.hands_over_learned = hands_over_learned;
     scenario.run(LEARN_MS + LOAD_MS);
     scenario.simulation.elect();
-    // The first jobs wait until workers were heard of under the new fence.
+    // The first jobs wait until workers have answered a poll under the new fence.
     scenario.run(1_000);
     let since_ms = scenario.simulation.now_ms;
     scenario.run(LEARN_MS);
@@ -250,15 +250,15 @@
     scenario.urgent_share(since_ms)
 }
 
-/// What was learned outlasts the leader, where it is handed on.
+/// What was learned persists beyond a leader if it is handed over to the next one.
 #[test]
-fn place_after_takeover_by_what_was_handed_on() {
+fn place_after_takeover_with_handover() {
     let (mut with, mut without) = (0.0, 0.0);
     for seed in 0..SEEDS_COUNT {
         with += share_after_takeover(seed, true) / SEEDS_COUNT as f64;
         without += share_after_takeover(seed, false) / SEEDS_COUNT as f64;
     }
-    println!("{with:.3} with what was handed on, {without:.3} without");
+    println!("{with:.3} with a handover, {without:.3} without");
     assert!(with >= 0.95, "{with:.3} of the urgent jobs were in time");
     assert!(with >= without + 0.03, "{with:.3} and {without:.3} without");
 }
--- a/crates/scheduler/tests/scheduler/main.rs
+++ b/crates/scheduler/tests/scheduler/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler: single cases, and searches over interleavings.
+//! Tests of the scheduler: single cases, loads, and searches over interleavings.
 
 mod admission;
 mod advice_calls;
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -1,5 +1,5 @@
-//! A load that is more than the room for some seconds: how many jobs are in time, and that
-//! all of them are done.
+//! A load that exceeds the capacity for some seconds: how many jobs are on time, and that all
+//! are done.
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{job, step, LOW_PRIORITY_QUEUE, QUEUE, SERVICE};
@@ -11,17 +11,17 @@
 
 const WORKERS_COUNT: usize = 24;
 const SEEDS_COUNT: u64 = 4;
-/// Before the burst, for as long as it lasts, and after it, in milliseconds.
+/// Phases of the load: before the burst, the burst, and after it.
 const BEFORE_MS: u64 = 3_000;
 const BURST_MS: u64 = 5_000;
 const AFTER_MS: u64 = 6_000;
-/// All jobs are done within this time after the load.
+/// The time after the load within which all jobs are done.
 const DONE_WITHIN_MS: u64 = 60_000;
 const STEP_MS: u64 = 50;
 /// A queue of gangs.
 const GANG_QUEUE: &str = "mosaic";
 
-/// A kind of job.
+/// A kind of job, one of which is submitted in each period.
 struct Kind {
     queue: &'static str,
     period_ms: u64,
@@ -31,7 +31,7 @@
     priority: u32,
 }
 
-/// Returns kinds of jobs that together take nine tenths of the room.
+/// Returns kinds of jobs that together take nine tenths of the capacity.
 fn kinds() -> [Kind; 3] {
     let spec = |tasks_count, cores_milli, estimate_ms| StepSpec {
         demand: Resources::new(cores_milli, 500, 0),
@@ -104,8 +104,8 @@
     }
 }
 
-/// Returns what a job is worth to its caller: a late one a fifth of one in time, and nothing
-/// once it took three times its objective.
+/// Returns a job's worth: 1 on time, a fifth if late, and nothing after three times its
+/// objective.
 fn worth_of(took_ms: u64, limit_ms: u64) -> f64 {
     match took_ms {
         took_ms if took_ms <= limit_ms => 1.0,
@@ -114,14 +114,14 @@
     }
 }
 
-/// How the jobs of a scenario came out.
+/// The outcome of a scenario's jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Outcome {
     jobs_count: usize,
-    in_time_count: usize,
-    /// In time, or late by less than twice their objective.
+    on_time_count: usize,
+    /// Jobs done within three times their objective.
     with_worth_count: usize,
-    /// The sum of their worth.
+    /// The sum of the jobs' worth.
     worth: f64,
     longest_ms: u64,
 }
@@ -130,7 +130,7 @@
     features: Features,
     burst_percent: u64,
     lengths_percent: core::ops::Range<u64>,
-    /// Whether the leader is replaced in the midst of the burst.
+    /// Whether the leader is replaced in the middle of the burst.
     has_takeover: bool,
 }
 
@@ -163,7 +163,7 @@
         simulation.run_durations_percent = Some(self.lengths_percent.clone());
         simulation.configure(configuration());
         simulation.elect_with_features(self.features);
-        // What the leader before may have started is over by then.
+        // Whatever an earlier leader may have started is over by then.
         simulation.run_for(8_000);
         let submitted = self.submit_load(&mut simulation);
         let until_ms = simulation.now_ms + DONE_WITHIN_MS;
@@ -176,7 +176,7 @@
         for (id, since_ms, limit_ms) in submitted {
             let took_ms = simulation.done_ms[&id] - since_ms;
             outcome.jobs_count += 1;
-            outcome.in_time_count += usize::from(took_ms <= limit_ms);
+            outcome.on_time_count += usize::from(took_ms <= limit_ms);
             outcome.with_worth_count += usize::from(took_ms <= 3 * limit_ms);
             outcome.worth += worth_of(took_ms, limit_ms);
             outcome.longest_ms = outcome.longest_ms.max(took_ms);
@@ -184,7 +184,8 @@
         outcome
     }
 
-    /// Plays the load; returns the jobs, when they were handed in, and their objectives.
+    /// Submits the load; returns each job with the time when it was submitted and its
+    /// objective.
     fn submit_load(&self, simulation: &mut Simulation) -> Vec<(JobId, u64, u64)> {
         let kinds = kinds();
         let mut due_percent = [0; 3];
@@ -210,13 +211,13 @@
         submitted
     }
 
-    /// Returns the sum of some seeds.
+    /// Returns the sum of the outcomes of all seeds.
     fn run_all(&self) -> Outcome {
         let mut sum = Outcome::default();
         for seed in 0..SEEDS_COUNT {
             let outcome = self.run(seed);
             sum.jobs_count += outcome.jobs_count;
-            sum.in_time_count += outcome.in_time_count;
+            sum.on_time_count += outcome.on_time_count;
             sum.with_worth_count += outcome.with_worth_count;
             sum.worth += outcome.worth;
             sum.longest_ms = sum.longest_ms.max(outcome.longest_ms);
@@ -225,25 +226,26 @@
     }
 }
 
-/// Returns how a load comes out without the feature, and with it.
+/// Returns the outcomes of a load without the feature and with it.
 fn compare(scenario: impl Fn(Features) -> Scenario) -> (Outcome, Outcome) {
     let off = Features::default().without(Feature::OverloadOrder);
     let before = scenario(off).run_all();
     let after = scenario(Features::default()).run_all();
-    println!("{before:?} without\n{after:?} with");
+    println!("{before:?} without the feature\n{after:?} with it");
     (before, after)
 }
 
-/// In a burst more jobs are in time, what all are worth is no less, and all are done.
+/// In a burst more jobs are on time, their total worth is no less, and all are done.
 #[rstest]
-fn place_in_burst_more_in_time(#[values(150, 200, 300)] burst_percent: u64) {
+fn place_in_burst_more_on_time(#[values(150, 200, 300)] burst_percent: u64) {
     let (before, after) = compare(|features| Scenario::new(features, burst_percent));
-    assert!(after.in_time_count > before.in_time_count);
+    assert!(after.on_time_count > before.on_time_count);
     assert!(after.worth >= before.worth);
 }
 
-/// Estimates that are wrong by two and a half times don't make what all are worth less than
-/// without. How many are in time tells nothing where all tasks take too long for that.
+/// With estimates that are wrong by a factor of up to 2.5 the total worth is no less than
+/// without the feature. The number of jobs on time is no measure where all tasks take too long
+/// for that.
 #[rstest]
 fn place_in_burst_wrong_estimates(#[values(24..56, 150..350)] lengths: core::ops::Range<u64>) {
     let scenario = |features| Scenario::new(features, 200).with_lengths(lengths.clone());
@@ -251,24 +253,25 @@
     assert!(after.worth >= before.worth);
 }
 
-/// A leader that comes in the midst of a burst orders the work as the one before.
+/// A leader that takes over in the middle of the burst orders the work as well as its
+/// predecessor.
 #[test]
 fn place_in_burst_takeover() {
     let (before, after) = compare(|features| Scenario::new(features, 200).with_takeover());
-    assert!(after.in_time_count >= before.in_time_count);
+    assert!(after.on_time_count >= before.on_time_count);
     assert!(after.worth >= before.worth);
 }
 
 /// Without a burst the feature changes nothing.
 #[test]
-fn place_in_calm_as_without() {
+fn place_without_burst_unchanged() {
     let (before, after) = compare(|features| Scenario::new(features, 50));
     assert_eq!(before, after);
 }
 
-/// What a burst took is free as soon as its callers have gone.
+/// The capacity that a burst of jobs took is free as soon as they are cancelled.
 #[test]
-fn cancel_flood_frees_room() {
+fn cancel_burst_frees_capacity() {
     let mut simulation = Simulation::new(1, WORKERS_COUNT, Faults::default(), None);
     simulation.run_durations_percent = Some(60..140);
     simulation.configure(configuration());
--- a/crates/scheduler/tests/scheduler/packing_load.rs
+++ b/crates/scheduler/tests/scheduler/packing_load.rs
@@ -1,5 +1,5 @@
-//! A load of tasks that need many accelerators beside many that need one: how long the large
-//! ones wait, and what the small ones lose by that.
+//! A load of tasks that need many accelerators beside many tasks that need one: how long the
+//! large tasks wait, and what that costs the small ones.
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{advice, job, step};
@@ -11,30 +11,30 @@
 
 const SEEDS_COUNT: u64 = 4;
 const WORKERS_COUNT: usize = 16;
-/// Time passes in such steps between arrivals.
+/// The time between two points at which jobs are submitted.
 const STEP_MS: u64 = 50;
-/// How long 95 of 100 large tasks wait at most: the time in which a task must be started
-/// that has room. Without packing 5 s to 21 s.
+/// The 95th percentile of the large tasks' waits: the time within which a task that fits must
+/// be started. Without packing it is 5 s to 21 s.
 const LARGE_WAIT_LIMIT_MS: u64 = 3_000;
-const LARGE_IN_TIME_MIN: f64 = 0.95;
-/// What the small tasks' share in time may fall by.
+const LARGE_ON_TIME_MIN: f64 = 0.95;
+/// How much the small tasks' share on time may decrease.
 const SMALL_LOST_LIMIT: f64 = 0.02;
 const FAULT_PHASE_MS: u64 = 12_000;
 const RECOVERY_LIMIT_MS: u64 = 90_000;
 const LOAD_MS: u64 = 40_000;
-/// How long runs take, in percent of their estimates.
-const RUN_LENGTHS_PERCENT: core::ops::Range<u64> = 50..150;
-/// How long after the load jobs may still be done.
-const REST_MS: u64 = 10_000;
+/// The range of the runs' durations, in percent of their estimates.
+const RUN_DURATIONS_PERCENT: core::ops::Range<u64> = 50..150;
+/// The time after the load in which jobs may still finish.
+const FINISH_MS: u64 = 10_000;
 
-/// A kind of task, and which part of the load it makes up.
+/// A kind of task, and the part of its stream that it makes up.
 #[derive(Clone, Copy)]
 struct Kind {
     demand: Resources,
     share: f64,
 }
 
-/// Tasks that come at a rate, of several shapes.
+/// Tasks of several kinds that arrive at a rate.
 struct Stream {
     kinds: Vec<Kind>,
     per_s: f64,
@@ -42,28 +42,28 @@
 }
 
 impl Stream {
-    /// Returns a job's objective: twice its estimate, and one more second.
+    /// Returns a job's objective: twice its estimate, and one second.
     const fn objective_ms(&self) -> u64 {
         2 * self.estimate_ms + 1_000
     }
 }
 
-/// A load of large tasks and small ones.
+/// A load of two streams, large tasks and small ones.
 struct Load {
     capacities: Vec<Resources>,
     streams: [Stream; 2],
 }
 
-/// What became of one kind.
+/// The outcome of one stream.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Outcome {
     waits_ms: Vec<u64>,
-    in_time_count: usize,
+    on_time_count: usize,
 }
 
 impl Outcome {
-    fn in_time(&self) -> f64 {
-        self.in_time_count as f64 / self.waits_ms.len() as f64
+    fn on_time(&self) -> f64 {
+        self.on_time_count as f64 / self.waits_ms.len() as f64
     }
 
     fn wait_ms(&mut self, percent: usize) -> u64 {
@@ -72,8 +72,8 @@
     }
 }
 
-/// Returns a load of large tasks of these accelerators, which take so much of the load, and
-/// of small ones that run for three times as long.
+/// Returns a load of large tasks that need these numbers of accelerators and make up
+/// `large_share` of the load, and of small tasks with three times their duration.
 fn accelerated(load: f64, large_share: f64, large_counts: &[u32]) -> Load {
     let kinds = large_counts.iter().map(|&accelerators_count| Kind {
         demand: Resources::new(62_000, 133_120, accelerators_count),
@@ -108,7 +108,7 @@
         demand: Resources::new(milli, 2 * milli, 0),
         share: 0.5,
     };
-    // Workers of 18 cores on average, half of the time of each for either kind.
+    // Workers have 18 cores on average, half of whose time goes to either stream.
     let milli = load * 18_000.0 * WORKERS_COUNT as f64 / 2.0;
     let sizes = [8_000, 16_000, 32_000, 16_000];
     Load {
@@ -165,14 +165,14 @@
 ) -> Simulation {
     let mut simulation = Simulation::new(seed, WORKERS_COUNT, faults, policy);
     simulation.set_capacities(&load.capacities);
-    simulation.run_durations_percent = Some(RUN_LENGTHS_PERCENT);
+    simulation.run_durations_percent = Some(RUN_DURATIONS_PERCENT);
     simulation
 }
 
-/// A task's job: its kind, the job, and when it was handed in.
+/// A job: its stream's index, its id, and when it was submitted.
 type Arrival = (usize, JobId, u64);
 
-/// Jobs that come by a seed.
+/// The jobs of a load, drawn from a seed.
 struct Arrivals {
     rng: Pcg64,
     jobs: Vec<Arrival>,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Hands in what comes of a stream in one step of time.
+    /// Submits what arrives of a stream in one time step.
     fn submit_due(&mut self, simulation: &mut Simulation, kind: usize, stream: &Stream) {
         let mut left = stream.per_s * STEP_MS as f64 / 1000.0;
         while self.rng.random::<f64>() < left {
@@ -210,7 +210,7 @@
     }
 }
 
-/// Plays a load; returns what became of the large and of the small tasks.
+/// Runs a load; returns the outcomes of the large and the small tasks.
 fn run_load(
     seed: u64,
     load: &Load,
@@ -222,7 +222,7 @@
     simulation.run_for(500);
     let mut arrivals = Arrivals::new(seed);
     arrivals.submit_for(&mut simulation, load, LOAD_MS);
-    for _ in 0..REST_MS / STEP_MS {
+    for _ in 0..FINISH_MS / STEP_MS {
         simulation.run_for(STEP_MS);
         simulation.record_outcomes();
     }
@@ -236,13 +236,14 @@
         let started_ms = simulation.started_ms.get(&id).copied().unwrap_or(end_ms);
         outcomes[kind].waits_ms.push(started_ms - since_ms);
         let done_ms = simulation.done_ms.get(&id);
-        let is_in_time = done_ms.is_some_and(|done_ms| *done_ms <= limit_ms);
-        outcomes[kind].in_time_count += usize::from(is_in_time);
+        let is_on_time = done_ms.is_some_and(|done_ms| *done_ms <= limit_ms);
+        outcomes[kind].on_time_count += usize::from(is_on_time);
     }
     outcomes
 }
 
-/// Plays a load with several seeds; returns what became of both kinds together.
+/// Runs a load with several seeds; returns the joined outcomes of the large and the small
+/// tasks.
 fn run_load_with_all_seeds(
     load: &Load,
     features: Features,
@@ -252,12 +253,12 @@
     for seed in 0..SEEDS_COUNT {
         for (sum, one) in all.iter_mut().zip(run_load(seed, load, features, policy)) {
             sum.waits_ms.extend(one.waits_ms);
-            sum.in_time_count += one.in_time_count;
+            sum.on_time_count += one.on_time_count;
         }
     }
     let [large, small] = &mut all;
     println!(
-        "{}: large: p50 {} ms, p95 {} ms, {:.3} in time; small: p95 {} ms, {:.3} in time",
+        "{}: large: p50 {} ms, p95 {} ms, {:.3} on time; small: p95 {} ms, {:.3} on time",
         if features.has(Feature::Packing) {
             "on"
         } else {
@@ -265,15 +266,15 @@
         },
         large.wait_ms(50),
         large.wait_ms(95),
-        large.in_time(),
+        large.on_time(),
         small.wait_ms(95),
-        small.in_time()
+        small.on_time()
     );
     all
 }
 
-/// Large tasks that need advice start soon beside small ones, and the small ones lose next
-/// to nothing.
+/// Large tasks that need advice start soon beside small ones, which costs the small ones almost
+/// nothing.
 #[rstest]
 #[case::whole_workers(accelerated(0.8, 0.25, &[8]))]
 #[case::parts_of_workers(accelerated(0.8, 0.5, &[2, 4, 8]))]
@@ -285,12 +286,12 @@
     let [mut large, small] = run_load_with_all_seeds(&load, Features::default(), policy);
     let wait_ms = large.wait_ms(95);
     assert!(wait_ms <= LARGE_WAIT_LIMIT_MS, "large: {wait_ms} ms");
-    assert!(large.in_time() >= LARGE_IN_TIME_MIN, "large tasks are late");
-    let lost = small_before.in_time() - small.in_time();
+    assert!(large.on_time() >= LARGE_ON_TIME_MIN, "large tasks are late");
+    let lost = small_before.on_time() - small.on_time();
     assert!(lost <= SMALL_LOST_LIMIT, "small: {lost:.3} of their share");
 }
 
-/// Where all workers are alike and hold no accelerators, nothing is decided otherwise.
+/// Where all workers are alike and have no accelerators, packing changes no decision.
 #[rstest]
 fn place_workers_alike(#[values(false, true)] has_advice: bool) {
     let load = Load {
@@ -304,8 +305,8 @@
     assert_eq!(small, small_before);
 }
 
-/// Rooms shrink, workers drain and die, leaders follow one another and half of the workers
-/// are lost at once; all the same every task is done.
+/// Every task is done although capacities shrink, workers drain and crash, leaders are
+/// replaced, and half of the workers are lost at once.
 #[rstest]
 fn place_while_workers_change(#[values(false, true)] has_advice: bool) {
     let faults = Faults {
