--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -209,8 +209,8 @@
                 ..
             } => {
                 self.cost.calls_count += 1;
-                let good = workers.iter().filter(|to| is_suitable(to.worker, step.job));
-                let tickets = good.map(|to| Ticket {
+                let suitable = workers.iter().filter(|to| is_suitable(to.worker, step.job));
+                let tickets = suitable.map(|to| Ticket {
                     worker: to.id.clone(),
                     text: Arc::from("ticket"),
                 });
--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -275,7 +275,7 @@
             })
             .collect();
         runs.sort_by_key(|(_, left_ms)| *left_ms);
-        let lasting: Vec<LastingRun> = runs
+        let occupying: Vec<LastingRun> = runs
             .iter()
             .map(|(rate, left_ms)| LastingRun {
                 priority: 1,
@@ -301,7 +301,7 @@
         }
         let amount = Amounts::of(&needed).times(needed_ms as f64);
         let latest = Duration::from_s(600);
-        let done = demand.done_after(lasting.iter(), amount, latest);
+        let done = demand.done_after(occupying.iter(), amount, latest);
         assert!(
             done.as_ms() <= now_ms && now_ms <= done.as_ms() + 1,
             "seed {seed}"
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -1,7 +1,7 @@
 //! Which nodes make advice requests, and which requests wait.
 
 use crate::support::harness::{workers, Harness};
-use crate::support::{configuration, job, low_priority_job, step, LOW_PRIORITY_QUEUE, QUEUE};
+use crate::support::{configuration, deferrable_job, job, step, LOW_PRIORITY_QUEUE, QUEUE};
 use ospreywing_scheduler::{
     Action, AdvicePolicy, AdviceReply, Configuration, Event, JobId, Recovered, StepSpec,
 };
@@ -26,10 +26,10 @@
 
 /// Returns a configuration with an urgent and a low-priority queue, whose requests take so
 /// long.
-fn queues(urgent: Duration, low_priority: Duration) -> Configuration {
+fn queues(urgent: Duration, deferrable: Duration) -> Configuration {
     let mut configuration = configuration(None);
     configuration.version = 2;
-    for (name, cost) in [(QUEUE, urgent), (LOW_PRIORITY_QUEUE, low_priority)] {
+    for (name, cost) in [(QUEUE, urgent), (LOW_PRIORITY_QUEUE, deferrable)] {
         let queue = configuration.queues.get_mut(name).expect("the queue");
         queue.advice = Some(policy(cost));
     }
@@ -46,9 +46,9 @@
 
 /// Drains the requests that were sent; returns the job of each, and the node that makes it.
 fn drain_calls(harness: &mut Harness) -> Vec<(JobId, Arc<str>)> {
-    let taken = core::mem::take(&mut harness.actions);
+    let actions = core::mem::take(&mut harness.actions);
     let mut calls = Vec::new();
-    for action in taken {
+    for action in actions {
         match action {
             Action::Advise { step, node, .. } => calls.push((step.job, node)),
             other => harness.actions.push(other),
@@ -64,8 +64,8 @@
 
 /// Answers each request with no suitable worker.
 fn reject_all_workers(harness: &mut Harness) {
-    let taken = core::mem::take(&mut harness.actions);
-    for action in taken {
+    let actions = core::mem::take(&mut harness.actions);
+    for action in actions {
         match action {
             Action::Advise { step, workers, .. } => {
                 let named = workers.iter().map(|to| to.worker).collect();
@@ -94,7 +94,7 @@
     harness.commit_all();
     drain_calls(&mut harness);
     for number in 0..12 {
-        harness.submit_job(low_priority_job(number, 1));
+        harness.submit_job(deferrable_job(number, 1));
     }
     harness.commit_all();
     let calls = drain_calls(&mut harness);
@@ -105,17 +105,17 @@
     assert_eq!(nodes_count_of(&long), nodes_count);
 }
 
-/// A low-priority step's long request is made only where a node is idle, an urgent one's is
+/// A deferrable step's long request is made only where a node is idle, an urgent one's is
 /// queued at a busy node.
 #[test]
-fn request_advice_low_priority_not_queued_at_nodes() {
+fn request_advice_deferrable_not_queued_at_nodes() {
     let mut harness = harness_with(2, queues(LONG_CALL, LONG_CALL));
     let urgent = StepSpec {
         estimate_ms: 1_000,
         ..step(1)
     };
     for number in 1..=2 {
-        harness.submit_job(low_priority_job(number, 1));
+        harness.submit_job(deferrable_job(number, 1));
     }
     harness.submit_job(job(3, vec![urgent]));
     harness.commit_all();
--- a/crates/scheduler/tests/scheduler/damaged_records.rs
+++ b/crates/scheduler/tests/scheduler/damaged_records.rs
@@ -52,10 +52,10 @@
 #[case::lives_and_crashes(with_crash(placed_at_incarnation("w0", 7, 1)))]
 fn job_state_any_bytes(#[case] state: JobState) {
     let mut rng = Pcg64::seed_from_u64(4);
-    let good = state.to_bytes();
-    assert_eq!(JobState::from_bytes(&good), Ok(state));
+    let valid = state.to_bytes();
+    assert_eq!(JobState::from_bytes(&valid), Ok(state));
     for _ in 0..fuzz_inputs_count() {
-        let _ = JobState::from_bytes(&mutate(&mut rng, &good));
+        let _ = JobState::from_bytes(&mutate(&mut rng, &valid));
     }
 }
 
@@ -67,10 +67,10 @@
 #[case::outcome_of_customer(
     JobOutcome::new(Phase::Failed).with_customer(Some("one".to_owned())).to_bytes()
 )]
-fn stored_job_any_bytes(#[case] good: Vec<u8>) {
+fn stored_job_any_bytes(#[case] valid: Vec<u8>) {
     let mut rng = Pcg64::seed_from_u64(5);
-    assert!(StoredJob::from_bytes(&good).is_ok());
+    assert!(StoredJob::from_bytes(&valid).is_ok());
     for _ in 0..fuzz_inputs_count() {
-        let _ = StoredJob::from_bytes(&mutate(&mut rng, &good));
+        let _ = StoredJob::from_bytes(&mutate(&mut rng, &valid));
     }
 }
--- a/crates/scheduler/tests/scheduler/gang_load.rs
+++ b/crates/scheduler/tests/scheduler/gang_load.rs
@@ -1,10 +1,10 @@
-//! A load of gangs, each member of which takes a third of a worker, beside low-priority work:
-//! how many gangs are on time, and whether the low-priority work is done as well.
+//! A load of gangs, each member of which takes a third of a worker, beside deferrable work:
+//! how many gangs are on time, and whether the deferrable work is done as well.
 
 use crate::support::harness::{workers, Harness};
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::worker::FakeWorker;
-use crate::support::{advice, job, low_priority_job, step};
+use crate::support::{advice, deferrable_job, job, step};
 use ospreywing_scheduler::{JobId, Recovered, StepSpec};
 use ospreywing_types::Resources;
 
@@ -13,15 +13,15 @@
 const SUITABLE_ONE_IN: u64 = 4;
 const SEEDS_COUNT: u64 = 8;
 const LOAD_MS: u64 = 16_000;
-/// The time between two gangs, and between two low-priority jobs.
+/// The time between two gangs, and between two deferrable jobs.
 const PERIOD_MS: u64 = 500;
 const GANG_MEMBERS_COUNT: u32 = 16;
-const LOW_PRIORITY_TASKS_COUNT: u32 = 30;
+const DEFERRABLE_TASKS_COUNT: u32 = 30;
 /// A gang's objective: twice its estimate of a second, and one second.
 const GANG_OBJECTIVE_MS: u64 = 3_000;
-/// A low-priority job's objective: twice its estimate of 10 s, and one second.
-const LOW_PRIORITY_OBJECTIVE_MS: u64 = 21_000;
-/// The lowest share of gangs on time. It is 0.774 where low-priority work leaves capacity to
+/// A deferrable job's objective: twice its estimate of 10 s, and one second.
+const DEFERRABLE_OBJECTIVE_MS: u64 = 21_000;
+/// The lowest share of gangs on time. It is 0.774 where deferrable work leaves capacity to
 /// gangs only once less than a third of the cores is free, 0.805 where that limit is half, and
 /// 0.820 where it always does.
 const GANGS_ON_TIME_MIN: f64 = 0.79;
@@ -36,8 +36,8 @@
     job(number, vec![spec])
 }
 
-fn small_low_priority_job(number: u64) -> (JobId, ospreywing_scheduler::JobRecord) {
-    let (id, mut record) = low_priority_job(number, LOW_PRIORITY_TASKS_COUNT);
+fn small_deferrable_job(number: u64) -> (JobId, ospreywing_scheduler::JobRecord) {
+    let (id, mut record) = deferrable_job(number, DEFERRABLE_TASKS_COUNT);
     record.spec.steps[0].demand = Resources::new(700, 500, 0);
     (id, record)
 }
@@ -45,7 +45,7 @@
 /// The shares of jobs on time.
 struct OnTime {
     gangs: f64,
-    low_priority: f64,
+    deferrable: f64,
 }
 
 fn run_load(seed: u64) -> OnTime {
@@ -54,11 +54,11 @@
     simulation.suitable_one_in = SUITABLE_ONE_IN;
     simulation.run_durations_ms = 600..1_400;
     let mut gangs: Vec<(JobId, u64)> = Vec::new();
-    let mut low_priority: Vec<(JobId, u64)> = Vec::new();
+    let mut deferrable: Vec<(JobId, u64)> = Vec::new();
     for number in 0..LOAD_MS / PERIOD_MS {
         for (kind, (id, mut record)) in [
             gang_job(2 * number + 1),
-            small_low_priority_job(2 * number + 2),
+            small_deferrable_job(2 * number + 2),
         ]
         .into_iter()
         .enumerate()
@@ -67,7 +67,7 @@
             let list = if kind == 0 {
                 &mut gangs
             } else {
-                &mut low_priority
+                &mut deferrable
             };
             list.push((id, simulation.now_ms));
             simulation.submit((id, record));
@@ -77,13 +77,13 @@
             simulation.record_outcomes();
         }
     }
-    for _ in 0..LOW_PRIORITY_OBJECTIVE_MS / 100 {
+    for _ in 0..DEFERRABLE_OBJECTIVE_MS / 100 {
         simulation.run_for(100);
         simulation.record_outcomes();
     }
     OnTime {
         gangs: share(&simulation, &gangs, GANG_OBJECTIVE_MS),
-        low_priority: share(&simulation, &low_priority, LOW_PRIORITY_OBJECTIVE_MS),
+        deferrable: share(&simulation, &deferrable, DEFERRABLE_OBJECTIVE_MS),
     }
 }
 
@@ -96,15 +96,15 @@
 }
 
 #[test]
-fn place_gangs_beside_low_priority_work() {
+fn place_gangs_beside_deferrable_work() {
     let mut gangs = 0.0;
     for seed in 0..SEEDS_COUNT {
         let on_time = run_load(seed);
         println!(
-            "seed {seed}: {:.3} of the gangs on time, {:.3} of the low-priority jobs",
-            on_time.gangs, on_time.low_priority
+            "seed {seed}: {:.3} of the gangs on time, {:.3} of the deferrable jobs",
+            on_time.gangs, on_time.deferrable
         );
-        assert!(on_time.low_priority >= 0.99, "low-priority work is late");
+        assert!(on_time.deferrable >= 0.99, "deferrable work is late");
         gangs += on_time.gangs / SEEDS_COUNT as f64;
     }
     assert!(
--- a/crates/scheduler/tests/scheduler/job_views.rs
+++ b/crates/scheduler/tests/scheduler/job_views.rs
@@ -11,13 +11,13 @@
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     harness.submit(1, vec![step(1)]);
     let state = harness.commit_all().pop().expect("a recorded start");
-    let kept = Recovered {
+    let recovered = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, state)],
         ..Recovered::default()
     };
     // No worker is listed that could be polled, so it stays unconfirmed whether the run began.
-    let next = Harness::new(kept, &[]);
+    let next = Harness::new(recovered, &[]);
     let step = StepKey {
         job: id,
         round: 0,
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -2,7 +2,7 @@
 //! them.
 
 use crate::support::harness::{end, workers, Harness};
-use crate::support::{job, low_priority_job, placed_state, step};
+use crate::support::{deferrable_job, job, placed_state, step};
 use ospreywing_scheduler::{
     Durations, Ejection, EndKind, Event, Feature, Features, JobId, JobRecord, Learned,
     LearnedQuantiles, LearnedSize, LearnedSpeed, LengthForecast, LengthKind, Recovered, Speeds,
@@ -561,19 +561,19 @@
     placed
 }
 
-fn low_priority_gang(tasks_count: u32) -> (JobId, JobRecord) {
-    let (id, mut record) = low_priority_job(1, tasks_count);
+fn deferrable_gang(tasks_count: u32) -> (JobId, JobRecord) {
+    let (id, mut record) = deferrable_job(1, tasks_count);
     record.spec.steps[0].is_gang = true;
     (id, record)
 }
 
-/// Urgent work avoids slow workers and low-priority work takes them. A low-priority gang takes
+/// Urgent work avoids slow workers and deferrable work takes them. A deferrable gang takes
 /// workers of one speed that hold all of it. Without learning the first workers are taken.
 #[rstest]
 #[case::urgent([0, 1], job(1, vec![step(1)]), &["w2"], &["w0"])]
-#[case::low_priority([4, 5], low_priority_job(1, 1), &["w4"], &["w0"])]
-#[case::low_priority_gang([4, 5], low_priority_gang(4), &["w4", "w4", "w5", "w5"], &["w0", "w0", "w1", "w1"])]
-#[case::wide_gang([0, 1], low_priority_gang(6),
+#[case::deferrable([4, 5], deferrable_job(1, 1), &["w4"], &["w0"])]
+#[case::deferrable_gang([4, 5], deferrable_gang(4), &["w4", "w4", "w5", "w5"], &["w0", "w0", "w1", "w1"])]
+#[case::wide_gang([0, 1], deferrable_gang(6),
     &["w2", "w2", "w3", "w3", "w4", "w4"], &["w0", "w0", "w1", "w1", "w2", "w2"])]
 fn candidates_by_speed(
     #[case] slow: [usize; 2],
--- a/crates/scheduler/tests/scheduler/learning_load.rs
+++ b/crates/scheduler/tests/scheduler/learning_load.rs
@@ -1,8 +1,8 @@
-//! A load of short urgent jobs beside low-priority work, on workers some of which take twice as
+//! A load of short urgent jobs beside deferrable work, on workers some of which take twice as
 //! long: how many of the urgent jobs are on time.
 
 use crate::support::simulation::{Faults, Simulation};
-use crate::support::{configuration, job, low_priority_job, step, LOW_PRIORITY_QUEUE, QUEUE};
+use crate::support::{configuration, deferrable_job, job, step, LOW_PRIORITY_QUEUE, QUEUE};
 use ospreywing_scheduler::{Configuration, Feature, Features, JobId, JobRecord, StepSpec};
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 const LEARN_MS: u64 = 8_000;
 const LOAD_MS: u64 = 20_000;
 const URGENT_PERIOD_MS: u64 = 100;
-const LOW_PRIORITY_PERIOD_MS: u64 = 500;
+const DEFERRABLE_PERIOD_MS: u64 = 500;
 /// An urgent job's estimate, its actual duration at typical speed, and its objective, which is
 /// its estimate and half a second.
 const URGENT_ESTIMATE_MS: u64 = 700;
 const URGENT_MS: core::ops::Range<u64> = 600..800;
 const URGENT_OBJECTIVE_MS: u64 = 1_200;
-const LOW_PRIORITY_TASKS_COUNT: u32 = 12;
-const LOW_PRIORITY_MS: core::ops::Range<u64> = 800..1_200;
+const DEFERRABLE_TASKS_COUNT: u32 = 12;
+const DEFERRABLE_MS: core::ops::Range<u64> = 800..1_200;
 
 /// Returns a configuration in which urgent jobs have half a second beyond their estimate.
 fn strict_configuration() -> Configuration {
@@ -33,11 +33,11 @@
     let urgent = strict.queues.get_mut(QUEUE).expect("the urgent queue");
     urgent.stretch = 1.0;
     urgent.objective_ms = 500;
-    let low_priority = strict
+    let deferrable = strict
         .queues
         .get_mut(LOW_PRIORITY_QUEUE)
         .expect("the low-priority queue");
-    low_priority.objective_ms = 15_000;
+    deferrable.objective_ms = 15_000;
     strict
 }
 
@@ -49,8 +49,8 @@
     job(number, vec![spec])
 }
 
-fn small_low_priority_job(number: u64) -> (JobId, JobRecord) {
-    let (id, mut record) = low_priority_job(number, LOW_PRIORITY_TASKS_COUNT);
+fn small_deferrable_job(number: u64) -> (JobId, JobRecord) {
+    let (id, mut record) = deferrable_job(number, DEFERRABLE_TASKS_COUNT);
     record.spec.steps[0].estimate_ms = 1_000;
     record.spec.steps[0].saves_progress = false;
     (id, record)
@@ -98,8 +98,8 @@
                 self.urgent.insert(job.0, self.simulation.now_ms);
                 self.submit(job, URGENT_MS);
             }
-            if at_ms.is_multiple_of(LOW_PRIORITY_PERIOD_MS) {
-                self.submit(small_low_priority_job(self.next_number), LOW_PRIORITY_MS);
+            if at_ms.is_multiple_of(DEFERRABLE_PERIOD_MS) {
+                self.submit(small_deferrable_job(self.next_number), DEFERRABLE_MS);
             }
             let until_ms = begun_ms + at_ms + 50;
             self.simulation
@@ -144,7 +144,7 @@
     scenario.urgent_share(since_ms)
 }
 
-/// Urgent jobs are placed on workers of typical speed and low-priority work on the slow ones,
+/// Urgent jobs are placed on workers of typical speed and deferrable work on the slow ones,
 /// so that nearly all urgent jobs are on time.
 #[test]
 fn place_urgent_beside_slow_workers() {
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -103,8 +103,8 @@
     }
 
     fn drain_start(&mut self) -> StartOrder {
-        let taken = core::mem::take(&mut self.harness.actions);
-        let mut starts = taken.into_iter().filter_map(|action| match action {
+        let actions = core::mem::take(&mut self.harness.actions);
+        let mut starts = actions.into_iter().filter_map(|action| match action {
             Action::Start { to, order } if to.worker == self.key => Some(order),
             _ => None,
         });
@@ -205,12 +205,12 @@
 fn add_worker_two_incarnations_in_first_list(#[values(true, false)] is_live_first: bool) {
     let (live, lost) = incarnations(is_live_first);
     let (id, record) = job(1, vec![step(1)]);
-    let kept = Recovered {
+    let recovered = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, placed_state(&live.id, 1))],
         ..Recovered::default()
     };
-    let mut harness = Harness::after_evicted_leader(kept);
+    let mut harness = Harness::after_evicted_leader(recovered);
     let mut listed = [live, lost, FakeWorker::new("w2", 1000)];
     listed.sort_by(|one, other| one.id.cmp(&other.id));
     harness.list_workers(&listed);
@@ -272,12 +272,12 @@
 #[test]
 fn release_unlisted_more_ends_than_one_list() {
     let (id, record) = job(1, vec![step(1)]);
-    let kept = Recovered {
+    let recovered = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, placed_state("w0", 1))],
         ..Recovered::default()
     };
-    let mut harness = Harness::after_evicted_leader(kept);
+    let mut harness = Harness::after_evicted_leader(recovered);
     harness.list_workers(&[FakeWorker::new("w0", 1000)]);
     let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
     let unrelated = first_task(JobId::new(99));
--- a/crates/scheduler/tests/scheduler/packing.rs
+++ b/crates/scheduler/tests/scheduler/packing.rs
@@ -107,9 +107,12 @@
     assert_eq!(start(&mut harness, 1, 1, LARGE).len(), 1);
     assert_eq!(start(&mut harness, 2, 4, SMALL).len(), 4);
     let status = harness.scheduler.status(harness.now);
-    let room = &status.service_rooms[0];
-    assert_eq!(room.largest_fit, SMALL);
-    assert_eq!((room.fit_count, room.whole_percent), (4, 0));
+    let fragmentation = &status.service_rooms[0];
+    assert_eq!(fragmentation.largest_fit, SMALL);
+    assert_eq!(
+        (fragmentation.fit_count, fragmentation.whole_percent),
+        (4, 0)
+    );
 }
 
 /// In a service that is half used, small tasks with time to spare leave capacity free for the
@@ -121,12 +124,12 @@
     harness.submit(1, tasks(8, whole));
     harness.cancel(1);
     assert_eq!(start(&mut harness, 2, 3, whole).len(), 3);
-    let patient = StepSpec {
+    let deferrable = StepSpec {
         demand: SMALL,
         estimate_ms: 60_000,
         ..step(1)
     };
-    harness.submit(3, vec![patient]);
+    harness.submit(3, vec![deferrable]);
     harness.commit_all();
     assert_eq!(
         harness.starts(),
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -2,7 +2,7 @@
 
 use crate::support::harness::{end, failed, workers, Harness};
 use crate::support::simulation::{Faults, Simulation};
-use crate::support::{self, advice, job, low_priority_job, step};
+use crate::support::{self, advice, deferrable_job, job, step};
 use ospreywing_scheduler::{
     Action, AdvicePolicy, ChangeKind, EndKind, EndedRun, Event, JobId, JobRecord, JobState, Phase,
     Recovered, StepSpec, TaskStatus, LANES_COUNT,
@@ -16,12 +16,12 @@
 fn handle_end_listed_again_to_next_leader() {
     let (id, record) = job(1, vec![step(1)]);
     let mut state = JobState::default();
-    let mut kept = Recovered {
+    let mut recovered = Recovered {
         jobs: vec![(id, record)],
         ..Recovered::default()
     };
     for _leader in 0..4 {
-        let mut harness = Harness::new(kept.clone(), &workers(1));
+        let mut harness = Harness::new(recovered.clone(), &workers(1));
         let worker = harness.scheduler.worker_key("w0").unwrap();
         if state == JobState::default() {
             harness.commit_all();
@@ -43,7 +43,7 @@
         assert_eq!(state.rounds[0].steps[0].tasks[0].failed_runs, vec![1]);
         // The next leader takes over before the second run was sent.
         state.rounds[0].steps[0].tasks[0].status = TaskStatus::Waiting;
-        kept.states = vec![(id, state.clone())];
+        recovered.states = vec![(id, state.clone())];
     }
 }
 
@@ -153,18 +153,18 @@
         is_gang: true,
         ..step(4)
     };
-    let patient = StepSpec {
+    let deferrable = StepSpec {
         estimate_ms: 10_000,
         ..step(1)
     };
-    let good = [["w0", "w1"], ["w2", "w2"], ["w0", "w1"]];
-    for (steps, good) in [gang.clone(), step(1), gang].into_iter().zip(good) {
+    let suitable = [["w0", "w1"], ["w2", "w2"], ["w0", "w1"]];
+    for (steps, suitable) in [gang.clone(), step(1), gang].into_iter().zip(suitable) {
         harness.submit(harness.now.as_ms(), vec![steps]);
-        harness.answer_advice_requests(&good);
+        harness.answer_advice_requests(&suitable);
         harness.commit_all();
     }
     assert_eq!(harness.starts().len(), 5, "the second gang waits");
-    harness.submit(9, vec![patient]);
+    harness.submit(9, vec![deferrable]);
     harness.commit_all();
     assert_eq!(harness.answer_advice_requests(&["w0", "w1", "w2"]), vec![]);
     // Its objective is 21 s: it needs 10 s and keeps 4 s in reserve.
@@ -203,7 +203,7 @@
 /// resumed later from its checkpoints.
 #[test]
 fn plan_preemption_of_checkpointed_work() {
-    let mut harness = gang_before_full_workers(low_priority_job(1, 4), 50);
+    let mut harness = gang_before_full_workers(deferrable_job(1, 4), 50);
     let stops = harness.stops();
     assert_eq!(stops.len(), 2, "as many as the gang needs");
     assert_eq!(harness.starts(), vec![], "the capacity is not free yet");
@@ -243,7 +243,7 @@
     #[case] change: fn(&mut JobRecord),
     #[case] progress_percent: u32,
 ) {
-    let (id, mut record) = low_priority_job(1, 4);
+    let (id, mut record) = deferrable_job(1, 4);
     change(&mut record);
     let mut harness = gang_before_full_workers((id, record), progress_percent);
     assert_eq!(harness.stops(), vec![]);
@@ -252,7 +252,7 @@
 /// Work that saves no checkpoints is preempted if it has barely begun.
 #[test]
 fn plan_preemption_barely_begun() {
-    let (id, mut record) = low_priority_job(1, 4);
+    let (id, mut record) = deferrable_job(1, 4);
     record.spec.steps[0].saves_progress = false;
     let mut harness = gang_before_full_workers((id, record), 10);
     assert_eq!(harness.stops().len(), 2);
@@ -365,23 +365,23 @@
     for number in 1..=3 {
         harness.submit(number, vec![gang.clone()]);
     }
-    let good = ["w0", "w1", "w9"];
-    assert_eq!(harness.answer_advice_requests(&good), vec![8, 8, 8]);
+    let suitable = ["w0", "w1", "w9"];
+    assert_eq!(harness.answer_advice_requests(&suitable), vec![8, 8, 8]);
     harness.commit_all();
     assert_eq!(
         harness.starts().len(),
         4,
         "two gangs fill their suitable workers"
     );
-    let begun = harness.now;
+    let began_at = harness.now;
     for _ in 0..20 {
         harness.now = harness.now + Duration::from_ms(20);
-        harness.answer_advice_requests(&good);
+        harness.answer_advice_requests(&suitable);
         harness.handle(Event::Tick);
     }
     harness.commit_all();
     assert_eq!(harness.starts().len(), 2, "the third starts on another");
-    assert!(harness.now.since(begun) < Duration::from_ms(1500));
+    assert!(harness.now.since(began_at) < Duration::from_ms(1500));
 }
 
 /// With a store that took 0.24 s for an answer, three concurrent commits were once too few, and
@@ -494,15 +494,15 @@
 fn handle_running_unknown_job() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     let worker = harness.scheduler.worker_key("w0").unwrap();
-    let stray = job(77, Vec::new()).0;
-    let stray = ospreywing_scheduler::StepKey {
-        job: stray,
+    let unknown = job(77, Vec::new()).0;
+    let unknown = ospreywing_scheduler::StepKey {
+        job: unknown,
         round: 0,
         step: 0,
     };
     harness.commit_all();
     harness.actions.clear();
-    harness.answer_poll_running(worker, stray.task(0));
+    harness.answer_poll_running(worker, unknown.task(0));
     harness.commit_all();
     let is_asked = harness
         .actions
@@ -555,12 +555,12 @@
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     harness.submit(1, vec![step(1)]);
     let state = harness.commit_all().pop().expect("a recorded start");
-    let kept = Recovered {
+    let recovered = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, state)],
         ..Recovered::default()
     };
-    let mut next = Harness::new(kept, &workers(1));
+    let mut next = Harness::new(recovered, &workers(1));
     next.commit_all();
     let starts = next.starts();
     assert_eq!(starts.len(), 1);
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -176,8 +176,8 @@
 
 /// Drains the stops that were sent without answering them.
 fn drain_stops(harness: &mut Harness) -> Vec<(WorkerKey, TaskKey, u32)> {
-    let taken = core::mem::take(&mut harness.actions);
-    let stops = taken.into_iter().filter_map(|action| match action {
+    let actions = core::mem::take(&mut harness.actions);
+    let stops = actions.into_iter().filter_map(|action| match action {
         Action::Stop { to, task, run } => Some((to.worker, task, run)),
         _ => None,
     });
--- a/crates/scheduler/tests/scheduler/retries.rs
+++ b/crates/scheduler/tests/scheduler/retries.rs
@@ -77,7 +77,7 @@
 
 /// The copy of the start that was not answered may still be carried out.
 #[rstest]
-#[case::room(RefusedStart::Room)]
+#[case::no_capacity(RefusedStart::Room)]
 #[case::unhealthy(RefusedStart::Unhealthy)]
 #[case::not_sent(RefusedStart::NotSent)]
 fn on_start_answered_repeat_refused_unconfirmed(#[case] why: RefusedStart) {
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -130,7 +130,7 @@
 fn request_advice_gang_wider_than_a_request(#[case] nodes_count: usize) {
     let workers = workers(130);
     let ids: Vec<String> = workers.iter().map(|worker| worker.id.to_string()).collect();
-    let good: Vec<&str> = ids.iter().map(String::as_str).collect();
+    let suitable: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut harness = Harness::with_advice(Recovered::default(), &workers, Some(advice()));
     list_nodes(&mut harness, nodes_count);
     harness.submit(1, vec![filling_gang(120)]);
@@ -138,7 +138,7 @@
     for _ in 0..40 {
         harness.now = harness.now + Duration::from_ms(50);
         harness.handle(Event::Tick);
-        let named_counts = harness.answer_advice_requests(&good);
+        let named_counts = harness.answer_advice_requests(&suitable);
         assert!(
             named_counts.iter().all(|count| *count <= 100),
             "{named_counts:?}"
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -4,7 +4,7 @@
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{
-    advice, configuration_with, customer, job, job_of, low_priority_job, step, with_other_service,
+    advice, configuration_with, customer, deferrable_job, job, job_of, step, with_other_service,
     OTHER_QUEUE,
 };
 use ospreywing_scheduler::{AdvicePolicy, Feature, Features, JobId, Phase, StepSpec};
@@ -341,7 +341,7 @@
     }
 }
 
-/// Gangs preempt low-priority work, which resumes later.
+/// Gangs preempt deferrable work, which resumes later.
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::everything(ALL_FAULTS)]
@@ -351,14 +351,14 @@
         // Printed if the test fails.
         println!("seed {seed}");
         let mut simulation = Simulation::new(seed, 8, faults, Some(advice()));
-        // All workers are suitable, so that low-priority work fills them all.
+        // All workers are suitable, so that deferrable work fills them all.
         simulation.suitable_one_in = 1;
         simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=20 {
-            // Low-priority work fills the workers before each gang is submitted.
+            // Deferrable work fills the workers before each gang is submitted.
             let job = match number % 2 {
                 0 => job(number, vec![gang(3)]),
-                _ => low_priority_job(number, 16),
+                _ => deferrable_job(number, 16),
             };
             simulation.submit(job);
             simulation.run_for(900);
@@ -388,7 +388,7 @@
         simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=16 {
             let (id, mut record) = match number % 4 {
-                1 => low_priority_job(number, 20),
+                1 => deferrable_job(number, 20),
                 _ => job(number, vec![step(1)]),
             };
             let customer = if number % 4 == 1 { "one" } else { "two" };
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -170,12 +170,12 @@
     let alive: Vec<_> = alive.collect();
     next.answer_polls_with_progress(&alive, 0);
     next.commit_all();
-    let (kept, rebuilt) = (view(&harness, "over"), view(&next, "over"));
-    assert_eq!(kept.share_per_mille, 4_000);
-    assert!(kept.lag > Duration::ZERO && kept.lag <= LAG_LIMIT);
+    let (original, rebuilt) = (view(&harness, "over"), view(&next, "over"));
+    assert_eq!(original.share_per_mille, 4_000);
+    assert!(original.lag > Duration::ZERO && original.lag <= LAG_LIMIT);
     assert!(rebuilt.lag <= LAG_LIMIT);
     let without_tag = |view: ShareView| (view.share_per_mille, view.open_jobs_count, view.is_short);
-    assert_eq!(without_tag(kept), without_tag(rebuilt));
+    assert_eq!(without_tag(original), without_tag(rebuilt));
     assert_eq!(
         view(&harness, "under").open_jobs_count,
         view(&next, "under").open_jobs_count
--- a/crates/scheduler/tests/scheduler/support/harness.rs
+++ b/crates/scheduler/tests/scheduler/support/harness.rs
@@ -226,9 +226,9 @@
     /// Acknowledges the open commits at once; returns the states written.
     pub fn answer_commits(&mut self) -> Vec<JobState> {
         let mut states = Vec::new();
-        let taken = core::mem::take(&mut self.actions);
+        let actions = core::mem::take(&mut self.actions);
         let mut lanes = Vec::new();
-        for action in taken {
+        for action in actions {
             if let Action::Commit { lane, changes } = action {
                 lanes.push(lane);
                 states.extend(changes.into_iter().filter_map(state_of));
@@ -244,9 +244,9 @@
 
     /// Drains the starts that were sent.
     pub fn starts(&mut self) -> Vec<(WorkerKey, TaskKey, u32)> {
-        let taken = core::mem::take(&mut self.actions);
+        let actions = core::mem::take(&mut self.actions);
         let mut starts = Vec::new();
-        for action in taken {
+        for action in actions {
             match action {
                 Action::Start { to, order } => starts.push((to.worker, order.task, order.run)),
                 other => self.actions.push(other),
@@ -268,9 +268,9 @@
     /// Answers the open advice requests, with tickets for the suitable workers only; returns how
     /// many workers each request named.
     pub fn answer_advice_requests(&mut self, suitable: &[&str]) -> Vec<usize> {
-        let taken = core::mem::take(&mut self.actions);
+        let actions = core::mem::take(&mut self.actions);
         let mut named_counts = Vec::new();
-        for action in taken {
+        for action in actions {
             let Action::Advise { step, workers, .. } = action else {
                 self.actions.push(action);
                 continue;
@@ -294,9 +294,9 @@
     /// Drains the stops that were sent and answers them. A stop that was sent repeatedly is
     /// returned and answered once.
     pub fn stops(&mut self) -> Vec<(WorkerKey, TaskKey, u32)> {
-        let taken = core::mem::take(&mut self.actions);
+        let actions = core::mem::take(&mut self.actions);
         let mut stops = Vec::new();
-        for action in taken {
+        for action in actions {
             match action {
                 Action::Stop { to, task, run } => stops.push((to.worker, task, run)),
                 other => self.actions.push(other),
--- a/crates/scheduler/tests/scheduler/support/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/mod.rs
@@ -89,7 +89,7 @@
 
 /// Returns a job of one step in [`LOW_PRIORITY_QUEUE`]. Its tasks save checkpoints and have
 /// time to spare.
-pub fn low_priority_job(number: u64, tasks_count: u32) -> (JobId, JobRecord) {
+pub fn deferrable_job(number: u64, tasks_count: u32) -> (JobId, JobRecord) {
     let saving = StepSpec {
         saves_progress: true,
         estimate_ms: 10_000,
--- a/crates/scheduler/tests/scheduler/support/simulation/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -534,10 +534,10 @@
                 ..
             } => {
                 self.advice_calls_count += 1;
-                let good = workers
+                let suitable = workers
                     .iter()
                     .filter(|to| self.is_suitable(&to.id, step.job));
-                let tickets: Vec<Ticket> = good
+                let tickets: Vec<Ticket> = suitable
                     .map(|to| Ticket {
                         worker: to.id.clone(),
                         text: self.ticket_of(to),
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -186,13 +186,13 @@
     pub fn resize(&mut self, now_ms: u64, per_mille: u32) {
         let part = |whole: u32| (u64::from(whole) * u64::from(per_mille) / 1000) as u32;
         let full = self.full_capacity;
-        let room = Resources::new(
+        let capacity = Resources::new(
             part(full.cores_milli),
             part(full.memory_mib),
             part(full.accelerators_count),
         );
         self.capacity_before_shrink = (self.effective_capacity(now_ms), now_ms);
-        self.capacity = room;
+        self.capacity = capacity;
     }
 
     /// Returns the capacity that starts are checked against: a reduction applies after a delay.
--- a/crates/scheduler/tests/scheduler/wait_reasons.rs
+++ b/crates/scheduler/tests/scheduler/wait_reasons.rs
@@ -51,9 +51,9 @@
     assert_eq!(reasons_of(&lines), [WaitReason::Room.as_str()]);
     assert!(lines[0].figure >= 3000, "how long it has waited");
     let status = harness.scheduler.status(harness.now);
-    let room = status.waits[WaitReason::Room as usize];
-    assert_eq!(room.steps_count, 1);
-    assert!(room.oldest >= Duration::from_ms(3000));
+    let wait = status.waits[WaitReason::Room as usize];
+    assert_eq!(wait.steps_count, 1);
+    assert!(wait.oldest >= Duration::from_ms(3000));
 }
 
 #[test]
--- a/crates/scheduler/tests/scheduler/worker_reservations.rs
+++ b/crates/scheduler/tests/scheduler/worker_reservations.rs
@@ -1,7 +1,7 @@
 //! Steps that wait for capacity on workers known to be suitable, which is reserved for them.
 
 use crate::support::harness::{end, workers, Harness};
-use crate::support::{advice, low_priority_job, step};
+use crate::support::{advice, deferrable_job, step};
 use ospreywing_scheduler::{EndKind, Event, JobId, Recovered, StepSpec, TaskKey, WorkerKey};
 use ospreywing_types::{Duration, Resources};
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Returns a harness whose workers are filled by tasks of a low-priority job at this progress,
+/// Returns a harness whose workers are filled by tasks of a deferrable job at this progress,
 /// and the starts of these.
 fn full_workers(progress_percent: u32) -> (Harness, Vec<(WorkerKey, TaskKey, u32)>) {
     let mut harness = Harness::with_advice(
@@ -29,7 +29,7 @@
     );
     let nodes = (0..4).map(|number| format!("n{number}").into());
     harness.handle(Event::NodesListed(nodes.collect()));
-    harness.submit_job(low_priority_job(1, 2 * WORKERS_COUNT as u32));
+    harness.submit_job(deferrable_job(1, 2 * WORKERS_COUNT as u32));
     let ids: Vec<String> = (0..WORKERS_COUNT)
         .map(|number| format!("w{number}"))
         .collect();
@@ -72,7 +72,7 @@
     let (_, first, run) = *on_w4.next().expect("a run");
     let (_, second, second_run) = *on_w4.next().expect("another run");
     harness.answer_poll(w4, vec![end(1, first, run, EndKind::Done)]);
-    harness.submit_job(low_priority_job(2, 1));
+    harness.submit_job(deferrable_job(2, 1));
     for _ in 0..5 {
         tick(&mut harness, &["w4"]);
     }
