--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -146,10 +146,10 @@
     fn handle(&mut self, event: Event) {
         let now = Instant::from_ms(self.now_ms);
         let allocated = ALLOCATIONS_COUNT.load(Ordering::Relaxed);
-        let begun_ns = processor_time_ns();
+        let start_ns = processor_time_ns();
         self.scheduler.handle(now, event, &mut self.actions);
         self.scheduler.settle(now, &mut self.actions);
-        self.cost.processor_time_ns += processor_time_ns() - begun_ns;
+        self.cost.processor_time_ns += processor_time_ns() - start_ns;
         self.cost.allocations_count += ALLOCATIONS_COUNT.load(Ordering::Relaxed) - allocated;
         for action in core::mem::take(&mut self.actions) {
             self.perform(action);
@@ -350,20 +350,20 @@
 
 fn run_load(workers_count: usize, starts_per_s: u64, advice: Option<AdvicePolicy>) -> Cost {
     let mut cell = Cell::new(workers_count, advice);
-    let begun_ms = cell.now_ms;
+    let began_ms = cell.now_ms;
     let mut jobs_count = 0;
     let mut warm_up = Cost::default();
     for ticks_count in 0..(WARM_UP_MS + LOAD_MS) / TICK_MS {
-        let at_ms = begun_ms + ticks_count * TICK_MS;
+        let at_ms = began_ms + ticks_count * TICK_MS;
         cell.run_until(at_ms);
         cell.handle(Event::Tick);
-        let due_count = (at_ms - begun_ms) * starts_per_s / 1000 / u64::from(TASKS_PER_JOB_COUNT);
+        let due_count = (at_ms - began_ms) * starts_per_s / 1000 / u64::from(TASKS_PER_JOB_COUNT);
         while jobs_count < due_count {
             jobs_count += 1;
             let (job, record) = (JobId::new(jobs_count), job_record());
             cell.handle(Event::JobAccepted { job, record });
         }
-        if at_ms - begun_ms < WARM_UP_MS {
+        if at_ms - began_ms < WARM_UP_MS {
             warm_up = cell.cost;
         }
     }
--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -40,7 +40,7 @@
 /// The outcome of a scenario.
 #[derive(Default)]
 struct Outcome {
-    /// When each rejected job was rejected first, since the begin of the load.
+    /// When each rejected job was rejected first, since the start of the load.
     rejected_ms: BTreeMap<JobId, u64>,
     /// When the callers of rejected jobs submit them again.
     retries_ms: Vec<u64>,
@@ -51,7 +51,7 @@
 struct Scenario {
     features: Features,
     lengths_percent: core::ops::Range<u64>,
-    /// When a new leader takes over, since the begin of the load.
+    /// When a new leader takes over, since the start of the load.
     takeover_at_ms: Option<u64>,
 }
 
@@ -78,19 +78,19 @@
         record.accepted_ms = simulation.now_ms;
         simulation.submit((id, record));
         simulation.run_for(500);
-        let begun_ms = simulation.now_ms;
+        let began_ms = simulation.now_ms;
         let mut outcome = Outcome::default();
         // When each job is submitted next, with its number, and when it was first due.
         let mut callers: BTreeMap<(u64, u64), u64> = (0..LOAD_MS / PERIOD_MS)
             .map(|number| {
-                let at_ms = begun_ms + number * PERIOD_MS;
+                let at_ms = began_ms + number * PERIOD_MS;
                 ((at_ms, number + 1), at_ms)
             })
             .collect();
         let mut submitted_ms: BTreeMap<JobId, u64> = BTreeMap::new();
         while !callers.is_empty() || simulation.done_ms.len() < submitted_ms.len() + 1 {
-            assert!(simulation.now_ms < begun_ms + LOAD_MS + DONE_WITHIN_MS);
-            let is_due = self.takeover_at_ms == Some(simulation.now_ms - begun_ms);
+            assert!(simulation.now_ms < began_ms + LOAD_MS + DONE_WITHIN_MS);
+            let is_due = self.takeover_at_ms == Some(simulation.now_ms - began_ms);
             if is_due {
                 simulation.elect();
             }
@@ -100,7 +100,7 @@
                 let draw = number * 7919;
                 match refusal(&simulation, &record) {
                     Some(refusal) => {
-                        let since_ms = at_ms - begun_ms;
+                        let since_ms = at_ms - began_ms;
                         outcome.rejected_ms.entry(id).or_insert(since_ms);
                         let retry_ms = simulation.now_ms + refusal.come_back(draw).as_ms();
                         outcome.retries_ms.push(retry_ms);
@@ -190,8 +190,8 @@
     };
     let window_ms = takeover_ms..takeover_ms + 4_000;
     let rejected_count = |scenario: &Scenario| {
-        let refused = scenario.run(1).rejected_ms;
-        refused
+        let rejected = scenario.run(1).rejected_ms;
+        rejected
             .values()
             .filter(|at_ms| window_ms.contains(*at_ms))
             .count()
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -128,7 +128,8 @@
     );
 }
 
-/// Returns how many workers each request of a wide step names, in a cell of so many nodes.
+/// Returns how many workers each request of a wide step names, in a cell of
+/// `nodes_count` nodes.
 fn named_in_cell(nodes_count: usize) -> Vec<usize> {
     let mut configuration = queues(SHORT_CALL, LONG_CALL);
     let queue = configuration.queues.get_mut(QUEUE).expect("the queue");
--- a/crates/scheduler/tests/scheduler/backfill_load.rs
+++ b/crates/scheduler/tests/scheduler/backfill_load.rs
@@ -134,7 +134,7 @@
 }
 
 /// A gang that needs more than half of the limit starts, and no short job waits longer than
-/// allowed. A new leader measures the waits from the begin of its term.
+/// allowed. A new leader measures the waits from the start of its term.
 #[rstest]
 #[case::one_leader(None)]
 #[case::takeover_before_it_holds(Some(600))]
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -190,7 +190,7 @@
 const MOST_CRASHES_COUNT: usize = 5;
 
 /// With ten crashing jobs no other job is failed, and the crashing tasks are not restarted
-/// without end.
+/// endlessly.
 #[rstest]
 #[case::alone(Loss::Nothing)]
 #[case::rack_lost(Loss::Rack)]
--- a/crates/scheduler/tests/scheduler/customers.rs
+++ b/crates/scheduler/tests/scheduler/customers.rs
@@ -154,7 +154,7 @@
     assert_eq!(harness.starts().len(), 1);
 }
 
-/// Runs that an earlier leader recorded count against the limit from the begin of the term,
+/// Runs that an earlier leader recorded count against the limit from the start of the term,
 /// even if their worker has not answered a poll.
 #[test]
 fn place_after_takeover_unresponsive_worker() {
--- a/crates/scheduler/tests/scheduler/customers_load.rs
+++ b/crates/scheduler/tests/scheduler/customers_load.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Returns whether the customer with the burst submits anything at this time since the
-    /// begin.
+    /// Returns whether the customer with the burst submits anything at this time after
+    /// the start of the load.
     const fn sends_burst_at(self, at_ms: u64) -> bool {
         !matches!(self, Self::IdleBefore) || at_ms >= LOAD_MS / 2
     }
@@ -176,7 +176,7 @@
 /// Runs a load.
 fn run_load(seed: u64, load: &Load) -> Outcome {
     let mut simulation = simulation_of(seed, load);
-    let begun_ms = simulation.now_ms;
+    let began_ms = simulation.now_ms;
     let mut submitted: Vec<(JobId, u64, u64)> = Vec::new();
     let mut largest_lag_ms = 0;
     for at_ms in (0..LOAD_MS).step_by(50) {
@@ -197,7 +197,7 @@
                 simulation.submit((id, record));
             }
         }
-        simulation.run_for(begun_ms + at_ms + 50 - simulation.now_ms.min(begun_ms + at_ms + 50));
+        simulation.run_for(began_ms + at_ms + 50 - simulation.now_ms.min(began_ms + at_ms + 50));
         simulation.record_outcomes();
         let lags = (1..CUSTOMERS_COUNT).filter_map(|number| simulation.share_of(&name_of(number)));
         let lag_ms = lags.map(|view| view.lag.as_ms()).max();
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -51,7 +51,7 @@
     Instant::from_ms(1_000 + step * 500)
 }
 
-/// Returns the durations learned from so many steps, and the forecasts for the last half of
+/// Returns the durations learned from `count` steps, and the forecasts for the last half of
 /// them.
 fn learn(count: u64, estimate_factor: f64) -> (Durations, Vec<(Sample, Option<LengthForecast>)>) {
     let mut rng = Pcg64::seed_from_u64(SEED);
@@ -194,7 +194,7 @@
         .collect()
 }
 
-/// Records so many runs of each machine, whose speeds vary as those of a step's tasks do.
+/// Records `count` runs of each machine, whose speeds vary as those of a step's tasks do.
 fn run(speeds: &mut Speeds, rng: &mut Pcg64, now: Instant, fleet: &[(Arc<str>, f64)], count: u32) {
     for _ in 0..count {
         for (machine, speed) in fleet {
--- a/crates/scheduler/tests/scheduler/learning_load.rs
+++ b/crates/scheduler/tests/scheduler/learning_load.rs
@@ -91,7 +91,7 @@
     }
 
     fn run(&mut self, length_ms: u64) {
-        let begun_ms = self.simulation.now_ms;
+        let began_ms = self.simulation.now_ms;
         for at_ms in (0..length_ms).step_by(50) {
             if at_ms.is_multiple_of(URGENT_PERIOD_MS) {
                 let job = urgent_job(self.next_number);
@@ -101,7 +101,7 @@
             if at_ms.is_multiple_of(DEFERRABLE_PERIOD_MS) {
                 self.submit(small_deferrable_job(self.next_number), DEFERRABLE_MS);
             }
-            let until_ms = begun_ms + at_ms + 50;
+            let until_ms = began_ms + at_ms + 50;
             self.simulation
                 .run_for(until_ms.saturating_sub(self.simulation.now_ms));
             self.simulation.record_outcomes();
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -11,8 +11,8 @@
 use ospreywing_types::{Duration, Instant, Resources};
 use rstest::rstest;
 
-/// The time between two steps of these tests.
-const POLL_INTERVAL: Duration = Duration::from_ms(20);
+/// The time between two ticks of these tests.
+const TICK_PERIOD: Duration = Duration::from_ms(20);
 /// When a renewal is considered unanswered.
 const POLL_TIMEOUT: Duration = Duration::from_ms(1050);
 /// The slowest clock of a worker that the platform allows, in thousandths.
@@ -119,7 +119,7 @@
         let mut other = Some(self.harness.scheduler.worker_key("w1").expect("a worker"));
         let mut unanswered_at = partitioned_at + POLL_TIMEOUT;
         while self.harness.now.since(partitioned_at) < limit {
-            self.harness.now = self.harness.now + POLL_INTERVAL;
+            self.harness.now = self.harness.now + TICK_PERIOD;
             if let Some(other) = other.take() {
                 self.harness.answer_poll(other, Vec::new());
             }
@@ -308,7 +308,7 @@
     let partitioned_at = harness.now;
     let is_renewed = |action: &Action| matches!(action, Action::Hold { to, until_ms: Some(_), last_seen: 0, .. } if to.worker == worker);
     while harness.now.since(partitioned_at) < SHORTEST_LEASE {
-        harness.now = harness.now + POLL_INTERVAL;
+        harness.now = harness.now + TICK_PERIOD;
         harness.handle(Event::Tick);
     }
     assert!(
@@ -352,7 +352,7 @@
     }
     // Less than the time after which leases are renewed during a commit.
     for _ in 0..10 {
-        harness.now = harness.now + POLL_INTERVAL;
+        harness.now = harness.now + TICK_PERIOD;
         harness.handle(Event::Tick);
     }
     let may_forget = |action: &Action| matches!(action, Action::Hold { last_seen: 1, .. });
--- a/crates/scheduler/tests/scheduler/overload.rs
+++ b/crates/scheduler/tests/scheduler/overload.rs
@@ -33,8 +33,8 @@
 /// Returns the keys of the jobs that are selected to finish on time.
 fn on_time(demand: &mut Demand<u64>) -> Vec<u64> {
     let selected = demand.select().into_iter();
-    let is_in_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
-    let on_time = selected.filter(|it| is_in_time(&it.selection));
+    let is_on_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
+    let on_time = selected.filter(|it| is_on_time(&it.selection));
     let mut keys: Vec<u64> = on_time.map(|it| it.key).collect();
     keys.sort_unstable();
     keys
@@ -63,7 +63,7 @@
 /// Of jobs of equal size, the one that is most likely to be late is excluded.
 #[test]
 fn select_excludes_soonest_due_of_equals() {
-    let jobs = [1000, 1100, 1200].map(|left_ms| contender(left_ms, 500, left_ms));
+    let jobs = [1000, 1100, 1200].map(|remaining_ms| contender(remaining_ms, 500, remaining_ms));
     assert_eq!(
         on_time(&mut demand(Occupancy::default(), &jobs)),
         [1100, 1200]
@@ -172,21 +172,21 @@
 fn serve(jobs: &[LoadJob], policy: Policy) -> usize {
     let mut waiting: Vec<LoadJob> = Vec::new();
     let mut arriving = jobs.iter().copied().peekable();
-    let (mut now_ms, mut in_time_count) = (0, 0);
+    let (mut now_ms, mut on_time_count) = (0, 0);
     loop {
         while let Some(job) = arriving.next_if(|job| job.at_ms <= now_ms) {
             waiting.push(job);
         }
         let Some(index) = next_job(&waiting, now_ms, policy) else {
             let Some(next) = arriving.peek() else {
-                return in_time_count;
+                return on_time_count;
             };
             now_ms = next.at_ms;
             continue;
         };
         let job = waiting.swap_remove(index);
         now_ms += job.whole_ms;
-        in_time_count += usize::from(now_ms <= job.due_ms);
+        on_time_count += usize::from(now_ms <= job.due_ms);
     }
 }
 
@@ -198,21 +198,21 @@
         Policy::Selected => {
             let mut demand = Demand::new(Amounts::of(&CAPACITY), Occupancy::default());
             for (index, job) in waiting.iter().enumerate() {
-                let left_ms = job.due_ms.checked_sub(now_ms);
+                let remaining_ms = job.due_ms.checked_sub(now_ms);
                 demand.push(Contender {
                     key: index,
                     priority: 1,
                     work: Amounts::of(&CAPACITY).times(job.whole_ms as f64),
                     chain: Duration::from_ms(job.whole_ms),
-                    time_left: left_ms.map(Duration::from_ms),
+                    time_left: remaining_ms.map(Duration::from_ms),
                     worth_left: None,
                 });
             }
-            let is_in_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
+            let is_on_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
             let selected = demand.select();
             let first = selected
                 .iter()
-                .min_by_key(|it| (!is_in_time(&it.selection), waiting[it.key].due_ms));
+                .min_by_key(|it| (!is_on_time(&it.selection), waiting[it.key].due_ms));
             first.map(|it| it.key)
         }
     }
@@ -277,7 +277,8 @@
 }
 
 /// A job of an overloaded service that has been late for long precedes those that could be on
-/// time; of several such jobs the one accepted first. Without the feature it comes last.
+/// time; of several such jobs the one
+/// accepted first starts first. Without the feature it comes last.
 #[test]
 fn service_order_aged_first() {
     let ages_ms = [0, 0, AGED_MS, AGED_MS + 1000, 0];
@@ -287,8 +288,8 @@
     assert_eq!(started_in_overload(off, &ages_ms), [1, 1]);
 }
 
-/// The precedence of a long-late job ends after a while, so that a gang that never fits does
-/// not keep capacity from others without end, and recurs later.
+/// A long-late job has precedence for a limited time, so that a gang that never fits does not
+/// keep capacity from others permanently, and again some time later.
 #[test]
 fn service_order_aged_alternately() {
     let past_precedence_ms = 3_000 + 36_000;
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -285,12 +285,12 @@
         .collect();
     simulation.run_for(200);
     burst.into_iter().for_each(|id| simulation.cancel(id));
-    let begun_ms = simulation.now_ms;
-    let (id, record) = short.job(400, begun_ms);
+    let began_ms = simulation.now_ms;
+    let (id, record) = short.job(400, began_ms);
     simulation.submit((id, record));
     while !simulation.done_ms.contains_key(&id) {
         simulation.run_for(STEP_MS);
         simulation.record_outcomes();
-        assert!(simulation.now_ms < begun_ms + short.limit_ms() + STEP_MS);
+        assert!(simulation.now_ms < began_ms + short.limit_ms() + STEP_MS);
     }
 }
--- a/crates/scheduler/tests/scheduler/packing_load.rs
+++ b/crates/scheduler/tests/scheduler/packing_load.rs
@@ -242,7 +242,7 @@
     outcomes
 }
 
-/// Runs a load with several seeds; returns the joined outcomes of the large and the small
+/// Runs a load with several seeds; returns the combined outcomes of the large and the small
 /// tasks.
 fn run_load_with_all_seeds(
     load: &Load,
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -229,7 +229,7 @@
 #[rstest]
 #[case::entry_is_newer(2)]
 #[case::entry_is_stale(1)]
-fn handle_entry_of_other_incarnation(#[case] answering_ms: u64) {
+fn handle_entry_of_other_incarnation(#[case] answering_start_ms: u64) {
     let workers = workers(1);
     let mut harness = Harness::new(Recovered::default(), &workers);
     let first = harness.scheduler.worker_key("w0").expect("a worker");
@@ -244,15 +244,15 @@
     );
     let is_poll = |action: &Action| matches!(action, Action::Hold { to, .. } if to.worker == first);
     assert!(harness.actions.iter().any(is_poll), "it is polled at once");
-    answer_poll_as(&mut harness, first, answering_ms, Vec::new());
+    answer_poll_as(&mut harness, first, answering_start_ms, Vec::new());
     harness.commit_all();
     let is_used = !harness.starts().is_empty();
-    assert_eq!(is_used, answering_ms == 2);
+    assert_eq!(is_used, answering_start_ms == 2);
     // The incarnation that answers updates its entry at some time.
-    harness.list_incarnation(&workers[0], answering_ms);
+    harness.list_incarnation(&workers[0], answering_start_ms);
     harness.commit_all();
     let key = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_poll_as(&mut harness, key, answering_ms, Vec::new());
+    answer_poll_as(&mut harness, key, answering_start_ms, Vec::new());
     harness.commit_all();
     assert!(is_used || !harness.starts().is_empty());
 }
@@ -266,7 +266,7 @@
 }
 
 /// Commits and places what is waiting; returns how many starts were sent.
-fn starts_after_commits_count(harness: &mut Harness) -> usize {
+fn commit_and_count_starts(harness: &mut Harness) -> usize {
     harness.commit_all();
     harness.starts().len()
 }
@@ -276,17 +276,17 @@
 #[rstest]
 #[case::first_answer(&[2])]
 #[case::later_answer(&[1, 2])]
-fn begin_incarnation_entry_not_written_yet(#[case] answering_ms: &[u64]) {
+fn begin_incarnation_entry_not_written_yet(#[case] answering_start_ms: &[u64]) {
     let worker = &workers(1)[0];
     let mut harness = harness_with_entry(worker, 1);
-    for life_start_ms in answering_ms {
+    for life_start_ms in answering_start_ms {
         let key = harness.scheduler.worker_key("w0").expect("a worker");
         answer_poll_as(&mut harness, key, *life_start_ms, Vec::new());
     }
     harness.submit(1, vec![step(1)]);
-    assert_eq!(starts_after_commits_count(&mut harness), 0);
+    assert_eq!(commit_and_count_starts(&mut harness), 0);
     harness.list_incarnation(worker, 2);
-    assert_eq!(starts_after_commits_count(&mut harness), 1);
+    assert_eq!(commit_and_count_starts(&mut harness), 1);
 }
 
 /// A start whose lease was computed on the previous incarnation's clock may have leased the
@@ -324,7 +324,7 @@
     let other = harness.scheduler.worker_key("w1").expect("a worker");
     harness.answer_poll(other, Vec::new());
     let mut waited_s = 0;
-    while starts_after_commits_count(&mut harness) == 0 {
+    while commit_and_count_starts(&mut harness) == 0 {
         harness.leave_poll_unanswered(next);
         waited_s += 1;
         assert!(waited_s < 12, "the run is never released");
@@ -444,9 +444,9 @@
             ended: Vec::new(),
         },
     });
-    assert_eq!(starts_after_commits_count(&mut harness), 0);
+    assert_eq!(commit_and_count_starts(&mut harness), 0);
     harness.answer_poll(key, Vec::new());
-    assert_eq!(starts_after_commits_count(&mut harness), 1);
+    assert_eq!(commit_and_count_starts(&mut harness), 1);
 }
 
 fn unrelated_task() -> TaskKey {
@@ -459,7 +459,7 @@
 #[case::same_life(1, 0)]
 #[case::next_life(2, 1)]
 fn record_lost_incarnations_after_takeover(
-    #[case] answering_ms: u64,
+    #[case] answering_start_ms: u64,
     #[case] crashes_count: usize,
 ) {
     let (id, record) = job(1, vec![step(1)]);
@@ -472,9 +472,9 @@
     };
     let workers = workers(1);
     let mut harness = Harness::after_evicted_leader(recovered);
-    harness.list_incarnation(&workers[0], answering_ms);
+    harness.list_incarnation(&workers[0], answering_start_ms);
     let key = harness.scheduler.worker_key("w0").expect("a worker");
-    answer_poll_as(&mut harness, key, answering_ms, Vec::new());
+    answer_poll_as(&mut harness, key, answering_start_ms, Vec::new());
     let states = harness.commit_all();
     let state = states.last().expect("the task is placed again");
     assert_eq!(state.crashes.len(), crashes_count);
@@ -485,7 +485,10 @@
 #[rstest]
 #[case::same_life(1, &[])]
 #[case::next_life(2, &[true])]
-fn retract_suspected_crashes_after_takeover(#[case] answering_ms: u64, #[case] confirmed: &[bool]) {
+fn retract_suspected_crashes_after_takeover(
+    #[case] answering_start_ms: u64,
+    #[case] confirmed: &[bool],
+) {
     let (id, record) = job(1, vec![step(1)]);
     let recovered = Recovered {
         jobs: vec![(id, record)],
@@ -494,14 +497,14 @@
     };
     let workers = workers(1);
     let mut harness = Harness::after_evicted_leader(recovered);
-    harness.list_incarnation(&workers[0], answering_ms);
+    harness.list_incarnation(&workers[0], answering_start_ms);
     let key = harness.scheduler.worker_key("w0").expect("a worker");
     // Until every lease that an earlier leader may have granted has expired.
     for _ in 0..10 {
         harness.leave_poll_unanswered(key);
     }
     harness.commit_all();
-    answer_poll_as(&mut harness, key, answering_ms, Vec::new());
+    answer_poll_as(&mut harness, key, answering_start_ms, Vec::new());
     let states = harness.commit_all();
     let state = states.last().expect("the task is placed again");
     let found = state.crashes.iter().map(|crash| crash.is_confirmed);
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -107,7 +107,7 @@
     assert_eq!(commit_sizes(&harness), [30, 30, 10]);
 }
 
-/// Lists so many nodes that can make advice requests.
+/// Lists `nodes_count` nodes that can make advice requests.
 fn list_nodes(harness: &mut Harness, nodes_count: usize) {
     let nodes = (0..nodes_count).map(|number| format!("n{number}").into());
     harness.handle(Event::NodesListed(nodes.collect()));
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -20,7 +20,7 @@
 const RECOVERY_LIMIT_MS: u64 = 90_000;
 /// Late orders are carried out up to 12 s late; then their runs must be found and stopped.
 const LATE_LIMIT_MS: u64 = 15_000;
-/// At most one job in so many may be failed by mistake, where three tasks crash ten workers
+/// At most one job in this many may be failed by mistake, where three tasks crash ten workers
 /// beside all other faults: the bound on restarts has precedence.
 const OTHER_JOBS_FAILED_ONE_IN: usize = 1000;
 
--- a/crates/scheduler/tests/scheduler/support/harness.rs
+++ b/crates/scheduler/tests/scheduler/support/harness.rs
@@ -132,7 +132,7 @@
         });
     }
 
-    /// Answers a poll with a task's first run as running and without ends.
+    /// Answers a poll with a task's first run as running, and no ends.
     pub fn answer_poll_running(&mut self, worker: WorkerKey, task: TaskKey) {
         self.answer_poll_running_and_ended(worker, task, Vec::new());
     }
--- a/crates/scheduler/tests/scheduler/support/rules.rs
+++ b/crates/scheduler/tests/scheduler/support/rules.rs
@@ -19,7 +19,7 @@
     /// Runs with an acknowledged end `failed`, by task.
     pub failed_recorded: BTreeMap<TaskKey, BTreeSet<u32>>,
     /// Acknowledged ends `done` that don't count, because the lease had expired since the end.
-    pub expired_records_count: usize,
+    pub expired_ends_count: usize,
     /// Tasks with an acknowledged end `done`, whether or not the lease had expired.
     pub done_acked: BTreeSet<TaskKey>,
     pub starts_count: usize,
@@ -57,9 +57,10 @@
             match end.kind {
                 EndKind::Done => {
                     self.done_acked.insert(task);
-                    let (ended_at_ms, is_noted) = worker.end_time_and_lease(end.number, now_ms);
-                    if !is_noted {
-                        self.expired_records_count += 1;
+                    let (ended_at_ms, is_lease_held) =
+                        worker.end_time_and_lease(end.number, now_ms);
+                    if !is_lease_held {
+                        self.expired_ends_count += 1;
                         continue;
                     }
                     self.done_recorded.insert(task);
--- a/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
@@ -72,6 +72,7 @@
         }
     }
 
+    /// Draws for how long an order is in flight, in milliseconds.
     pub(super) fn delay(&mut self, is_late: bool) -> u64 {
         if is_late {
             self.rng.random_range(2_000..12_000)
--- a/crates/scheduler/tests/scheduler/support/simulation/faults.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/faults.rs
@@ -15,7 +15,7 @@
 /// How often a degraded store recovers with a new leader, in thousandths, in simulations with
 /// takeovers.
 const DEGRADATION_ENDS_TERM_PER_MILLE: u32 = 500;
-/// How soon after the begin of such a term a worker is partitioned, and for how long.
+/// How soon after the start of such a term a worker is partitioned, and for how long.
 const EARLY_PARTITION_AFTER_MS: core::ops::Range<u64> = 20..800;
 const EARLY_PARTITION_MS: core::ops::Range<u64> = 3_000..9_000;
 /// How long a worker that a task has crashed is down: some leases expire before it is back.
--- a/crates/scheduler/tests/scheduler/support/simulation/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -305,7 +305,7 @@
         self.list_workers();
     }
 
-    /// Distributes the workers over so many data centres.
+    /// Distributes the workers over `count` data centres.
     pub fn assign_data_centres(&mut self, count: usize) {
         for (number, worker) in self.workers.iter_mut().enumerate() {
             worker.data_centre = Arc::from(format!("d{}", number % count));
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -59,7 +59,7 @@
     pub speed_per_mille: u64,
     pub fence: u64,
     pub lease_until_ms: u64,
-    /// The begin of its current lease without a gap, on the simulation's clock.
+    /// The start of its current lease without a gap, on the simulation's clock.
     leased_since_ms: u64,
     pub runs: BTreeMap<TaskKey, FakeRun>,
     pub ended: Vec<EndedRun>,
@@ -142,7 +142,7 @@
     }
 
     /// Starts its next incarnation under the same id: it has no runs, and its clock and the
-    /// numbers of its ends begin anew. Its entry is updated later.
+    /// numbers of its ends start from the beginning. Its entry is updated later.
     pub fn restart(&mut self, wall_ms: u64, clock_base_ms: u64) {
         let fresh = Self::new(&self.id, self.clock_per_mille);
         let before = core::mem::replace(self, fresh);
--- a/crates/scheduler/tests/scheduler/takeover.rs
+++ b/crates/scheduler/tests/scheduler/takeover.rs
@@ -32,8 +32,8 @@
     (next, worker)
 }
 
-/// After two leaders were lost in a row, the runs of cancelled jobs once kept running without
-/// end.
+/// After two leaders were lost in a row, the runs of cancelled jobs once kept running
+/// permanently.
 #[test]
 fn handle_running_cancel_recorded_before() {
     let (mut harness, task, run) = after_start();
