--- a/crates/scheduler/tests/scheduler/backfill_load.rs
+++ b/crates/scheduler/tests/scheduler/backfill_load.rs
@@ -162,8 +162,8 @@
 const BURST_LIMIT_COUNT: u32 = 32;
 const BURST_GANG_COUNTS: [u32; 4] = [16, 4, 8, 4];
 const BURST_MS: u64 = 16_000;
-/// How long a short job may wait for its first start: what its objective, twice its duration
-/// and a second, leaves beside its duration.
+/// How long a short job may wait for its first start: its objective, which is twice its duration
+/// and a second, without its duration.
 const BURST_SHORT_BOUND_MS: u64 = 1_000 + ESTIMATE_MS;
 /// The same for a gang: two seconds until it precedes more urgent work, the longest run that it
 /// waits for, and two seconds for advice and capacity.
