--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -323,7 +323,7 @@
 /// A worker that is unresponsive until its leases have expired may have crashed or been
 /// partitioned. The crash recorded under its runs is retracted if the same incarnation answers.
 #[test]
-fn retract_suspected_crashes_worker_answers() {
+fn retract_unresponsive_worker_answers() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
--- a/crates/scheduler/tests/scheduler/gang_load.rs
+++ b/crates/scheduler/tests/scheduler/gang_load.rs
@@ -125,7 +125,7 @@
 /// Of two gangs that are equally urgent and don't both fit, the smaller one is served first,
 /// though the larger one was submitted earlier.
 #[test]
-fn service_order_smaller_gang_first() {
+fn scheduling_order_smaller_gang_first() {
     let mut harness = Harness::new(Recovered::default(), &[]);
     let gang = |tasks_count| StepSpec {
         is_gang: true,
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -153,7 +153,7 @@
 #[rstest]
 #[case::before_the_term(Duration::ZERO)]
 #[case::while_evicted(Duration::from_ms(1300))]
-fn release_expired_lease_of_earlier_leader(#[case] reached_after: Duration) {
+fn give_up_expired_lease_of_earlier_leader(#[case] reached_after: Duration) {
     let mut cell = Cell::after_grant_of_earlier_leader(reached_after);
     let task = cell.begin_long_run();
     let partitioned_at = cell.harness.now;
@@ -170,7 +170,7 @@
 /// more. From then on its lease is bounded by the longest lease, however long an evicted leader
 /// may act.
 #[test]
-fn release_expired_worker_that_answered_early() {
+fn give_up_expired_worker_that_answered_early() {
     let mut cell = Cell::after_grant_of_earlier_leader(Duration::ZERO);
     let answered = cell.harness.now;
     let task = cell.begin_long_run();
@@ -254,7 +254,7 @@
 /// Ends are acknowledged by their highest number, so no lower end may be skipped, in whichever
 /// order they are listed.
 #[test]
-fn handle_list_ends_in_any_order() {
+fn handle_lists_ends_in_any_order() {
     let (mut harness, worker, tasks) = after_starts(2);
     let later = end(2, tasks[1], 1, EndKind::Done);
     let earlier = end(1, tasks[0], 1, EndKind::Done);
@@ -301,7 +301,7 @@
 
 /// The lease of a worker's other runs is renewed while one of its ends waits for a slow store.
 #[test]
-fn renew_leases_end_waits_for_slow_store() {
+fn send_due_polls_end_waits_for_slow_store() {
     let (mut harness, worker, tasks) = after_starts(2);
     harness.answer_poll(worker, vec![end(1, tasks[0], 1, EndKind::Done)]);
     harness.actions.clear();
@@ -427,7 +427,7 @@
 /// The long leases that are granted while the store is degraded do not delay the restart of a
 /// perpetual task, even where workers accept longer ones.
 #[test]
-fn renew_leases_lost_worker_after_degraded_store() {
+fn send_due_polls_lost_worker_after_degraded_store() {
     let workers = workers(2);
     let mut harness = Harness::with_lease_limit(LONG_LEASE_LIMIT, &workers);
     harness.submit(1, vec![step(1)]);
--- a/crates/scheduler/tests/scheduler/overload.rs
+++ b/crates/scheduler/tests/scheduler/overload.rs
@@ -280,7 +280,7 @@
 /// time; of several such jobs the one
 /// accepted first starts first. Without the feature it comes last.
 #[test]
-fn service_order_aged_first() {
+fn scheduling_order_aged_first() {
     let ages_ms = [0, 0, AGED_MS, AGED_MS + 1000, 0];
     let with = started_in_overload(Features::default(), &ages_ms);
     assert_eq!(with, [4, 4]);
@@ -291,7 +291,7 @@
 /// A long-late job has precedence for a limited time, so that a gang that never fits does not
 /// keep capacity from others permanently, and again some time later.
 #[test]
-fn service_order_aged_alternately() {
+fn scheduling_order_aged_alternately() {
     let past_precedence_ms = 3_000 + 36_000;
     let next_precedence_ms = 3_000 + 61_000;
     let first_started = |aged_ms| started_in_overload(Features::default(), &[0, 0, aged_ms, 0])[0];
@@ -301,7 +301,7 @@
 
 /// Worthless jobs come after late ones, and these after jobs that can be on time.
 #[test]
-fn service_order_worthless_last() {
+fn scheduling_order_worthless_last() {
     let worthless_ms = 20_000;
     assert_eq!(
         started_in_overload(Features::default(), &[worthless_ms, 4_000, 0]),
@@ -316,7 +316,7 @@
 /// A service with free capacity for all that waits is not overloaded, however late the jobs
 /// are.
 #[test]
-fn service_order_unchanged_with_free_capacity() {
+fn scheduling_order_unchanged_with_free_capacity() {
     let worthless_ms = 20_000;
     assert_eq!(
         started_in_overload(Features::default(), &[worthless_ms]),
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -50,7 +50,7 @@
 /// Every retry of a poll once granted a new lease, so that the runs of an unresponsive worker
 /// were never released.
 #[test]
-fn renew_leases_unresponsive_worker() {
+fn send_due_polls_unresponsive_worker() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
@@ -77,7 +77,7 @@
 
 /// The runs of an unresponsive worker are not released while its lease may hold.
 #[test]
-fn release_expired_lease_may_hold() {
+fn give_up_expired_lease_may_hold() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
@@ -93,7 +93,7 @@
 /// The share of suitable workers was once learned from workers known to be suitable, so that a
 /// gang asked about two unknown workers at a time.
 #[test]
-fn search_for_gang_few_suitable_workers() {
+fn find_capacity_for_gang_few_suitable_workers() {
     let mut simulation = Simulation::new(3, 16, Faults::default(), Some(advice()));
     simulation.suitable_one_in = 4;
     for number in 1..=6 {
@@ -109,7 +109,7 @@
 /// A gang once waited for its suitable workers, which other gangs kept busy, without asking
 /// about the workers that were free.
 #[test]
-fn search_for_gang_suitable_workers_busy() {
+fn find_capacity_for_gang_suitable_workers_busy() {
     let policy = AdvicePolicy {
         decision_ms: 1.0,
         per_worker_ms: 10.0,
@@ -261,7 +261,7 @@
 /// Gangs behind those that wait for capacity were once not considered, though workers suitable
 /// for them were free.
 #[test]
-fn search_for_gang_behind_waiting_gangs() {
+fn find_capacity_for_gang_behind_waiting_gangs() {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(24), Some(advice()));
     // Enough nodes that no request waits for another.
     let nodes = (0..60).map(|number| format!("n{number}").into());
@@ -290,7 +290,7 @@
 /// After an outage many steps once named the same three workers, those with the most free
 /// capacity, in request after request, most of which found no capacity left.
 #[test]
-fn choose_queried_beside_open_requests() {
+fn choose_workers_to_query_beside_open_requests() {
     let mut harness = Harness::with_advice(Recovered::default(), &workers(12), Some(advice()));
     let nodes = (0..6).map(|number| format!("n{number}").into());
     harness.handle(Event::NodesListed(nodes.collect()));
@@ -349,7 +349,7 @@
 /// A gang whose suitable workers other gangs had taken once waited 2.5 s before it asked about
 /// workers that had been free all the time.
 #[test]
-fn request_about_free_workers_completes_gang() {
+fn query_free_workers_completes_gang() {
     let policy = AdvicePolicy {
         decision_ms: 1.0,
         per_worker_ms: 10.0,
--- a/crates/scheduler/tests/scheduler/retries.rs
+++ b/crates/scheduler/tests/scheduler/retries.rs
@@ -92,7 +92,7 @@
 
 /// One lost answer once left the ends of a worker's runs unknown for two seconds.
 #[test]
-fn on_hold_answered_unanswered_polled_again_at_once() {
+fn on_poll_answered_unanswered_polled_again_at_once() {
     let (mut harness, start) = after_start();
     harness.answer_started(start);
     harness.actions.clear();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn on_hold_answered_one_unanswered_keeps_worker() {
+fn on_poll_answered_one_unanswered_keeps_worker() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
     for (expected_count, reply_count) in [(1, 1), (0, 2)] {
@@ -131,7 +131,7 @@
 /// If a poll were repeated with the same timeout, each answer would be too late where this node
 /// or a link is slow.
 #[test]
-fn on_hold_answered_unresponsive_worker_longer_timeout() {
+fn on_poll_answered_unresponsive_worker_longer_timeout() {
     let (mut harness, start) = after_start();
     harness.answer_started(start);
     let mut timeouts_ms = Vec::new();
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -28,7 +28,7 @@
 #[case(2, 800)]
 #[case(400, 800)]
 #[case(600, 1200)]
-fn renew_leases_wait_by_busy_workers(#[case] workers_count: u32, #[case] expected_ms: u64) {
+fn send_due_polls_wait_by_busy_workers(#[case] workers_count: u32, #[case] expected_ms: u64) {
     let mut harness = Harness::new(Recovered::default(), &workers(workers_count as usize));
     let mut spec = filling_step();
     spec.tasks_count = workers_count;
@@ -154,7 +154,7 @@
 #[rstest]
 #[case::few_nodes(8, 1, 100)]
 #[case::many_nodes(64, 8, 300)]
-fn search_for_gang_asks_in_parts(
+fn find_capacity_for_gang_asks_in_parts(
     #[case] nodes_count: usize,
     #[case] calls_count: usize,
     #[case] named_count: usize,
--- a/crates/scheduler/tests/scheduler/worker_reservations.rs
+++ b/crates/scheduler/tests/scheduler/worker_reservations.rs
@@ -54,7 +54,7 @@
 /// A task that needs a whole worker once asked only about workers with free capacity, one at a
 /// time, and never began.
 #[test]
-fn search_for_tasks_asks_about_all_workers_at_once() {
+fn request_advice_for_tasks_about_all_workers_at_once() {
     let (mut harness, _) = full_workers(80);
     harness.submit(LARGE_JOB, vec![filling_step()]);
     let named: usize = harness.answer_advice_requests(&["w4"]).into_iter().sum();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn await_workers_reserves_capacity() {
+fn reserve_expected_capacity_on_suitable_worker() {
     let (mut harness, starts) = full_workers(80);
     harness.submit(LARGE_JOB, vec![filling_step()]);
     harness.answer_advice_requests(&["w4"]);
