--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -13,8 +13,8 @@
 const NODES_COUNT: usize = 8;
 const WORKERS_COUNT: usize = 40;
 /// A request takes this long, for any number of workers.
-const LONG_CALL: Duration = Duration::from_ms(600);
-const SHORT_CALL: Duration = Duration::from_ms(30);
+const LONG_REQUEST: Duration = Duration::from_ms(600);
+const SHORT_REQUEST: Duration = Duration::from_ms(30);
 
 fn policy(cost: Duration) -> AdvicePolicy {
     AdvicePolicy {
@@ -45,20 +45,20 @@
 }
 
 /// Drains the requests that were sent; returns the job of each, and the node that makes it.
-fn drain_calls(harness: &mut Harness) -> Vec<(JobId, Arc<str>)> {
+fn drain_requests(harness: &mut Harness) -> Vec<(JobId, Arc<str>)> {
     let actions = core::mem::take(&mut harness.actions);
-    let mut calls = Vec::new();
+    let mut requests = Vec::new();
     for action in actions {
         match action {
-            Action::Advise { step, node, .. } => calls.push((step.job, node)),
+            Action::Advise { step, node, .. } => requests.push((step.job, node)),
             other => harness.actions.push(other),
         }
     }
-    calls
+    requests
 }
 
-fn nodes_count_of(calls: &[(JobId, Arc<str>)]) -> usize {
-    let nodes: BTreeSet<&Arc<str>> = calls.iter().map(|(_, node)| node).collect();
+fn nodes_count_of(requests: &[(JobId, Arc<str>)]) -> usize {
+    let nodes: BTreeSet<&Arc<str>> = requests.iter().map(|(_, node)| node).collect();
     nodes.len()
 }
 
@@ -83,22 +83,22 @@
 /// Long requests use all nodes but one while there are no short ones, and five of eight beside
 /// many short ones.
 #[rstest]
-#[case::no_short_calls(0, 7)]
-#[case::many_short_calls(60, 5)]
-fn request_advice_on_nodes_by_load(#[case] short_calls_count: u64, #[case] nodes_count: usize) {
-    let mut harness = harness_with(NODES_COUNT, queues(SHORT_CALL, LONG_CALL));
-    for number in 0..short_calls_count {
+#[case::no_short_requests(0, 7)]
+#[case::many_short_requests(60, 5)]
+fn request_advice_on_nodes_by_load(#[case] short_requests_count: u64, #[case] nodes_count: usize) {
+    let mut harness = harness_with(NODES_COUNT, queues(SHORT_REQUEST, LONG_REQUEST));
+    for number in 0..short_requests_count {
         harness.submit_job(job(1000 + number, vec![step(1)]));
         reject_all_workers(&mut harness);
     }
     harness.commit_all();
-    drain_calls(&mut harness);
+    drain_requests(&mut harness);
     for number in 0..12 {
         harness.submit_job(deferrable_job(number, 1));
     }
     harness.commit_all();
-    let calls = drain_calls(&mut harness);
-    let long: Vec<_> = calls
+    let requests = drain_requests(&mut harness);
+    let long: Vec<_> = requests
         .into_iter()
         .filter(|(job, _)| job.number() < 1000)
         .collect();
@@ -109,7 +109,7 @@
 /// queued at a busy node.
 #[test]
 fn request_advice_deferrable_not_queued_at_nodes() {
-    let mut harness = harness_with(2, queues(LONG_CALL, LONG_CALL));
+    let mut harness = harness_with(2, queues(LONG_REQUEST, LONG_REQUEST));
     let urgent = StepSpec {
         estimate_ms: 1_000,
         ..step(1)
@@ -119,8 +119,8 @@
     }
     harness.submit_job(job(3, vec![urgent]));
     harness.commit_all();
-    let calls = drain_calls(&mut harness);
-    let jobs_asked: Vec<u64> = calls.iter().map(|(job, _)| job.number()).collect();
+    let requests = drain_requests(&mut harness);
+    let jobs_asked: Vec<u64> = requests.iter().map(|(job, _)| job.number()).collect();
     assert_eq!(
         jobs_asked,
         [1, 3],
@@ -131,7 +131,7 @@
 /// Returns how many workers each request of a wide step names, in a cell of
 /// `nodes_count` nodes.
 fn named_in_cell(nodes_count: usize) -> Vec<usize> {
-    let mut configuration = queues(SHORT_CALL, LONG_CALL);
+    let mut configuration = queues(SHORT_REQUEST, LONG_REQUEST);
     let queue = configuration.queues.get_mut(QUEUE).expect("the queue");
     queue.advice = Some(AdvicePolicy {
         decision_ms: 200.0,
@@ -141,11 +141,11 @@
     let mut harness = harness_with(nodes_count, configuration);
     harness.submit_job(job(1, vec![step(60)]));
     harness.commit_all();
-    let calls = harness.actions.iter().filter_map(|action| match action {
+    let requests = harness.actions.iter().filter_map(|action| match action {
         Action::Advise { workers, .. } => Some(workers.len()),
         _ => None,
     });
-    calls.collect()
+    requests.collect()
 }
 
 /// Where many nodes are idle, several ask about fewer workers each, so that the answer for the
@@ -164,7 +164,7 @@
 /// available to others at once, even if the request is answered much later.
 #[test]
 fn cancel_frees_counted_capacity_at_once() {
-    let mut harness = harness_with(NODES_COUNT, queues(LONG_CALL, LONG_CALL));
+    let mut harness = harness_with(NODES_COUNT, queues(LONG_REQUEST, LONG_REQUEST));
     // Eight tasks fill a worker, so that no worker is asked about in advance.
     let small = |tasks_count| StepSpec {
         demand: Resources::new(500, 100, 0),
@@ -172,14 +172,14 @@
     };
     // The job counts on all workers.
     harness.submit(1, vec![small(8 * WORKERS_COUNT as u32)]);
-    assert!(!drain_calls(&mut harness).is_empty());
+    assert!(!drain_requests(&mut harness).is_empty());
     harness.submit(2, vec![small(4)]);
     assert!(
-        drain_calls(&mut harness).is_empty(),
+        drain_requests(&mut harness).is_empty(),
         "no free capacity is left to ask about"
     );
     harness.now = harness.now + Duration::from_ms(20);
     harness.cancel(1);
-    let calls = drain_calls(&mut harness);
-    assert!(calls.iter().any(|(job, _)| *job == JobId::new(2)));
+    let requests = drain_requests(&mut harness);
+    assert!(requests.iter().any(|(job, _)| *job == JobId::new(2)));
 }
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -271,8 +271,8 @@
         .collect();
     end_all(&mut harness, &of_two);
     let started = start_all(&mut harness);
-    let is_gangs = |start: &Start| start.1.step.job.number() == 4;
-    assert!(started.len() == 3 && started.iter().all(is_gangs));
+    let is_of_gang = |start: &Start| start.1.step.job.number() == 4;
+    assert!(started.len() == 3 && started.iter().all(is_of_gang));
 }
 
 /// A job that is held back is logged with the reservation that holds it back.
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -140,7 +140,7 @@
 }
 
 fn policies() -> [(&'static str, CrashPolicy); 3] {
-    let product = CrashPolicy::default();
+    let default_policy = CrashPolicy::default();
     let count_two = CrashPolicy {
         suspect_points: 1,
         bystander_points: 1,
@@ -151,11 +151,11 @@
     };
     let with = |trial_rule| CrashPolicy {
         trial_rule,
-        ..product
+        ..default_policy
     };
     [
         ("(a) two crashes of any kind", count_two),
-        ("(b) points, probation alone", product),
+        ("(b) points, probation alone", default_policy),
         (
             "(c) points, probation beside others",
             with(TrialRule::Anywhere),
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -308,16 +308,16 @@
         cell.harness.answer_started(start);
     }
     cell.crash_worker(crashing);
-    let mut calls_count = 0;
+    let mut requests_count = 0;
     for _ in 0..25 {
         cell.harness.now = cell.harness.now + Duration::from_ms(30);
         cell.harness.handle(Event::Tick);
         cell.harness.answer_commits();
         let is_request = |action: &&Action| matches!(action, Action::Advise { step, .. } if step.job == crashing.1.step.job);
-        calls_count += cell.harness.actions.iter().filter(is_request).count();
+        requests_count += cell.harness.actions.iter().filter(is_request).count();
         cell.answer_advice();
     }
-    assert!(calls_count <= 1, "{calls_count} advice requests");
+    assert!(requests_count <= 1, "{requests_count} advice requests");
 }
 
 /// A worker that is unresponsive until its leases have expired may have crashed or been
--- a/crates/scheduler/tests/scheduler/customers_load.rs
+++ b/crates/scheduler/tests/scheduler/customers_load.rs
@@ -229,14 +229,14 @@
 /// Runs a load with and without its burst; returns the decrease of the others' share of jobs on
 /// time, averaged over the seeds.
 fn share_lost(load: &Load, seeds_count: u64) -> f64 {
-    let usual = Load {
+    let baseline = Load {
         burst: Burst::Many,
         factor: 1,
         ..*load
     };
     let mut lost = 0.0;
     for seed in 0..seeds_count {
-        let before = run_load(seed, &usual);
+        let before = run_load(seed, &baseline);
         let beside = run_load(seed, load);
         println!(
             "seed {seed}: {:.3} without a burst, {:.3} beside it; waits of {} ms, a lag of {} ms",
--- a/crates/scheduler/tests/scheduler/damaged_records.rs
+++ b/crates/scheduler/tests/scheduler/damaged_records.rs
@@ -49,7 +49,7 @@
 #[case::plain(placed_state("w0", 1))]
 #[case::crashes(with_crash(placed_state("w0", 1)))]
 #[case::incarnations(placed_at_incarnation("w0", 7, 1))]
-#[case::lives_and_crashes(with_crash(placed_at_incarnation("w0", 7, 1)))]
+#[case::incarnations_and_crashes(with_crash(placed_at_incarnation("w0", 7, 1)))]
 fn job_state_any_bytes(#[case] state: JobState) {
     let mut rng = Pcg64::seed_from_u64(4);
     let valid = state.to_bytes();
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -94,8 +94,8 @@
         by_forecast <= 0.8 * by_estimate,
         "{by_forecast} {by_estimate}"
     );
-    let part = |is_so: fn(&(Sample, LengthForecast)) -> bool| {
-        with_forecast.iter().filter(|it| is_so(it)).count() as f64 / count
+    let part = |predicate: fn(&(Sample, LengthForecast)) -> bool| {
+        with_forecast.iter().filter(|it| predicate(it)).count() as f64 / count
     };
     let (below, above) = (
         part(|it| it.0.actual < it.1.sure),
@@ -252,8 +252,8 @@
 /// Returns speeds learned from machines that all have the typical speed.
 fn typical_speeds(rng: &mut Pcg64, machines: &[Arc<str>], runs_count: u32) -> Speeds {
     let mut speeds = Speeds::default();
-    let usual = fleet_of(machines, |_| 1.0);
-    run(&mut speeds, rng, at(0), &usual, runs_count);
+    let typical = fleet_of(machines, |_| 1.0);
+    run(&mut speeds, rng, at(0), &typical, runs_count);
     speeds
 }
 
@@ -419,8 +419,8 @@
 /// Returns how many runs are stopped on workers that depart in 4 s, where a step's tasks take
 /// ten seconds by their estimate and four of them have taken one second.
 fn stopped_count(features: Features) -> usize {
-    let leaving = workers(2);
-    let mut harness = Harness::with_features(features, &leaving);
+    let departing = workers(2);
+    let mut harness = Harness::with_features(features, &departing);
     let short = StepSpec {
         estimate_ms: 10_000,
         ..step(8)
@@ -445,7 +445,7 @@
     for start in &second {
         harness.answer_started(*start);
     }
-    for mut worker in leaving {
+    for mut worker in departing {
         worker.is_draining = true;
         worker.leaves_clock_ms = Some(harness.now.as_ms() + 4_000);
         let change = WorkerChange::Listed(worker.facts());
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -522,9 +522,9 @@
     simulation.run_until_done(60_000);
     // One request per wave of tasks, not one per task.
     assert!(
-        simulation.advice_calls_count < 20,
+        simulation.advice_requests_count < 20,
         "{} advice requests",
-        simulation.advice_calls_count
+        simulation.advice_requests_count
     );
 }
 
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -456,8 +456,8 @@
 /// A placement is recorded with the incarnation that it was meant for. A new leader that has
 /// polled only a later incarnation still records that the worker crashed under the task.
 #[rstest]
-#[case::same_life(1, 0)]
-#[case::next_life(2, 1)]
+#[case::same_incarnation(1, 0)]
+#[case::next_incarnation(2, 1)]
 fn record_lost_incarnations_after_takeover(
     #[case] answering_start_ms: u64,
     #[case] crashes_count: usize,
@@ -483,8 +483,8 @@
 /// A crash under the runs of an unresponsive worker is recorded as unconfirmed until it
 /// answers. The same incarnation was only partitioned; another one confirms the crash.
 #[rstest]
-#[case::same_life(1, &[])]
-#[case::next_life(2, &[true])]
+#[case::same_incarnation(1, &[])]
+#[case::next_incarnation(2, &[true])]
 fn retract_unresponsive_after_takeover(
     #[case] answering_start_ms: u64,
     #[case] confirmed: &[bool],
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -22,8 +22,8 @@
     waits.max().unwrap_or_default()
 }
 
-/// Renewals for 600 busy workers take 600 answers in 1.2 s; in 0.8 s they took a third more of
-/// the leader's time.
+/// Polls of 600 busy workers give 600 answers every 1.2 s. At 600 answers every 0.8 s they took
+/// a third more of the leader's time.
 #[rstest]
 #[case(2, 800)]
 #[case(400, 800)]
@@ -52,8 +52,8 @@
     harness.actions.iter().filter(is_placed).count()
 }
 
-/// After a pass over 300 waiting steps 30 ms are left to everything else. Without that pause
-/// the steps were passed over three more times in it.
+/// After a pass over 300 waiting steps the leader leaves 30 ms to everything else, in which it
+/// once passed over these steps three more times.
 #[test]
 fn place_pauses_after_many_waiting_steps() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
@@ -84,7 +84,8 @@
     sizes.collect()
 }
 
-/// When each commit had 70 changes, the last change waited for 44 ms.
+/// When full groups were not committed at once, the last of 70 simultaneous changes waited for
+/// 44 ms.
 #[test]
 fn flush_commits_full_groups_at_once() {
     let mut harness = Harness::new(Recovered::default(), &workers(70));
--- a/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
@@ -177,11 +177,11 @@
 
     /// Returns whether another incarnation answers at the address of a worker that is gone.
     fn is_other_incarnation(&self, index: usize) -> bool {
-        let dead = &self.workers[index];
+        let lost = &self.workers[index];
         let is_next = |other: &FakeWorker| {
-            other.is_alive && !other.is_partitioned && other.address == dead.address
+            other.is_alive && !other.is_partitioned && other.address == lost.address
         };
-        !dead.is_alive && self.workers.iter().any(is_next)
+        !lost.is_alive && self.workers.iter().any(is_next)
     }
 
     fn deliver_poll(
@@ -292,11 +292,11 @@
         let own = self.job_run_durations_ms.get(&order.task.step.job);
         let lengths_ms = own.unwrap_or(&self.run_durations_ms).clone();
         let spec = &self.jobs[&order.task.step.job].spec.steps[order.task.step.step as usize];
-        let usual_ms = match &self.run_durations_percent {
+        let typical_ms = match &self.run_durations_percent {
             Some(percent) => spec.estimate_ms * self.rng.random_range(percent.clone()) / 100,
             None => self.rng.random_range(lengths_ms),
         };
-        let length_ms = usual_ms * 1000 / self.workers[index].speed_per_mille;
+        let length_ms = typical_ms * 1000 / self.workers[index].speed_per_mille;
         let run = FakeRun {
             run: order.run,
             ends_at_ms: now_ms + length_ms,
--- a/crates/scheduler/tests/scheduler/support/simulation/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -175,7 +175,7 @@
     pub faults_end_ms: u64,
     /// The adviser finds one worker in this many suitable for a job; 0 for two of three.
     pub suitable_one_in: u64,
-    pub advice_calls_count: usize,
+    pub advice_requests_count: usize,
     /// Jobs whose first task crashes each worker that starts it.
     pub crashing_jobs: BTreeSet<JobId>,
     /// Runs of other jobs that were lost on workers that such tasks crashed.
@@ -233,7 +233,7 @@
             run_durations_percent: None,
             faults_end_ms: u64::MAX,
             suitable_one_in: 0,
-            advice_calls_count: 0,
+            advice_requests_count: 0,
             crashing_jobs: BTreeSet::new(),
             other_runs_lost_count: 0,
             done_ms: BTreeMap::new(),
@@ -533,7 +533,7 @@
                 expected,
                 ..
             } => {
-                self.advice_calls_count += 1;
+                self.advice_requests_count += 1;
                 let suitable = workers
                     .iter()
                     .filter(|to| self.is_suitable(&to.id, step.job));
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -214,20 +214,20 @@
         if !self.is_alive {
             return;
         }
-        let has_lapsed = self.clock_ms(now_ms) >= self.lease_until_ms;
+        let has_expired = self.clock_ms(now_ms) >= self.lease_until_ms;
         let due: Vec<TaskKey> = self
             .runs
             .iter()
-            .filter(|(_, run)| has_lapsed || run.ends_at_ms <= now_ms)
+            .filter(|(_, run)| has_expired || run.ends_at_ms <= now_ms)
             .map(|(task, _)| *task)
             .collect();
         for task in due {
             let ends_at_ms = self.runs[&task].ends_at_ms.min(now_ms);
-            let kind = match has_lapsed {
+            let kind = match has_expired {
                 true => EndKind::Lapsed,
                 false => self.runs[&task].kind,
             };
-            let at_ms = if has_lapsed { now_ms } else { ends_at_ms };
+            let at_ms = if has_expired { now_ms } else { ends_at_ms };
             self.end(at_ms, task, kind);
         }
     }
@@ -250,9 +250,9 @@
     }
 
     fn raise_fence(&mut self, fence: u64) -> bool {
-        let is_taken = fence >= self.fence;
+        let is_accepted = fence >= self.fence;
         self.fence = self.fence.max(fence);
-        is_taken
+        is_accepted
     }
 
     fn lease(&mut self, now_ms: u64, until_ms: u64, limit_ms: u64) {
