--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -1,7 +1,7 @@
-//! Which nodes make calls for advice, and which calls wait.
+//! Which nodes make advice requests, and which requests wait.
 
-use crate::support::bench::{workers, Bench};
-use crate::support::{configuration, job, patient_job, step, PATIENT_QUEUE, QUEUE};
+use crate::support::harness::{workers, Harness};
+use crate::support::{configuration, deferrable_job, job, step, LOW_PRIORITY_QUEUE, QUEUE};
 use ospreywing_scheduler::{
     Action, AdvicePolicy, AdviceReply, Configuration, Event, JobId, Recovered, StepSpec,
 };
@@ -12,9 +12,9 @@
 
 const NODES_COUNT: usize = 8;
 const WORKERS_COUNT: usize = 40;
-/// A call about any number of workers takes this long.
-const LONG: Duration = Duration::from_ms(600);
-const SHORT: Duration = Duration::from_ms(30);
+/// A request takes this long, for any number of workers.
+const LONG_REQUEST: Duration = Duration::from_ms(600);
+const SHORT_REQUEST: Duration = Duration::from_ms(30);
 
 fn policy(cost: Duration) -> AdvicePolicy {
     AdvicePolicy {
@@ -24,47 +24,48 @@
     }
 }
 
-/// Returns a configuration with an urgent queue and a patient one, whose calls take so long.
-fn queues(urgent: Duration, patient: Duration) -> Configuration {
+/// Returns a configuration with an urgent and a low-priority queue, whose requests take so
+/// long.
+fn queues(urgent: Duration, deferrable: Duration) -> Configuration {
     let mut configuration = configuration(None);
     configuration.version = 2;
-    for (name, cost) in [(QUEUE, urgent), (PATIENT_QUEUE, patient)] {
+    for (name, cost) in [(QUEUE, urgent), (LOW_PRIORITY_QUEUE, deferrable)] {
         let queue = configuration.queues.get_mut(name).expect("the queue");
         queue.advice = Some(policy(cost));
     }
     configuration
 }
 
-fn bench_with(nodes_count: usize, configuration: Configuration) -> Bench {
-    let mut bench = Bench::new(Recovered::default(), &workers(WORKERS_COUNT));
+fn harness_with(nodes_count: usize, configuration: Configuration) -> Harness {
+    let mut harness = Harness::new(Recovered::default(), &workers(WORKERS_COUNT));
     let nodes = (0..nodes_count).map(|number| Arc::from(format!("n{number}")));
-    bench.tell(Event::NodesListed(nodes.collect()));
-    bench.tell(Event::Configured(configuration));
-    bench
+    harness.handle(Event::NodesListed(nodes.collect()));
+    harness.handle(Event::Configured(configuration));
+    harness
 }
 
-/// Takes the calls that were made: whose each is, and which node makes it.
-fn calls(bench: &mut Bench) -> Vec<(JobId, Arc<str>)> {
-    let taken = core::mem::take(&mut bench.actions);
-    let mut calls = Vec::new();
-    for action in taken {
+/// Drains the requests that were sent; returns the job of each, and the node that makes it.
+fn drain_requests(harness: &mut Harness) -> Vec<(JobId, Arc<str>)> {
+    let actions = core::mem::take(&mut harness.actions);
+    let mut requests = Vec::new();
+    for action in actions {
         match action {
-            Action::Advise { step, node, .. } => calls.push((step.job, node)),
-            other => bench.actions.push(other),
+            Action::Advise { step, node, .. } => requests.push((step.job, node)),
+            other => harness.actions.push(other),
         }
     }
-    calls
+    requests
 }
 
-fn nodes_of(calls: &[(JobId, Arc<str>)]) -> usize {
-    let nodes: BTreeSet<&Arc<str>> = calls.iter().map(|(_, node)| node).collect();
+fn nodes_count_of(requests: &[(JobId, Arc<str>)]) -> usize {
+    let nodes: BTreeSet<&Arc<str>> = requests.iter().map(|(_, node)| node).collect();
     nodes.len()
 }
 
-/// Answers a call that named whatever it did: nothing is good.
-fn answer_nothing(bench: &mut Bench) {
-    let taken = core::mem::take(&mut bench.actions);
-    for action in taken {
+/// Answers each request with no suitable worker.
+fn reject_all_workers(harness: &mut Harness) {
+    let actions = core::mem::take(&mut harness.actions);
+    for action in actions {
         match action {
             Action::Advise { step, workers, .. } => {
                 let queried = workers.iter().map(|to| to.worker).collect();
@@ -72,110 +73,117 @@
                     tickets: Vec::new(),
                     validity: Duration::from_ms(1500),
                 };
-                bench.tell(Event::AdviceAnswered {
+                harness.handle(Event::AdviceAnswered {
                     step,
                     queried,
                     reply,
                 });
             }
-            other => bench.actions.push(other),
+            other => harness.actions.push(other),
         }
     }
 }
 
-/// Long calls have all nodes but one while there are no short ones, and five of eight
-/// beside many.
+/// Long requests use all nodes but one while there are no short ones, and five of eight beside
+/// many short ones.
 #[rstest]
-#[case::no_short_calls(0, 7)]
-#[case::many_short_calls(60, 5)]
-fn ask_on_nodes_by_load(#[case] short_calls_count: u64, #[case] nodes_count: usize) {
-    let mut bench = bench_with(NODES_COUNT, queues(SHORT, LONG));
-    for number in 0..short_calls_count {
-        bench.submit_job(job(1000 + number, vec![step(1)]));
-        answer_nothing(&mut bench);
+#[case::no_short_requests(0, 7)]
+#[case::many_short_requests(60, 5)]
+fn request_advice_on_nodes_by_load(#[case] short_requests_count: u64, #[case] nodes_count: usize) {
+    let mut harness = harness_with(NODES_COUNT, queues(SHORT_REQUEST, LONG_REQUEST));
+    for number in 0..short_requests_count {
+        harness.submit_job(job(1000 + number, vec![step(1)]));
+        reject_all_workers(&mut harness);
     }
-    bench.commit_all();
-    calls(&mut bench);
+    harness.commit_all();
+    drain_requests(&mut harness);
     for number in 0..12 {
-        bench.submit_job(patient_job(number, 1));
+        harness.submit_job(deferrable_job(number, 1));
     }
-    bench.commit_all();
-    let made = calls(&mut bench);
-    let long: Vec<_> = made
+    harness.commit_all();
+    let requests = drain_requests(&mut harness);
+    let long: Vec<_> = requests
         .into_iter()
         .filter(|(job, _)| job.number() < 1000)
         .collect();
-    assert_eq!(nodes_of(&long), nodes_count);
+    assert_eq!(nodes_count_of(&long), nodes_count);
 }
 
-/// A patient step's long call is made where a node has nothing to do, an urgent one's waits
-/// there for its turn.
+/// A deferrable step's long request is made only where a node is idle, an urgent one's is
+/// queued at a busy node.
 #[test]
-fn ask_patient_calls_do_not_wait_at_nodes() {
-    let mut bench = bench_with(2, queues(LONG, LONG));
+fn request_advice_deferrable_not_queued_at_nodes() {
+    let mut harness = harness_with(2, queues(LONG_REQUEST, LONG_REQUEST));
     let urgent = StepSpec {
         estimate_ms: 1_000,
         ..step(1)
     };
     for number in 1..=2 {
-        bench.submit_job(patient_job(number, 1));
+        harness.submit_job(deferrable_job(number, 1));
     }
-    bench.submit_job(job(3, vec![urgent]));
-    bench.commit_all();
-    let made = calls(&mut bench);
-    let by: Vec<u64> = made.iter().map(|(job, _)| job.number()).collect();
-    assert_eq!(by, [1, 3], "one node takes long calls, and has one to make");
+    harness.submit_job(job(3, vec![urgent]));
+    harness.commit_all();
+    let requests = drain_requests(&mut harness);
+    let jobs_asked: Vec<u64> = requests.iter().map(|(job, _)| job.number()).collect();
+    assert_eq!(
+        jobs_asked,
+        [1, 3],
+        "one node makes long requests, and one urgent request is queued there"
+    );
 }
 
-/// Returns how many workers each call names that a wide step makes in a cell of so many nodes.
+/// Returns how many workers each request of a wide step names, in a cell of
+/// `nodes_count` nodes.
 fn named_in_cell(nodes_count: usize) -> Vec<usize> {
-    let mut configuration = queues(SHORT, LONG);
+    let mut configuration = queues(SHORT_REQUEST, LONG_REQUEST);
     let queue = configuration.queues.get_mut(QUEUE).expect("the queue");
     queue.advice = Some(AdvicePolicy {
         decision_ms: 200.0,
         per_worker_ms: 5.0,
         validity: Duration::from_ms(1500),
     });
-    let mut bench = bench_with(nodes_count, configuration);
-    bench.submit_job(job(1, vec![step(60)]));
-    bench.commit_all();
-    let made = bench.actions.iter().filter_map(|action| match action {
+    let mut harness = harness_with(nodes_count, configuration);
+    harness.submit_job(job(1, vec![step(60)]));
+    harness.commit_all();
+    let requests = harness.actions.iter().filter_map(|action| match action {
         Action::Advise { workers, .. } => Some(workers.len()),
         _ => None,
     });
-    made.collect()
+    requests.collect()
 }
 
-/// Where many nodes have nothing to do, several ask about fewer workers each: the answer to
-/// the longest part is there in less than half of the time. In a small cell the others stay
-/// free.
+/// Where many nodes are idle, several ask about fewer workers each, so that the answer for the
+/// largest part takes less than half of the time. In a small cell the other nodes stay idle.
 #[rstest]
 #[case::small(7, 1)]
 #[case::large(64, 4)]
 #[case::larger(640, 4)]
-fn ask_in_parts_where_nodes_are_idle(#[case] nodes_count: usize, #[case] parts_count: usize) {
+fn request_advice_in_parts_on_idle_nodes(#[case] nodes_count: usize, #[case] parts_count: usize) {
     let queried = named_in_cell(nodes_count);
     assert_eq!(queried.iter().sum::<usize>(), WORKERS_COUNT);
     assert_eq!(queried.len(), parts_count, "{queried:?}");
 }
 
-/// The room on which a job counts whose call for advice is open is others' as soon as the job
-/// is cancelled, also where the call is answered much later.
+/// When a job is cancelled while its advice request is open, the capacity that it counted on is
+/// available to others at once, even if the request is answered much later.
 #[test]
-fn cancel_frees_room_counted_on_at_once() {
-    let mut bench = bench_with(NODES_COUNT, queues(LONG, LONG));
-    // Eight of them fill a worker, so that nothing is learned ahead.
+fn cancel_frees_counted_capacity_at_once() {
+    let mut harness = harness_with(NODES_COUNT, queues(LONG_REQUEST, LONG_REQUEST));
+    // Eight tasks fill a worker, so that no worker is asked about in advance.
     let small = |tasks_count| StepSpec {
         demand: Resources::new(500, 100, 0),
         ..step(tasks_count)
     };
-    // It counts on all workers.
-    bench.submit(1, vec![small(8 * WORKERS_COUNT as u32)]);
-    assert!(!calls(&mut bench).is_empty());
-    bench.submit(2, vec![small(4)]);
-    assert!(calls(&mut bench).is_empty(), "no room is left to ask about");
-    bench.now = bench.now + Duration::from_ms(20);
-    bench.cancel(1);
-    let calls = calls(&mut bench);
-    assert!(calls.iter().any(|(job, _)| *job == JobId::new(2)));
+    // The job counts on all workers.
+    harness.submit(1, vec![small(8 * WORKERS_COUNT as u32)]);
+    assert!(!drain_requests(&mut harness).is_empty());
+    harness.submit(2, vec![small(4)]);
+    assert!(
+        drain_requests(&mut harness).is_empty(),
+        "no free capacity is left to ask about"
+    );
+    harness.now = harness.now + Duration::from_ms(20);
+    harness.cancel(1);
+    let requests = drain_requests(&mut harness);
+    assert!(requests.iter().any(|(job, _)| *job == JobId::new(2)));
 }
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -1,11 +1,11 @@
-//! What rules on crashes cost: innocent jobs that are given up, workers that a bad task
-//! crashes, and other jobs' runs that are lost with them.
+//! Compares crash policies: other jobs that are failed, workers that a task crashes, and other
+//! jobs' runs that are lost with them.
 //!
-//! CI plays the product's rule on a small cell. With `OSPREYWING_CRASH_FIGURES` set to a
-//! number of workers, all rules are played on as many, and the figures are printed; they
-//! stand in docs/design/crashes.md.
+//! CI runs the default policy on a small cell. With `OSPREYWING_CRASH_FIGURES` set to a number
+//! of workers, all policies run on as many, and their figures are printed (published in
+//! docs/design/crashes.md).
 
-use crate::support::world::{Faults, World};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::{job, step};
 use ospreywing_scheduler::{CrashPolicy, JobId, Phase, ProbationRule, StepSpec};
 use ospreywing_types::{Duration, Resources};
@@ -14,36 +14,36 @@
 const FIGURES_VARIABLE: &str = "OSPREYWING_CRASH_FIGURES";
 const CI_WORKERS_COUNT: usize = 50;
 const CI_SEEDS_COUNT: u64 = 3;
-/// Workers of a rack.
-const RACK_COUNT: usize = 10;
-/// How long jobs come, and the time between two.
+/// Workers in each rack.
+const WORKERS_PER_RACK_COUNT: usize = 10;
+/// How long jobs are submitted.
 const LOAD_MS: u64 = 10_000;
-/// Of a hundred places for tasks, those that are taken on average.
+/// The percentage of task slots that are in use on average.
 const LOAD_PERCENT: usize = 40;
 const TASKS_PER_JOB_COUNT: usize = 4;
 const TASKS_PER_WORKER_COUNT: usize = 4;
 const MEAN_RUN_MS: usize = 1350;
-const NOTE_PERIOD_MS: u64 = 50;
+const SAMPLE_PERIOD_MS: u64 = 50;
 const DRAIN_LIMIT_MS: u64 = 90_000;
 
-/// What strikes besides.
+/// A loss of workers in the middle of the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
     Nothing,
-    /// So many of a hundred workers, anywhere, at once.
+    /// So many of a hundred workers, across the cell, at once.
     Percent(usize),
-    /// One rack at once.
+    /// All workers of one rack at once.
     Rack,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Figures {
-    innocents_failed_count: usize,
+    other_jobs_failed_count: usize,
     crashes_count: usize,
-    /// The crashes of the task that caused most.
+    /// The crashes caused by the task that caused the most.
     most_crashes_count: usize,
-    runs_lost_beside_count: usize,
-    bad_jobs_count: usize,
+    other_runs_lost_count: usize,
+    crashing_jobs_count: usize,
     mean_ms: u64,
 }
 
@@ -54,93 +54,93 @@
     }
 }
 
-/// Takes down what the loss says, in the middle of the load.
-fn strike(world: &mut World, loss: Loss, workers_count: usize) {
-    let struck: Vec<usize> = match loss {
+/// Crashes the workers that `loss` names.
+fn inject_loss(simulation: &mut Simulation, loss: Loss, workers_count: usize) {
+    let lost: Vec<usize> = match loss {
         Loss::Nothing => Vec::new(),
         Loss::Percent(percent) => (0..workers_count)
             .filter(|number| number * 37 % 100 < percent)
             .collect(),
-        Loss::Rack => (0..RACK_COUNT).collect(),
+        Loss::Rack => (0..WORKERS_PER_RACK_COUNT).collect(),
     };
-    world.lose(&struck);
+    simulation.crash_workers(&lost);
 }
 
-fn play(
+fn run_load(
     seed: u64,
     workers_count: usize,
-    bad_jobs_count: usize,
+    crashing_jobs_count: usize,
     loss: Loss,
     policy: CrashPolicy,
 ) -> Figures {
-    let mut world = World::new(seed, workers_count, Faults::default(), None);
-    world.lay_out_racks(RACK_COUNT);
-    world.elect_with(policy);
-    world.run_for(1_000);
-    let places_count = workers_count * TASKS_PER_WORKER_COUNT * LOAD_PERCENT / 100;
-    let gap_us = (MEAN_RUN_MS * TASKS_PER_JOB_COUNT * 1000 / places_count) as u64;
+    let mut simulation = Simulation::new(seed, workers_count, Faults::default(), None);
+    simulation.assign_racks(WORKERS_PER_RACK_COUNT);
+    simulation.elect_with(policy);
+    simulation.run_for(1_000);
+    let slots_count = workers_count * TASKS_PER_WORKER_COUNT * LOAD_PERCENT / 100;
+    let gap_us = (MEAN_RUN_MS * TASKS_PER_JOB_COUNT * 1000 / slots_count) as u64;
     let jobs_count = LOAD_MS * 1000 / gap_us;
-    let bad_every = jobs_count / (bad_jobs_count as u64 + 1);
-    let (mut due_us, mut taken_ms) = (world.now_ms * 1000, Vec::new());
+    let crashing_period = jobs_count / (crashing_jobs_count as u64 + 1);
+    let (mut due_us, mut submitted_ms) = (simulation.now_ms * 1000, Vec::new());
     for number in 1..=jobs_count {
-        if bad_jobs_count > 0 && number % bad_every == 0 {
-            world.crashing.insert(JobId::new(number));
+        if crashing_jobs_count > 0 && number % crashing_period == 0 {
+            simulation.crashing_jobs.insert(JobId::new(number));
         }
-        world.submit(job(number, vec![small_step()]));
-        taken_ms.push(world.now_ms);
+        simulation.submit(job(number, vec![small_step()]));
+        submitted_ms.push(simulation.now_ms);
         due_us += gap_us;
-        let wait_ms = (due_us / 1000).saturating_sub(world.now_ms);
-        world.run_for(wait_ms);
-        world.note_outcomes();
+        let wait_ms = (due_us / 1000).saturating_sub(simulation.now_ms);
+        simulation.run_for(wait_ms);
+        simulation.record_outcomes();
         if number == jobs_count / 2 {
-            strike(&mut world, loss, workers_count);
+            inject_loss(&mut simulation, loss, workers_count);
         }
     }
-    let until_ms = world.now_ms + DRAIN_LIMIT_MS;
-    while world.done_ms.len() < jobs_count as usize {
+    let until_ms = simulation.now_ms + DRAIN_LIMIT_MS;
+    while simulation.done_ms.len() < jobs_count as usize {
         assert!(
-            world.now_ms < until_ms,
+            simulation.now_ms < until_ms,
             "seed {seed}: jobs without an outcome"
         );
-        world.run_for(NOTE_PERIOD_MS);
-        world.note_outcomes();
+        simulation.run_for(SAMPLE_PERIOD_MS);
+        simulation.record_outcomes();
     }
     let mut figures = Figures {
-        runs_lost_beside_count: world.runs_lost_beside_count,
-        bad_jobs_count: world.crashing.len(),
+        other_runs_lost_count: simulation.other_runs_lost_count,
+        crashing_jobs_count: simulation.crashing_jobs.len(),
         ..Figures::default()
     };
-    let crashes = world.rules.crashes.values();
+    let crashes = simulation.rules.crashes.values();
     let crashes = crashes.map(|count| count.crashes_count);
     figures.most_crashes_count = crashes.clone().max().unwrap_or(0);
     figures.crashes_count = crashes.sum();
     let mut sum_ms = 0;
     for number in 1..=jobs_count {
         let id = JobId::new(number);
-        if world.crashing.contains(&id) {
+        if simulation.crashing_jobs.contains(&id) {
             continue;
         }
-        figures.innocents_failed_count += usize::from(world.phase(id) == Some(Phase::Failed));
-        sum_ms += world.done_ms[&id] - taken_ms[number as usize - 1];
+        figures.other_jobs_failed_count += usize::from(simulation.phase(id) == Some(Phase::Failed));
+        sum_ms += simulation.done_ms[&id] - submitted_ms[number as usize - 1];
     }
-    figures.mean_ms = sum_ms / (jobs_count - world.crashing.len() as u64).max(1);
+    figures.mean_ms = sum_ms / (jobs_count - simulation.crashing_jobs.len() as u64).max(1);
     figures
 }
 
-fn print_row(name: &str, bad_jobs_count: usize, loss: Loss, rows: &[Figures]) {
+fn print_row(name: &str, crashing_jobs_count: usize, loss: Loss, rows: &[Figures]) {
     let sum = |field: fn(&Figures) -> usize| -> usize { rows.iter().map(field).sum() };
-    let bad_count = sum(|row| row.bad_jobs_count).max(1) as f64;
+    let crashing_jobs_total = sum(|row| row.crashing_jobs_count).max(1) as f64;
     let mean_ms = rows.iter().map(|row| row.mean_ms).sum::<u64>() / rows.len() as u64;
     println!(
-        "| {name} | {bad_jobs_count} | {loss:?} | {} | {:.2} | {:.2} | {mean_ms} |",
-        sum(|row| row.innocents_failed_count),
-        sum(|row| row.crashes_count) as f64 / bad_count,
-        sum(|row| row.runs_lost_beside_count) as f64 / bad_count,
+        "| {name} | {crashing_jobs_count} | {loss:?} | {} | {:.2} | {:.2} | {mean_ms} |",
+        sum(|row| row.other_jobs_failed_count),
+        sum(|row| row.crashes_count) as f64 / crashing_jobs_total,
+        sum(|row| row.other_runs_lost_count) as f64 / crashing_jobs_total,
     );
 }
 
-fn rules() -> [(&'static str, CrashPolicy); 3] {
-    let product = CrashPolicy::default();
+fn policies() -> [(&'static str, CrashPolicy); 3] {
+    let default_policy = CrashPolicy::default();
     let count_two = CrashPolicy {
         suspect_points: 1,
         bystander_points: 1,
@@ -151,19 +151,22 @@
     };
     let with = |probation_rule| CrashPolicy {
         probation_rule,
-        ..product
+        ..default_policy
     };
     [
         ("(a) two crashes of any kind", count_two),
-        ("(b) points, tried alone", product),
-        ("(c) points, suspects apart", with(ProbationRule::Anywhere)),
+        ("(b) points, probation alone", default_policy),
+        (
+            "(c) points, probation beside others",
+            with(ProbationRule::Anywhere),
+        ),
     ]
 }
 
 fn print_figures(workers_count: usize) {
     let seeds_count = (2_000 / workers_count as u64).clamp(2, 40);
     println!("{workers_count} workers, {seeds_count} seeds");
-    println!("| rule | bad jobs | lost | innocents failed | crashes a bad job | others' runs lost a bad job | mean ms |");
+    println!("| policy | crashing jobs | workers lost | other jobs failed | crashes per crashing job | others' runs lost per crashing job | mean ms |");
     println!("|---|---|---|---|---|---|---|");
     let losses = [
         Loss::Nothing,
@@ -171,26 +174,27 @@
         Loss::Percent(15),
         Loss::Rack,
     ];
-    for bad_jobs_count in [0, 1, 10] {
+    for crashing_jobs_count in [0, 1, 10] {
         for loss in losses {
-            for (name, policy) in rules() {
-                let play = |seed| play(seed, workers_count, bad_jobs_count, loss, policy);
-                let rows: Vec<Figures> = (0..seeds_count).map(play).collect();
-                print_row(name, bad_jobs_count, loss, &rows);
+            for (name, policy) in policies() {
+                let run = |seed| run_load(seed, workers_count, crashing_jobs_count, loss, policy);
+                let rows: Vec<Figures> = (0..seeds_count).map(run).collect();
+                print_row(name, crashing_jobs_count, loss, &rows);
             }
         }
     }
 }
 
-/// A bad task crashes three workers where their next lives are met before leases lapse, and
-/// five at most: the platform's bound. Half of these workers are away for longer.
+/// A task crashes three workers if their next incarnations answer before the leases expire, and
+/// five at most, which is the platform's bound. Half of these workers stay down for longer.
 const MOST_CRASHES_COUNT: usize = 5;
 
-/// No innocent job is given up beside ten bad ones, and no bad task goes on.
+/// With ten crashing jobs no other job is failed, and the crashing tasks are not restarted
+/// endlessly.
 #[rstest]
 #[case::alone(Loss::Nothing)]
 #[case::rack_lost(Loss::Rack)]
-fn crash_policy_ten_bad_jobs(#[case] loss: Loss) {
+fn crash_policy_ten_crashing_jobs(#[case] loss: Loss) {
     let wanted = std::env::var(FIGURES_VARIABLE);
     if let Some(workers_count) = wanted.ok().and_then(|text| text.parse().ok()) {
         if loss == Loss::Nothing {
@@ -200,8 +204,8 @@
     }
     for seed in 0..CI_SEEDS_COUNT {
         let policy = CrashPolicy::default();
-        let figures = play(seed, CI_WORKERS_COUNT, 10, loss, policy);
-        assert_eq!(figures.innocents_failed_count, 0, "seed {seed}");
+        let figures = run_load(seed, CI_WORKERS_COUNT, 10, loss, policy);
+        assert_eq!(figures.other_jobs_failed_count, 0, "seed {seed}");
         assert!(
             figures.most_crashes_count <= MOST_CRASHES_COUNT,
             "seed {seed}: {figures:?}"
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -1,19 +1,19 @@
 //! Tasks that crash the workers on which they start.
 //!
-//! What users saw: two jobs were started on one worker after the other, some thirty
-//! times each, until the day's end. Every worker crashed 10 ms after the start and was
-//! back 3 s later, and all other work on it was lost each time.
+//! The failure: two jobs were started on one worker after the other, some thirty times each.
+//! Every worker crashed 10 ms after the start and was back 3 s later, and all other work on it
+//! was lost each time.
 //!
-//! The order of events: the start's connection breaks; its repeats are refused; the
-//! worker's next life answers at the address; all runs of the earlier life are given up
-//! and start again elsewhere, the one that caused the crash among them.
+//! The sequence of events: the start's connection breaks; its repeats are refused; the worker's
+//! next incarnation answers at the address; all runs of the earlier incarnation are released
+//! and started again elsewhere, the one that caused the crash among them.
 //!
-//! The cause: a run that was lost with its worker left no trace in its task's progress,
-//! so nothing ever kept the task from starting again. The evidence: in the leader's log,
-//! run after run of the task ends as `run lost, another life answers`, none as `failed`,
-//! and the count of failed runs that bounds its attempts stays at zero.
+//! The cause: a run that was lost with its worker left no trace in its task's progress, so
+//! nothing kept the task from starting again. The evidence: in the leader's log, run after run
+//! of the task ends as `run lost, another life answers`, none as `failed`, and the number of
+//! failed runs, which bounds a task's attempts, stays at zero.
 
-use crate::support::bench::{failed, workers, Bench};
+use crate::support::harness::{failed, workers, Harness};
 use crate::support::worker::FakeWorker;
 use crate::support::{advice, first_task, job, placed_state, step};
 use ospreywing_scheduler::{
@@ -23,47 +23,47 @@
 use ospreywing_types::Duration;
 use rstest::rstest;
 
-/// How long a worker that crashed is away.
-const AWAY: Duration = Duration::from_ms(3000);
-/// The crashes after which the bound on restarts counts.
+/// How long a worker that crashed is down.
+const DOWNTIME: Duration = Duration::from_ms(3000);
+/// The crashes after which starts are bounded.
 const CRASHES_COUNT: usize = 3;
-/// The starts after these crashes that break it.
+/// The number of starts after these crashes that breaks the bound.
 const STARTS_LIMIT_COUNT: usize = 3;
-/// Far more starts than may happen.
-const ROUNDS_COUNT: usize = 12;
+/// Far more starts than are allowed.
+const ROUNDS_LIMIT_COUNT: usize = 12;
 
-/// A cell in which each worker that starts anything crashes.
+/// A cell in which each worker crashes that carries out a start of the test's task.
 struct CrashingCell {
-    bench: Bench,
+    harness: Harness,
     workers: Vec<FakeWorker>,
-    lives_count: usize,
+    incarnations_count: usize,
 }
 
 impl CrashingCell {
     fn new(advice: Option<AdvicePolicy>) -> Self {
         let workers = workers(4);
-        let mut bench = Bench::with_advice(Recovered::default(), &workers, advice);
-        bench.tell(Event::NodesListed(vec!["n1".into()]));
+        let mut harness = Harness::with_advice(Recovered::default(), &workers, advice);
+        harness.handle(Event::NodesListed(vec!["n1".into()]));
         Self {
-            bench,
+            harness,
             workers,
-            lives_count: 0,
+            incarnations_count: 0,
         }
     }
 
-    /// Lets time pass until a start is sent.
+    /// Advances the time until a start is sent.
     fn next_start(&mut self) -> Option<(WorkerKey, TaskKey, u32)> {
         self.next_starts()?.pop()
     }
 
-    /// Lets time pass until starts are sent.
+    /// Advances the time until starts are sent.
     fn next_starts(&mut self) -> Option<Vec<(WorkerKey, TaskKey, u32)>> {
         for _ in 0..100 {
-            self.bench.now = self.bench.now + Duration::from_ms(30);
-            self.bench.tell(Event::Tick);
-            self.bench.answer_commits();
+            self.harness.now = self.harness.now + Duration::from_ms(30);
+            self.harness.handle(Event::Tick);
+            self.harness.answer_commits();
             self.answer_advice();
-            let starts = self.bench.starts();
+            let starts = self.harness.starts();
             if !starts.is_empty() {
                 return Some(starts);
             }
@@ -71,157 +71,165 @@
         None
     }
 
-    /// Finds every worker good.
+    /// Answers the advice requests with tickets for every worker.
     fn answer_advice(&mut self) {
         let ids: Vec<String> = self.workers.iter().map(|w| w.id.to_string()).collect();
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-        self.bench.advise(&ids);
+        self.harness.answer_advice_requests(&ids);
     }
 
-    /// Has the worker crash under a start, and its next life come up.
-    fn crash(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
+    /// Crashes the worker by a start that it has carried out, and starts its next incarnation.
+    fn crash_worker(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         let refused = StartReply::Refused(RefusedStart::NotSent);
         for reply in [StartReply::Unanswered, refused, refused] {
-            self.bench.tell(Event::StartAnswered {
+            self.harness.handle(Event::StartAnswered {
                 worker,
                 task,
                 run,
                 reply,
             });
-            self.bench.starts();
+            self.harness.starts();
         }
-        self.be_replaced(worker);
+        self.replace_worker(worker);
     }
 
-    /// Has the worker crash for a reason of its own, with a start that it has not answered
-    /// and not carried out.
+    /// Crashes the worker for another cause, after a start that it has neither answered nor
+    /// carried out.
     fn crash_without_run(&mut self, start: (WorkerKey, TaskKey, u32)) {
         self.leave_unanswered(start);
-        self.be_replaced(start.0);
+        self.replace_worker(start.0);
     }
 
-    /// Leaves a start and its stop unanswered; a later look lists no run.
+    /// Leaves a start and its stop unanswered; a later poll lists no run.
     fn leave_unanswered(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
         for _ in 0..3 {
-            self.bench.tell(Event::StartAnswered {
+            self.harness.handle(Event::StartAnswered {
                 worker,
                 task,
                 run,
                 reply: StartReply::Unanswered,
             });
         }
-        // The stop gets no answer either.
-        self.bench.actions.clear();
-        self.bench.now = self.bench.now + Duration::from_ms(100);
-        self.bench.list(worker, Vec::new());
+        // The stop is not answered either.
+        self.harness.actions.clear();
+        self.harness.now = self.harness.now + Duration::from_ms(100);
+        self.harness.answer_poll(worker, Vec::new());
     }
 
-    /// Has another life answer at a worker's address.
-    fn be_replaced(&mut self, worker: WorkerKey) {
-        self.bench.be_silent(worker);
-        self.bench.now = self.bench.now + AWAY;
-        let sent_at = self.bench.now;
-        self.bench.tell(Event::HoldAnswered {
+    /// Has another incarnation answer at a worker's address.
+    fn replace_worker(&mut self, worker: WorkerKey) {
+        self.harness.leave_poll_unanswered(worker);
+        self.harness.now = self.harness.now + DOWNTIME;
+        let sent_at = self.harness.now;
+        self.harness.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::OtherIncarnation,
         });
-        self.bring_back(worker);
+        self.start_replacement(worker);
     }
 
-    fn bring_back(&mut self, worker: WorkerKey) {
-        let is_dead =
-            |known: &FakeWorker| self.bench.scheduler.worker_key(&known.id) == Some(worker);
-        let index = self.workers.iter().position(is_dead);
-        let dead = &mut self.workers[index.expect("a worker of this cell")];
-        self.lives_count += 1;
-        let mut next = FakeWorker::new(&format!("life{}", self.lives_count), 1000);
-        next.address = dead.address.clone();
-        *dead = next;
-        self.bench.list_workers(&self.workers);
-        let id = format!("life{}", self.lives_count);
-        let key = self.bench.scheduler.worker_key(&id);
-        self.bench.list(key.expect("a listed worker"), Vec::new());
+    fn start_replacement(&mut self, worker: WorkerKey) {
+        let is_lost =
+            |known: &FakeWorker| self.harness.scheduler.worker_key(&known.id) == Some(worker);
+        let index = self.workers.iter().position(is_lost);
+        let lost = &mut self.workers[index.expect("a worker of this cell")];
+        self.incarnations_count += 1;
+        let mut next = FakeWorker::new(&format!("life{}", self.incarnations_count), 1000);
+        next.address = lost.address.clone();
+        *lost = next;
+        self.harness.list_workers(&self.workers);
+        let id = format!("life{}", self.incarnations_count);
+        let key = self.harness.scheduler.worker_key(&id);
+        self.harness
+            .answer_poll(key.expect("a listed worker"), Vec::new());
     }
 }
 
 /// A job is not failed for workers that crash before they carry out its task's start.
 #[test]
-fn record_crash_run_was_not_there() {
+fn record_crash_start_not_carried_out() {
     let mut cell = CrashingCell::new(None);
-    cell.bench.submit(1, vec![step(1)]);
-    for round in 1..=ROUNDS_COUNT {
+    cell.harness.submit(1, vec![step(1)]);
+    for round in 1..=ROUNDS_LIMIT_COUNT {
         let start = cell.next_start();
         let start = start.unwrap_or_else(|| panic!("no start after {round} crashes"));
         cell.crash_without_run(start);
     }
-    let phase = cell.bench.scheduler.job(JobId::new(1)).map(|job| job.phase);
+    let phase = cell
+        .harness
+        .scheduler
+        .job(JobId::new(1))
+        .map(|job| job.phase);
     assert_eq!(phase, Some(Phase::Active));
 }
 
-/// A start that a worker carries out late, after a look that did not find its run, counts
-/// where the worker then crashes.
+/// A start that is carried out late, after a poll that did not list its run, still counts if
+/// the worker then crashes.
 #[test]
-fn record_crash_run_came_late() {
+fn record_crash_start_carried_out_late() {
     let mut cell = CrashingCell::new(None);
-    cell.bench.submit(1, vec![step(1)]);
+    cell.harness.submit(1, vec![step(1)]);
     let (worker, task, run) = cell.next_start().expect("a start");
     cell.leave_unanswered((worker, task, run));
-    cell.bench.list_running(worker, task);
-    cell.be_replaced(worker);
-    let states = cell.bench.commit_all();
+    cell.harness.answer_poll_running(worker, task);
+    cell.replace_worker(worker);
+    let states = cell.harness.commit_all();
     let crashes = states.iter().flat_map(|state| &state.crashes);
-    let recorded: Vec<TaskKey> = crashes.map(|crash| crash.task).collect();
+    let recorded: Vec<TaskKey> = crashes.map(|crash_worker| crash_worker.task).collect();
     assert_eq!(recorded, [task]);
 }
 
-/// The starts of a task that crashes its workers are bounded: three more after three
-/// crashes are too many, whether or not its queue needs advice.
+/// The starts of a task that crashes its workers are bounded, whether or not its queue needs
+/// advice: three starts after three crashes are too many.
 #[rstest]
 #[case::without_advice(None)]
 #[case::with_advice(Some(advice()))]
-fn release_all_run_crashes_its_worker(#[case] policy: Option<AdvicePolicy>) {
+fn release_all_runs_task_crashes_workers(#[case] policy: Option<AdvicePolicy>) {
     let mut cell = CrashingCell::new(policy);
-    cell.bench.submit(1, vec![step(1)]);
+    cell.harness.submit(1, vec![step(1)]);
     let mut starts_count = 0;
-    for _ in 0..ROUNDS_COUNT {
+    for _ in 0..ROUNDS_LIMIT_COUNT {
         let Some(start) = cell.next_start() else {
             break;
         };
         starts_count += 1;
-        cell.crash(start);
+        cell.crash_worker(start);
     }
     assert!(
         starts_count < CRASHES_COUNT + STARTS_LIMIT_COUNT,
         "a task that crashed each of its workers was started {starts_count} times"
     );
-    let job = cell.bench.scheduler.job(JobId::new(1));
+    let job = cell.harness.scheduler.job(JobId::new(1));
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
-/// Returns a leader with a job whose run has outlived its start, and another one whose
-/// run has just begun on the same worker.
-fn beside_a_new_run() -> (Bench, WorkerKey) {
-    let mut bench = Bench::new(Recovered::default(), &workers(3));
+/// Returns a leader with two runs on one worker: one that is long past its start, and one that
+/// has just begun.
+fn with_old_and_new_run() -> (Harness, WorkerKey) {
+    let mut harness = Harness::new(Recovered::default(), &workers(3));
     let mut runs = Vec::new();
     for number in 1..=2 {
-        bench.submit(number, vec![step(1)]);
-        bench.commit_all();
-        let start = bench.starts()[0];
-        bench.started(start);
+        harness.submit(number, vec![step(1)]);
+        harness.commit_all();
+        let start = harness.starts()[0];
+        harness.answer_started(start);
         runs.push(start);
         if number == 1 {
-            bench.now = bench.now + Duration::from_s(1);
-            bench.list_running(start.0, start.1);
+            harness.now = harness.now + Duration::from_s(1);
+            harness.answer_poll_running(start.0, start.1);
         }
     }
-    assert_eq!(runs[0].0, runs[1].0, "both are on the fullest worker");
-    (bench, runs[0].0)
+    assert_eq!(
+        runs[0].0, runs[1].0,
+        "both are on the worker with the least free capacity"
+    );
+    (harness, runs[0].0)
 }
 
-fn other_life(bench: &mut Bench, worker: WorkerKey) {
-    let sent_at = bench.now;
-    bench.tell(Event::HoldAnswered {
+fn other_incarnation(harness: &mut Harness, worker: WorkerKey) {
+    let sent_at = harness.now;
+    harness.handle(Event::HoldAnswered {
         worker,
         sent_at,
         reply: HoldReply::OtherIncarnation,
@@ -231,26 +239,32 @@
 fn suspicions(states: &[JobState], number: u64) -> Vec<Suspicion> {
     let task = first_task(JobId::new(number));
     let newest = states.iter().rev().flat_map(|state| &state.crashes);
-    let of_task = newest.filter(|crash| crash.task == task);
-    of_task.map(|crash| crash.suspicion).take(1).collect()
+    let of_task = newest.filter(|crash_worker| crash_worker.task == task);
+    of_task
+        .map(|crash_worker| crash_worker.suspicion)
+        .take(1)
+        .collect()
 }
 
-/// A run that its worker has outlived by a while is a bystander of the crash; the one
-/// that had just begun is tried where nobody else's run would be lost with it, and
-/// nothing joins it there before it has outlived its start.
+/// A run that started well before the worker's crash is a bystander. The one that had just
+/// begun is run on probation, where no other run would be lost with it, and nothing is placed
+/// beside it until it is past its start.
 #[test]
 fn record_crash_new_run_beside_old_one() {
-    let (mut bench, worker) = beside_a_new_run();
-    other_life(&mut bench, worker);
-    let states = bench.commit_all();
+    let (mut harness, worker) = with_old_and_new_run();
+    other_incarnation(&mut harness, worker);
+    let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), vec![Suspicion::Bystander]);
     assert_eq!(suspicions(&states, 2), vec![Suspicion::Suspect]);
-    let starts = bench.starts();
+    let starts = harness.starts();
     assert_eq!(starts.len(), 2);
-    assert_ne!(starts[0].0, starts[1].0, "the suspect is tried alone");
-    bench.submit(3, vec![step(1)]);
-    bench.commit_all();
-    let joined = bench.starts();
+    assert_ne!(
+        starts[0].0, starts[1].0,
+        "the suspect is on probation, alone"
+    );
+    harness.submit(3, vec![step(1)]);
+    harness.commit_all();
+    let joined = harness.starts();
     let suspect = starts
         .iter()
         .find(|start| start.1 == first_task(JobId::new(2)));
@@ -258,83 +272,83 @@
     assert!(joined.iter().all(|start| start.0 != suspect), "{joined:?}");
 }
 
-/// A worker that leaves by plan takes its runs with it and crashes under none.
+/// A worker that drains ends with its runs, which is not recorded as a crash.
 #[test]
 fn record_crash_worker_was_draining() {
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    bench.started(start);
-    bench.now = bench.now + Duration::from_s(1);
-    bench.list_running(start.0, start.1);
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    harness.answer_started(start);
+    harness.now = harness.now + Duration::from_s(1);
+    harness.answer_poll_running(start.0, start.1);
     let mut listed = workers(2);
     listed[0].is_draining = true;
-    bench.list_workers(&listed);
-    other_life(&mut bench, start.0);
-    let states = bench.commit_all();
+    harness.list_workers(&listed);
+    other_incarnation(&mut harness, start.0);
+    let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), Vec::new());
-    assert_eq!(bench.starts().len(), 1, "it goes on elsewhere");
+    assert_eq!(harness.starts().len(), 1, "it is started elsewhere");
 }
 
-/// A suspect that holds tickets waits for a worker of its own; further advice would not
-/// bring one, and would keep the adviser from others.
+/// A suspect that holds tickets waits for a worker of its own. Further advice would not provide
+/// one, and would keep the adviser from others' requests.
 #[test]
-fn place_tasks_suspect_waits() {
+fn place_tasks_suspect_waits_without_advice() {
     let mut cell = CrashingCell::new(Some(advice()));
-    cell.bench.submit(1, vec![step(1)]);
-    let bad = cell.next_start().expect("a start");
-    // One run on each worker: there is room, and none is free for a trial.
+    cell.harness.submit(1, vec![step(1)]);
+    let crashing = cell.next_start().expect("a start");
+    // One run on each worker: there is free capacity, but no worker is free for probation.
     let spread = StepSpec {
         per_worker_limit_count: 1,
         ..step(4)
     };
-    cell.bench.submit(2, vec![spread]);
+    cell.harness.submit(2, vec![spread]);
     for start in cell.next_starts().expect("starts") {
-        cell.bench.started(start);
+        cell.harness.answer_started(start);
     }
-    cell.crash(bad);
-    let mut calls_count = 0;
+    cell.crash_worker(crashing);
+    let mut requests_count = 0;
     for _ in 0..25 {
-        cell.bench.now = cell.bench.now + Duration::from_ms(30);
-        cell.bench.tell(Event::Tick);
-        cell.bench.answer_commits();
-        let asks = |action: &&Action| matches!(action, Action::Advise { step, .. } if step.job == bad.1.step.job);
-        calls_count += cell.bench.actions.iter().filter(asks).count();
+        cell.harness.now = cell.harness.now + Duration::from_ms(30);
+        cell.harness.handle(Event::Tick);
+        cell.harness.answer_commits();
+        let is_request = |action: &&Action| matches!(action, Action::Advise { step, .. } if step.job == crashing.1.step.job);
+        requests_count += cell.harness.actions.iter().filter(is_request).count();
         cell.answer_advice();
     }
-    assert!(calls_count <= 1, "asked {calls_count} times");
+    assert!(requests_count <= 1, "{requests_count} advice requests");
 }
 
-/// A worker that is silent until its leases are over may have crashed or been cut off:
-/// what was recorded of its runs goes again where the same life answers.
+/// A worker that is unresponsive until its leases have expired may have crashed or been
+/// partitioned. The crash recorded under its runs is retracted if the same incarnation answers.
 #[test]
-fn retract_silence_worker_answers() {
-    let mut bench = Bench::new(Recovered::default(), &workers(2));
-    bench.submit(1, vec![step(1)]);
-    bench.commit_all();
-    let start = bench.starts()[0];
-    bench.started(start);
+fn retract_unresponsive_worker_answers() {
+    let mut harness = Harness::new(Recovered::default(), &workers(2));
+    harness.submit(1, vec![step(1)]);
+    harness.commit_all();
+    let start = harness.starts()[0];
+    harness.answer_started(start);
     for _ in 0..8 {
-        bench.be_silent(start.0);
+        harness.leave_poll_unanswered(start.0);
     }
-    let states = bench.commit_all();
+    let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), vec![Suspicion::Suspect]);
-    let again = bench.starts()[0];
+    let again = harness.starts()[0];
     assert_ne!(again.0, start.0);
-    bench.started(again);
-    bench.list(start.0, Vec::new());
-    bench.list_after(
+    harness.answer_started(again);
+    harness.answer_poll(start.0, Vec::new());
+    harness.answer_poll_after(
         Duration::from_ms(60),
         again.0,
         vec![failed(1, again.1, again.2)],
     );
-    let states = bench.commit_all();
+    let states = harness.commit_all();
     assert_eq!(suspicions(&states, 1), Vec::new());
 }
 
-/// Returns what a leader kept of a job whose task runs on `w0` and under which two
-/// workers have crashed.
+/// Returns the stored state of a job whose task runs on `w0` and under which two workers have
+/// crashed.
 fn state_of_suspect() -> JobState {
     let task = first_task(JobId::new(1));
     let mut state = placed_state("w0", 3);
@@ -349,65 +363,65 @@
     state
 }
 
-/// A new leader gives the verdict from what the store keeps: it does not know how far an
-/// inherited run was, but that it was alone on its worker.
+/// A new leader applies the crash limits to the stored records: it does not know how far a
+/// recovered run was, but that it was alone on its worker.
 #[test]
-fn record_crash_inherited_run_alone() {
+fn record_crash_recovered_run_alone() {
     let (id, record) = job(1, vec![step(1)]);
-    let kept = Recovered {
+    let recovered = Recovered {
         jobs: vec![(id, record)],
         states: vec![(id, state_of_suspect())],
         ..Recovered::default()
     };
-    let mut bench = Bench::new(kept, &[]);
-    bench.list_workers(&workers(2));
-    let worker = bench.scheduler.worker_key("w0").expect("a listed worker");
-    let other = bench.scheduler.worker_key("w1").expect("a listed worker");
-    bench.list(other, Vec::new());
-    other_life(&mut bench, worker);
-    bench.commit_all();
-    assert!(bench.starts().is_empty(), "started after three crashes");
-    let job = bench.scheduler.job(id);
+    let mut harness = Harness::new(recovered, &[]);
+    harness.list_workers(&workers(2));
+    let worker = harness.scheduler.worker_key("w0").expect("a listed worker");
+    let other = harness.scheduler.worker_key("w1").expect("a listed worker");
+    harness.answer_poll(other, Vec::new());
+    other_incarnation(&mut harness, worker);
+    harness.commit_all();
+    assert!(harness.starts().is_empty(), "started after three crashes");
+    let job = harness.scheduler.job(id);
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
-/// One member that crashes its worker each time is enough to give up its gang.
+/// If one member crashes its worker each time, the job of its gang is failed.
 #[test]
-fn record_crash_member_of_gang() {
+fn record_crash_gang_member() {
     let mut cell = CrashingCell::new(None);
     let gang = StepSpec {
         is_gang: true,
         ..step(3)
     };
-    cell.bench.submit(1, vec![gang]);
+    cell.harness.submit(1, vec![gang]);
     let mut runs_count = 0;
-    for _ in 0..ROUNDS_COUNT {
+    for _ in 0..ROUNDS_LIMIT_COUNT {
         let Some(starts) = cell.next_starts() else {
             break;
         };
         runs_count += 1;
-        let bad = starts.iter().find(|start| start.1.index == 0);
-        let bad = *bad.expect("the whole gang starts");
-        cell.crash(bad);
-        cell.bench.now = cell.bench.now + Duration::from_ms(500);
-        cell.bench.tell(Event::Tick);
-        cell.bench.stops();
-        cell.bench.now = cell.bench.now + Duration::from_ms(10);
-        let others = starts.iter().filter(|start| start.0 != bad.0);
+        let crashing = starts.iter().find(|start| start.1.index == 0);
+        let crashing = *crashing.expect("the whole gang starts");
+        cell.crash_worker(crashing);
+        cell.harness.now = cell.harness.now + Duration::from_ms(500);
+        cell.harness.handle(Event::Tick);
+        cell.harness.stops();
+        cell.harness.now = cell.harness.now + Duration::from_ms(10);
+        let others = starts.iter().filter(|start| start.0 != crashing.0);
         for (worker, _, _) in others {
-            cell.bench.list(*worker, Vec::new());
+            cell.harness.answer_poll(*worker, Vec::new());
         }
     }
     assert!(
         runs_count < CRASHES_COUNT + STARTS_LIMIT_COUNT,
         "{runs_count} runs"
     );
-    let job = cell.bench.scheduler.job(JobId::new(1));
+    let job = cell.harness.scheduler.job(JobId::new(1));
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
-/// Crashes are stored behind the rest of a job's progress, which is written as before
-/// where there are none.
+/// Crashes are stored after the rest of a job's progress; without crashes the stored form is
+/// the earlier one.
 #[test]
 fn to_bytes_with_crashes() {
     let with = state_of_suspect();
--- a/crates/scheduler/tests/scheduler/stored.rs
+++ b/crates/scheduler/tests/scheduler/damaged_records.rs
@@ -1,6 +1,6 @@
-//! What the store keeps, where its bytes are damaged.
+//! Decoding of stored records whose bytes are damaged.
 
-use crate::support::{job, job_of, placed_at_life, placed_state, step};
+use crate::support::{job, job_of, placed_at_incarnation, placed_state, step};
 use ospreywing_scheduler::{
     CrashRecord, JobOutcome, JobState, Phase, StoredJob, Suspicion, TaskKey,
 };
@@ -8,17 +8,17 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Inputs for each form in CI; `OSPREYWING_FUZZ_INPUTS` sets another number.
-const INPUTS_COUNT: u64 = 20_000;
-const INPUTS_VARIABLE: &str = "OSPREYWING_FUZZ_INPUTS";
+/// Inputs for each record in CI; `OSPREYWING_FUZZ_INPUTS` overrides the number.
+const DEFAULT_FUZZ_INPUTS_COUNT: u64 = 20_000;
+const FUZZ_INPUTS_VARIABLE: &str = "OSPREYWING_FUZZ_INPUTS";
 
-fn inputs_count() -> u64 {
-    let set = std::env::var(INPUTS_VARIABLE);
+fn fuzz_inputs_count() -> u64 {
+    let set = std::env::var(FUZZ_INPUTS_VARIABLE);
     let set = set.ok().and_then(|text| text.parse().ok());
-    set.unwrap_or(INPUTS_COUNT)
+    set.unwrap_or(DEFAULT_FUZZ_INPUTS_COUNT)
 }
 
-/// Changes, adds or cuts off some bytes.
+/// Changes a byte, inserts one or cuts off the rest, one to three times.
 fn mutate(rng: &mut Pcg64, bytes: &[u8]) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
     for _ in 0..rng.random_range(1..4) {
@@ -32,7 +32,7 @@
     bytes
 }
 
-fn crashed(mut state: JobState) -> JobState {
+fn with_crash(mut state: JobState) -> JobState {
     let (id, _) = job(1, vec![step(1)]);
     let task: TaskKey = crate::support::first_task(id);
     state.record_crash(CrashRecord {
@@ -44,22 +44,22 @@
     state
 }
 
-/// Whatever stands in the place of a job's progress, reading it ends.
+/// Decoding a job's progress terminates without a panic, whatever its bytes.
 #[rstest]
 #[case::plain(placed_state("w0", 1))]
-#[case::crashes(crashed(placed_state("w0", 1)))]
-#[case::lives(placed_at_life("w0", 7, 1))]
-#[case::lives_and_crashes(crashed(placed_at_life("w0", 7, 1)))]
+#[case::crashes(with_crash(placed_state("w0", 1)))]
+#[case::incarnations(placed_at_incarnation("w0", 7, 1))]
+#[case::incarnations_and_crashes(with_crash(placed_at_incarnation("w0", 7, 1)))]
 fn job_state_any_bytes(#[case] state: JobState) {
     let mut rng = Pcg64::seed_from_u64(4);
-    let good = state.to_bytes();
-    assert_eq!(JobState::from_bytes(&good), Ok(state));
-    for _ in 0..inputs_count() {
-        let _ = JobState::from_bytes(&mutate(&mut rng, &good));
+    let valid = state.to_bytes();
+    assert_eq!(JobState::from_bytes(&valid), Ok(state));
+    for _ in 0..fuzz_inputs_count() {
+        let _ = JobState::from_bytes(&mutate(&mut rng, &valid));
     }
 }
 
-/// The same for what was accepted, and for outcomes.
+/// The same for accepted jobs and for outcomes.
 #[rstest]
 #[case::job(job(1, vec![step(3)]).1.to_bytes())]
 #[case::job_of_customer(job_of("one", 1, vec![step(3)]).1.to_bytes())]
@@ -67,10 +67,10 @@
 #[case::outcome_of_customer(
     JobOutcome::new(Phase::Failed).with_customer(Some("one".to_owned())).to_bytes()
 )]
-fn stored_job_any_bytes(#[case] good: Vec<u8>) {
+fn stored_job_any_bytes(#[case] valid: Vec<u8>) {
     let mut rng = Pcg64::seed_from_u64(5);
-    assert!(StoredJob::from_bytes(&good).is_ok());
-    for _ in 0..inputs_count() {
-        let _ = StoredJob::from_bytes(&mutate(&mut rng, &good));
+    assert!(StoredJob::from_bytes(&valid).is_ok());
+    for _ in 0..fuzz_inputs_count() {
+        let _ = StoredJob::from_bytes(&mutate(&mut rng, &valid));
     }
 }
--- a/crates/scheduler/tests/scheduler/departures.rs
+++ b/crates/scheduler/tests/scheduler/departures.rs
@@ -1,7 +1,7 @@
-//! Workers that leave by plan: what would be lost with them is stopped before, and goes on
+//! Planned departures of workers: runs that would be lost are stopped before and resume
 //! elsewhere.
 
-use crate::support::bench::{end, workers, Bench};
+use crate::support::harness::{end, workers, Harness};
 use crate::support::step;
 use crate::support::worker::FakeWorker;
 use ospreywing_scheduler::{
@@ -15,12 +15,12 @@
 fn saving(tasks_count: u32) -> StepSpec {
     StepSpec {
         saves_progress: true,
-        ..lengthy(tasks_count)
+        ..long(tasks_count)
     }
 }
 
 /// Returns a step whose tasks take ten seconds by their estimate.
-fn lengthy(tasks_count: u32) -> StepSpec {
+fn long(tasks_count: u32) -> StepSpec {
     StepSpec {
         estimate_ms: 10_000,
         ..step(tasks_count)
@@ -34,102 +34,106 @@
     }
 }
 
-fn begin(bench: &mut Bench, spec: StepSpec) -> Vec<Start> {
-    bench.submit(1, vec![spec]);
-    bench.commit_all();
-    let starts = bench.starts();
+fn start_step(harness: &mut Harness, spec: StepSpec) -> Vec<Start> {
+    harness.submit(1, vec![spec]);
+    harness.commit_all();
+    let starts = harness.starts();
     for start in &starts {
-        bench.started(*start);
+        harness.answer_started(*start);
     }
     starts
 }
 
-/// Has a worker's entry say that it leaves after a time.
-fn leave(bench: &mut Bench, worker: &FakeWorker, after_ms: u64) {
-    let mut leaving = FakeWorker::new(&worker.id, 1000);
-    leaving.is_draining = true;
-    // The workers of these tests tell the time of the bench.
-    leaving.departs_at_clock_ms = Some(bench.now.as_ms() + after_ms);
-    let change = WorkerChange::Listed(leaving.facts());
-    bench.tell(Event::WorkersChanged(vec![change]));
+/// Lists a worker with an entry that it departs after this time.
+fn list_departure(harness: &mut Harness, worker: &FakeWorker, after_ms: u64) {
+    let mut departing = FakeWorker::new(&worker.id, 1000);
+    departing.is_draining = true;
+    // These workers' clocks show the harness's time.
+    departing.departs_at_clock_ms = Some(harness.now.as_ms() + after_ms);
+    let change = WorkerChange::Listed(departing.facts());
+    harness.handle(Event::WorkersChanged(vec![change]));
 }
 
-fn wait(bench: &mut Bench, length_ms: u64) {
+fn wait(harness: &mut Harness, length_ms: u64) {
     for _ in 0..length_ms / 100 {
-        bench.now = bench.now + Duration::from_ms(100);
-        bench.tell(Event::Tick);
+        harness.now = harness.now + Duration::from_ms(100);
+        harness.handle(Event::Tick);
     }
 }
 
-fn stops_after(bench: &mut Bench, length_ms: u64) -> usize {
-    wait(bench, length_ms);
-    bench.stops().len()
+fn stops_after(harness: &mut Harness, length_ms: u64) -> usize {
+    wait(harness, length_ms);
+    harness.stops().len()
 }
 
-/// A run that saves loses nothing by a stop just before its worker goes.
+/// A run that saves checkpoints loses nothing if it is stopped just before its worker departs.
 #[test]
 fn stop_before_departures_saving_run() {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    begin(&mut bench, saving(1));
-    leave(&mut bench, &listed[0], 5000);
-    assert_eq!(stops_after(&mut bench, 3000), 0, "it works on");
-    assert_eq!(stops_after(&mut bench, 1000), 1, "in time for its end");
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    start_step(&mut harness, saving(1));
+    list_departure(&mut harness, &listed[0], 5000);
+    assert_eq!(stops_after(&mut harness, 3000), 0, "it keeps running");
+    assert_eq!(
+        stops_after(&mut harness, 1000),
+        1,
+        "early enough to end in time"
+    );
 }
 
-/// What a run that saves nothing still does is lost, so it is stopped at once.
+/// A run that saves no checkpoints would lose all further work, so it is stopped at once.
 #[test]
 fn stop_before_departures_run_without_checkpoints() {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    begin(&mut bench, lengthy(1));
-    leave(&mut bench, &listed[0], 5000);
-    assert_eq!(stops_after(&mut bench, 200), 1);
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    start_step(&mut harness, long(1));
+    list_departure(&mut harness, &listed[0], 5000);
+    assert_eq!(stops_after(&mut harness, 200), 1);
 }
 
-/// By its pace a run ends in time, whatever its estimate says.
+/// A run that ends in time by its progress is not stopped, whatever its estimate.
 #[rstest]
 #[case::ends_in_time(60, 0)]
 #[case::too_slow(20, 1)]
 fn stop_before_departures_by_pace(#[case] percent: u32, #[case] stops_count: usize) {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    let starts = begin(&mut bench, lengthy(1));
-    wait(&mut bench, 3000);
-    bench.list_progress(&starts, percent);
-    leave(&mut bench, &listed[0], 4000);
-    assert_eq!(stops_after(&mut bench, 200), stops_count);
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    let starts = start_step(&mut harness, long(1));
+    wait(&mut harness, 3000);
+    harness.answer_polls_with_progress(&starts, percent);
+    list_departure(&mut harness, &listed[0], 4000);
+    assert_eq!(stops_after(&mut harness, 200), stops_count);
 }
 
 #[test]
 fn stop_before_departures_short_run() {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    begin(&mut bench, step(2));
-    leave(&mut bench, &listed[0], 5000);
-    assert_eq!(stops_after(&mut bench, 500), 0, "it ends in time");
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    start_step(&mut harness, step(2));
+    list_departure(&mut harness, &listed[0], 5000);
+    assert_eq!(stops_after(&mut harness, 500), 0, "it ends in time");
 }
 
-/// All members of a gang are stopped together: one that ends alone breaks the others.
+/// The members of a gang are stopped together: one that ends alone breaks off the others.
 #[test]
 fn stop_before_departures_gang() {
     let listed = workers(3);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    let starts = begin(&mut bench, gang(saving(5)));
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    let starts = start_step(&mut harness, gang(saving(5)));
     assert_eq!(starts.len(), 5);
-    leave(&mut bench, &listed[0], 5000);
-    assert_eq!(stops_after(&mut bench, 3000), 0);
-    assert_eq!(stops_after(&mut bench, 1000), 5);
+    list_departure(&mut harness, &listed[0], 5000);
+    assert_eq!(stops_after(&mut harness, 3000), 0);
+    assert_eq!(stops_after(&mut harness, 1000), 5);
 }
 
-/// A member that is broken off tells an older checkpoint than one that was stopped.
+/// A member that was broken off lists an older checkpoint than one that was stopped.
 #[test]
 fn record_end_gang_stopped_then_broken() {
     let listed = workers(3);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    let starts = begin(&mut bench, gang(saving(5)));
-    leave(&mut bench, &listed[0], 1000);
-    assert_eq!(stops_after(&mut bench, 200), 5);
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    let starts = start_step(&mut harness, gang(saving(5)));
+    list_departure(&mut harness, &listed[0], 1000);
+    assert_eq!(stops_after(&mut harness, 200), 5);
     for (number, (worker, task, run)) in starts.iter().enumerate() {
         let kind = if number == 0 {
             EndKind::Stopped
@@ -140,37 +144,37 @@
             checkpoint: Some(format!("{kind:?}")),
             ..end(number as u64 + 1, *task, *run, kind)
         };
-        bench.list(*worker, vec![ended]);
+        harness.answer_poll(*worker, vec![ended]);
     }
-    bench.commit_all();
-    let again = bench.actions.iter().filter_map(|action| match action {
+    harness.commit_all();
+    let again = harness.actions.iter().filter_map(|action| match action {
         Action::Start { order, .. } => Some(order.checkpoint.clone()),
         _ => None,
     });
-    let brought: Vec<Option<String>> = again.collect();
-    // Two of three workers hold four: it waits until another one joins.
-    assert!(brought.is_empty());
+    let checkpoints: Vec<Option<String>> = again.collect();
+    // Two of three workers hold four tasks: the gang waits until another worker joins.
+    assert!(checkpoints.is_empty());
     let joined = FakeWorker::new("w9", 1000);
     let change = WorkerChange::Listed(joined.facts());
-    bench.tell(Event::WorkersChanged(vec![change]));
-    let key = bench.scheduler.worker_key("w9").expect("it has joined");
-    bench.list(key, Vec::new());
-    bench.commit_all();
-    let again = bench.actions.iter().filter_map(|action| match action {
+    harness.handle(Event::WorkersChanged(vec![change]));
+    let key = harness.scheduler.worker_key("w9").expect("it has joined");
+    harness.answer_poll(key, Vec::new());
+    harness.commit_all();
+    let again = harness.actions.iter().filter_map(|action| match action {
         Action::Start { order, .. } => order.checkpoint.clone(),
         _ => None,
     });
-    let brought: Vec<String> = again.collect();
-    assert_eq!(brought, vec!["Stopped".to_owned(); 5]);
+    let checkpoints: Vec<String> = again.collect();
+    assert_eq!(checkpoints, vec!["Stopped".to_owned(); 5]);
 }
 
-/// A run that was placed on a worker before it began to leave is not sent there any more.
+/// A run that was placed on a worker before its departure was announced is not sent there.
 #[test]
-fn send_start_worker_leaving() {
+fn send_start_worker_departing() {
     let listed = workers(1);
-    let mut bench = Bench::new(Recovered::default(), &listed);
-    bench.submit(1, vec![step(1)]);
-    leave(&mut bench, &listed[0], 5000);
-    bench.commit_all();
-    assert_eq!(bench.starts(), Vec::new());
+    let mut harness = Harness::new(Recovered::default(), &listed);
+    harness.submit(1, vec![step(1)]);
+    list_departure(&mut harness, &listed[0], 5000);
+    harness.commit_all();
+    assert_eq!(harness.starts(), Vec::new());
 }
--- a/crates/scheduler/tests/scheduler/main.rs
+++ b/crates/scheduler/tests/scheduler/main.rs
@@ -1,33 +1,33 @@
-//! Tests of the scheduler: single cases, and searches over interleavings.
+//! Tests of the scheduler: single cases, loads, and searches over interleavings.
 
 mod admission;
 mod advice_calls;
-mod awaiting;
 mod backfill;
 mod backfill_load;
-mod cases;
+mod capacity_changes;
 mod cordons;
 mod crash_figures;
 mod crashes;
 mod customers;
 mod customers_load;
+mod damaged_records;
 mod departures;
 mod gang_load;
-mod lapses;
+mod job_views;
 mod learning;
 mod learning_load;
+mod lease_expiry;
 mod overload;
 mod overload_load;
 mod packing;
 mod packing_load;
-mod pending;
-mod repeats;
+mod regressions;
 mod restarts;
-mod rooms;
+mod retries;
 mod scale;
 mod search;
 mod shares;
-mod stored;
 mod support;
 mod takeover;
-mod waiting;
+mod wait_reasons;
+mod worker_reservations;
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -1,8 +1,8 @@
-//! A load that is more than the room for some seconds: how many jobs are in time, and that
-//! all of them are done.
+//! A load that exceeds the capacity for some seconds: how many jobs are on time, and that all
+//! are done.
 
-use crate::support::world::{Faults, World};
-use crate::support::{job, step, PATIENT_QUEUE, QUEUE, SERVICE};
+use crate::support::simulation::{Faults, Simulation};
+use crate::support::{job, step, LOW_PRIORITY_QUEUE, QUEUE, SERVICE};
 use ospreywing_scheduler::{
     Configuration, Feature, Features, JobId, JobRecord, Queue, ServicePolicy, StepSpec,
 };
@@ -11,17 +11,17 @@
 
 const WORKERS_COUNT: usize = 24;
 const SEEDS_COUNT: u64 = 4;
-/// Before the burst, for as long as it lasts, and after it, in milliseconds.
-const CALM_MS: u64 = 3_000;
+/// Phases of the load: before the burst, the burst, and after it.
+const BEFORE_MS: u64 = 3_000;
 const BURST_MS: u64 = 5_000;
 const AFTER_MS: u64 = 6_000;
-/// All jobs are done within this time after the load.
+/// The time after the load within which all jobs are done.
 const DONE_WITHIN_MS: u64 = 60_000;
-const TURN_MS: u64 = 50;
+const STEP_MS: u64 = 50;
 /// A queue of gangs.
 const GANG_QUEUE: &str = "mosaic";
 
-/// A kind of job.
+/// A kind of job, one of which is submitted in each period.
 struct Kind {
     queue: &'static str,
     period_ms: u64,
@@ -31,7 +31,7 @@
     priority: u32,
 }
 
-/// Returns kinds of jobs that together take nine tenths of the room.
+/// Returns kinds of jobs that together take nine tenths of the capacity.
 fn kinds() -> [Kind; 3] {
     let spec = |tasks_count, cores_milli, estimate_ms| StepSpec {
         demand: Resources::new(cores_milli, 500, 0),
@@ -60,7 +60,7 @@
             priority: 2,
         },
         Kind {
-            queue: PATIENT_QUEUE,
+            queue: LOW_PRIORITY_QUEUE,
             period_ms: 2400,
             spec: spec(12, 1000, 3000),
             stretch: 4.0,
@@ -104,8 +104,8 @@
     }
 }
 
-/// Returns what a job is worth to its caller: a late one a fifth of one in time, and nothing
-/// once it took three times its objective.
+/// Returns a job's worth: 1 on time, a fifth if late, and nothing after three times its
+/// objective.
 fn worth_of(took_ms: u64, limit_ms: u64) -> f64 {
     match took_ms {
         took_ms if took_ms <= limit_ms => 1.0,
@@ -114,27 +114,27 @@
     }
 }
 
-/// How the jobs of a play came out.
+/// The outcome of a scenario's jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Outcome {
     jobs_count: usize,
-    in_time_count: usize,
-    /// In time, or late by less than twice their objective.
-    of_worth_count: usize,
-    /// The sum of their worth.
+    on_time_count: usize,
+    /// Jobs done within three times their objective.
+    with_worth_count: usize,
+    /// The sum of the jobs' worth.
     worth: f64,
     longest_ms: u64,
 }
 
-struct Play {
+struct Scenario {
     features: Features,
     burst_percent: u64,
     lengths_percent: core::ops::Range<u64>,
-    /// Whether the leader is replaced in the midst of the burst.
+    /// Whether the leader is replaced in the middle of the burst.
     has_takeover: bool,
 }
 
-impl Play {
+impl Scenario {
     fn new(features: Features, burst_percent: u64) -> Self {
         Self {
             features,
@@ -159,65 +159,66 @@
     }
 
     fn run(&self, seed: u64) -> Outcome {
-        let mut world = World::new(seed, WORKERS_COUNT, Faults::default(), None);
-        world.run_lengths_percent = Some(self.lengths_percent.clone());
-        world.configure(configuration());
-        world.elect_with_features(self.features);
-        // What the leader before may have started is over by then.
-        world.run_for(8_000);
-        let handed_in = self.hand_in(&mut world);
-        let until_ms = world.now_ms + DONE_WITHIN_MS;
-        while world.done_ms.len() < handed_in.len() {
-            assert!(world.now_ms < until_ms, "a job was not done");
-            world.run_for(TURN_MS);
-            world.note_outcomes();
+        let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
+        simulation.run_durations_percent = Some(self.lengths_percent.clone());
+        simulation.configure(configuration());
+        simulation.elect_with_features(self.features);
+        // Whatever an earlier leader may have started is over by then.
+        simulation.run_for(8_000);
+        let submitted = self.submit_load(&mut simulation);
+        let until_ms = simulation.now_ms + DONE_WITHIN_MS;
+        while simulation.done_ms.len() < submitted.len() {
+            assert!(simulation.now_ms < until_ms, "a job was not done");
+            simulation.run_for(STEP_MS);
+            simulation.record_outcomes();
         }
         let mut outcome = Outcome::default();
-        for (id, since_ms, limit_ms) in handed_in {
-            let took_ms = world.done_ms[&id] - since_ms;
+        for (id, since_ms, limit_ms) in submitted {
+            let took_ms = simulation.done_ms[&id] - since_ms;
             outcome.jobs_count += 1;
-            outcome.in_time_count += usize::from(took_ms <= limit_ms);
-            outcome.of_worth_count += usize::from(took_ms <= 3 * limit_ms);
+            outcome.on_time_count += usize::from(took_ms <= limit_ms);
+            outcome.with_worth_count += usize::from(took_ms <= 3 * limit_ms);
             outcome.worth += worth_of(took_ms, limit_ms);
             outcome.longest_ms = outcome.longest_ms.max(took_ms);
         }
         outcome
     }
 
-    /// Plays the load; returns the jobs, when they were handed in, and their objectives.
-    fn hand_in(&self, world: &mut World) -> Vec<(JobId, u64, u64)> {
+    /// Submits the load; returns each job with the time when it was submitted and its
+    /// objective.
+    fn submit_load(&self, simulation: &mut Simulation) -> Vec<(JobId, u64, u64)> {
         let kinds = kinds();
         let mut due_percent = [0; 3];
-        let mut handed_in = Vec::new();
-        for at_ms in (0..CALM_MS + BURST_MS + AFTER_MS).step_by(TURN_MS as usize) {
-            if self.has_takeover && at_ms == CALM_MS + BURST_MS / 2 {
-                world.elect();
+        let mut submitted = Vec::new();
+        for at_ms in (0..BEFORE_MS + BURST_MS + AFTER_MS).step_by(STEP_MS as usize) {
+            if self.has_takeover && at_ms == BEFORE_MS + BURST_MS / 2 {
+                simulation.elect();
             }
-            let is_burst = (CALM_MS..CALM_MS + BURST_MS).contains(&at_ms);
+            let is_burst = (BEFORE_MS..BEFORE_MS + BURST_MS).contains(&at_ms);
             let rate_percent = if is_burst { self.burst_percent } else { 50 };
             for (kind, due) in kinds.iter().zip(&mut due_percent) {
-                *due += rate_percent * TURN_MS;
+                *due += rate_percent * STEP_MS;
                 while *due >= kind.period_ms * 100 {
                     *due -= kind.period_ms * 100;
-                    let (id, record) = kind.job(handed_in.len() as u64 + 1, world.now_ms);
-                    handed_in.push((id, world.now_ms, kind.limit_ms()));
-                    world.submit((id, record));
+                    let (id, record) = kind.job(submitted.len() as u64 + 1, simulation.now_ms);
+                    submitted.push((id, simulation.now_ms, kind.limit_ms()));
+                    simulation.submit((id, record));
                 }
             }
-            world.run_for(TURN_MS);
-            world.note_outcomes();
+            simulation.run_for(STEP_MS);
+            simulation.record_outcomes();
         }
-        handed_in
+        submitted
     }
 
-    /// Returns the sum of some seeds.
+    /// Returns the sum of the outcomes of all seeds.
     fn run_all(&self) -> Outcome {
         let mut sum = Outcome::default();
         for seed in 0..SEEDS_COUNT {
             let outcome = self.run(seed);
             sum.jobs_count += outcome.jobs_count;
-            sum.in_time_count += outcome.in_time_count;
-            sum.of_worth_count += outcome.of_worth_count;
+            sum.on_time_count += outcome.on_time_count;
+            sum.with_worth_count += outcome.with_worth_count;
             sum.worth += outcome.worth;
             sum.longest_ms = sum.longest_ms.max(outcome.longest_ms);
         }
@@ -225,69 +226,71 @@
     }
 }
 
-/// Returns how a load comes out without the feature, and with it.
-fn compare(play: impl Fn(Features) -> Play) -> (Outcome, Outcome) {
+/// Returns the outcomes of a load without the feature and with it.
+fn compare(scenario: impl Fn(Features) -> Scenario) -> (Outcome, Outcome) {
     let off = Features::default().without(Feature::OverloadOrder);
-    let before = play(off).run_all();
-    let after = play(Features::default()).run_all();
-    println!("{before:?} without\n{after:?} with");
+    let before = scenario(off).run_all();
+    let after = scenario(Features::default()).run_all();
+    println!("{before:?} without the feature\n{after:?} with it");
     (before, after)
 }
 
-/// In a burst more jobs are in time, what all are worth is no less, and all are done.
+/// In a burst more jobs are on time, their total worth is no less, and all are done.
 #[rstest]
-fn place_in_burst_more_in_time(#[values(150, 200, 300)] burst_percent: u64) {
-    let (before, after) = compare(|features| Play::new(features, burst_percent));
-    assert!(after.in_time_count > before.in_time_count);
+fn place_in_burst_more_on_time(#[values(150, 200, 300)] burst_percent: u64) {
+    let (before, after) = compare(|features| Scenario::new(features, burst_percent));
+    assert!(after.on_time_count > before.on_time_count);
     assert!(after.worth >= before.worth);
 }
 
-/// Estimates that are wrong by two and a half times don't make what all are worth less than
-/// without. How many are in time tells nothing where all tasks take too long for that.
+/// With estimates that are wrong by a factor of up to 2.5 the total worth is no less than
+/// without the feature. The number of jobs on time is no measure where all tasks take too long
+/// for that.
 #[rstest]
 fn place_in_burst_wrong_estimates(#[values(24..56, 150..350)] lengths: core::ops::Range<u64>) {
-    let play = |features| Play::new(features, 200).with_lengths(lengths.clone());
-    let (before, after) = compare(play);
+    let scenario = |features| Scenario::new(features, 200).with_lengths(lengths.clone());
+    let (before, after) = compare(scenario);
     assert!(after.worth >= before.worth);
 }
 
-/// A leader that comes in the midst of a burst orders the work as the one before.
+/// A leader that takes over in the middle of the burst orders the work as well as its
+/// predecessor.
 #[test]
 fn place_in_burst_takeover() {
-    let (before, after) = compare(|features| Play::new(features, 200).with_takeover());
-    assert!(after.in_time_count >= before.in_time_count);
+    let (before, after) = compare(|features| Scenario::new(features, 200).with_takeover());
+    assert!(after.on_time_count >= before.on_time_count);
     assert!(after.worth >= before.worth);
 }
 
 /// Without a burst the feature changes nothing.
 #[test]
-fn place_in_calm_as_without() {
-    let (before, after) = compare(|features| Play::new(features, 50));
+fn place_without_burst_unchanged() {
+    let (before, after) = compare(|features| Scenario::new(features, 50));
     assert_eq!(before, after);
 }
 
-/// What a flood took is free as soon as its callers have gone.
+/// The capacity that a burst of jobs took is free as soon as they are cancelled.
 #[test]
-fn cancel_flood_frees_room() {
-    let mut world = World::new(1, WORKERS_COUNT, Faults::default(), None);
-    world.run_lengths_percent = Some(60..140);
-    world.configure(configuration());
+fn cancel_burst_frees_capacity() {
+    let mut simulation = Simulation::new(1, WORKERS_COUNT, Faults::default(), None);
+    simulation.run_durations_percent = Some(60..140);
+    simulation.configure(configuration());
     let short = &kinds()[0];
-    let flood: Vec<JobId> = (1..400)
+    let burst: Vec<JobId> = (1..400)
         .map(|number| {
-            let (id, record) = short.job(number, world.now_ms);
-            world.submit((id, record));
+            let (id, record) = short.job(number, simulation.now_ms);
+            simulation.submit((id, record));
             id
         })
         .collect();
-    world.run_for(200);
-    flood.into_iter().for_each(|id| world.cancel(id));
-    let begun_ms = world.now_ms;
-    let (id, record) = short.job(400, begun_ms);
-    world.submit((id, record));
-    while !world.done_ms.contains_key(&id) {
-        world.run_for(TURN_MS);
-        world.note_outcomes();
-        assert!(world.now_ms < begun_ms + short.limit_ms() + TURN_MS);
+    simulation.run_for(200);
+    burst.into_iter().for_each(|id| simulation.cancel(id));
+    let began_ms = simulation.now_ms;
+    let (id, record) = short.job(400, began_ms);
+    simulation.submit((id, record));
+    while !simulation.done_ms.contains_key(&id) {
+        simulation.run_for(STEP_MS);
+        simulation.record_outcomes();
+        assert!(simulation.now_ms < began_ms + short.limit_ms() + STEP_MS);
     }
 }
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -1,38 +1,37 @@
-//! Searches over interleavings: seeds draw delays, losses, late orders,
-//! crashes, cuts and takeovers; the rules are checked at each start, the
-//! scheduler's invariants after each event, and every job must have its
-//! outcome once the faults are over.
+//! Searches over interleavings. A seed draws delays, losses, late orders, crashes, partitions
+//! and takeovers. The rules are checked at each start and the scheduler's invariants after each
+//! event, and every job must have its outcome once the faults are over.
 
-use crate::support::world::{Faults, World};
+use crate::support::simulation::{Faults, Simulation};
 use crate::support::{
-    advice, configuration_with, customer, job, job_of, patient_job, step, with_other_service,
+    advice, configuration_with, customer, deferrable_job, job, job_of, step, with_other_service,
     OTHER_QUEUE,
 };
 use ospreywing_scheduler::{AdvicePolicy, Feature, Features, JobId, Phase, StepSpec};
 use rstest::rstest;
 use std::ops::Range;
 
-/// Seeds per case in CI; `OSPREYWING_SEARCH_SEEDS` sets another number.
+/// Seeds per case in CI; `OSPREYWING_SEARCH_SEEDS` overrides the number.
 const SEEDS_COUNT: u64 = 25;
 const SEEDS_VARIABLE: &str = "OSPREYWING_SEARCH_SEEDS";
-/// Sets the first seed; 0 otherwise.
+/// Overrides the first seed, 0.
 const FIRST_SEED_VARIABLE: &str = "OSPREYWING_SEARCH_FIRST_SEED";
-const STORM_MS: u64 = 12_000;
-const CALM_LIMIT_MS: u64 = 90_000;
-/// Orders are carried out up to 12 s late; then their runs are found and stopped.
+const FAULT_PHASE_MS: u64 = 12_000;
+const RECOVERY_LIMIT_MS: u64 = 90_000;
+/// Late orders are carried out up to 12 s late; then their runs must be found and stopped.
 const LATE_LIMIT_MS: u64 = 15_000;
-/// One innocent job in so many may be failed, at most, where three tasks crash ten
-/// workers and everything else goes wrong beside it: the bound on restarts goes first.
-const INNOCENTS_ONE_IN: usize = 1000;
+/// At most one job in this many may be failed by mistake, where three tasks crash ten workers
+/// beside all other faults: the bound on restarts has precedence.
+const OTHER_JOBS_FAILED_ONE_IN: usize = 1000;
 
-const NOTHING: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     lost_answer: 0,
     late_order: 0,
     failing_run: 0,
     crash: 0,
-    cut: 0,
+    partition: 0,
     takeover: 0,
-    trouble: 0,
+    degraded_store: 0,
     drain: 0,
     resize: 0,
     pause: 0,
@@ -43,33 +42,33 @@
     held_order: 0,
 };
 
-/// Much of what may go wrong at once.
-const EVERYTHING: Faults = Faults {
+/// Most faults at once.
+const ALL_FAULTS: Faults = Faults {
     lost_answer: 40,
     late_order: 40,
     failing_run: 40,
     crash: 10,
-    cut: 20,
+    partition: 20,
     takeover: 20,
-    trouble: 10,
+    degraded_store: 10,
     drain: 5,
-    ..NOTHING
+    ..NO_FAULTS
 };
 
-/// Workers that start again under their ids, and orders that outlive their connections.
+/// Workers that start again under their ids, and orders that outlast their connections.
 const RESTARTS_BESIDE_LATE_ORDERS: Faults = Faults {
     restart: 40,
     late_order: 80,
-    ..NOTHING
+    ..NO_FAULTS
 };
 
-/// Seeds that found something, in whichever case: they are searched always.
-const CRASH_SEEDS_FOUND: [u64; 8] = [71, 119, 123, 284, 311, 500_089, 500_370, 13];
-const RESTART_SEEDS_FOUND: [u64; 2] = [4_000_023, 4_000_458];
-const GANG_SEEDS_FOUND: [u64; 1] = [502_288];
-const LIMIT_SEEDS_FOUND: [u64; 3] = [73, 800_209, 800_536];
+/// Seeds that have exposed failures, in any case: always searched.
+const CRASH_REGRESSION_SEEDS: [u64; 8] = [71, 119, 123, 284, 311, 500_089, 500_370, 13];
+const RESTART_REGRESSION_SEEDS: [u64; 2] = [4_000_023, 4_000_458];
+const GANG_REGRESSION_SEEDS: [u64; 1] = [502_288];
+const LIMIT_REGRESSION_SEEDS: [u64; 3] = [73, 800_209, 800_536];
 
-/// Returns the seeds to be searched.
+/// Returns the seeds to search.
 fn seeds() -> Range<u64> {
     let number = |variable| {
         let set = std::env::var(variable);
@@ -94,12 +93,12 @@
     }
 }
 
-fn search(faults: Faults, policy: Option<AdvicePolicy>) {
+fn search_seeds(faults: Faults, policy: Option<AdvicePolicy>) {
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 6, faults, policy);
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        let mut simulation = Simulation::new(seed, 6, faults, policy);
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=10 {
             let steps = match number % 4 {
                 0 => vec![gang(3)],
@@ -107,14 +106,14 @@
                 2 => vec![step(1), after(0, gang(2))],
                 _ => vec![step(4)],
             };
-            world.submit(job(number, steps));
-            world.run_for(400);
+            simulation.submit(job(number, steps));
+            simulation.run_for(400);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.run_for(FAULT_PHASE_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
         assert!(
-            world.rules.starts_count >= 10,
-            "seed {seed} started next to nothing"
+            simulation.rules.starts_count >= 10,
+            "seed {seed}: too few starts to test anything"
         );
     }
 }
@@ -125,10 +124,10 @@
 #[case::lost_answers(Faults { lost_answer: 80, ..Faults::default() })]
 #[case::late_orders(Faults { late_order: 80, ..Faults::default() })]
 #[case::crashes(Faults { crash: 30, ..Faults::default() })]
-#[case::cuts(Faults { cut: 40, ..Faults::default() })]
+#[case::partitions(Faults { partition: 40, ..Faults::default() })]
 #[case::takeovers(Faults { takeover: 30, ..Faults::default() })]
-#[case::long_leases(Faults { takeover: 10, cut: 40, trouble: 20, ..Faults::default() })]
-#[case::two_lives(Faults { takeover: 20, crash: 30, ..Faults::default() })]
+#[case::long_leases(Faults { takeover: 10, partition: 40, degraded_store: 20, ..Faults::default() })]
+#[case::two_incarnations(Faults { takeover: 20, crash: 30, ..Faults::default() })]
 #[case::stale_entries(Faults {
     takeover: 20,
     crash: 30,
@@ -141,92 +140,95 @@
     pause: 60,
     lost_answer: 40,
     late_order: 40,
-    cut: 20,
+    partition: 20,
     crash: 10,
     ..Faults::default()
 })]
 #[case::resized(Faults { resize: 80, ..Faults::default() })]
-#[case::resized_in_trouble(Faults {
+#[case::resized_while_store_degraded(Faults {
     resize: 80,
-    trouble: 30,
+    degraded_store: 30,
     takeover: 10,
     lost_answer: 40,
     ..Faults::default()
 })]
-#[case::everything(EVERYTHING)]
+#[case::everything(ALL_FAULTS)]
 fn scheduler_keeps_its_rules(#[case] faults: Faults, #[values(false, true)] has_advice: bool) {
-    search(faults, has_advice.then(advice));
+    search_seeds(faults, has_advice.then(advice));
 }
 
-/// Workers that start again under the ids that they had, at once or while nobody hears of
-/// them, with their entries written late.
+/// Workers start again under their ids, at once or before any poll of the leader notices, and
+/// their entries are written late.
 #[rstest]
 #[case::alone(Faults { restart: 60, ..Faults::default() })]
 #[case::lost_answers(Faults { restart: 60, lost_answer: 80, ..Faults::default() })]
 #[case::takeovers(Faults { restart: 60, takeover: 40, ..Faults::default() })]
-#[case::cuts(Faults { restart: 40, cut: 40, crash: 10, ..Faults::default() })]
-#[case::trouble(Faults { restart: 40, trouble: 40, takeover: 10, ..Faults::default() })]
+#[case::partitions(Faults { restart: 40, partition: 40, crash: 10, ..Faults::default() })]
+#[case::degraded_store(Faults { restart: 40, degraded_store: 40, takeover: 10, ..Faults::default() })]
 #[case::paused(Faults { restart: 40, pause: 60, ..Faults::default() })]
 #[case::failing_runs(Faults { restart: 40, failing_run: 120, drain: 10, ..Faults::default() })]
 #[case::everything(Faults {
     restart: 30,
     late_order: 0,
     pause: 20,
-    ..EVERYTHING
+    ..ALL_FAULTS
 })]
-fn scheduler_keeps_lives_apart(
+fn scheduler_tells_incarnations_apart(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
     #[values(false, true)] ignores_foreign_acks: bool,
 ) {
     for seed in seeds() {
-        let mut world = World::new(seed, 6, faults, has_advice.then(advice));
-        world.tell_life_starts(ignores_foreign_acks);
-        play_restarts(seed, world);
+        let mut simulation = Simulation::new(seed, 6, faults, has_advice.then(advice));
+        simulation.report_incarnation_starts(ignores_foreign_acks);
+        run_with_restarts(seed, simulation);
     }
 }
 
-/// Orders that are carried out 2 to 12 s late, some in the life that follows under the same
-/// id. A ticket holds for one life, so queues with advice are safe.
+/// Orders are carried out 2 to 12 s late, some of them by the next incarnation under the same
+/// id. A ticket is valid for one incarnation, so queues with advice are safe.
 #[rstest]
-fn scheduler_keeps_lives_apart_beside_late_orders(
+fn scheduler_tells_incarnations_apart_beside_late_orders(
     #[values(false, true)] ignores_foreign_acks: bool,
 ) {
     for seed in seeds() {
-        let mut world = World::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, Some(advice()));
-        world.tell_life_starts(ignores_foreign_acks);
-        play_restarts(seed, world);
+        let mut simulation = Simulation::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, Some(advice()));
+        simulation.report_incarnation_starts(ignores_foreign_acks);
+        run_with_restarts(seed, simulation);
     }
 }
 
-/// The same without advice: a start that was never answered is carried out in the next life
-/// before the leader has heard of that one. Its task has ended well elsewhere meanwhile.
+/// The same without advice. The first copy of a start gets no answer, and its task ends well
+/// meanwhile, by a repeat of the start or elsewhere. The first copy is carried out up to 12 s
+/// after it was sent, by the worker's next incarnation, before the leader's first poll of that
+/// incarnation. No order of the leader can arrive sooner, and the platform does not specify
+/// whether an order outlasts the incarnation that received it.
 #[rstest]
 fn late_start_in_life_not_heard_of(#[values(3125, 3202, 3260, 912_641)] seed: u64) {
-    play_late_orders_without_advice(seed);
+    run_late_orders_without_advice(seed);
 }
 
-/// The same, but the leader has heard of the next life, and its stop of the start got no
-/// answer.
+/// The same, except that the leader has polled the next incarnation and sent it a stop for the
+/// start, which got no answer. The stop must be repeated.
 #[rstest]
-fn late_start_refused_by_next_life(
+fn late_start_refused_by_next_incarnation(
     #[values(
         3125, 3202, 3260, 910_127, 910_399, 910_825, 911_339, 911_388, 911_914, 911_919, 912_256,
         912_780
     )]
     seed: u64,
 ) {
-    play_late_orders_without_advice(seed);
+    run_late_orders_without_advice(seed);
 }
 
-fn play_late_orders_without_advice(seed: u64) {
-    let mut world = World::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, None);
-    world.tell_life_starts(false);
-    play_restarts(seed, world);
+fn run_late_orders_without_advice(seed: u64) {
+    let mut simulation = Simulation::new(seed, 6, RESTARTS_BESIDE_LATE_ORDERS, None);
+    simulation.report_incarnation_starts(false);
+    run_with_restarts(seed, simulation);
 }
 
-/// Hands jobs of all kinds in while faults strike.
-fn submit_through_storm(world: &mut World) {
+/// Submits jobs of all kinds while faults are injected.
+fn submit_during_faults(simulation: &mut Simulation) {
     for number in 1..=16 {
         let steps = match number % 4 {
             0 => vec![gang(3)],
@@ -234,255 +236,259 @@
             2 => vec![step(1), after(0, gang(2))],
             _ => vec![step(4)],
         };
-        world.submit(job(number, steps));
-        world.run_for(400);
+        simulation.submit(job(number, steps));
+        simulation.run_for(400);
     }
-    world.run_for(STORM_MS);
+    simulation.run_for(FAULT_PHASE_MS);
 }
 
-fn play_restarts(seed: u64, mut world: World) {
-    // Shown where the test fails.
+fn run_with_restarts(seed: u64, mut simulation: Simulation) {
+    // Printed if the test fails.
     println!("seed {seed}");
-    world.calm_from_ms = world.now_ms + STORM_MS;
-    submit_through_storm(&mut world);
-    world.run_until_done(CALM_LIMIT_MS);
+    simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
+    submit_during_faults(&mut simulation);
+    simulation.run_until_done(RECOVERY_LIMIT_MS);
 }
 
-/// Data centres that the operators cordon and open again.
+/// Operators cordon data centres and lift the cordons again.
 #[rstest]
 #[case::alone(Faults { cordon: 60, ..Faults::default() })]
 #[case::takeovers(Faults { cordon: 60, takeover: 40, ..Faults::default() })]
 #[case::late_orders(Faults { cordon: 60, late_order: 80, lost_answer: 40, ..Faults::default() })]
-#[case::trouble(Faults { cordon: 60, trouble: 40, takeover: 10, ..Faults::default() })]
-#[case::held_orders(Faults { cordon: 60, held_order: 300, cut: 20, ..Faults::default() })]
+#[case::degraded_store(Faults { cordon: 60, degraded_store: 40, takeover: 10, ..Faults::default() })]
+#[case::held_orders(Faults { cordon: 60, held_order: 300, partition: 20, ..Faults::default() })]
 #[case::paused(Faults { cordon: 60, pause: 60, ..Faults::default() })]
 #[case::restarts(Faults { cordon: 60, restart: 40, crash: 20, ..Faults::default() })]
-#[case::everything(Faults { cordon: 60, held_order: 100, pause: 20, ..EVERYTHING })]
+#[case::everything(Faults { cordon: 60, held_order: 100, pause: 20, ..ALL_FAULTS })]
 fn scheduler_keeps_out_of_cordons(#[case] faults: Faults, #[values(false, true)] has_advice: bool) {
     for seed in seeds() {
-        let mut world = World::new(seed, 9, faults, has_advice.then(advice));
-        world.lay_out_data_centres(3);
+        let mut simulation = Simulation::new(seed, 9, faults, has_advice.then(advice));
+        simulation.assign_data_centres(3);
         if faults.restart > 0 {
-            world.tell_life_starts(false);
+            simulation.report_incarnation_starts(false);
         }
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
-        world.calm_from_ms = world.now_ms + STORM_MS;
-        submit_through_storm(&mut world);
-        world.lift_cordons();
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
+        submit_during_faults(&mut simulation);
+        simulation.lift_cordons();
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
         assert!(
-            world.rules.starts_count >= 16,
-            "seed {seed} started next to nothing"
+            simulation.rules.starts_count >= 16,
+            "seed {seed}: too few starts to test anything"
         );
     }
 }
 
-/// Runs about as long as leases, and leaders that follow one another at the end of
-/// the store's trouble, in which leases are long.
+/// Runs about as long as leases, and takeovers as the store recovers, after a time in which
+/// leases were long.
 #[rstest]
-#[case::late_cuts(Faults { trouble: 60, takeover: 5, cut: 10, ..Faults::default() })]
+#[case::late_partitions(Faults { degraded_store: 60, takeover: 5, partition: 10, ..Faults::default() })]
 #[case::lost_answers(Faults {
-    trouble: 60,
+    degraded_store: 60,
     takeover: 5,
-    cut: 10,
+    partition: 10,
     lost_answer: 40,
     ..Faults::default()
 })]
 #[case::one_leader(Faults {
-    trouble: 30,
-    cut: 20,
+    degraded_store: 30,
+    partition: 20,
     lost_answer: 40,
     late_order: 40,
     crash: 5,
     drain: 5,
     ..Faults::default()
 })]
-fn scheduler_outlives_long_leases(#[case] faults: Faults) {
+fn scheduler_recovers_from_long_leases(#[case] faults: Faults) {
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 8, faults, None);
-        world.run_lengths_ms = 200..7_000;
-        world.calm_from_ms = world.now_ms + 2 * STORM_MS;
+        let mut simulation = Simulation::new(seed, 8, faults, None);
+        simulation.run_durations_ms = 200..7_000;
+        simulation.faults_end_ms = simulation.now_ms + 2 * FAULT_PHASE_MS;
         for number in 1..=16 {
-            world.submit(job(number, vec![step(2)]));
-            world.run_for(900);
+            simulation.submit(job(number, vec![step(2)]));
+            simulation.run_for(900);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.run_for(FAULT_PHASE_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
 
-/// Gangs whose good workers are few, among work that could take their room.
+/// Gangs with few suitable workers, beside other work that could take their capacity.
 #[rstest]
 #[case::quiet(Faults::default())]
-#[case::everything(EVERYTHING)]
-fn scheduler_serves_gangs_on_few_good_workers(#[case] faults: Faults) {
-    for seed in seeds().chain(GANG_SEEDS_FOUND) {
-        // Shown where the test fails.
+#[case::everything(ALL_FAULTS)]
+fn scheduler_serves_gangs_on_few_suitable_workers(#[case] faults: Faults) {
+    for seed in seeds().chain(GANG_REGRESSION_SEEDS) {
+        // Printed if the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 16, faults, Some(advice()));
-        world.good_one_in = 4;
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        let mut simulation = Simulation::new(seed, 16, faults, Some(advice()));
+        simulation.suitable_one_in = 4;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=24 {
             let steps = match number % 3 {
-                // Two good workers, which crashes leave, hold four.
+                // The two suitable workers that crashes leave hold four tasks.
                 0 => vec![gang(4)],
                 1 => vec![gang(2), after(0, gang(3))],
                 _ => vec![step(8)],
             };
-            world.submit(job(number, steps));
-            world.run_for(300);
+            simulation.submit(job(number, steps));
+            simulation.run_for(300);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.run_for(FAULT_PHASE_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
 
-/// Gangs that take the room of patient work, which goes on later.
+/// Gangs preempt deferrable work, which resumes later.
 #[rstest]
 #[case::quiet(Faults::default())]
-#[case::everything(EVERYTHING)]
+#[case::everything(ALL_FAULTS)]
 fn scheduler_preempts_for_gangs(#[case] faults: Faults) {
     let mut resumed_count = 0;
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 8, faults, Some(advice()));
-        // All are good, so that patient work fills them all.
-        world.good_one_in = 1;
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        let mut simulation = Simulation::new(seed, 8, faults, Some(advice()));
+        // All workers are suitable, so that deferrable work fills them all.
+        simulation.suitable_one_in = 1;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=20 {
-            // Patient work fills the workers before each gang comes.
+            // Deferrable work fills the workers before each gang is submitted.
             let job = match number % 2 {
                 0 => job(number, vec![gang(3)]),
-                _ => patient_job(number, 16),
+                _ => deferrable_job(number, 16),
             };
-            world.submit(job);
-            world.run_for(900);
+            simulation.submit(job);
+            simulation.run_for(900);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
-        resumed_count += world.rules.resumed_count;
+        simulation.run_for(FAULT_PHASE_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
+        resumed_count += simulation.rules.resumed_count;
     }
-    assert!(resumed_count > 0, "nothing went on from a checkpoint");
+    assert!(resumed_count > 0, "no run resumed from a checkpoint");
 }
 
-/// Long runs of a customer that fills the cell give way to others' short jobs, and go on later.
+/// Long runs of a customer that fills the cell are preempted for others' short jobs, and resume
+/// later.
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, lost_answer: 40, ..Faults::default() })]
-#[case::everything(Faults { resize: 20, pause: 20, ..EVERYTHING })]
-fn scheduler_preempts_by_shares(#[case] faults: Faults) {
+#[case::everything(Faults { resize: 20, pause: 20, ..ALL_FAULTS })]
+fn scheduler_preempts_by_fair_shares(#[case] faults: Faults) {
     let mut resumed_count = 0;
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 8, faults, None);
-        world.run_lengths_ms = 3_000..9_000;
+        let mut simulation = Simulation::new(seed, 8, faults, None);
+        simulation.run_durations_ms = 3_000..9_000;
         let customers = vec![customer("one", 16, 2.0), customer("two", 16, 2.0)];
-        world.configure(configuration_with(2, None, customers));
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        simulation.configure(configuration_with(2, None, customers));
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=16 {
             let (id, mut record) = match number % 4 {
-                1 => patient_job(number, 20),
+                1 => deferrable_job(number, 20),
                 _ => job(number, vec![step(1)]),
             };
             let customer = if number % 4 == 1 { "one" } else { "two" };
             record.customer = Some(customer.to_owned());
-            record.accepted_ms = world.now_ms;
-            world.submit((id, record));
-            world.run_for(600);
+            record.accepted_ms = simulation.now_ms;
+            simulation.submit((id, record));
+            simulation.run_for(600);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
-        resumed_count += world.rules.resumed_count;
+        simulation.run_for(FAULT_PHASE_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
+        resumed_count += simulation.rules.resumed_count;
     }
-    assert!(resumed_count > 0, "nothing went on from a checkpoint");
+    assert!(resumed_count > 0, "no run resumed from a checkpoint");
 }
 
-/// Jobs of which one task crashes each worker that starts it, beside others: its starts
-/// are bounded, and no other job is failed for them.
+/// One task of some jobs crashes each worker that starts it: its starts are bounded, and no
+/// other job is failed for the crashes.
 #[rstest]
 #[case::alone(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, ..Faults::default() })]
-#[case::cuts(Faults { cut: 30, lost_answer: 40, ..Faults::default() })]
+#[case::partitions(Faults { partition: 30, lost_answer: 40, ..Faults::default() })]
 #[case::crashes(Faults { crash: 20, takeover: 10, ..Faults::default() })]
-#[case::trouble(Faults { trouble: 40, takeover: 20, ..Faults::default() })]
-#[case::everything(Faults { failing_run: 0, resize: 20, pause: 20, ..EVERYTHING })]
-fn scheduler_gives_up_what_crashes_workers(
+#[case::degraded_store(Faults { degraded_store: 40, takeover: 20, ..Faults::default() })]
+#[case::everything(Faults { failing_run: 0, resize: 20, pause: 20, ..ALL_FAULTS })]
+fn scheduler_fails_jobs_that_crash_workers(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
-    let mut innocents_count = 0;
-    for seed in seeds().chain(CRASH_SEEDS_FOUND) {
-        let world = World::new(seed, 10, faults, has_advice.then(advice));
-        innocents_count += play_crashing_jobs(seed, world);
+    let mut other_jobs_failed_count = 0;
+    for seed in seeds().chain(CRASH_REGRESSION_SEEDS) {
+        let simulation = Simulation::new(seed, 10, faults, has_advice.then(advice));
+        other_jobs_failed_count += run_crashing_jobs(seed, simulation);
     }
-    check_innocents(innocents_count);
+    check_other_jobs_failed(other_jobs_failed_count);
 }
 
-/// The same where workers that are crashed start again under their ids, beside others that do.
+/// The same where crashed workers start again under their ids, and others restart too.
 #[rstest]
 #[case::alone(Faults::default())]
 #[case::takeovers(Faults { takeover: 40, ..Faults::default() })]
 #[case::restarts(Faults { restart: 10, takeover: 20, ..Faults::default() })]
-#[case::cuts(Faults { cut: 30, lost_answer: 40, restart: 10, ..Faults::default() })]
-fn scheduler_gives_up_what_restarts_workers(
+#[case::partitions(Faults { partition: 30, lost_answer: 40, restart: 10, ..Faults::default() })]
+fn scheduler_fails_jobs_that_restart_workers(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
-    let mut innocents_count = 0;
-    for seed in seeds().chain(CRASH_SEEDS_FOUND).chain(RESTART_SEEDS_FOUND) {
-        let mut world = World::new(seed, 10, faults, has_advice.then(advice));
-        world.keeps_ids = true;
-        world.tell_life_starts(false);
-        innocents_count += play_crashing_jobs(seed, world);
+    let mut other_jobs_failed_count = 0;
+    for seed in seeds()
+        .chain(CRASH_REGRESSION_SEEDS)
+        .chain(RESTART_REGRESSION_SEEDS)
+    {
+        let mut simulation = Simulation::new(seed, 10, faults, has_advice.then(advice));
+        simulation.keeps_ids = true;
+        simulation.report_incarnation_starts(false);
+        other_jobs_failed_count += run_crashing_jobs(seed, simulation);
     }
-    check_innocents(innocents_count);
+    check_other_jobs_failed(other_jobs_failed_count);
 }
 
-fn check_innocents(innocents_count: usize) {
+fn check_other_jobs_failed(other_jobs_failed_count: usize) {
     assert!(
-        innocents_count * INNOCENTS_ONE_IN <= seeds().count() * 13,
-        "{innocents_count} innocent jobs were failed"
+        other_jobs_failed_count * OTHER_JOBS_FAILED_ONE_IN <= seeds().count() * 13,
+        "{other_jobs_failed_count} jobs that crash no worker were failed"
     );
 }
 
-/// Plays jobs of which three crash their workers; returns how many others were failed.
-fn play_crashing_jobs(seed: u64, mut world: World) -> usize {
-    let mut innocents_count = 0;
-    // Shown where the test fails.
+/// Runs 16 jobs, of which three crash their workers; returns how many of the others failed.
+fn run_crashing_jobs(seed: u64, mut simulation: Simulation) -> usize {
+    let mut other_jobs_failed_count = 0;
+    // Printed if the test fails.
     println!("seed {seed}");
-    world.crashing = [3, 6, 7].map(JobId::new).into();
-    world.calm_from_ms = world.now_ms + 2 * STORM_MS;
+    simulation.crashing_jobs = [3, 6, 7].map(JobId::new).into();
+    simulation.faults_end_ms = simulation.now_ms + 2 * FAULT_PHASE_MS;
     for number in 1..=16 {
         let steps = match number % 4 {
             0 => vec![gang(3)],
             1 => vec![step(2), after(0, step(3))],
             _ => vec![step(4)],
         };
-        world.submit(job(number, steps));
-        world.run_for(500);
+        simulation.submit(job(number, steps));
+        simulation.run_for(500);
     }
-    world.run_for(STORM_MS);
-    world.run_until_done(CALM_LIMIT_MS);
+    simulation.run_for(FAULT_PHASE_MS);
+    simulation.run_until_done(RECOVERY_LIMIT_MS);
     for number in 1..=16 {
         let id = JobId::new(number);
-        let phase = world.phase(id);
-        if world.crashing.contains(&id) {
+        let phase = simulation.phase(id);
+        if simulation.crashing_jobs.contains(&id) {
             assert_eq!(phase, Some(Phase::Failed), "seed {seed}: job {id}");
         } else if phase != Some(Phase::Complete) {
-            innocents_count += 1;
-            assert!(world.rules.may_be_given_up(id), "seed {seed}: job {id}");
+            other_jobs_failed_count += 1;
+            assert!(simulation.rules.may_be_failed(id), "seed {seed}: job {id}");
         }
     }
-    innocents_count
+    other_jobs_failed_count
 }
 
-/// Jobs that are cancelled while their starts are on their way, late or answered in vain,
-/// and while leaders follow one another: nothing of them runs on.
+/// Jobs are cancelled while their starts are in flight, late or with a lost answer, and while
+/// leaders are replaced: none of their runs keeps running.
 #[rstest]
 #[case::late_orders(Faults { late_order: 150, lost_answer: 80, ..Faults::default() })]
 #[case::takeovers(Faults { late_order: 80, takeover: 40, ..Faults::default() })]
@@ -491,51 +497,48 @@
     resize: 20,
     pause: 20,
     stale_entry: 50,
-    ..EVERYTHING
+    ..ALL_FAULTS
 })]
-fn scheduler_stops_what_is_cancelled(
-    #[case] faults: Faults,
-    #[values(false, true)] has_advice: bool,
-) {
+fn scheduler_stops_cancelled_jobs(#[case] faults: Faults, #[values(false, true)] has_advice: bool) {
     for seed in seeds() {
-        // Shown where the test fails.
+        // Printed if the test fails.
         println!("seed {seed}");
-        let mut world = World::new(seed, 6, faults, has_advice.then(advice));
-        world.run_lengths_ms = 200..60_000;
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        let mut simulation = Simulation::new(seed, 6, faults, has_advice.then(advice));
+        simulation.run_durations_ms = 200..60_000;
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=10 {
-            world.submit(job(number, vec![step(2)]));
-            world.run_for(100 + seed % 7 * 100);
-            world.cancel(JobId::new(number));
+            simulation.submit(job(number, vec![step(2)]));
+            simulation.run_for(100 + seed % 7 * 100);
+            simulation.cancel(JobId::new(number));
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
-        world.run_for(LATE_LIMIT_MS);
-        world.assert_no_strays();
+        simulation.run_for(FAULT_PHASE_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
+        simulation.run_for(LATE_LIMIT_MS);
+        simulation.assert_no_strays();
     }
 }
 
-/// Customers whose limits are changed all the time, below what they have running and up
-/// again: none has more running than it may.
+/// Customers' limits change continually, to below what they have running and up again: no
+/// customer has more running than its limit allows.
 #[rstest]
 #[case::quiet(Faults { limit: 100, ..Faults::default() })]
 #[case::takeovers(Faults { limit: 100, takeover: 40, ..Faults::default() })]
-#[case::trouble(Faults { limit: 100, trouble: 40, takeover: 10, ..Faults::default() })]
-#[case::cuts(Faults { limit: 60, cut: 40, lost_answer: 40, crash: 10, ..Faults::default() })]
+#[case::degraded_store(Faults { limit: 100, degraded_store: 40, takeover: 10, ..Faults::default() })]
+#[case::partitions(Faults { limit: 60, partition: 40, lost_answer: 40, crash: 10, ..Faults::default() })]
 #[case::paused(Faults { limit: 60, pause: 60, ..Faults::default() })]
-#[case::everything(Faults { limit: 60, resize: 20, pause: 20, stale_entry: 50, ..EVERYTHING })]
+#[case::everything(Faults { limit: 60, resize: 20, pause: 20, stale_entry: 50, ..ALL_FAULTS })]
 fn scheduler_keeps_customers_limits(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
-    for seed in seeds().chain(LIMIT_SEEDS_FOUND) {
-        // Shown where the test fails.
+    for seed in seeds().chain(LIMIT_REGRESSION_SEEDS) {
+        // Printed if the test fails.
         println!("seed {seed}");
         let policy = has_advice.then(advice);
-        let mut world = World::new(seed, 8, faults, policy);
+        let mut simulation = Simulation::new(seed, 8, faults, policy);
         let customers = vec![customer("one", 4, 2.0), customer("two", 6, 100.0)];
-        world.configure(configuration_with(2, policy, customers));
-        world.calm_from_ms = world.now_ms + STORM_MS;
+        simulation.configure(configuration_with(2, policy, customers));
+        simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
         for number in 1..=16 {
             let steps = match number % 4 {
                 0 => vec![gang(3)],
@@ -543,61 +546,63 @@
                 2 => vec![step(1), after(0, gang(2))],
                 _ => vec![step(6)],
             };
-            let of = match number % 3 {
+            let job = match number % 3 {
                 0 => job(number, steps),
                 1 => job_of("one", number, steps),
                 _ => job_of("two", number, steps),
             };
-            world.submit(of);
-            world.run_for(300);
+            simulation.submit(job);
+            simulation.run_for(300);
         }
-        world.run_for(STORM_MS);
-        world.run_until_done(CALM_LIMIT_MS);
+        simulation.run_for(FAULT_PHASE_MS);
+        simulation.run_until_done(RECOVERY_LIMIT_MS);
     }
 }
 
-/// Customers whose gangs need up to all of their limit, which is lowered meanwhile, beside
-/// short jobs, at two services: none has more running than it may, and every gang gets in.
+/// Customers' gangs need up to all of their limit, which is lowered meanwhile, beside short
+/// jobs at two services: no customer has more running than its limit allows, and every gang
+/// starts.
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::limits(Faults { limit: 60, ..Faults::default() })]
 #[case::late_orders(Faults { limit: 60, late_order: 80, lost_answer: 40, ..Faults::default() })]
 #[case::takeovers(Faults { limit: 60, takeover: 60, ..Faults::default() })]
 #[case::failing_runs(Faults { limit: 20, failing_run: 120, crash: 20, ..Faults::default() })]
-#[case::everything(Faults { limit: 60, pause: 20, ..EVERYTHING })]
+#[case::everything(Faults { limit: 60, pause: 20, ..ALL_FAULTS })]
 fn scheduler_reserves_customers_limits(
     #[case] faults: Faults,
     #[values(false, true)] has_advice: bool,
 ) {
     for seed in seeds() {
-        let world = World::new(seed, 12, faults, has_advice.then(advice));
-        play_reservations(seed, world, has_advice.then(advice));
+        let simulation = Simulation::new(seed, 12, faults, has_advice.then(advice));
+        run_reservations(seed, simulation, has_advice.then(advice));
     }
 }
 
-/// The same where what a step waits for is taken off its customer's limit.
+/// The same without the backfill feature, where a waiting step's demand counts against its
+/// customer's limit.
 #[rstest]
 fn scheduler_keeps_customers_limits_without_backfill(#[values(false, true)] has_advice: bool) {
     let faults = Faults {
         limit: 60,
         pause: 20,
-        ..EVERYTHING
+        ..ALL_FAULTS
     };
     for seed in seeds() {
-        let mut world = World::new(seed, 12, faults, has_advice.then(advice));
-        world.elect_with_features(Features::all().without(Feature::Backfill));
-        play_reservations(seed, world, has_advice.then(advice));
+        let mut simulation = Simulation::new(seed, 12, faults, has_advice.then(advice));
+        simulation.elect_with_features(Features::all().without(Feature::Backfill));
+        run_reservations(seed, simulation, has_advice.then(advice));
     }
 }
 
-fn play_reservations(seed: u64, mut world: World, policy: Option<AdvicePolicy>) {
-    // Shown where the test fails.
+fn run_reservations(seed: u64, mut simulation: Simulation, policy: Option<AdvicePolicy>) {
+    // Printed if the test fails.
     println!("seed {seed}");
-    world.good_one_in = 1;
-    world.lay_out_services();
+    simulation.suitable_one_in = 1;
+    simulation.split_services();
     let customers = vec![customer("one", 4, 2.0), customer("two", 6, 100.0)];
-    world.configure(with_other_service(configuration_with(2, policy, customers)));
-    world.calm_from_ms = world.now_ms + STORM_MS;
+    simulation.configure(with_other_service(configuration_with(2, policy, customers)));
+    simulation.faults_end_ms = simulation.now_ms + FAULT_PHASE_MS;
     for number in 1..=32 {
         let spec = match number % 8 {
             0 => gang(4),
@@ -609,9 +614,9 @@
         if number % 3 == 0 {
             record.queue = OTHER_QUEUE.to_owned();
         }
-        world.submit((id, record));
-        world.run_for(200);
+        simulation.submit((id, record));
+        simulation.run_for(200);
     }
-    world.run_for(STORM_MS);
-    world.run_until_done(CALM_LIMIT_MS);
+    simulation.run_for(FAULT_PHASE_MS);
+    simulation.run_until_done(RECOVERY_LIMIT_MS);
 }
--- a/crates/scheduler/tests/scheduler/support/cordons.rs
+++ b/crates/scheduler/tests/scheduler/support/cordons.rs
@@ -1,31 +1,31 @@
-//! The rule on cordons, checked from the outside at each start.
+//! Checks cordons at each start, independently of the scheduler.
 
 use super::worker::FakeWorker;
 use ospreywing_scheduler::StartOrder;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How long after a cordon a start may come that was on its way.
-const ON_ITS_WAY_MS: u64 = 100;
+/// How long after a cordon a start may arrive that was in flight.
+const IN_FLIGHT_MS: u64 = 100;
 
-/// The cordons that stand, and since when.
+/// The current cordons, with the time at which each was set.
 pub struct CordonRule {
     since_ms: BTreeMap<Arc<str>, u64>,
-    /// How long an order may be on its way.
-    on_its_way_ms: u64,
+    /// How long an order may be in flight.
+    in_flight_ms: u64,
 }
 
 impl CordonRule {
-    /// Creates the rule for a world in which relays hold orders up to `held_ms`.
-    pub const fn new(held_ms: u64) -> Self {
+    /// Creates the rule for a simulation in which relays hold orders up to `relay_hold_ms`.
+    pub const fn new(relay_hold_ms: u64) -> Self {
         Self {
             since_ms: BTreeMap::new(),
-            on_its_way_ms: ON_ITS_WAY_MS + held_ms,
+            in_flight_ms: IN_FLIGHT_MS + relay_hold_ms,
         }
     }
 
     /// Sets or lifts a cordon.
-    pub fn turn(&mut self, now_ms: u64, data_centre: Arc<str>) {
+    pub fn toggle(&mut self, now_ms: u64, data_centre: Arc<str>) {
         if self.since_ms.remove(&data_centre).is_none() {
             self.since_ms.insert(data_centre, now_ms);
         }
@@ -47,8 +47,8 @@
             return;
         };
         assert!(
-            now_ms <= since_ms + self.on_its_way_ms,
-            "{} starts on {} at {now_ms} ms, whose data centre was cordoned at {since_ms} ms",
+            now_ms <= since_ms + self.in_flight_ms,
+            "{} starts at {now_ms} ms on {}, whose data centre was cordoned at {since_ms} ms",
             order.task,
             worker.id
         );
--- a/crates/scheduler/tests/scheduler/support/bench.rs
+++ b/crates/scheduler/tests/scheduler/support/harness.rs
@@ -1,4 +1,4 @@
-//! A scheduler whose surroundings answer by hand, one event after the other.
+//! A harness around one scheduler: the test answers the scheduler's calls, one event at a time.
 
 use super::worker::FakeWorker;
 use super::{configuration, job};
@@ -10,21 +10,21 @@
 };
 use ospreywing_types::{Duration, Instant};
 
-/// The longest lease of a worker.
+/// The longest lease that a worker accepts.
 pub const LEASE_LIMIT: Duration = Duration::from_ms(6000);
 /// The fence of the leader's term.
 pub const FENCE: u64 = 7;
-/// For how long an evicted leader may act on, where a test has one.
+/// How long an evicted leader may still act, in tests that have one.
 const LEADER_LEASE: Duration = Duration::from_ms(1500);
 
-/// A scheduler with workers that answer by hand.
-pub struct Bench {
+/// A scheduler, its clock, and the actions that it has emitted and no one has handled yet.
+pub struct Harness {
     pub now: Instant,
     pub scheduler: Scheduler,
     pub actions: Vec<Action>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(recovered: Recovered, workers: &[FakeWorker]) -> Self {
         Self::with_advice(recovered, workers, None)
     }
@@ -44,24 +44,24 @@
         Self::begin(config, recovered, advice).with_workers(workers)
     }
 
-    /// Begins a term in a cell whose workers keep leases of `limit` at most.
+    /// Begins a term in a cell whose workers accept leases of `limit` at most.
     pub fn with_lease_limit(limit: Duration, workers: &[FakeWorker]) -> Self {
         let config = SchedulerConfig::new(FENCE, limit);
         Self::begin(config, Recovered::default(), None).with_workers(workers)
     }
 
-    /// Lists workers that have nothing.
+    /// Lists workers, each of which answers its first poll without any run.
     pub fn with_workers(mut self, workers: &[FakeWorker]) -> Self {
         self.list_workers(workers);
         for worker in workers {
             let key = self.scheduler.worker_key(&worker.id);
-            self.list(key.expect("a listed worker"), Vec::new());
+            self.answer_poll(key.expect("a listed worker"), Vec::new());
         }
         self
     }
 
-    /// Begins a term after that of a leader which may act on for a while; no
-    /// worker has been listed or heard of.
+    /// Begins a term after that of an evicted leader, which may still act for a while. No
+    /// worker has been listed or polled yet.
     pub fn after_evicted_leader(recovered: Recovered) -> Self {
         let config = SchedulerConfig::new(FENCE, LEASE_LIMIT).with_leader_lease(LEADER_LEASE);
         Self::begin(config, recovered, None)
@@ -79,44 +79,48 @@
     /// Lists these workers, in this order.
     pub fn list_workers(&mut self, workers: &[FakeWorker]) {
         let list = workers.iter().map(FakeWorker::facts).collect();
-        self.tell(Event::WorkersListed(list));
+        self.handle(Event::WorkersListed(list));
     }
 
-    /// Lists a worker that has joined.
+    /// Lists a single worker.
     pub fn list_worker(&mut self, worker: &FakeWorker) {
-        self.tell(Event::WorkersListed(vec![worker.facts()]));
+        self.handle(Event::WorkersListed(vec![worker.facts()]));
     }
 
-    /// Lists a worker whose entry names the life with this start.
-    pub fn list_restarted(&mut self, worker: &FakeWorker, life_start_ms: u64) {
+    /// Lists a worker whose entry names the incarnation that started at this time.
+    pub fn list_incarnation(&mut self, worker: &FakeWorker, life_start_ms: u64) {
         let incarnation = Some(Incarnation::from_ms(life_start_ms));
         let facts = WorkerFacts {
             incarnation,
             ..worker.facts()
         };
-        self.tell(Event::WorkersListed(vec![facts]));
+        self.handle(Event::WorkersListed(vec![facts]));
     }
 
     pub fn cancel(&mut self, number: u64) {
         let job = JobId::new(number);
-        self.tell(Event::CancelAccepted { job });
+        self.handle(Event::CancelAccepted { job });
     }
 
-    pub fn tell(&mut self, event: Event) {
+    /// Handles an event, runs the work that is due, and checks the scheduler's invariants.
+    pub fn handle(&mut self, event: Event) {
         self.scheduler.handle(self.now, event, &mut self.actions);
         self.scheduler.run_due_work(self.now, &mut self.actions);
-        self.scheduler.verify().expect("the invariants hold");
+        self.scheduler
+            .verify()
+            .expect("the scheduler's invariants hold");
     }
 
-    pub fn list(&mut self, worker: WorkerKey, ended: Vec<EndedRun>) {
-        self.list_after(Duration::from_ms(60), worker, ended);
+    /// Answers a poll of a worker without running runs and with these ends.
+    pub fn answer_poll(&mut self, worker: WorkerKey, ended: Vec<EndedRun>) {
+        self.answer_poll_after(Duration::from_ms(60), worker, ended);
     }
 
-    /// Has a worker list ends, in an answer that takes so long.
-    pub fn list_after(&mut self, length: Duration, worker: WorkerKey, ended: Vec<EndedRun>) {
+    /// Answers a poll as [`Self::answer_poll`] does, `length` after it was sent.
+    pub fn answer_poll_after(&mut self, length: Duration, worker: WorkerKey, ended: Vec<EndedRun>) {
         let sent_at = self.now;
         self.now = self.now + length;
-        self.tell(Event::HoldAnswered {
+        self.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::Listed {
@@ -128,12 +132,18 @@
         });
     }
 
-    pub fn list_running(&mut self, worker: WorkerKey, task: TaskKey) {
-        self.list_both(worker, task, Vec::new());
+    /// Answers a poll with a task's first run as running, and no ends.
+    pub fn answer_poll_running(&mut self, worker: WorkerKey, task: TaskKey) {
+        self.answer_poll_running_and_ended(worker, task, Vec::new());
     }
 
-    /// Has a worker list a task's first run as alive, and ends.
-    pub fn list_both(&mut self, worker: WorkerKey, task: TaskKey, ended: Vec<EndedRun>) {
+    /// Answers a poll with a task's first run as running, and with these ends.
+    pub fn answer_poll_running_and_ended(
+        &mut self,
+        worker: WorkerKey,
+        task: TaskKey,
+        ended: Vec<EndedRun>,
+    ) {
         let alive = RunningRun {
             task,
             run: 1,
@@ -143,7 +153,7 @@
         };
         let sent_at = self.now;
         self.now = self.now + Duration::from_ms(60);
-        self.tell(Event::HoldAnswered {
+        self.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::Listed {
@@ -155,8 +165,12 @@
         });
     }
 
-    /// Has the workers list runs that are so far on.
-    pub fn list_progress(&mut self, runs: &[(WorkerKey, TaskKey, u32)], progress_percent: u32) {
+    /// Answers one poll of each worker, with its runs at this progress.
+    pub fn answer_polls_with_progress(
+        &mut self,
+        runs: &[(WorkerKey, TaskKey, u32)],
+        progress_percent: u32,
+    ) {
         let mut workers: Vec<WorkerKey> = runs.iter().map(|(worker, ..)| *worker).collect();
         workers.dedup();
         for worker in workers {
@@ -176,7 +190,7 @@
                 running: running.collect(),
                 ended: Vec::new(),
             };
-            self.tell(Event::HoldAnswered {
+            self.handle(Event::HoldAnswered {
                 worker,
                 sent_at,
                 reply,
@@ -184,36 +198,37 @@
         }
     }
 
-    pub fn be_silent(&mut self, worker: WorkerKey) {
+    /// Lets a poll time out, and time pass until the next one is sent.
+    pub fn leave_poll_unanswered(&mut self, worker: WorkerKey) {
         self.now = self.now + Duration::from_ms(700);
         let sent_at = self.now;
-        self.tell(Event::HoldAnswered {
+        self.handle(Event::HoldAnswered {
             worker,
             sent_at,
             reply: HoldReply::Unanswered,
         });
-        // The next look is sent after a while, and is not answered either.
+        // The next poll is sent after a while, and is not answered either.
         self.now = self.now + Duration::from_ms(300);
-        self.tell(Event::Tick);
+        self.handle(Event::Tick);
     }
 
-    /// Answers commits until there are none; returns the states written.
+    /// Ticks 20 times, 30 ms apart, and acknowledges all commits; returns the states written.
     pub fn commit_all(&mut self) -> Vec<JobState> {
         let mut states = Vec::new();
         for _ in 0..20 {
             self.now = self.now + Duration::from_ms(30);
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
             states.extend(self.answer_commits());
         }
         states
     }
 
-    /// Answers the open commits, at once; returns the states written.
+    /// Acknowledges the open commits at once; returns the states written.
     pub fn answer_commits(&mut self) -> Vec<JobState> {
         let mut states = Vec::new();
-        let taken = core::mem::take(&mut self.actions);
+        let actions = core::mem::take(&mut self.actions);
         let mut lanes = Vec::new();
-        for action in taken {
+        for action in actions {
             if let Action::Commit { lane, changes } = action {
                 lanes.push(lane);
                 states.extend(changes.into_iter().filter_map(state_of));
@@ -222,15 +237,16 @@
             }
         }
         for lane in lanes {
-            self.tell(Event::Committed { lane });
+            self.handle(Event::Committed { lane });
         }
         states
     }
 
+    /// Drains the starts that were sent.
     pub fn starts(&mut self) -> Vec<(WorkerKey, TaskKey, u32)> {
-        let taken = core::mem::take(&mut self.actions);
+        let actions = core::mem::take(&mut self.actions);
         let mut starts = Vec::new();
-        for action in taken {
+        for action in actions {
             match action {
                 Action::Start { to, order } => starts.push((to.worker, order.task, order.run)),
                 other => self.actions.push(other),
@@ -239,8 +255,9 @@
         starts
     }
 
-    pub fn started(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
-        self.tell(Event::StartAnswered {
+    /// Answers a start as carried out.
+    pub fn answer_started(&mut self, (worker, task, run): (WorkerKey, TaskKey, u32)) {
+        self.handle(Event::StartAnswered {
             worker,
             task,
             run,
@@ -248,18 +265,18 @@
         });
     }
 
-    /// Answers the open calls for advice, finding only these workers good;
-    /// returns how many workers each call named.
-    pub fn advise(&mut self, good: &[&str]) -> Vec<usize> {
-        let taken = core::mem::take(&mut self.actions);
+    /// Answers the open advice requests, with tickets for the suitable workers only; returns how
+    /// many workers each request named.
+    pub fn answer_advice_requests(&mut self, suitable: &[&str]) -> Vec<usize> {
+        let actions = core::mem::take(&mut self.actions);
         let mut named_counts = Vec::new();
-        for action in taken {
+        for action in actions {
             let Action::Advise { step, workers, .. } = action else {
                 self.actions.push(action);
                 continue;
             };
             named_counts.push(workers.len());
-            let found = workers.iter().filter(|to| good.contains(&&*to.id));
+            let found = workers.iter().filter(|to| suitable.contains(&&*to.id));
             let tickets = found.map(|to| Ticket {
                 worker: to.id.clone(),
                 text: "ticket".into(),
@@ -269,7 +286,7 @@
                 validity: Duration::from_ms(1500),
             };
             let queried = workers.iter().map(|to| to.worker).collect();
-            self.tell(Event::AdviceAnswered {
+            self.handle(Event::AdviceAnswered {
                 step,
                 queried,
                 reply,
@@ -278,12 +295,12 @@
         named_counts
     }
 
-    /// Takes out and answers the stops that were sent, each once however often
-    /// it was sent.
+    /// Drains the stops that were sent and answers them. A stop that was sent repeatedly is
+    /// returned and answered once.
     pub fn stops(&mut self) -> Vec<(WorkerKey, TaskKey, u32)> {
-        let taken = core::mem::take(&mut self.actions);
+        let actions = core::mem::take(&mut self.actions);
         let mut stops = Vec::new();
-        for action in taken {
+        for action in actions {
             match action {
                 Action::Stop { to, task, run } => stops.push((to.worker, task, run)),
                 other => self.actions.push(other),
@@ -293,7 +310,7 @@
         stops.dedup();
         for (worker, task, run) in stops.iter().copied() {
             let reply = StopReply::Stopping;
-            self.tell(Event::StopAnswered {
+            self.handle(Event::StopAnswered {
                 worker,
                 task,
                 run,
@@ -309,13 +326,13 @@
 
     pub fn submit_job(&mut self, (job, record): (JobId, JobRecord)) {
         let record = Box::new(record);
-        // The scheduler places at a pace of its own.
+        // Long enough for the scheduler's placing interval.
         self.now = self.now + Duration::from_ms(20);
-        self.tell(Event::JobAccepted { job, record });
+        self.handle(Event::JobAccepted { job, record });
     }
 }
 
-/// Returns the state that a change writes, as a leader would read it.
+/// Returns the state that a change writes, decoded as the next leader would.
 fn state_of(change: Change) -> Option<JobState> {
     match change.kind {
         ChangeKind::Progress(bytes) => JobState::from_bytes(&bytes).ok(),
--- a/crates/scheduler/tests/scheduler/support/world/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
@@ -1,6 +1,6 @@
-//! Messages on their way, and what becomes of them where they arrive.
+//! Messages in flight, and their handling on arrival.
 
-use super::{Message, World, HELD_LIMIT_MS, LEASE_LIMIT_MS};
+use super::{Message, Simulation, LEASE_LIMIT_MS, RELAY_HOLD_LIMIT_MS};
 use crate::support::worker::{FakeRun, FakeWorker};
 use ospreywing_scheduler::{
     Change, ChangeKind, EndKind, Endpoint, Event, HoldReply, RefusedStart, StartOrder, StartReply,
@@ -8,20 +8,20 @@
 };
 use rand::Rng;
 
-/// When an order or a renewal is taken for unanswered.
-const ORDER_LIMIT_MS: u64 = 700;
+/// The timeout of a call to a worker.
+const CALL_TIMEOUT_MS: u64 = 700;
 /// How soon a task that crashes its workers does so.
 const CRASH_AFTER_MS: core::ops::Range<u64> = 0..20;
 
-impl World {
+impl Simulation {
     pub(super) fn send_start(&mut self, term: u64, to: Endpoint, order: StartOrder) {
         assert_eq!(
             order.ticket.is_some(),
             self.has_advice,
-            "a ticket where one is needed"
+            "a start has a ticket if and only if its queue needs advice"
         );
-        let is_late = self.draw(self.faults.late_order);
-        let after_ms = self.delay(is_late) + self.held_ms();
+        let is_late = self.draw_fault(self.faults.late_order);
+        let after_ms = self.delay(is_late) + self.relay_hold_ms();
         if is_late {
             self.post_unanswered_start(term, &to, &order);
         }
@@ -44,11 +44,11 @@
             run: order.run,
             reply: StartReply::Unanswered,
         };
-        self.post(ORDER_LIMIT_MS, Message::Tell { term, event });
+        self.post(CALL_TIMEOUT_MS, Message::HandleEvent { term, event });
     }
 
     pub(super) fn send_stop(&mut self, term: u64, to: Endpoint, task: TaskKey, run: u32) {
-        let is_late = self.draw(self.faults.late_order);
+        let is_late = self.draw_fault(self.faults.late_order);
         let after_ms = self.delay(is_late);
         let is_answered = !is_late;
         self.post(
@@ -63,15 +63,16 @@
         );
     }
 
-    /// Returns how long a relay holds a start.
-    fn held_ms(&mut self) -> u64 {
-        if self.faults.held_order > 0 && self.draw(self.faults.held_order) {
-            self.rng.random_range(0..HELD_LIMIT_MS)
+    /// Returns for how long a relay holds a start.
+    fn relay_hold_ms(&mut self) -> u64 {
+        if self.faults.held_order > 0 && self.draw_fault(self.faults.held_order) {
+            self.rng.random_range(0..RELAY_HOLD_LIMIT_MS)
         } else {
             0
         }
     }
 
+    /// Draws for how long an order is in flight, in milliseconds.
     pub(super) fn delay(&mut self, is_late: bool) -> u64 {
         if is_late {
             self.rng.random_range(2_000..12_000)
@@ -82,38 +83,38 @@
 
     fn worker_index(&self, to: &Endpoint) -> usize {
         let found = self.workers.iter().position(|worker| worker.id == to.id);
-        found.expect("a worker of this world")
+        found.expect("a worker of this simulation")
     }
 
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
-            Message::Tell { term, event } => self.tell(term, event),
-            Message::Cut { worker, length_ms } => self.cut(worker, length_ms),
-            Message::Heal { worker } => self.workers[worker].is_cut = false,
-            Message::Die { worker } => self.replace(worker),
-            Message::Crash { worker, task } => self.crash(worker, task),
-            Message::BringUp { worker } => self.bring_up(worker),
-            Message::Restart { worker } => self.start_again(worker),
+            Message::HandleEvent { term, event } => self.send_to_leader(term, event),
+            Message::Partition { worker, length_ms } => self.partition(worker, length_ms),
+            Message::Heal { worker } => self.workers[worker].is_partitioned = false,
+            Message::ReplaceWorker { worker } => self.replace_worker(worker),
+            Message::Crash { worker, task } => self.crash_by_task(worker, task),
+            Message::StartReplacement { worker } => self.start_replacement(worker),
+            Message::StartNextIncarnation { worker } => self.start_next_incarnation(worker),
             Message::WriteEntry { worker } => self.write_entry(worker),
             Message::Resize { worker, per_mille } => self.resize(worker, per_mille),
-            Message::Wake { term } => self.wake(term),
+            Message::ResumeLeader { term } => self.resume_leader(term),
             Message::ListWorkers => self.list_workers(),
-            Message::TroubleOver => self.end_trouble(),
+            Message::EndStoreDegradation => self.end_store_degradation(),
             Message::Commit {
                 term,
                 lane,
                 changes,
             } => self.deliver_commit(term, lane, changes),
-            Message::Hold {
+            Message::Poll {
                 term,
                 to,
                 until_ms,
                 last_seen,
                 sent_at,
             } => {
-                let reply = self.deliver_hold(term, &to, until_ms, last_seen);
+                let reply = self.deliver_poll(term, &to, until_ms, last_seen);
                 let after_ms = if reply == HoldReply::Unanswered {
-                    ORDER_LIMIT_MS
+                    CALL_TIMEOUT_MS
                 } else {
                     2
                 };
@@ -122,7 +123,7 @@
                     sent_at,
                     reply,
                 };
-                self.post(after_ms, Message::Tell { term, event });
+                self.post(after_ms, Message::HandleEvent { term, event });
             }
             Message::Start {
                 term,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// A commit of a leader that has been followed does nothing.
+    /// A commit of a leader that has been succeeded has no effect.
     fn deliver_commit(&mut self, term: u64, lane: u32, changes: Vec<Change>) {
         if self.leaders.last().map(|leader| leader.fence) != Some(term) {
             if let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == term) {
@@ -156,7 +157,7 @@
                 ChangeKind::Outcome(bytes) => {
                     let ended = StoredJob::from_bytes(&bytes).expect("an outcome");
                     let StoredJob::Ended(outcome) = ended else {
-                        panic!("an outcome is no record");
+                        panic!("a job's record was stored in place of its outcome");
                     };
                     self.states.remove(&change.job);
                     self.ended.insert(change.job, outcome);
@@ -166,23 +167,24 @@
                 }
             }
         }
-        self.tell(term, Event::Committed { lane });
+        self.send_to_leader(term, Event::Committed { lane });
     }
 
     fn is_lost(&mut self, index: usize) -> bool {
         let worker = &self.workers[index];
-        !worker.is_alive || worker.is_cut
+        !worker.is_alive || worker.is_partitioned
     }
 
-    /// Returns whether a later life of a dead worker's machine answers.
+    /// Returns whether another incarnation answers at the address of a worker that is gone.
     fn is_other_incarnation(&self, index: usize) -> bool {
-        let dead = &self.workers[index];
-        let is_next =
-            |other: &FakeWorker| other.is_alive && !other.is_cut && other.address == dead.address;
-        !dead.is_alive && self.workers.iter().any(is_next)
+        let lost = &self.workers[index];
+        let is_next = |other: &FakeWorker| {
+            other.is_alive && !other.is_partitioned && other.address == lost.address
+        };
+        !lost.is_alive && self.workers.iter().any(is_next)
     }
 
-    fn deliver_hold(
+    fn deliver_poll(
         &mut self,
         term: u64,
         to: &Endpoint,
@@ -198,9 +200,9 @@
         }
         let now_ms = self.now_ms;
         self.workers[index].advance(now_ms);
-        self.note_done();
+        self.record_done();
         let worker = &mut self.workers[index];
-        // Only the life that is meant is told what to forget.
+        // Only the incarnation that the poll names is told what to forget.
         let is_meant = to.incarnation.is_none() || to.incarnation == worker.incarnation;
         let last_seen = if is_meant {
             worker.forgotten_end(last_seen)
@@ -208,10 +210,10 @@
             0
         };
         if term >= worker.fence {
-            self.rules.note_acks(worker, now_ms, last_seen);
+            self.rules.record_acks(worker, now_ms, last_seen);
         }
-        let reply = worker.hold(now_ms, term, until_ms, last_seen, LEASE_LIMIT_MS);
-        if self.draw(self.faults.lost_answer) {
+        let reply = worker.answer_poll(now_ms, term, until_ms, last_seen, LEASE_LIMIT_MS);
+        if self.draw_fault(self.faults.lost_answer) {
             return HoldReply::Unanswered;
         }
         reply
@@ -227,15 +229,15 @@
         }
         let worker = &self.workers[index];
         self.trace
-            .note_start(self.now_ms, worker, order, !is_answered, reply);
-        if self.draw(self.faults.lost_answer) {
+            .print_start(self.now_ms, worker, order, !is_answered, reply);
+        if self.draw_fault(self.faults.lost_answer) {
             reply = StartReply::Unanswered;
         }
         if !is_answered {
             return;
         }
         let after_ms = if reply == StartReply::Unanswered {
-            ORDER_LIMIT_MS
+            CALL_TIMEOUT_MS
         } else {
             1
         };
@@ -245,7 +247,7 @@
             run: order.run,
             reply,
         };
-        self.post(after_ms, Message::Tell { term, event });
+        self.post(after_ms, Message::HandleEvent { term, event });
     }
 
     fn start_at(
@@ -259,12 +261,12 @@
         for worker in &mut self.workers {
             worker.advance(now_ms);
         }
-        self.note_done();
+        self.record_done();
         let ticket = &order.ticket;
         if ticket.is_some() && *ticket != Some(self.workers[index].ticket()) {
             return StartReply::Refused(RefusedStart::Ticket);
         }
-        let reply = self.workers[index].admits(now_ms, term, order);
+        let reply = self.workers[index].admit_start(now_ms, term, order);
         if reply != StartReply::Started {
             return reply;
         }
@@ -282,19 +284,19 @@
             self.cordon_rule
                 .check_start(now_ms, &self.workers[index], order);
             self.rules
-                .check_room(now_ms, &self.workers[index], order, &self.jobs);
+                .check_capacity(now_ms, &self.workers[index], order, &self.jobs);
         }
         let started = self.started_ms.entry(order.task.step.job);
         started.or_insert(now_ms);
-        let fails = self.draw(self.faults.failing_run);
-        let own = self.lengths_of.get(&order.task.step.job);
-        let lengths_ms = own.unwrap_or(&self.run_lengths_ms).clone();
+        let fails = self.draw_fault(self.faults.failing_run);
+        let own = self.job_run_durations_ms.get(&order.task.step.job);
+        let lengths_ms = own.unwrap_or(&self.run_durations_ms).clone();
         let spec = &self.jobs[&order.task.step.job].spec.steps[order.task.step.step as usize];
-        let usual_ms = match &self.run_lengths_percent {
+        let typical_ms = match &self.run_durations_percent {
             Some(percent) => spec.estimate_ms * self.rng.random_range(percent.clone()) / 100,
             None => self.rng.random_range(lengths_ms),
         };
-        let length_ms = usual_ms * 1000 / self.workers[index].speed_per_mille;
+        let length_ms = typical_ms * 1000 / self.workers[index].speed_per_mille;
         let run = FakeRun {
             run: order.run,
             ends_at_ms: now_ms + length_ms,
@@ -304,11 +306,11 @@
                 EndKind::Done
             },
             demand: spec.demand,
-            saves: spec.saves_progress,
+            saves_checkpoints: spec.saves_progress,
         };
-        self.workers[index].begin(now_ms, order, run, LEASE_LIMIT_MS);
+        self.workers[index].begin_run(now_ms, order, run, LEASE_LIMIT_MS);
         let task = order.task;
-        if task.index == 0 && self.crashing.contains(&task.step.job) {
+        if task.index == 0 && self.crashing_jobs.contains(&task.step.job) {
             let after_ms = self.rng.random_range(CRASH_AFTER_MS);
             let worker = index;
             self.post(after_ms, Message::Crash { worker, task });
@@ -334,8 +336,11 @@
             reply = self.workers[index].stop(now_ms, term, task, run);
         }
         let worker = &self.workers[index];
-        self.trace.note_stop(self.now_ms, worker, task, run, reply);
-        if !is_answered || reply == StopReply::Unanswered || self.draw(self.faults.lost_answer) {
+        self.trace.print_stop(self.now_ms, worker, task, run, reply);
+        if !is_answered
+            || reply == StopReply::Unanswered
+            || self.draw_fault(self.faults.lost_answer)
+        {
             return;
         }
         let event = Event::StopAnswered {
@@ -344,10 +349,10 @@
             run,
             reply,
         };
-        self.post(1, Message::Tell { term, event });
+        self.post(1, Message::HandleEvent { term, event });
     }
 
-    pub(super) fn note_done(&mut self) {
+    pub(super) fn record_done(&mut self) {
         for worker in &self.workers {
             let done = worker.ended.iter().filter(|end| end.kind == EndKind::Done);
             self.rules.done.extend(done.map(|end| end.task));
--- a/crates/scheduler/tests/scheduler/support/world/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The world: time, messages on their way, faults drawn from a seed.
+//! A simulated cell: a clock, messages in flight, and faults drawn from a seed.
 
 mod delivery;
 mod faults;
@@ -22,54 +22,56 @@
 use std::sync::Arc;
 use trace::Trace;
 
-/// The longest lease of a fake worker.
+/// The longest lease that a fake worker accepts.
 pub const LEASE_LIMIT_MS: u64 = 6000;
 /// The leader's lease.
 const LEADER_LEASE_MS: u64 = 2000;
-const TICK_MS: u64 = 20;
-/// The time of day at which the first lives start.
-const FIRST_START_MS: u64 = 5_000_000;
-/// How long a relay holds an order at most.
-const HELD_LIMIT_MS: u64 = 600;
-/// How long a commit takes while the store is in trouble.
+const TICK_PERIOD_MS: u64 = 20;
+/// The time of day at which the workers' first incarnations start.
+const FIRST_INCARNATION_START_MS: u64 = 5_000_000;
+/// The longest time for which a relay holds an order.
+const RELAY_HOLD_LIMIT_MS: u64 = 600;
+/// How long a commit takes while the store is degraded.
 const SLOW_COMMIT_MS: core::ops::Range<u64> = 100..3_000;
-/// How often faults strike, in thousandths.
+
+/// How often each fault occurs, in thousandths of what its field names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// Answers that are lost.
     pub lost_answer: u32,
-    /// Orders that are carried out 2 to 12 s late, unanswered.
+    /// Orders that are carried out 2 to 12 s late and never answered.
     pub late_order: u32,
     /// Runs that fail.
     pub failing_run: u32,
-    /// Ticks at which a worker's power goes.
+    /// Ticks at which a worker crashes and another one with a new id starts at its address.
     pub crash: u32,
-    /// Ticks at which a worker is cut off for a while.
-    pub cut: u32,
-    /// Ticks at which the leader is replaced, the old one acting on for a while.
+    /// Ticks at which a worker is partitioned from the leaders for a while.
+    pub partition: u32,
+    /// Ticks at which the leader is replaced while the old one still acts for a while.
     pub takeover: u32,
-    /// Ticks at which the store becomes slow for a while and leases long.
-    pub trouble: u32,
-    /// Ticks at which a worker begins to drain; it goes some seconds later.
+    /// Ticks at which the store becomes slow for a while, so that leases become long.
+    pub degraded_store: u32,
+    /// Ticks at which a worker begins to drain; it leaves some seconds later.
     pub drain: u32,
-    /// Ticks at which a worker's room shrinks for a while.
+    /// Ticks at which a worker's capacity shrinks for a while.
     pub resize: u32,
-    /// Ticks at which the leader stands still, as in a suspend or a freeze.
+    /// Ticks at which the leader is paused, as by a suspended machine or a frozen process.
     pub pause: u32,
-    /// Ticks at which a dead worker's last write comes to the store at last.
+    /// Ticks at which the last write of a worker that is gone reaches the store late.
     pub stale_entry: u32,
-    /// Ticks at which the operators set other limits for all customers.
+    /// Ticks at which operators change the limits of all customers.
     pub limit: u32,
     /// Ticks at which a worker crashes and starts again under its id.
     pub restart: u32,
-    /// Ticks at which the operators cordon a data centre, or lift its cordon.
+    /// Ticks at which operators cordon a data centre, or lift its cordon.
     pub cordon: u32,
     /// Starts that a relay holds for a while.
     pub held_order: u32,
 }
 
+/// A message in flight, or an event of the simulation itself.
 enum Message {
-    Hold {
+    Poll {
         term: u64,
         to: Endpoint,
         until_ms: Option<u64>,
@@ -94,28 +96,28 @@
         lane: u32,
         changes: Vec<Change>,
     },
-    Tell {
+    HandleEvent {
         term: u64,
         event: Event,
     },
-    Cut {
+    Partition {
         worker: usize,
         length_ms: u64,
     },
     Heal {
         worker: usize,
     },
-    Die {
+    ReplaceWorker {
         worker: usize,
     },
     Crash {
         worker: usize,
         task: TaskKey,
     },
-    BringUp {
+    StartReplacement {
         worker: usize,
     },
-    Restart {
+    StartNextIncarnation {
         worker: usize,
     },
     WriteEntry {
@@ -125,25 +127,26 @@
         worker: usize,
         per_mille: u32,
     },
-    Wake {
+    ResumeLeader {
         term: u64,
     },
     ListWorkers,
-    TroubleOver,
+    EndStoreDegradation,
 }
 
+/// A term and its scheduler.
 struct Leader {
     fence: u64,
     scheduler: Scheduler,
-    /// When it stops giving orders.
+    /// When it stops sending orders.
     acts_until_ms: u64,
-    /// Whether it stands still, and what has come for it meanwhile.
+    /// Whether it is paused, and the events that have arrived meanwhile.
     is_paused: bool,
     backlog: Vec<Event>,
 }
 
-/// The world.
-pub struct World {
+/// A simulated cell.
+pub struct Simulation {
     pub now_ms: u64,
     rng: Pcg64,
     faults: Faults,
@@ -151,42 +154,42 @@
     has_advice: bool,
     leaders: Vec<Leader>,
     pub workers: Vec<FakeWorker>,
-    /// The workers as leaders were told of them.
-    told_workers: BTreeMap<Arc<str>, WorkerFacts>,
+    /// The workers as last published to the leaders.
+    published_workers: BTreeMap<Arc<str>, WorkerFacts>,
     messages: BTreeMap<(u64, u64), Message>,
     next_message: u64,
     jobs: BTreeMap<JobId, JobRecord>,
-    order: Vec<JobId>,
+    submitted_jobs: Vec<JobId>,
     cancels: Vec<JobId>,
     states: BTreeMap<JobId, Vec<u8>>,
-    /// Jobs of which the store keeps the outcome only.
+    /// Jobs of which the store keeps only the outcome.
     ended: BTreeMap<JobId, JobOutcome>,
     pub rules: Rules,
     last_faults_at_ms: u64,
-    has_trouble: bool,
-    /// How long runs take.
-    pub run_lengths_ms: core::ops::Range<u64>,
-    /// The same as a part of their steps' estimates, where that is set, in percent.
-    pub run_lengths_percent: Option<core::ops::Range<u64>>,
-    /// After this time no new fault strikes.
-    pub calm_from_ms: u64,
-    /// One of so many workers is good for a job; 0 for two of three.
-    pub good_one_in: u64,
-    pub advice_calls_count: usize,
+    is_store_degraded: bool,
+    /// The range of the runs' durations.
+    pub run_durations_ms: core::ops::Range<u64>,
+    /// The same in percent of the steps' estimates; takes precedence where set.
+    pub run_durations_percent: Option<core::ops::Range<u64>>,
+    /// The time from which on no new fault occurs.
+    pub faults_end_ms: u64,
+    /// The adviser finds one worker in this many suitable for a job; 0 for two of three.
+    pub suitable_one_in: u64,
+    pub advice_requests_count: usize,
     /// Jobs whose first task crashes each worker that starts it.
-    pub crashing: BTreeSet<JobId>,
-    /// Runs of other jobs that were lost with workers which such tasks crashed.
-    pub runs_lost_beside_count: usize,
-    /// When each job was first seen to have its outcome.
+    pub crashing_jobs: BTreeSet<JobId>,
+    /// Runs of other jobs that were lost on workers that such tasks crashed.
+    pub other_runs_lost_count: usize,
+    /// When each job was first seen with its outcome.
     pub done_ms: BTreeMap<JobId, u64>,
     /// When a run of each job was first started.
     pub started_ms: BTreeMap<JobId, u64>,
     crash_policy: CrashPolicy,
     features: Features,
-    /// Whether what a leader has learned comes to the next one.
-    pub hands_on_learned: bool,
-    /// How long the runs of a job take on a worker of usual speed, where they differ from others.
-    pub lengths_of: BTreeMap<JobId, core::ops::Range<u64>>,
+    /// Whether a leader hands over to the next one what it has learned.
+    pub hands_over_learned: bool,
+    /// The range of the runs' durations at typical speed, for jobs that differ from the others.
+    pub job_run_durations_ms: BTreeMap<JobId, core::ops::Range<u64>>,
     /// Whether workers that a task has crashed start again under their ids.
     pub keeps_ids: bool,
     limit_rule: LimitRule,
@@ -194,7 +197,7 @@
     trace: Trace,
 }
 
-impl World {
+impl Simulation {
     pub fn new(
         seed: u64,
         workers_count: usize,
@@ -207,7 +210,7 @@
             FakeWorker::new(&format!("w{number}"), clock_per_mille)
         });
         let workers = workers.collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now_ms: 1_000,
             rng,
             faults,
@@ -215,52 +218,52 @@
             has_advice: advice.is_some(),
             leaders: Vec::new(),
             workers,
-            told_workers: BTreeMap::new(),
+            published_workers: BTreeMap::new(),
             messages: BTreeMap::new(),
             next_message: 0,
             jobs: BTreeMap::new(),
-            order: Vec::new(),
+            submitted_jobs: Vec::new(),
             cancels: Vec::new(),
             states: BTreeMap::new(),
             ended: BTreeMap::new(),
             rules: Rules::default(),
             last_faults_at_ms: 0,
-            has_trouble: false,
-            run_lengths_ms: 200..2_500,
-            run_lengths_percent: None,
-            calm_from_ms: u64::MAX,
-            good_one_in: 0,
-            advice_calls_count: 0,
-            crashing: BTreeSet::new(),
-            runs_lost_beside_count: 0,
+            is_store_degraded: false,
+            run_durations_ms: 200..2_500,
+            run_durations_percent: None,
+            faults_end_ms: u64::MAX,
+            suitable_one_in: 0,
+            advice_requests_count: 0,
+            crashing_jobs: BTreeSet::new(),
+            other_runs_lost_count: 0,
             done_ms: BTreeMap::new(),
             started_ms: BTreeMap::new(),
             crash_policy: CrashPolicy::default(),
             features: Features::default(),
-            hands_on_learned: false,
-            lengths_of: BTreeMap::new(),
+            hands_over_learned: false,
+            job_run_durations_ms: BTreeMap::new(),
             keeps_ids: false,
             limit_rule: LimitRule::new(faults.late_order > 0),
             cordon_rule: CordonRule::new(if faults.held_order > 0 {
-                HELD_LIMIT_MS
+                RELAY_HOLD_LIMIT_MS
             } else {
                 0
             }),
             trace: Trace::from_env(),
         };
-        world.elect();
-        world
+        simulation.elect();
+        simulation
     }
 
-    /// Brings a configuration into force.
+    /// Applies a configuration.
     pub fn configure(&mut self, configuration: Configuration) {
         let customers = configuration.customers.values();
-        self.limit_rule.note(self.now_ms, customers);
+        self.limit_rule.record_limits(self.now_ms, customers);
         self.configuration = configuration.clone();
-        self.tell_all(Event::Configured(configuration));
+        self.send_to_leaders(Event::Configured(configuration));
     }
 
-    /// Begins a term with another rule on crashes.
+    /// Begins a term with this crash policy.
     pub fn elect_with(&mut self, policy: CrashPolicy) {
         self.crash_policy = policy;
         self.elect();
@@ -272,21 +275,21 @@
         self.elect();
     }
 
-    /// Returns what the leader tells of itself.
+    /// Returns the newest leader's status.
     pub fn status(&self) -> SchedulerStatus {
         let leader = self.leaders.last().expect("a leader");
         leader.scheduler.status(self.now())
     }
 
-    /// Makes every second worker one of another service.
-    pub fn lay_out_services(&mut self) {
+    /// Moves every second worker to another service.
+    pub fn split_services(&mut self) {
         for worker in self.workers.iter_mut().skip(1).step_by(2) {
             worker.service = Arc::from(OTHER_SERVICE);
         }
         self.list_workers();
     }
 
-    /// Has the workers hold these amounts, in turn.
+    /// Assigns these capacities to the workers, in turn.
     pub fn set_capacities(&mut self, capacities: &[Resources]) {
         for (worker, capacity) in self.workers.iter_mut().zip(capacities.iter().cycle()) {
             worker.set_capacity(*capacity);
@@ -294,16 +297,16 @@
         self.list_workers();
     }
 
-    /// Puts so many workers in a row into each rack.
-    pub fn lay_out_racks(&mut self, size: usize) {
+    /// Assigns `size` consecutive workers to each rack.
+    pub fn assign_racks(&mut self, size: usize) {
         for (number, worker) in self.workers.iter_mut().enumerate() {
             worker.rack = Some(Arc::from(format!("r{}", number / size)));
         }
         self.list_workers();
     }
 
-    /// Spreads the workers over so many data centres.
-    pub fn lay_out_data_centres(&mut self, count: usize) {
+    /// Distributes the workers over `count` data centres.
+    pub fn assign_data_centres(&mut self, count: usize) {
         for (number, worker) in self.workers.iter_mut().enumerate() {
             worker.data_centre = Arc::from(format!("d{}", number % count));
         }
@@ -313,13 +316,13 @@
     /// Lifts all cordons.
     pub fn lift_cordons(&mut self) {
         self.cordon_rule.lift_all();
-        self.tell_all(Event::CordonsListed(self.cordon_rule.data_centres()));
+        self.send_to_leaders(Event::CordonsListed(self.cordon_rule.data_centres()));
     }
 
-    /// Has the workers tell when they have started.
-    pub fn tell_life_starts(&mut self, ignores_foreign_acks: bool) {
+    /// Has the workers report the start of their incarnations.
+    pub fn report_incarnation_starts(&mut self, ignores_foreign_acks: bool) {
         for worker in &mut self.workers {
-            worker.tell_life_start(FIRST_START_MS);
+            worker.set_incarnation_start(FIRST_INCARNATION_START_MS);
             worker.ignores_foreign_acks = ignores_foreign_acks;
         }
         self.list_workers();
@@ -329,10 +332,10 @@
         Instant::from_ms(self.now_ms)
     }
 
-    fn draw(&mut self, per_mille: u32) -> bool {
-        let is_calm = self.now_ms >= self.calm_from_ms;
+    fn draw_fault(&mut self, per_mille: u32) -> bool {
+        let are_faults_over = self.now_ms >= self.faults_end_ms;
         let drawn = self.rng.random_range(0..1000) < per_mille;
-        drawn && !is_calm
+        drawn && !are_faults_over
     }
 
     fn post(&mut self, after_ms: u64, message: Message) {
@@ -341,15 +344,18 @@
         self.messages.insert(key, message);
     }
 
-    /// Begins a term; the leader before may act on until its lease is over.
+    /// Begins a term; the previous leader may act until its lease has expired.
     pub fn elect(&mut self) {
         let fence = self.leaders.last().map_or(1, |leader| leader.fence + 1);
         if let Some(before) = self.leaders.last_mut() {
             let until_ms = self.now_ms + self.rng.random_range(0..LEADER_LEASE_MS);
-            // One that stands still gives no order, and knows when it wakes.
+            // A paused leader sends no orders, and learns of its eviction when it resumes.
             before.acts_until_ms = if before.is_paused { 0 } else { until_ms };
         }
-        let active = self.order.iter().filter(|id| !self.ended.contains_key(id));
+        let active = self
+            .submitted_jobs
+            .iter()
+            .filter(|id| !self.ended.contains_key(id));
         let jobs = active.map(|id| (*id, self.jobs[id].clone()));
         let states = self.states.iter().map(|(id, bytes)| {
             let state = JobState::from_bytes(bytes).expect("a state that was written here");
@@ -370,7 +376,7 @@
             .with_features(self.features);
         let now = self.now();
         let mut scheduler = Scheduler::new(config, self.configuration.clone(), now, recovered);
-        let before = self.leaders.last().filter(|_| self.hands_on_learned);
+        let before = self.leaders.last().filter(|_| self.hands_over_learned);
         if let Some(before) = before {
             scheduler.restore_learned(now, &before.scheduler.learned(now));
         }
@@ -381,12 +387,12 @@
             is_paused: false,
             backlog: Vec::new(),
         });
-        self.tell_all(Event::NodesListed(vec![Arc::from("n1"), Arc::from("n2")]));
-        self.tell(fence, Event::StoreDegraded(self.has_trouble));
+        self.send_to_leaders(Event::NodesListed(vec![Arc::from("n1"), Arc::from("n2")]));
+        self.send_to_leader(fence, Event::StoreDegraded(self.is_store_degraded));
         self.list_all_workers(fence);
     }
 
-    /// Returns the workers that are listed, by their ids.
+    /// Returns the workers that are listed, by id.
     fn listed(&self) -> BTreeMap<Arc<str>, WorkerFacts> {
         let now_ms = self.now_ms;
         let is_listed = |worker: &&FakeWorker| worker.is_alive || now_ms < worker.listed_until_ms;
@@ -395,47 +401,47 @@
         facts.map(|facts| (facts.id.clone(), facts)).collect()
     }
 
-    /// Returns how a customer stands with the newest leader.
+    /// Returns a customer's fair share as the newest leader sees it.
     pub fn share_of(&self, customer: &str) -> Option<ShareView> {
         let leader = self.leaders.last()?;
         leader.scheduler.share_of(super::SERVICE, Some(customer))
     }
 
-    /// Tells what has changed of the list of workers, as the platform does.
+    /// Sends the leaders what has changed in the list of workers, as the platform does.
     pub fn list_workers(&mut self) {
         let listed = self.listed();
-        let before = core::mem::replace(&mut self.told_workers, listed);
-        let after = &self.told_workers;
+        let before = core::mem::replace(&mut self.published_workers, listed);
+        let after = &self.published_workers;
         let gone = before.keys().filter(|id| !after.contains_key(*id));
         let gone = gone.map(|id| WorkerChange::Unlisted(id.clone()));
         let written = after.values().filter(|it| before.get(&it.id) != Some(it));
         let written = written.map(|facts| WorkerChange::Listed(facts.clone()));
         let changes: Vec<WorkerChange> = gone.chain(written).collect();
         if !changes.is_empty() {
-            self.tell_all(Event::WorkersChanged(changes));
+            self.send_to_leaders(Event::WorkersChanged(changes));
         }
     }
 
-    /// Tells a new leader the whole list, in the order of the workers' ids.
+    /// Sends a new leader the whole list, ordered by the workers' ids.
     fn list_all_workers(&mut self, fence: u64) {
         self.list_workers();
-        let list = self.told_workers.values().cloned().collect();
-        self.tell(fence, Event::WorkersListed(list));
+        let list = self.published_workers.values().cloned().collect();
+        self.send_to_leader(fence, Event::WorkersListed(list));
     }
 
     pub fn submit(&mut self, (id, record): (JobId, JobRecord)) {
         self.jobs.insert(id, record.clone());
-        self.order.push(id);
+        self.submitted_jobs.push(id);
         let record = Box::new(record);
-        self.tell_all(Event::JobAccepted { job: id, record });
+        self.send_to_leaders(Event::JobAccepted { job: id, record });
     }
 
     pub fn cancel(&mut self, id: JobId) {
         self.cancels.push(id);
-        self.tell_all(Event::CancelAccepted { job: id });
+        self.send_to_leaders(Event::CancelAccepted { job: id });
     }
 
-    /// Returns what the leader forecasts.
+    /// Returns the newest leader's forecast.
     pub fn forecast(&self) -> Option<Forecast> {
         let leader = self.leaders.last()?;
         leader.scheduler.forecast(self.now())
@@ -446,19 +452,19 @@
         leader.scheduler.job(id).map(|view| view.phase)
     }
 
-    fn tell_all(&mut self, event: Event) {
+    fn send_to_leaders(&mut self, event: Event) {
         let fences: Vec<u64> = self.leaders.iter().map(|leader| leader.fence).collect();
         for fence in fences {
-            self.tell(fence, event.clone());
+            self.send_to_leader(fence, event.clone());
         }
     }
 
-    fn tell(&mut self, fence: u64, event: Event) {
-        self.tell_batch(fence, vec![event]);
+    fn send_to_leader(&mut self, fence: u64, event: Event) {
+        self.send_batch_to_leader(fence, vec![event]);
     }
 
-    /// Tells a leader of what has come together.
-    fn tell_batch(&mut self, fence: u64, events: Vec<Event>) {
+    /// Has a leader handle a batch of events.
+    fn send_batch_to_leader(&mut self, fence: u64, events: Vec<Event>) {
         let now = self.now();
         let now_ms = self.now_ms;
         let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == fence) else {
@@ -479,15 +485,15 @@
         }
         if acts {
             for action in actions {
-                self.carry_out(fence, action);
+                self.perform(fence, action);
             }
         }
     }
 
-    fn carry_out(&mut self, term: u64, action: Action) {
+    fn perform(&mut self, term: u64, action: Action) {
         match action {
             Action::Commit { lane, changes } => {
-                let after_ms = match self.has_trouble {
+                let after_ms = match self.is_store_degraded {
                     true => self.rng.random_range(SLOW_COMMIT_MS),
                     false => self.rng.random_range(3..40),
                 };
@@ -510,7 +516,7 @@
                 let after_ms = self.rng.random_range(0..5);
                 self.post(
                     after_ms,
-                    Message::Hold {
+                    Message::Poll {
                         term,
                         to,
                         until_ms,
@@ -527,9 +533,11 @@
                 expected,
                 ..
             } => {
-                self.advice_calls_count += 1;
-                let good = workers.iter().filter(|to| self.is_good(&to.id, step.job));
-                let tickets: Vec<Ticket> = good
+                self.advice_requests_count += 1;
+                let suitable = workers
+                    .iter()
+                    .filter(|to| self.is_suitable(&to.id, step.job));
+                let tickets: Vec<Ticket> = suitable
                     .map(|to| Ticket {
                         worker: to.id.clone(),
                         text: self.ticket_of(to),
@@ -545,22 +553,22 @@
                     queried,
                     reply,
                 };
-                self.post(expected.as_ms(), Message::Tell { term, event });
+                self.post(expected.as_ms(), Message::HandleEvent { term, event });
             }
             Action::StepDown => {
                 if let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == term) {
                     leader.acts_until_ms = 0;
                 }
             }
-            Action::Log(decision) => self.trace.note_decision(self.now_ms, term, &decision),
+            Action::Log(decision) => self.trace.print_decision(self.now_ms, term, &decision),
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock by `length_ms`, delivering messages and ticking.
     pub fn run_for(&mut self, length_ms: u64) {
         let until_ms = self.now_ms + length_ms;
         while self.now_ms < until_ms {
-            let next_tick_ms = (self.now_ms / TICK_MS + 1) * TICK_MS;
+            let next_tick_ms = (self.now_ms / TICK_PERIOD_MS + 1) * TICK_PERIOD_MS;
             let due = self.messages.keys().next().copied();
             match due {
                 Some((at_ms, number)) if at_ms <= next_tick_ms => {
@@ -581,14 +589,14 @@
         for worker in &mut self.workers {
             worker.advance(now_ms);
         }
-        self.note_done();
-        self.strike();
-        self.tell_all(Event::Tick);
+        self.record_done();
+        self.inject_faults();
+        self.send_to_leaders(Event::Tick);
     }
 
-    /// Notes which jobs have their outcome by now.
-    pub fn note_outcomes(&mut self) {
-        let open: Vec<JobId> = self.order.clone();
+    /// Records which jobs have their outcome by now.
+    pub fn record_outcomes(&mut self) {
+        let open: Vec<JobId> = self.submitted_jobs.clone();
         let open = open.into_iter().filter(|id| !self.done_ms.contains_key(id));
         for id in open.collect::<Vec<JobId>>() {
             if !matches!(self.phase(id), None | Some(Phase::Active)) {
@@ -597,14 +605,14 @@
         }
     }
 
-    /// Asserts that nothing of a job that has its outcome runs any more.
+    /// Asserts that no run of a job that has its outcome is still running.
     pub fn assert_no_strays(&self) {
         for worker in self.workers.iter().filter(|worker| worker.is_alive) {
             for (task, run) in &worker.runs {
                 let phase = self.phase(task.step.job);
                 assert!(
                     phase == Some(Phase::Active),
-                    "run {} of {task} goes on at {}, and its job is {phase:?}",
+                    "run {} of {task} is still running at {}, and its job is {phase:?}",
                     run.run,
                     worker.id
                 );
@@ -612,18 +620,22 @@
         }
     }
 
-    /// Runs until every job has its outcome, at most for the given time.
+    /// Runs until every job has its outcome, for `limit_ms` at most.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a job has no outcome by then.
     pub fn run_until_done(&mut self, limit_ms: u64) {
         let until_ms = self.now_ms + limit_ms;
         while self.now_ms < until_ms {
             self.run_for(200);
-            let ids: Vec<JobId> = self.order.clone();
+            let ids: Vec<JobId> = self.submitted_jobs.clone();
             let is_open = |id: &JobId| matches!(self.phase(*id), None | Some(Phase::Active));
             if !ids.iter().any(is_open) {
                 return;
             }
         }
-        let open: Vec<JobId> = self.order.clone();
+        let open: Vec<JobId> = self.submitted_jobs.clone();
         let open: Vec<String> = open
             .iter()
             .filter(|id| matches!(self.phase(**id), None | Some(Phase::Active)))
@@ -632,16 +644,16 @@
         panic!("no outcome in time for {open:?}");
     }
 
-    /// Returns the ticket for the life of a worker that is there now.
+    /// Returns the adviser's ticket for the current incarnation of a worker.
     fn ticket_of(&self, to: &Endpoint) -> Arc<str> {
         let worker = self.workers.iter().find(|worker| worker.id == to.id);
         worker.map_or(Arc::from(""), FakeWorker::ticket)
     }
 
-    /// Returns whether the adviser finds a worker good for a job, always alike.
-    fn is_good(&self, worker: &str, job: JobId) -> bool {
+    /// Returns whether the adviser finds a worker suitable for a job; always the same answer.
+    fn is_suitable(&self, worker: &str, job: JobId) -> bool {
         let sum: u64 = worker.bytes().map(u64::from).sum::<u64>() + job.number();
-        match self.good_one_in {
+        match self.suitable_one_in {
             0 => !sum.is_multiple_of(3),
             one_in => sum.is_multiple_of(one_in),
         }
--- a/crates/scheduler/tests/scheduler/support/world/trace.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/trace.rs
@@ -1,13 +1,13 @@
-//! What a play prints where it is asked to: decisions, orders as they arrive, lives that
-//! begin and end.
+//! An optional trace of a simulation: decisions, orders as they arrive, and workers'
+//! incarnations.
 
 use crate::support::worker::FakeWorker;
 use ospreywing_scheduler::{Decision, StartOrder, StartReply, StopReply, TaskKey};
 
-/// Set to anything, it has each play print its trace.
+/// If set to any value, each simulation prints its trace.
 const TRACE_VARIABLE: &str = "OSPREYWING_SEARCH_TRACE";
 
-/// Prints what happens in a world, or nothing.
+/// Prints the events of a simulation, or nothing.
 pub(super) struct Trace {
     is_on: bool,
 }
@@ -19,7 +19,7 @@
         }
     }
 
-    pub(super) fn note_decision(&self, now_ms: u64, term: u64, decision: &Decision) {
+    pub(super) fn print_decision(&self, now_ms: u64, term: u64, decision: &Decision) {
         if !self.is_on {
             return;
         }
@@ -34,7 +34,7 @@
         );
     }
 
-    pub(super) fn note_start(
+    pub(super) fn print_start(
         &self,
         now_ms: u64,
         worker: &FakeWorker,
@@ -44,13 +44,13 @@
     ) {
         if self.is_on {
             println!(
-                "{now_ms:>6} {} has a start of {} run {}, late {is_late}: {reply:?}",
+                "{now_ms:>6} {} answers a start of {} run {}, late {is_late}: {reply:?}",
                 worker.id, order.task, order.run
             );
         }
     }
 
-    pub(super) fn note_stop(
+    pub(super) fn print_stop(
         &self,
         now_ms: u64,
         worker: &FakeWorker,
@@ -60,13 +60,13 @@
     ) {
         if self.is_on {
             println!(
-                "{now_ms:>6} {} has a stop of {task} run {run}: {reply:?}",
+                "{now_ms:>6} {} answers a stop of {task} run {run}: {reply:?}",
                 worker.id
             );
         }
     }
 
-    pub(super) fn note_life(&self, now_ms: u64, worker: &FakeWorker, what: &str) {
+    pub(super) fn print_incarnation(&self, now_ms: u64, worker: &FakeWorker, what: &str) {
         if self.is_on {
             println!("{now_ms:>6} {} {what}", worker.id);
         }
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -1,4 +1,4 @@
-//! A fake worker: fence, tombstones, leases on its own clock, a list of ends.
+//! A fake worker, with a fence, tombstones, a lease on its own clock and a list of ends.
 
 use ospreywing_scheduler::{
     EndKind, EndedRun, HoldReply, Incarnation, RefusedStart, RunningRun, StartOrder, StartReply,
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long after it shrank a room counts: three seconds and a heartbeat.
-const SHRUNK_ROOM_COUNTS_AFTER_MS: u64 = 4_500;
+/// How long a reduced capacity takes to apply: three seconds and a heartbeat.
+const SHRINK_EFFECTIVE_AFTER_MS: u64 = 4_500;
 
-/// What a worker's clock showed at the begin of the world's, at first.
+/// What the clock of a worker's first incarnation shows when the simulation's clock is at 0.
 const CLOCK_BASE_MS: u64 = 7_000;
 
 /// A run on a fake worker.
@@ -21,56 +21,56 @@
     pub ends_at_ms: u64,
     pub kind: EndKind,
     pub demand: Resources,
-    /// Whether it saves checkpoints.
-    pub saves: bool,
+    pub saves_checkpoints: bool,
 }
 
 impl FakeRun {
-    /// Returns the checkpoint that was saved last, in a text that names its task.
+    /// Returns the run's last checkpoint, a text that names its task.
     fn checkpoint(&self, task: TaskKey) -> Option<String> {
-        self.saves.then(|| format!("{task} run {}", self.run))
+        self.saves_checkpoints
+            .then(|| format!("{task} run {}", self.run))
     }
 }
 
-/// A fake worker.
+/// A fake worker. Times ending in `_ms` are on the simulation's clock unless stated otherwise.
 pub struct FakeWorker {
     pub id: Arc<str>,
-    /// When its life started, and what its entry in the store says of that.
+    /// The start of its incarnation, and the start that its entry in the store names.
     pub incarnation: Option<Incarnation>,
-    entry_life_start: Option<Incarnation>,
-    /// What its clock showed at the begin of the world's.
+    entry_incarnation_start: Option<Incarnation>,
+    /// What its clock shows when the simulation's clock is at 0.
     clock_base_ms: u64,
-    /// Whether it takes no note of an acknowledgement beyond its newest end.
+    /// Whether it ignores acknowledgements of ends that it has not numbered yet.
     pub ignores_foreign_acks: bool,
     pub address: Arc<str>,
     pub service: Arc<str>,
     pub data_centre: Arc<str>,
     pub rack: Option<Arc<str>>,
     pub capacity: Resources,
-    /// What it holds when its room is not changed.
+    /// Its capacity while it isn't resized.
     pub full_capacity: Resources,
-    /// Its room before it shrank, and when that was.
-    room_before: (Resources, u64),
+    /// Its capacity before it shrank last, and when it shrank.
+    capacity_before_shrink: (Resources, u64),
     pub is_alive: bool,
-    pub is_cut: bool,
-    /// How fast its clock runs, in thousandths.
+    pub is_partitioned: bool,
+    /// The rate of its clock, in thousandths.
     pub clock_per_mille: u64,
-    /// How fast it works, in thousandths of the usual speed.
+    /// Its speed, in thousandths of the typical speed.
     pub speed_per_mille: u64,
     pub fence: u64,
     pub lease_until_ms: u64,
-    /// Since when it has been leased without a gap, on the world's clock.
+    /// The start of its current lease without a gap, on the simulation's clock.
     leased_since_ms: u64,
     pub runs: BTreeMap<TaskKey, FakeRun>,
     pub ended: Vec<EndedRun>,
     pub next_end: u64,
-    /// When the listed ends were, on the world's clock.
+    /// When the listed ends occurred, on the simulation's clock, by the ends' numbers.
     ended_at_ms: BTreeMap<u64, u64>,
-    /// Until when the platform lists it though its life is over.
+    /// Until when the platform lists it after its incarnation is over.
     pub listed_until_ms: u64,
     pub is_draining: bool,
     pub departs_at_clock_ms: Option<u64>,
-    /// The highest run that stopped or ended here, by task.
+    /// The highest run of each task that stopped or ended here.
     pub tombstones: BTreeMap<TaskKey, u32>,
 }
 
@@ -79,7 +79,7 @@
         Self {
             id: Arc::from(id),
             incarnation: None,
-            entry_life_start: None,
+            entry_incarnation_start: None,
             clock_base_ms: CLOCK_BASE_MS,
             ignores_foreign_acks: false,
             address: Arc::from(format!("at {id}")),
@@ -88,9 +88,9 @@
             rack: None,
             capacity: Resources::new(4000, 4000, 0),
             full_capacity: Resources::new(4000, 4000, 0),
-            room_before: (Resources::ZERO, 0),
+            capacity_before_shrink: (Resources::ZERO, 0),
             is_alive: true,
-            is_cut: false,
+            is_partitioned: false,
             clock_per_mille,
             speed_per_mille: 1000,
             fence: 0,
@@ -110,7 +110,7 @@
     pub fn facts(&self) -> WorkerFacts {
         WorkerFacts {
             id: self.id.clone(),
-            incarnation: self.entry_life_start,
+            incarnation: self.entry_incarnation_start,
             address: self.address.clone(),
             service: self.service.clone(),
             machine: None,
@@ -123,25 +123,26 @@
         }
     }
 
-    /// Has it hold another amount at most.
+    /// Sets its full and its current capacity.
     pub fn set_capacity(&mut self, capacity: Resources) {
         self.full_capacity = capacity;
         self.capacity = capacity;
     }
 
-    /// Tells its start from now on, as workers do that may start again under their id.
-    pub fn tell_life_start(&mut self, wall_ms: u64) {
+    /// Sets its incarnation's start, and reports it from now on, as workers that keep their ids
+    /// do.
+    pub fn set_incarnation_start(&mut self, wall_ms: u64) {
         self.incarnation = Some(Incarnation::from_ms(wall_ms));
         self.write_entry();
     }
 
-    /// Has its entry say what holds now.
+    /// Updates its entry in the store.
     pub const fn write_entry(&mut self) {
-        self.entry_life_start = self.incarnation;
+        self.entry_incarnation_start = self.incarnation;
     }
 
-    /// Starts it again under its id: it knows nothing of before, and its clock and the
-    /// numbers of its ends begin anew. Its entry is written later.
+    /// Starts its next incarnation under the same id: it has no runs, and its clock and the
+    /// numbers of its ends start from the beginning. Its entry is updated later.
     pub fn restart(&mut self, wall_ms: u64, clock_base_ms: u64) {
         let fresh = Self::new(&self.id, self.clock_per_mille);
         let before = core::mem::replace(self, fresh);
@@ -150,18 +151,18 @@
         self.rack = before.rack;
         self.speed_per_mille = before.speed_per_mille;
         self.set_capacity(before.full_capacity);
-        self.entry_life_start = before.entry_life_start;
+        self.entry_incarnation_start = before.entry_incarnation_start;
         self.ignores_foreign_acks = before.ignores_foreign_acks;
         self.incarnation = Some(Incarnation::from_ms(wall_ms));
         self.clock_base_ms = clock_base_ms;
     }
 
-    /// Returns the adviser's ticket, which holds for this life only.
+    /// Returns the adviser's ticket, which is valid for this incarnation only.
     pub fn ticket(&self) -> Arc<str> {
         Arc::from(format!("ticket for {:?}", self.incarnation))
     }
 
-    /// Returns up to which end it forgets what it has been told to forget.
+    /// Returns the highest end that an acknowledgement of `last_seen` has it forget.
     pub fn forgotten_end(&self, last_seen: u64) -> u64 {
         let is_foreign = last_seen >= self.next_end;
         if is_foreign && self.ignores_foreign_acks {
@@ -171,9 +172,8 @@
         }
     }
 
-    /// Returns when an end was that is listed, and whether the lease has held
-    /// ever since.
-    pub fn end_told(&self, number: u64, now_ms: u64) -> (u64, bool) {
+    /// Returns when a listed end occurred, and whether the worker has been leased ever since.
+    pub fn end_time_and_lease(&self, number: u64, now_ms: u64) -> (u64, bool) {
         let ended_at_ms = self.ended_at_ms.get(&number).copied().unwrap_or(now_ms);
         let is_leased = self.clock_ms(now_ms) < self.lease_until_ms;
         (
@@ -182,23 +182,23 @@
         )
     }
 
-    /// Changes its room to a part of what it holds at most.
+    /// Sets its capacity to a part of its full one.
     pub fn resize(&mut self, now_ms: u64, per_mille: u32) {
         let part = |whole: u32| (u64::from(whole) * u64::from(per_mille) / 1000) as u32;
         let full = self.full_capacity;
-        let room = Resources::new(
+        let capacity = Resources::new(
             part(full.cores_milli),
             part(full.memory_mib),
             part(full.accelerators_count),
         );
-        self.room_before = (self.counted_room(now_ms), now_ms);
-        self.capacity = room;
+        self.capacity_before_shrink = (self.effective_capacity(now_ms), now_ms);
+        self.capacity = capacity;
     }
 
-    /// Returns the room that starts are judged by: one that shrank counts a while later.
-    pub fn counted_room(&self, now_ms: u64) -> Resources {
-        let (before, shrank_at_ms) = self.room_before;
-        if now_ms < shrank_at_ms + SHRUNK_ROOM_COUNTS_AFTER_MS {
+    /// Returns the capacity that starts are checked against: a reduction applies after a delay.
+    pub fn effective_capacity(&self, now_ms: u64) -> Resources {
+        let (before, shrank_at_ms) = self.capacity_before_shrink;
+        if now_ms < shrank_at_ms + SHRINK_EFFECTIVE_AFTER_MS {
             self.capacity.max(before)
         } else {
             self.capacity
@@ -209,25 +209,25 @@
         self.clock_base_ms + now_ms * self.clock_per_mille / 1000
     }
 
-    /// Ends what is due; returns the tasks whose runs ended by themselves.
+    /// Ends the runs that are due, or all of them once the lease has expired.
     pub fn advance(&mut self, now_ms: u64) {
         if !self.is_alive {
             return;
         }
-        let has_lapsed = self.clock_ms(now_ms) >= self.lease_until_ms;
+        let has_expired = self.clock_ms(now_ms) >= self.lease_until_ms;
         let due: Vec<TaskKey> = self
             .runs
             .iter()
-            .filter(|(_, run)| has_lapsed || run.ends_at_ms <= now_ms)
+            .filter(|(_, run)| has_expired || run.ends_at_ms <= now_ms)
             .map(|(task, _)| *task)
             .collect();
         for task in due {
             let ends_at_ms = self.runs[&task].ends_at_ms.min(now_ms);
-            let kind = match has_lapsed {
+            let kind = match has_expired {
                 true => EndKind::Lapsed,
                 false => self.runs[&task].kind,
             };
-            let at_ms = if has_lapsed { now_ms } else { ends_at_ms };
+            let at_ms = if has_expired { now_ms } else { ends_at_ms };
             self.end(at_ms, task, kind);
         }
     }
@@ -250,9 +250,9 @@
     }
 
     fn raise_fence(&mut self, fence: u64) -> bool {
-        let is_taken = fence >= self.fence;
+        let is_accepted = fence >= self.fence;
         self.fence = self.fence.max(fence);
-        is_taken
+        is_accepted
     }
 
     fn lease(&mut self, now_ms: u64, until_ms: u64, limit_ms: u64) {
@@ -264,7 +264,7 @@
         self.lease_until_ms = self.lease_until_ms.max(until_ms.min(most_ms));
     }
 
-    pub fn hold(
+    pub fn answer_poll(
         &mut self,
         now_ms: u64,
         fence: u64,
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Takes a start; the run is added by the caller, which checks the rules.
-    pub fn admits(&mut self, now_ms: u64, fence: u64, order: &StartOrder) -> StartReply {
+    /// Answers a start. The caller checks the rules and then adds the run.
+    pub fn admit_start(&mut self, now_ms: u64, fence: u64, order: &StartOrder) -> StartReply {
         if !self.raise_fence(fence) {
             return StartReply::Refused(RefusedStart::Fence);
         }
@@ -328,7 +328,7 @@
         StopReply::Stopping
     }
 
-    pub fn begin(&mut self, now_ms: u64, order: &StartOrder, run: FakeRun, limit_ms: u64) {
+    pub fn begin_run(&mut self, now_ms: u64, order: &StartOrder, run: FakeRun, limit_ms: u64) {
         self.lease(now_ms, order.until_ms, limit_ms);
         self.runs.insert(order.task, run);
     }
