--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -1,4 +1,5 @@
-//! Whether a job is refused at once, elapsed it would be worth nothing when it is done.
+//! Admission control: rejects a job at once where its result would be worthless by the time
+//! it completed.
 
 use crate::config::Configuration;
 use crate::deadline_selection::ResourceVector;
@@ -8,52 +9,52 @@
 use ospreywing_types::Duration;
 use serde::{Deserialize, Serialize};
 
-/// A forecast that is older tells nothing.
+/// Forecasts older than this are ignored.
 pub const FORECAST_AGE_LIMIT: Duration = Duration::from_ms(1000);
-/// The soonest that a caller is asked to come back, and the latest.
+/// Bounds of the retry delay that a rejected caller is given.
 const MIN_RETRY_AFTER: Duration = Duration::from_ms(500);
 const MAX_RETRY_AFTER: Duration = Duration::from_s(30);
-/// Callers come back within a time as long as this part of what they are asked to wait, in
-/// percent, and this time at least.
+/// Random part of the retry delay: up to this percentage of the delay, and at least up to
+/// `MIN_JITTER`.
 const JITTER_PERCENT: u64 = 50;
 const MIN_JITTER: Duration = Duration::from_ms(1000);
 
-/// When a job of a queue would be done at the best that is handed in now.
+/// The earliest completion of a job that is submitted to a queue now.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueueForecast {
-    /// The queue.
+    /// The name of the queue.
     pub queue: String,
-    /// It holds for jobs whose objective is as long or longer, in milliseconds.
+    /// Applies to jobs whose objective is at least this, in milliseconds.
     pub objective_ms: u64,
-    /// It holds for jobs that need as much or more, times milliseconds.
+    /// Applies to jobs that need at least this, as resources times milliseconds.
     pub work: ResourceVector,
-    /// When such a job would be done at the best, in milliseconds from when it was made.
+    /// The earliest completion of such a job, in milliseconds after the forecast was made.
     pub done_ms: u64,
 }
 
-/// What a leader tells of the queues of overloaded services.
+/// A leader's forecast for the queues of overloaded services.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Forecast {
-    /// How long ago it was made, in milliseconds.
+    /// The age of the forecast, in milliseconds.
     pub age_ms: u64,
-    /// The queues; nothing is known of others.
+    /// Forecasts by queue; queues that aren't listed have none.
     pub queues: Vec<QueueForecast>,
 }
 
-/// Why a job is refused.
+/// Why a job is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// When it would be done at the best, from now.
+    /// The time from now until the job would complete at the earliest.
     pub done_after: Duration,
-    /// When it would be worth nothing, from now.
+    /// The time from now after which the job's result is worthless.
     pub worthless_after: Duration,
     /// The age of the forecast.
     pub age: Duration,
 }
 
 impl Rejection {
-    /// Returns when the caller may come back: once there is room for such a job, and spread by
-    /// `draw`, a number that differs from caller to caller.
+    /// Returns the delay after which the caller should retry: when there is capacity for such
+    /// a job, plus a jitter from `draw`, a number that differs between callers.
     pub fn retry_after(&self, draw: u64) -> Duration {
         let wait = self.done_after.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER);
         let part_ms = wait.as_ms() * JITTER_PERCENT / 100;
@@ -63,8 +64,9 @@
 }
 
 impl Forecast {
-    /// Returns why a job is refused that is handed in `elapsed` after the forecast came, if it
-    /// is: only where it surely would not be done before it is worth nothing.
+    /// Returns why a job that is submitted `elapsed` after the forecast was received is
+    /// rejected, or `None` if it isn't. A job is rejected only if it can't complete before
+    /// its result is worthless.
     pub fn rejection(
         &self,
         record: &JobRecord,
@@ -92,7 +94,7 @@
     }
 }
 
-/// Returns what all tasks of a job need, times milliseconds.
+/// Returns the work of all tasks of a job, as resources times milliseconds.
 fn total_work(record: &JobRecord) -> ResourceVector {
     let mut work = ResourceVector::default();
     for step in &record.spec.steps {
--- a/crates/scheduler/src/customers.rs
+++ b/crates/scheduler/src/customers.rs
@@ -1,9 +1,9 @@
-//! Customers: what each may have running, and what it has.
+//! Customers: the limit of each, and what it uses of it.
 //!
-//! A customer's account holds the demand of all its runs that may be alive: recorded and
-//! not yet sent, on their way, running, being stopped, and those of silent workers until
-//! their leases are certainly over. The same table of runs keeps workers from being given
-//! more than they hold, so both accounts are as sure as each other.
+//! A customer's account contains the demand of all its runs that may be alive: recorded but
+//! not sent yet, in flight, running, being stopped, and those of unresponsive workers until
+//! their leases have certainly expired. The same table of runs keeps workers from being
+//! overcommitted, so both counts are equally reliable.
 
 use crate::job::{JobRecord, StepKey, StepSpec};
 use crate::limits::least_count;
@@ -15,20 +15,21 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A customer, as the operators have set it.
+/// A customer as configured by the operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Its name.
+    /// The name.
     pub name: Arc<str>,
-    /// The jobs a second that it may hand in and have served beside everybody else's.
+    /// The rate at which it may submit jobs that are served in the normal order; jobs beyond
+    /// it are served last. Also its weight in fair shares.
     pub jobs_per_s: f64,
-    /// What it may have running on all workers together; a part that is 0 has no limit.
+    /// The resources that all its runs together may use; 0 means no limit for that resource.
     pub limit: Resources,
 }
 
 impl Customer {
-    /// Returns the first step that can never run within the limit: a task that is larger
-    /// than it, or a gang whose members are.
+    /// Returns the first step that can never run within the limit, because a task or, in a
+    /// gang, all members together exceed it.
     pub fn impossible_step(&self, record: &JobRecord) -> Option<usize> {
         let limit = effective_limit(self.limit);
         let is_impossible = |step: &StepSpec| !min_demand(step).fits_in(&limit);
@@ -36,12 +37,12 @@
     }
 }
 
-/// Returns what a step must have running at once to get anywhere.
+/// Returns the demand of the tasks that a step must run at once to make progress.
 fn min_demand(step: &StepSpec) -> Resources {
     step.demand.times(least_count(step))
 }
 
-/// Returns a limit with the parts raised that have none.
+/// Returns the limit with each 0, which means no limit, replaced by the largest number.
 fn effective_limit(limit: Resources) -> Resources {
     let part = |limit: u32| if limit == 0 { u32::MAX } else { limit };
     Resources::new(
@@ -51,43 +52,43 @@
     )
 }
 
-/// What a customer has running and what it may have, for the log.
+/// A customer's usage and limit, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CustomerUsage {
-    /// Its name.
+    /// The name.
     pub name: Arc<str>,
-    /// What it has running.
+    /// The resources that its runs use.
     pub used: Resources,
-    /// What it may have; a part that is 0 has no limit.
+    /// The limit; 0 means no limit for that resource.
     pub limit: Resources,
 }
 
-/// A customer's account in one scheduler.
+/// The key of a customer's account within one scheduler.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CustomerKey(u32);
 entity_impl!(CustomerKey, "customer");
 
-/// What a run takes of its customer's limit.
+/// What a run uses of its customer's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Charge {
-    /// The customer; `None` where the job is nobody's.
+    /// The customer; `None` for a job of an open queue or an unknown job.
     pub(crate) customer: Option<CustomerKey>,
-    /// The service of whose room it takes a share; `None` where the job is not known.
+    /// The service of whose capacity it uses a share; `None` if the job isn't known.
     pub(crate) service: Option<ServiceKey>,
-    /// What it takes. Processors count for fillers too, which don't count against a
-    /// worker's room.
+    /// The amount. It includes the processors of fillers, which don't count against their
+    /// worker's capacity.
     pub(crate) amount: Resources,
 }
 
-/// What a customer has running, and what it may have.
+/// A customer's usage and limits.
 #[derive(Debug)]
 pub(crate) struct Account {
     pub(crate) name: Arc<str>,
-    /// The limit; a part that is 0 has none.
+    /// The limit; 0 means no limit for that resource.
     limit: Resources,
     pub(crate) used: Resources,
     rate: TokenBucket,
-    /// Its weight in shares of room, where it has one.
+    /// The weight in fair shares, if it has one.
     weight: Option<f64>,
 }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Returns the customer's use for the log.
+    /// Returns the usage and the limit for the log.
     pub(crate) fn to_usage(&self) -> CustomerUsage {
         CustomerUsage {
             name: self.name.clone(),
@@ -111,36 +112,34 @@
         }
     }
 
-    /// Returns its weight in shares of room, where it has one.
+    /// Returns the weight in fair shares, if it has one.
     pub(crate) const fn weight(&self) -> Option<f64> {
         self.weight
     }
 
-    /// Returns what may still be started. A limit that was lowered below what runs leaves
-    /// nothing.
+    /// Returns what may still be started: nothing if the limit was lowered below the usage.
     pub(crate) fn remaining(&self) -> Resources {
         self.remaining_beside(self.used)
     }
 
-    /// Returns what may still be started beside so much.
+    /// Returns what may be started if this much is used.
     pub(crate) fn remaining_beside(&self, used: Resources) -> Resources {
         effective_limit(self.limit) - used
     }
 
-    /// Returns whether what is in use is within the limit; it is not where the limit was
-    /// lowered.
+    /// Returns whether the usage is within the limit. It may exceed a limit that was lowered.
     pub(crate) fn is_within_limit(&self) -> bool {
         self.used.fits_in(&effective_limit(self.limit))
     }
 
-    /// Returns whether less than half of each part of the limit is in use.
+    /// Returns whether less than half of the limit of each resource is used.
     pub(crate) fn is_under_half(&self) -> bool {
         self.used.times(2).fits_in(&effective_limit(self.limit))
     }
 }
 
-/// All customers' accounts. One that the operators have removed keeps its last limit:
-/// what was accepted of it is still run.
+/// All customers' accounts. A customer that the operators have removed keeps its last limit,
+/// since its accepted jobs still run.
 #[derive(Debug, Default)]
 pub(crate) struct Accounts {
     accounts: PrimaryMap<CustomerKey, Account>,
@@ -148,7 +147,7 @@
 }
 
 impl Accounts {
-    /// Returns a customer's key, with an account of its own from then on.
+    /// Returns a customer's key; creates an account if there is none.
     pub(crate) fn key_or_insert(&mut self, name: &str) -> CustomerKey {
         if let Some(&key) = self.by_name.get(name) {
             return key;
@@ -159,7 +158,7 @@
         key
     }
 
-    /// Takes in what the operators have set.
+    /// Applies the configuration of customers.
     pub(crate) fn configure<'a>(&mut self, customers: impl Iterator<Item = &'a Customer>) {
         for customer in customers {
             let key = self.key_or_insert(&customer.name);
@@ -176,12 +175,12 @@
         &self.accounts[key]
     }
 
-    /// Returns the key of a customer that is known.
+    /// Returns a customer's key if it has an account.
     pub(crate) fn key_by_name(&self, name: &str) -> Option<CustomerKey> {
         self.by_name.get(name).copied()
     }
 
-    /// Returns the mean of the customers' weights, where any has one.
+    /// Returns the mean of the customers' weights, if any has one.
     pub(crate) fn mean_weight(&self) -> Option<f64> {
         let weights = self.accounts.values().filter_map(Account::weight);
         let (sum, count) = weights.fold((0.0, 0_u32), |(sum, count), it| (sum + it, count + 1));
@@ -200,21 +199,22 @@
         }
     }
 
-    /// Takes a run off.
+    /// Removes a run.
     pub(crate) fn refund(&mut self, charge: Charge) {
         if let Some(key) = charge.customer {
             self.accounts[key].used -= charge.amount;
         }
     }
 
-    /// Notes that a customer handed a job in; returns whether it is more than its share.
+    /// Records that a customer submitted a job; returns whether it exceeds the customer's
+    /// rate.
     pub(crate) fn record_job(&mut self, key: CustomerKey, accepted_at: Instant) -> bool {
         !self.accounts[key].rate.try_take(accepted_at)
     }
 }
 
 impl Scheduler {
-    /// Returns what a run of a step takes of its customer's limit.
+    /// Returns what a run of a step uses of its customer's limit.
     pub(crate) fn charge_of(&self, step: StepKey) -> Charge {
         let Some(job) = self.jobs.get(&step.job) else {
             return Charge::default();
--- a/crates/scheduler/src/deadline_selection.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -1,10 +1,11 @@
-//! Which of a service's jobs can be in time together, where its room is short.
+//! Selects the jobs of an overloaded service that can be on time together.
 //!
-//! Work that is served by its due times alone is all a little late once there is too much
-//! of it. So the jobs are gone through by their objectives, and as soon as those up to one
-//! of them don't fit the room until then, the largest among the least important of them is
-//! left out (Moore and Hodgson's rule for the fewest late jobs). The same is done once more
-//! with what is left out, by the times until which late jobs are worth something.
+//! Where there is more work than capacity, serving jobs by deadline alone makes all of them a
+//! little late. Instead, jobs are added in the order of their objectives; as soon as those
+//! added don't fit the capacity up to the current objective, the largest of the least
+//! important jobs is dropped (the Moore-Hodgson rule, which minimizes the number of late
+//! jobs). A second pass selects from the dropped jobs in the same way, by the time after
+//! which a late job's result is worthless.
 
 use crate::resource_totals::ResourceTotals;
 use ospreywing_types::{Duration, Resources};
@@ -14,26 +15,28 @@
 
 /// The kinds of resources: processors, memory, accelerators.
 const RESOURCE_KINDS_COUNT: usize = 3;
-/// The part of a service's room that work can use, in percent: room lies in pieces that
-/// not every task fits.
+/// Percentage of a service's capacity that work can use: free capacity is fragmented, and not
+/// every task fits the fragments.
 const USABLE_PERCENT: f64 = 90.0;
-/// A service is overloaded from this load on, in percent of the usable room.
+/// Load at which a service becomes overloaded, in percent of the usable capacity.
 pub const ENTER_LOAD_PERCENT: u64 = 100;
-/// It is so until its load is below this, so that the order does not change to and fro.
+/// Load below which a service is no longer overloaded, in percent. Lower than
+/// [`ENTER_LOAD_PERCENT`], so that the order of service doesn't flap.
 pub const LEAVE_LOAD_PERCENT: u64 = 70;
-/// Loads are told up to this.
+/// Upper bound of a reported load.
 const MAX_LOAD_PERCENT: f64 = 1000.0;
-/// What is late already should be done within this time, for a service not to be overloaded.
+/// Time within which jobs that are already late must fit, or the service counts as
+/// overloaded.
 const LATE_WORK_WINDOW: Duration = Duration::from_ms(1000);
-/// The lengths of runs are kept by powers of two of milliseconds, up to some days.
+/// Runs are counted by the power of two of their remaining milliseconds, up to some days.
 const DURATION_BUCKETS_COUNT: usize = 30;
 
-/// Amounts of resources, each times milliseconds, or as usage.
+/// An amount of each kind of resource, as a usage or times milliseconds (as work).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResourceVector([f64; RESOURCE_KINDS_COUNT]);
 
 impl ResourceVector {
-    /// Creates amounts from resources.
+    /// Creates a vector from the resources of one worker or task.
     pub fn of(resources: &Resources) -> Self {
         Self([
             f64::from(resources.cores_milli),
@@ -42,30 +45,31 @@
         ])
     }
 
-    /// Creates amounts from the room of many workers.
-    pub(crate) fn from_totals(room: &ResourceTotals) -> Self {
-        Self(room.parts().map(|part| part as f64))
+    /// Creates a vector from the resources of many workers.
+    pub(crate) fn from_totals(totals: &ResourceTotals) -> Self {
+        Self(totals.parts().map(|part| part as f64))
     }
 
-    /// Returns so many times the amounts.
+    /// Returns the vector multiplied by `factor`.
     pub fn times(self, factor: f64) -> Self {
         Self(self.0.map(|part| part * factor))
     }
 
-    /// Adds others to them.
+    /// Adds another vector.
     pub fn add(&mut self, other: Self) {
         for (part, more) in self.0.iter_mut().zip(other.0) {
             *part += more;
         }
     }
 
-    /// Returns whether each part is as much as another's or more, and any is more than nothing.
+    /// Returns whether no component is smaller than that of `other`, and the vector isn't
+    /// zero.
     pub fn covers(self, other: Self) -> bool {
         let mut parts = self.0.into_iter().zip(other.0);
         self != Self::default() && parts.all(|(part, least)| part >= least)
     }
 
-    /// Returns the smaller of both in each part.
+    /// Returns the component-wise minimum.
     pub fn min(self, other: Self) -> Self {
         let mut smaller = self;
         for (part, limit) in smaller.0.iter_mut().zip(other.0) {
@@ -83,16 +87,17 @@
         Self(self.0.map(|part| part.max(0.0)))
     }
 
-    fn is_within(self, room: Self) -> bool {
-        let mut parts = self.0.into_iter().zip(room.0);
-        parts.all(|(part, whole)| part <= whole)
+    fn is_within(self, limit: Self) -> bool {
+        let mut parts = self.0.into_iter().zip(limit.0);
+        parts.all(|(part, limit)| part <= limit)
     }
 
-    /// Returns the time until each part is there, where some is and more comes at a rate.
-    fn time_to_reach(self, there: Self, usage: Self) -> f64 {
-        let parts = self.0.into_iter().zip(there.0).zip(usage.0);
-        let times = parts.map(|((part, there), usage)| match part - there {
-            missing if missing > 0.0 => missing / usage,
+    /// Returns the time until every component is reached, starting with `available` and adding
+    /// `usage` per millisecond.
+    fn time_to_reach(self, available: Self, growth: Self) -> f64 {
+        let parts = self.0.into_iter().zip(available.0).zip(growth.0);
+        let times = parts.map(|((part, available), growth)| match part - available {
+            missing if missing > 0.0 => missing / growth,
             _ => 0.0,
         });
         times.fold(0.0, f64::max)
@@ -104,12 +109,12 @@
         }
     }
 
-    /// Returns the largest part that they are of a capacity.
+    /// Returns the dominant share: the largest fraction of `capacity` over all kinds.
     pub fn share_of(self, capacity: Self) -> f64 {
         self.dominant(capacity).0
     }
 
-    /// Returns the largest part that they are of a capacity, and its kind.
+    /// Returns the dominant share of `capacity` and the index of its kind.
     fn dominant(self, capacity: Self) -> (f64, usize) {
         let shares = self.0.into_iter().zip(capacity.0);
         let shares = shares.map(|(part, whole)| if part > 0.0 { part / whole } else { 0.0 });
@@ -120,28 +125,28 @@
     }
 }
 
-/// A run that takes room for a while.
+/// A run that occupies capacity for some time.
 #[derive(Clone, Copy, Debug)]
 pub struct OccupyingRun {
-    /// How important it is; 0 is most.
+    /// The priority of its queue; 0 is the most important.
     pub priority: u32,
-    /// What it takes.
+    /// The resources that it uses.
     pub usage: ResourceVector,
-    /// For how long it surely does.
+    /// The least time for which it still uses them.
     pub remaining: Duration,
 }
 
-/// What of a service's room is taken by what runs there, for how long.
+/// The capacity of a service that its runs occupy, by remaining time.
 #[derive(Clone, Debug, Default)]
 pub struct Occupancy {
-    /// What takes room, by the power of two of for how long.
+    /// Usage by the power of two of the remaining milliseconds.
     usage: [ResourceVector; DURATION_BUCKETS_COUNT],
-    /// The same, times the lengths.
+    /// Usage times remaining milliseconds, by the same buckets.
     work: [ResourceVector; DURATION_BUCKETS_COUNT],
 }
 
 impl Occupancy {
-    /// Adds what takes room for so long; `None` for what does not end by itself.
+    /// Adds a usage for a remaining time; `None` for a run that doesn't end by itself.
     pub fn add(&mut self, usage: ResourceVector, remaining: Option<Duration>) {
         let remaining = remaining.unwrap_or(Duration::from_ms(u64::MAX));
         let index = duration_bucket(remaining);
@@ -164,18 +169,18 @@
     }
 }
 
-/// An occupancy, summed up by lengths.
+/// An occupancy with sums over its buckets.
 #[derive(Clone, Debug, Default)]
 struct OccupancySums {
     occupancy: Occupancy,
-    /// What is over before each length, times the time that it takes.
+    /// Work of all runs in shorter buckets: these end before.
     finished_work: [ResourceVector; DURATION_BUCKETS_COUNT],
-    /// What takes longer than each length.
+    /// Usage of all runs in longer buckets.
     longer_usage: [ResourceVector; DURATION_BUCKETS_COUNT],
 }
 
 impl OccupancySums {
-    /// Returns what is taken within a time from now, in amounts times milliseconds.
+    /// Returns the work of the runs within `time` from now, as resources times milliseconds.
     fn within(&self, time: Duration) -> ResourceVector {
         let index = duration_bucket(time);
         let time_ms = time.as_ms() as f64;
@@ -193,49 +198,49 @@
     index.min(DURATION_BUCKETS_COUNT - 1)
 }
 
-/// A job that waits for room of a service.
+/// A job that waits for capacity of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingJob<K> {
-    /// Whose it is for the caller.
+    /// The caller's key of the job.
     pub key: K,
-    /// How unimportant it is; what is largest is left out first.
+    /// The priority; jobs with the largest number are dropped first.
     pub priority: u32,
-    /// What all of it that waits needs, times milliseconds.
+    /// The work of its waiting tasks, as resources times milliseconds.
     pub work: ResourceVector,
-    /// How long its longest chain still takes.
+    /// The remaining duration of its critical path, the longest chain of dependent steps.
     pub critical_path: Duration,
-    /// The time until its objective is over; `None` where it is over.
+    /// Time until its objective; `None` where that has passed.
     pub time_to_objective: Option<Duration>,
-    /// The time until it is worth nothing; `None` where that is over.
+    /// Time until its result is worthless; `None` where that has passed.
     pub time_to_worthless: Option<Duration>,
 }
 
-/// What is to become of a job while its service is overloaded.
+/// The outcome that is planned for a job while its service is overloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selection {
-    /// It is to be in time.
+    /// It completes within its objective.
     OnTime,
-    /// The same, also where all work that is late comes before it.
+    /// It completes within its objective even if all late work is served before it.
     OnTimeAfterLate,
-    /// It is to be late.
+    /// It completes after its objective, but before its result is worthless.
     Late,
-    /// It is to be later than it is worth anything.
+    /// It completes only after its result is worthless; it is served last.
     Last,
 }
 
-/// A contender, what is to become of it, and how much it needs.
+/// A waiting job and its selection.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectedJob<K> {
-    /// Whose it is for the caller.
+    /// The caller's key of the job.
     pub key: K,
-    /// What is to become of it.
+    /// The outcome that is planned.
     pub selection: Selection,
-    /// For how long it would take the whole service by the resource of which it needs the
-    /// largest part, in microseconds.
+    /// The time for which the job would need the whole service's capacity of its dominant
+    /// resource, in microseconds.
     pub size_us: u64,
 }
 
-/// The room of one service, and what wants it.
+/// The capacity of a service, its occupancy and the jobs that wait for it.
 #[derive(Clone, Debug)]
 pub struct ServiceLoad<K> {
     capacity: ResourceVector,
@@ -243,11 +248,12 @@
     waiting_jobs: Vec<WaitingJob<K>>,
 }
 
-/// A contender that is in time so far, by what is left out first.
+/// A job that is on time so far: priority, size in microseconds, time to its objective,
+/// index. The maximum is dropped first.
 type DropCandidate = (u32, u64, Reverse<Duration>, usize);
 
 impl<K: Copy> ServiceLoad<K> {
-    /// Creates the demand on a service that holds so much.
+    /// Creates the load of a service with this capacity and occupancy, without waiting jobs.
     pub fn new(capacity: ResourceVector, occupancy: Occupancy) -> Self {
         Self {
             capacity,
@@ -256,18 +262,18 @@
         }
     }
 
-    /// Adds a job that waits.
+    /// Adds a waiting job.
     pub fn push(&mut self, waiting_job: WaitingJob<K>) {
         self.waiting_jobs.push(waiting_job);
     }
 
-    /// Returns the jobs that wait, in the order in which they were selected.
+    /// Returns the waiting jobs, in the order of [`Self::select`]'s result.
     pub fn waiting_jobs(&self) -> &[WaitingJob<K>] {
         &self.waiting_jobs
     }
 
-    /// Returns when so much could be done at the best beside runs that end one after the
-    /// other, with all of the room; at most `latest`.
+    /// Returns the earliest time at which the work `needed` can be completed with all the
+    /// capacity that `runs`, sorted by remaining time, leave free; at most `latest`.
     pub fn earliest_completion<'a>(
         &self,
         runs: impl Iterator<Item = &'a OccupyingRun>,
@@ -277,25 +283,25 @@
         let runs: Vec<&OccupyingRun> = runs.collect();
         let mut free = self.capacity;
         runs.iter().for_each(|run| free.subtract(run.usage));
-        let mut room = ResourceVector::default();
+        let mut completed = ResourceVector::default();
         let mut from_ms = 0;
         for run in runs {
             let until_ms = run.remaining.as_ms();
             let more = free.at_least_zero().times((until_ms - from_ms) as f64);
-            if needed.is_within(room.plus(more)) {
+            if needed.is_within(completed.plus(more)) {
                 break;
             }
-            room = room.plus(more);
+            completed = completed.plus(more);
             free.add(run.usage);
             from_ms = until_ms;
         }
-        let rest_ms = needed.time_to_reach(room, free.at_least_zero());
+        let rest_ms = needed.time_to_reach(completed, free.at_least_zero());
         let done_ms = from_ms as f64 + rest_ms;
         Duration::from_ms(done_ms.min(latest.as_ms() as f64) as u64)
     }
 
-    /// Returns how much of the usable room is needed for all jobs, in percent, at the worst of
-    /// the objectives. What is late already is due within a second.
+    /// Returns the load in percent of the usable capacity: the largest over the objectives of
+    /// all jobs. Jobs that can't be on time are counted as due within [`LATE_WORK_WINDOW`].
     pub fn load_percent(&mut self) -> u64 {
         self.sort();
         let mut needed = ResourceVector::default();
@@ -311,7 +317,7 @@
         (worst * 100.0).min(MAX_LOAD_PERCENT) as u64
     }
 
-    /// Chooses which jobs are to be in time, and which to be late.
+    /// Selects the jobs that are to be on time, late or last.
     pub fn select(&mut self) -> Vec<SelectedJob<K>> {
         self.sort();
         let on_time = self.select_feasible(&vec![false; self.waiting_jobs.len()], |it| {
@@ -339,8 +345,8 @@
         selected
     }
 
-    /// Returns for each contender whether it is among those that can be done together within
-    /// their times beside those that are preselected already.
+    /// Returns for each job whether it is preselected, or selected to complete within its
+    /// time together with the preselected ones.
     fn select_feasible(
         &self,
         preselected: &[bool],
@@ -374,8 +380,8 @@
         is_selected
     }
 
-    /// Returns the contenders that can be done within their times, those that are preselected
-    /// already by their objectives, the soonest first.
+    /// Returns the jobs with their deadlines, earliest first: the objective for preselected
+    /// jobs, otherwise `time_of`, without jobs that have no such time.
     fn by_deadline(
         &self,
         preselected: &[bool],
@@ -423,7 +429,7 @@
         needed.dominant(usable).0 <= 1.0
     }
 
-    /// Returns what of the room is left for what waits until then.
+    /// Returns the work that fits the usable capacity within `time` beside the runs.
     fn usable(&self, time: Duration) -> ResourceVector {
         let mut usable = self.capacity.times(time.as_ms() as f64);
         usable.subtract(self.occupancy.within(time));
@@ -443,18 +449,19 @@
 }
 
 impl<K> WaitingJob<K> {
-    /// Returns whether its chain ends within its objective where it begins now.
+    /// Returns whether the critical path ends within the objective if it starts now.
     fn can_be_on_time(&self) -> bool {
         self.time_for_critical_path().is_some()
     }
 
-    /// Returns its time until the objective, where that is enough for its chain.
+    /// Returns the time to the objective, if that is long enough for the critical path.
     fn time_for_critical_path(&self) -> Option<Duration> {
         self.time_to_objective
             .filter(|remaining| self.critical_path <= *remaining)
     }
 
-    /// Returns its time until it is worth nothing, where that is enough for its chain.
+    /// Returns the time until the result is worthless, if that is long enough for the
+    /// critical path.
     fn worth_for_critical_path(&self) -> Option<Duration> {
         self.time_to_worthless
             .filter(|remaining| self.critical_path <= *remaining)
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -1,9 +1,9 @@
-//! What tasks really take, learned by queue and size of the estimate.
+//! Forecasts of task durations, learned by queue and by size of the estimate.
 //!
 //! A client's estimate is rough, and how rough it is differs between queues. For each queue,
-//! and for each power of two of the estimate, two sketches are kept: of the ratio of the
-//! length to the estimate, and of the length alone. A forecast weighs both by how little
-//! they scatter. It is given only where it has been nearer than the estimates themselves.
+//! and for each power of two of the estimate, two sketches are kept: one of the ratio of
+//! duration to estimate, one of the duration itself. A forecast combines both, weighted by
+//! their inverse variance. It is used only if past forecasts were closer than the estimates.
 
 use crate::handover::{LearnedQuantiles, LearnedSize};
 use core::cmp::Reverse;
@@ -13,88 +13,89 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// The least steps of a size that tell what the next one takes.
+/// Least number of steps in a size class for a forecast.
 const CLASS_MIN_STEPS_COUNT: u64 = 8;
-/// The same of a all_steps queue, where those of the size are too few.
+/// Least number of steps in a queue for a forecast, where the size class has too few.
 const QUEUE_MIN_STEPS_COUNT: u64 = 16;
-/// From so many steps of a window on, the quantiles are worked out for each eighth alone: one
-/// more hardly moves them.
+/// Once a window has this many steps, the quantiles are recomputed only for each
+/// `UPDATE_PERIOD_COUNT`th step, since a single step hardly changes them.
 const FREQUENT_UPDATE_LIMIT_COUNT: u64 = 64;
 const UPDATE_PERIOD_COUNT: u64 = 8;
-/// How long a sketch takes in steps before the next one begins; a forecast reads the last
-/// two. Long enough for some dozens of steps of a queue that gets one every few seconds.
+/// Duration of a window. A forecast reads the current and the previous one. This is long
+/// enough for some dozens of steps of a queue that gets one every few seconds.
 const WINDOW: Duration = Duration::from_s(120);
-/// What is older than this tells nothing: the queue's work may be of another kind by now.
+/// Sketches without a newer step than this are ignored: the queue's work may be different by
+/// now.
 const AGE_LIMIT: Duration = Duration::from_s(600);
-/// The sizes of all queues together: each takes some 5 KB.
+/// Largest number of size classes of all queues; each takes about 5 KB.
 const CLASSES_LIMIT_COUNT: usize = 1024;
-/// The sizes that are handed on to the next leader: some 20 KB.
+/// Largest number of size classes that are sent to the next leader; about 20 KB.
 const HANDOVER_LIMIT_COUNT: usize = 256;
-/// The longest that a task is forecast apart by its length.
+/// Durations are recorded up to this, about 37 hours.
 const MAX_DURATION_MS: u64 = 1 << 27;
-/// The largest ratio of length to estimate that is forecast apart, in thousandths.
+/// Ratios of duration to estimate are recorded up to this, in thousandths.
 const MAX_RATIO_MILLI: u64 = 64_000;
-/// One significant digit: values are forecast apart by 6%, estimates are off by far more.
+/// One significant digit gives a resolution of 6%; estimates are off by far more.
 const SIGNIFICANT_DIGITS_COUNT: u8 = 1;
-/// The parts of all steps that are shorter than `sure`, `likely` and `late`.
+/// The quantiles of the durations of steps that `sure`, `likely` and `late` are.
 const SURE_QUANTILE: f64 = 0.1;
 const LIKELY_QUANTILE: f64 = 0.5;
 const LATE_QUANTILE: f64 = 0.9;
-/// How many standard deviations `sure` and `late` are apart, for a logarithm that is spread
-/// like the normal distribution.
+/// The number of standard deviations between `sure` and `late` in a normal distribution.
 const STD_DEVS_BETWEEN_BOUNDS: f64 = 2.56;
-/// The quantiles that lie a standard deviation to either side of the median.
+/// The quantiles one standard deviation below and above the median.
 const STD_DEV_QUANTILES: [f64; 2] = [0.16, 0.84];
-/// The least spread that is forecast apart, as a logarithm: that of the sketches themselves.
+/// Least standard deviation of a logarithm that the resolution of the sketches can show.
 const MIN_LOG_STD_DEV: f64 = 0.05;
-/// What a new error weighs in the mean error of a queue.
+/// Least weight of a new error in a queue's mean error.
 const ERROR_GAIN: f64 = 0.05;
-/// The steps after which the mean errors of a queue are compared.
+/// Least number of steps before a queue's mean errors are compared.
 const MIN_ERRORS_COUNT: u64 = 8;
 
-/// What a step's tasks should take on a worker of usual speed.
+/// The expected duration of a step's tasks on a worker of typical speed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DurationForecast {
-    /// The time that is surely needed: one step in ten takes less.
+    /// The 0.1 quantile: one step in ten takes less.
     pub sure: Duration,
     /// The median.
     pub likely: Duration,
-    /// The time in which nine steps in ten are done.
+    /// The 0.9 quantile: one step in ten takes longer.
     pub late: Duration,
-    /// The steps from which this was learned.
+    /// The number of steps from which this was learned.
     pub count: u64,
-    /// The age of the newest of them.
+    /// The age of the newest of these steps.
     pub age: Duration,
 }
 
 impl DurationForecast {
-    /// Returns the standard deviation of the logarithm of what steps really take.
+    /// Returns the standard deviation of the logarithm of the actual durations.
     pub fn log_std_dev(&self) -> f64 {
         let ratio = self.late.as_ms().max(1) as f64 / self.sure.as_ms().max(1) as f64;
         ratio.ln() / STD_DEVS_BETWEEN_BOUNDS
     }
 }
 
-/// How far off forecasts and estimates were, each as a mean factor less 1 in percent.
+/// The mean errors of forecasts and estimates, each as a factor less 1, in percent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ForecastError {
-    /// That of the forecasts.
+    /// The error of the forecasts.
     pub forecast_percent: u64,
-    /// That of the clients' estimates.
+    /// The error of the clients' estimates.
     pub estimate_percent: u64,
 }
 
-/// Steps whose lengths are alike enough to be forecast together.
+/// The properties of a step by which its duration is forecast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepClass {
-    /// Whether they are gangs: the slowest member tells how long one takes.
+    /// Whether it is a gang, whose duration is that of its slowest member.
     pub is_gang: bool,
-    /// The client's estimate; zero without.
+    /// The client's estimate; zero if there is none.
     pub estimate: Duration,
 }
 
 impl StepClass {
-    /// Returns the power of two that the estimate lies above.
+    /// Returns the size class: the binary logarithm of the estimate in milliseconds, rounded
+    /// down.
     const fn size(self) -> u32 {
         match self.estimate.as_ms().checked_ilog2() {
             Some(size) => size,
@@ -103,7 +104,7 @@
     }
 }
 
-/// Quantiles of a sketch, as logarithms.
+/// The logarithms of a sketch's quantiles and their standard deviation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Quantiles {
     sure: f64,
@@ -134,7 +135,7 @@
     }
 }
 
-/// The sketch that takes in what comes, and the one before it.
+/// The histogram of the current window and that of the previous one.
 #[derive(Clone, Debug)]
 struct RotatingHistogram {
     current: Histogram<u32>,
@@ -159,7 +160,7 @@
 
     fn quantiles(&self) -> Quantiles {
         let mut both = self.current.clone();
-        // Both have the same bounds.
+        // This can't fail: both histograms have the same bounds.
         let _ = both.add(&self.previous);
         let ln_at = |quantile: f64| (both.value_at_quantile(quantile).max(1) as f64).ln();
         let [low, high] = STD_DEV_QUANTILES.map(ln_at);
@@ -172,7 +173,7 @@
     }
 }
 
-/// What is known of the steps of a queue, or of those of one size.
+/// The sketches of a queue's steps, or of those of one size class.
 #[derive(Clone, Debug)]
 struct ClassSketches {
     ratios: RotatingHistogram,
@@ -181,7 +182,8 @@
     last_at: Instant,
     ratio_quantiles: Quantiles,
     duration_quantiles: Quantiles,
-    /// The steps that an earlier leader's quantiles come from, while these count.
+    /// The number of steps behind the quantiles of an earlier leader; 0 once this leader's
+    /// own steps have replaced these.
     recovered_count: u64,
     has_recovered_ratios: bool,
 }
@@ -264,7 +266,7 @@
         Some(class)
     }
 
-    /// Returns the steps that the quantiles come from.
+    /// Returns the number of steps behind the quantiles.
     fn count(&self) -> u64 {
         self.lengths.count().max(self.recovered_count)
     }
@@ -326,7 +328,7 @@
         self.estimate += gain * (log_error(estimate, actual) - self.estimate);
     }
 
-    /// Returns whether forecasts have been farther off than estimates.
+    /// Returns whether forecasts were further off than estimates.
     fn is_worse(&self) -> bool {
         self.count >= MIN_ERRORS_COUNT && self.forecast > self.estimate
     }
@@ -337,7 +339,7 @@
     ratio.ln().abs()
 }
 
-/// Returns the class under a key; a new one where there is none.
+/// Returns the sketches for a key, creating them if there are none.
 fn class_entry<K: Ord>(
     classes: &mut BTreeMap<K, ClassSketches>,
     key: K,
@@ -349,12 +351,12 @@
     }
 }
 
-/// What is known of a queue's steps.
+/// The sketches of a queue's steps.
 #[derive(Clone, Debug, Default)]
 struct QueueSketches {
-    /// All steps, by whether they are gangs.
+    /// Sketches of all steps, by whether they are gangs.
     all_steps: BTreeMap<bool, ClassSketches>,
-    /// The same by size.
+    /// Sketches by whether the steps are gangs, and by size class.
     sizes: BTreeMap<(bool, u32), ClassSketches>,
     errors: MeanErrors,
     last_at: Instant,
@@ -365,7 +367,7 @@
         self.all_steps.len() + self.sizes.len()
     }
 
-    /// Returns a forecast whether or not those before were any good.
+    /// Returns a forecast, even if past forecasts were worse than the estimates.
     fn unchecked_forecast(&self, now: Instant, kind: StepClass) -> Option<DurationForecast> {
         let of_class_size = self.sizes.get(&(kind.is_gang, kind.size()));
         let of_class_size =
@@ -390,7 +392,7 @@
     }
 }
 
-/// What tasks take, by queue.
+/// The durations of tasks, by queue.
 #[derive(Clone, Debug, Default)]
 pub struct Durations {
     queues: HashMap<Arc<str>, QueueSketches>,
@@ -398,8 +400,8 @@
 }
 
 impl Durations {
-    /// Takes in what a step's tasks took on a worker of usual speed. A step counts once,
-    /// however many tasks it has: they share its estimate.
+    /// Records the duration of a step's tasks on a worker of typical speed. A step is
+    /// recorded once, however many tasks it has, since these share its estimate.
     pub fn record(&mut self, now: Instant, queue: &str, kind: StepClass, actual: Duration) {
         if !self.queues.contains_key(queue) {
             self.queues
@@ -416,8 +418,8 @@
         }
     }
 
-    /// Returns what a step's tasks should take; `None` where too little is known, or where
-    /// what was forecast before was farther off than the estimates.
+    /// Returns the expected duration of a step's tasks; `None` if too little is known, or if
+    /// past forecasts were further off than the estimates.
     pub fn forecast(&self, now: Instant, queue: &str, kind: StepClass) -> Option<DurationForecast> {
         let lengths = self.queues.get(queue)?;
         if lengths.errors.is_worse() {
@@ -426,8 +428,8 @@
         lengths.unchecked_forecast(now, kind)
     }
 
-    /// Returns what is known, in the form in which it is handed on; of the queues heard of
-    /// last, as far as the limit goes.
+    /// Returns what has been learned, for the next leader: the queues with the most recent
+    /// steps first, up to the limit.
     pub(crate) fn learned(&self, now: Instant) -> Vec<LearnedSize> {
         let mut queues: Vec<(&Arc<str>, &QueueSketches)> = self.queues.iter().collect();
         queues.sort_by_key(|(name, lengths)| (Reverse(lengths.last_at), *name));
@@ -447,7 +449,8 @@
         sizes
     }
 
-    /// Creates them from what an earlier leader has learned. What can't be is left out.
+    /// Creates the sketches from what an earlier leader has learned, without implausible
+    /// values.
     pub(crate) fn from_learned(now: Instant, sizes: &[LearnedSize]) -> Self {
         let mut durations = Self::default();
         for learned in sizes.iter().take(HANDOVER_LIMIT_COUNT) {
@@ -466,12 +469,12 @@
         durations
     }
 
-    /// Returns how many sizes of steps are kept.
+    /// Returns the number of size classes.
     pub fn classes_count(&self) -> usize {
         self.classes_count
     }
 
-    /// Returns the bytes that the sketches take.
+    /// Returns the size of the sketches in bytes.
     pub fn sketches_bytes(&self) -> usize {
         let cells_count = |sketch: &RotatingHistogram| {
             sketch.current.distinct_values() + sketch.previous.distinct_values()
@@ -482,7 +485,7 @@
         cells.sum::<usize>() * size_of::<u32>()
     }
 
-    /// Returns the mean errors over the queues that have forecasts.
+    /// Returns the mean errors of all queues that had forecasts.
     pub fn error(&self) -> ForecastError {
         let errors = self.queues.values().map(|it| it.errors);
         let errors: Vec<MeanErrors> = errors.filter(|errors| errors.count > 0).collect();
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -1,7 +1,7 @@
-//! How long tasks and runs should take.
+//! Expected durations of tasks and remaining times of runs and jobs.
 //!
-//! The nearest evidence counts: a run's own pace, then the tasks of its step that are done,
-//! then what steps of its queue took, then the client's estimate.
+//! The closest evidence is used: the progress of the run itself, then the finished tasks of
+//! its step, then the finished steps of its queue, then the client's estimate.
 
 use crate::durations::{DurationForecast, StepClass};
 use crate::job::{JobId, StepKey, StepSpec, TaskKey};
@@ -13,24 +13,25 @@
 use crate::worker::{Run, RunPhase, WorkerKey};
 use ospreywing_types::{Duration, Instant};
 
-/// How far tasks of one step lie from their median, in percent of it.
+/// Bounds of the durations of a step's tasks, in percent of their median.
 const STEP_SURE_PERCENT: u64 = 75;
 const STEP_LATE_PERCENT: u64 = 130;
-/// A run must have come so far since it began for its pace to tell when it ends.
+/// Least progress since the start for which a run's own progress predicts its end.
 const MIN_PROGRESS_PERCENT: u32 = 5;
-/// For how long before others' work is planned by it: progress is told in steps, and a run
-/// may have been listed just after one.
+/// Least time for which a run must have made progress before other work is planned by it:
+/// progress is reported in steps, and the run may have been listed just after one.
 const MIN_PROGRESS_TIME: Duration = Duration::from_ms(500);
-/// The part of an estimate that a run surely needs, in percent, where nothing else is known:
-/// a run that would have ended before its worker leaves is stopped for nothing.
+/// Percentage of an estimate that a run certainly needs, where nothing else is known. If this
+/// were too high, runs would be stopped that would have ended before their worker's
+/// departure.
 const DEPARTURE_MIN_PERCENT: u64 = 70;
 
-/// What a step's tasks take on a worker of usual speed, as far as that was learned.
+/// The learned duration of a step's tasks on a worker of typical speed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LearnedDuration {
     pub(crate) sure: Duration,
     pub(crate) likely: Duration,
-    /// The time in which nine of ten are done.
+    /// The 0.9 quantile.
     pub(crate) late: Duration,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl StepClass {
-    /// Returns the kind of a step.
+    /// Returns the class of a step.
     pub(crate) const fn of(spec: &StepSpec) -> Self {
         Self {
             is_gang: spec.is_gang,
@@ -55,7 +56,7 @@
 }
 
 impl Scheduler {
-    /// Returns how long a task of a queue's step should take on a worker of usual speed.
+    /// Returns the expected duration of a step's task on a worker of typical speed.
     pub(crate) fn expected_task_duration(&self, queue: &str, spec: &StepSpec) -> Duration {
         let estimate = Duration::from_ms(spec.estimate_ms);
         let learned = self.learned_queue_duration(queue, spec);
@@ -72,7 +73,8 @@
         Some(forecast.into())
     }
 
-    /// Returns what was learned of the tasks of a step.
+    /// Returns the learned duration of a step's tasks: from the step itself if possible,
+    /// otherwise from its queue.
     pub(crate) fn learned_task_duration(
         &self,
         queue: &str,
@@ -91,12 +93,12 @@
         self.learned_queue_duration(queue, spec)
     }
 
-    /// Returns a worker's speed, as a factor on the usual one.
+    /// Returns a worker's speed as a factor of the typical one.
     pub(crate) fn speed_of(&self, worker: WorkerKey) -> f64 {
         self.workers[worker].speed.factor
     }
 
-    /// Returns how long a run should still take; `None` where it does not end by itself.
+    /// Returns the expected remaining time of a run; `None` if it doesn't end by itself.
     pub(crate) fn remaining_time(&self, task: TaskKey, run: &Run) -> Option<Duration> {
         let job = self.jobs.get(&task.step.job)?;
         let spec = job.record.spec.steps.get(task.step.step as usize)?;
@@ -118,8 +120,8 @@
         Some(run.remaining_of(self.scaled_to_worker(task, duration)))
     }
 
-    /// Returns when a run ends at the earliest: by its pace where that is known, otherwise by
-    /// the least that is known of its step.
+    /// Returns the earliest time at which a run ends: by its own progress if that is known,
+    /// otherwise by the lower bound for its step.
     pub(crate) fn earliest_end(&self, task: TaskKey, spec: &StepSpec, run: &Run) -> Instant {
         let remaining = run.remaining_by_progress().unwrap_or_else(|| {
             let job = self.jobs.get(&task.step.job);
@@ -138,7 +140,7 @@
         run.listed_at + remaining
     }
 
-    /// Returns how long a task takes on the worker that it was given to.
+    /// Returns a duration as it is on the worker on which the task is placed.
     fn scaled_to_worker(&self, task: TaskKey, duration: Duration) -> Duration {
         match self.placements.get(&task) {
             Some(worker) if self.workers[*worker].speed.is_known() => {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Works out anew what is remaining of a job.
+    /// Updates the remaining time and the objective of a job.
     pub(crate) fn update_remaining(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Returns the time within which a job should be done: by what its steps that are done
-    /// took, by what the others should take.
+    /// Returns the time within which a job should complete: by the actual duration of its
+    /// finished steps and the expected duration of the others.
     fn learned_objective(&self, id: JobId, job: &Job) -> Duration {
         let record = &job.record;
         let length_ms = |number: usize| {
@@ -208,7 +210,7 @@
             let likely = learned[number].map(|duration| duration.likely.as_ms());
             likely.unwrap_or(steps[number].estimate_ms)
         };
-        // In hundredths, so that parts of estimates are not rounded one by one.
+        // In hundredths, so that the percentage isn't rounded for each step.
         let sure = |number: usize| {
             let sure = learned[number].map(|duration| duration.sure.as_ms() * 100);
             sure.unwrap_or(steps[number].estimate_ms * SURE_PERCENT)
@@ -220,7 +222,7 @@
     }
 }
 
-/// What is remaining of a round's longest chain.
+/// The remaining time of a round's critical path.
 struct RoundRemaining {
     remaining_ms: u64,
     min_remaining_ms: u64,
@@ -231,12 +233,12 @@
         100_u32.saturating_sub(self.progress_percent)
     }
 
-    /// Returns what is remaining of a duration.
+    /// Returns the remaining part of a duration.
     fn remaining_of(&self, duration: Duration) -> Duration {
         Duration::from_ms(duration.as_ms() * u64::from(self.remaining_percent()) / 100)
     }
 
-    /// Returns how long the run still takes by its own pace, where it has come far enough.
+    /// Returns the remaining time by the run's own progress, if it has made enough.
     pub(crate) fn remaining_by_progress(&self) -> Option<Duration> {
         let from = self.pace_from?;
         let done_percent = self.progress_percent.saturating_sub(from.percent);
@@ -250,7 +252,7 @@
         ))
     }
 
-    /// Returns the same where that pace has lasted.
+    /// Returns the same, if the run has made progress for long enough.
     pub(crate) fn remaining_by_steady_progress(&self) -> Option<Duration> {
         let spent = self.listed_at.since(self.pace_from?.at);
         let is_steady = spent >= MIN_PROGRESS_TIME;
--- a/crates/scheduler/src/features.rs
+++ b/crates/scheduler/src/features.rs
@@ -1,33 +1,33 @@
-//! Decisions under load that operators can switch off one by one, to measure what each is
-//! worth.
+//! Scheduling features that operators can switch off one by one, to measure the effect of
+//! each.
 
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A decision that can be switched off.
+/// A feature that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feature {
-    /// Customers' limits are used up by what runs alone; a gang that waits for its limit
-    /// reserves it, and short work passes.
+    /// Only runs use up customers' limits: a gang that waits for its customer's limit
+    /// reserves it, and short work is backfilled.
     Backfill,
-    /// Lengths of tasks and speeds of workers are learned.
+    /// The scheduler learns durations of tasks and speeds of workers.
     Learning,
-    /// Under overload, room goes first to what can still be in time, by its worth for the
-    /// room that it takes.
+    /// Under overload, jobs that can still be on time go first, selected so that the fewest
+    /// are late.
     OverloadOrder,
-    /// Room that is short is shared among customers by their dominant resources.
+    /// Scarce capacity is shared between customers by their dominant resources.
     FairShares,
-    /// Jobs that can't be done in time are refused at once.
+    /// Jobs that can't complete in time are rejected at once.
     Admission,
-    /// Tasks are packed by the resource that is scarcest.
+    /// Tasks are packed by the scarcest resource.
     Packing,
-    /// Candidates probe the leader, and evict one that is silent before its lease is over.
+    /// Candidates probe the leader, and evict an unresponsive one before its lease expires.
     LeaderProbes,
 }
 
-/// No feature has this name.
+/// The error for a name that isn't a feature's.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{0} is none of {names}", names = Feature::ALL.map(Feature::as_str).join(", "))]
+#[error("unknown feature {0}: expected one of {names}", names = Feature::ALL.map(Feature::as_str).join(", "))]
 pub struct UnknownFeature(String);
 
 impl Feature {
@@ -42,7 +42,7 @@
         Self::LeaderProbes,
     ];
 
-    /// Returns the name for settings.
+    /// Returns the name of the feature in settings.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Backfill => "backfill",
@@ -66,33 +66,33 @@
     }
 }
 
-/// The features that are on.
+/// The enabled features.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Features {
     bits: u8,
 }
 
 impl Default for Features {
-    /// Returns all of them.
+    /// Returns all features.
     fn default() -> Self {
         Self::all()
     }
 }
 
 impl Features {
-    /// Returns all of them.
+    /// Returns all features.
     pub const fn all() -> Self {
         Self { bits: u8::MAX }
     }
 
-    /// Returns the same without one.
+    /// Returns the features without one.
     pub const fn without(self, feature: Feature) -> Self {
         Self {
             bits: self.bits & !(1 << feature as u8),
         }
     }
 
-    /// Returns whether a feature is on.
+    /// Returns whether a feature is enabled.
     pub const fn has(self, feature: Feature) -> bool {
         self.bits & (1 << feature as u8) != 0
     }
--- a/crates/scheduler/src/forecast.rs
+++ b/crates/scheduler/src/forecast.rs
@@ -1,8 +1,9 @@
-//! When a job that is handed in now would be done at the best, by queue.
+//! Forecasts of the earliest completion of a job that is submitted now, by queue.
 //!
-//! A forecast is for those who refuse jobs, so it only counts what is sure: runs of work that
-//! is at smallest as important and can't be over yet, and waiting jobs that are more important,
-//! due sooner and to be in time. Of all estimates the part is counted that is surely needed.
+//! Nodes reject jobs by a forecast, so it counts only work that certainly delays the job:
+//! runs of queues that are at least as important and that can't have ended yet, and waiting
+//! jobs that are more important, have an earlier deadline and are selected to be on time. Of
+//! each estimate only the part is counted that is certainly needed.
 
 use crate::admission::{Forecast, QueueForecast};
 use crate::deadline_selection::{
@@ -15,30 +16,31 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The time between two forecasts: each goes over the runs of the overloaded services.
+/// Interval between forecasts: each one goes over all runs of the overloaded services.
 const FORECAST_PERIOD: Duration = Duration::from_ms(250);
-/// A new leader tells no forecast for so long: it has not heard of all runs. Nor is one told
-/// for so long after the store was in trouble, when jobs may be in it that nobody knows of.
+/// A new leader makes no forecast for this long, since it doesn't know all runs yet. The same
+/// holds after the store was degraded, since the store may then contain jobs that no node
+/// knows of.
 const SUSPENSION: Duration = Duration::from_s(5);
-/// The part of an estimate that is surely needed, in percent: estimates may be two and a half
-/// times too long.
+/// Percentage of an estimate that a task certainly needs: estimates may be 2.5 times too
+/// long.
 const MIN_DURATION_PERCENT: u64 = 40;
-/// The queues of a service that a forecast names, at most.
+/// Largest number of queues per service in a forecast.
 const QUEUES_LIMIT_COUNT: usize = 16;
-/// The latest time that is told.
+/// Upper bound of a forecast completion.
 const MAX_COMPLETION: Duration = Duration::from_s(600);
 
-/// The forecasts of the leader.
+/// The leader's current forecasts.
 #[derive(Debug, Default)]
 pub(crate) struct Forecasts {
     updated_at: Instant,
-    /// Until when none is told.
+    /// No forecast is made before this.
     suspended_until: Instant,
     queues: Vec<QueueForecast>,
 }
 
 impl Forecasts {
-    /// Creates those of a leader whose term begins.
+    /// Creates the forecasts of a leader whose term begins at `now`.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             suspended_until: now + SUSPENSION,
@@ -46,35 +48,35 @@
         }
     }
 
-    /// Notes that nothing is sure for a while.
+    /// Drops all forecasts and makes none for [`SUSPENSION`].
     pub(crate) fn suspend(&mut self, now: Instant) {
         self.suspended_until = now + SUSPENSION;
         self.queues.clear();
     }
 
-    /// Forgets all forecasts.
+    /// Drops all forecasts.
     pub(crate) fn clear(&mut self) {
         self.queues.clear();
     }
 
-    /// Returns how many queues have one.
+    /// Returns the number of queues that have a forecast.
     pub(crate) const fn len(&self) -> usize {
         self.queues.len()
     }
 
-    /// Returns whether new ones are to be made.
+    /// Returns whether new forecasts are due.
     pub(crate) fn are_due(&self, now: Instant) -> bool {
         now >= self.suspended_until && now >= self.updated_at + FORECAST_PERIOD
     }
 
-    /// Takes in new ones.
+    /// Replaces all forecasts.
     pub(crate) fn replace(&mut self, now: Instant, queues: Vec<QueueForecast>) {
         self.updated_at = now;
         self.queues = queues;
     }
 }
 
-/// The job of a queue that needs smallest, and when it would be worth nothing.
+/// The component-wise smallest work and the shortest objective of a queue's waiting jobs.
 #[derive(Clone, Copy, Debug)]
 struct SmallestJob {
     priority: u32,
@@ -83,7 +85,7 @@
 }
 
 impl Scheduler {
-    /// Returns the forecast that other nodes may use, where there is one.
+    /// Returns the forecast for other nodes, if there is one.
     pub fn forecast(&self, now: Instant) -> Option<Forecast> {
         let forecasts = &self.forecasts;
         (!forecasts.queues.is_empty()).then(|| Forecast {
@@ -92,7 +94,8 @@
         })
     }
 
-    /// Returns when each queue with waiting jobs of an overloaded service could do another.
+    /// Returns the earliest completion of another job in each queue of an overloaded service
+    /// that has waiting jobs.
     pub(crate) fn queue_forecasts(
         &self,
         now: Instant,
@@ -104,7 +107,7 @@
         let smallest = self.smallest_jobs(load);
         let forecasts = smallest.into_iter().take(QUEUES_LIMIT_COUNT);
         let forecasts = forecasts.map(|(queue, smallest)| {
-            // The runs of less important work may be stopped for it.
+            // Runs of less important queues may be preempted for the job.
             let occupying = runs.iter().filter(|run| run.priority <= smallest.priority);
             let waiting_jobs = load.waiting_jobs().iter().zip(selected);
             let ahead = waiting_jobs
@@ -127,7 +130,7 @@
         forecasts.collect()
     }
 
-    /// Returns the smallest job of each queue that has jobs waiting.
+    /// Returns the smallest job of each queue that has waiting jobs.
     fn smallest_jobs(&self, load: &ServiceLoad<JobId>) -> BTreeMap<&str, SmallestJob> {
         let mut smallest: BTreeMap<&str, SmallestJob> = BTreeMap::new();
         for waiting_job in load.waiting_jobs() {
@@ -156,7 +159,7 @@
         occupying
     }
 
-    /// Returns for how long a run surely takes room yet, if at all.
+    /// Returns for how long a run certainly occupies capacity, or `None` if that is unknown.
     fn blocking_run(&self, now: Instant, task: TaskKey, run: &Run) -> Option<OccupyingRun> {
         if !matches!(run.phase, RunPhase::Running { .. }) {
             return None;
@@ -181,8 +184,9 @@
     }
 }
 
-/// Returns whether a waiting job surely comes before one that is handed in now: of jobs that
-/// are as important the later may be chosen to be in time.
+/// Returns whether a waiting job is certainly served before one that is submitted now. Of
+/// jobs with the same priority the later one may be selected to be on time, so only more
+/// important ones count.
 fn is_ahead_of(waiting_job: &WaitingJob<JobId>, smallest: &SmallestJob) -> bool {
     let is_sooner = waiting_job
         .time_to_objective
--- a/crates/scheduler/src/interference.rs
+++ b/crates/scheduler/src/interference.rs
@@ -1,8 +1,7 @@
-//! Tasks that disturb one another: fillers are kept off workers on which a task
-//! serves users of its own.
+//! Interference between tasks: fillers are kept off workers on which a serving task runs.
 //!
-//! A filler takes what others leave unused, and by that slows the answers of a
-//! serving task, by an amount that nobody can tell beforehand.
+//! A filler uses resources that others leave unused, which increases the latency of a serving
+//! task by an unpredictable amount.
 
 use crate::event::Action;
 use crate::job::{StepSpec, TaskKey};
@@ -10,15 +9,15 @@
 use crate::worker::{RunPhase, Worker};
 use ospreywing_types::Instant;
 
-/// What a run does to its neighbours, or suffers from them.
+/// How a run interferes with others on its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum RunRole {
-    /// Neither.
+    /// It neither interferes nor suffers from fillers.
     #[default]
     Plain,
-    /// Its answers have a target that fillers may break.
+    /// It has a latency target, which fillers may make it miss.
     Serving,
-    /// It takes what others leave unused.
+    /// It uses only resources that others leave unused.
     Filler,
 }
 
@@ -36,18 +35,18 @@
 }
 
 impl Scheduler {
-    /// Stops fillers that run beside serving tasks, whether a serving task has
-    /// come or an earlier leader's stop did not arrive.
+    /// Stops fillers that run beside serving tasks: a serving task may have started there
+    /// since, or an earlier leader's stop may not have arrived.
     pub(crate) fn evict_fillers(&mut self, now: Instant, out: &mut Vec<Action>) {
         let shared = self.workers.values().filter(|worker| worker.is_shared());
-        let fillers: Vec<TaskKey> = shared.flat_map(working_fillers).collect();
+        let fillers: Vec<TaskKey> = shared.flat_map(active_fillers).collect();
         for task in fillers {
             self.stop_task(now, task, "evicted for a serving task", out);
         }
     }
 }
 
-fn working_fillers(worker: &Worker) -> impl Iterator<Item = TaskKey> + '_ {
+fn active_fillers(worker: &Worker) -> impl Iterator<Item = TaskKey> + '_ {
     let fillers = worker.runs.iter().filter(|(_, run)| {
         run.role == RunRole::Filler && !matches!(run.phase, RunPhase::Stopping { .. })
     });
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, steps and tasks as they were submitted.
+//! The definition of jobs, steps and tasks, as submitted and stored.
 
 use core::fmt;
 use core::str::FromStr;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The number of hexadecimal digits in a job's id.
+/// The number of hexadecimal digits of a job's id.
 const ID_DIGITS_COUNT: usize = 16;
 
 /// A job's id, chosen by its client.
@@ -15,9 +15,9 @@
 )]
 pub struct JobId(u64);
 
-/// The text is not a job's id.
+/// The error for a text that isn't a job's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a job's id has 16 lower-case hexadecimal digits")]
+#[error("a job's id must be 16 lower-case hexadecimal digits")]
 pub struct JobIdError;
 
 impl JobId {
@@ -52,14 +52,14 @@
     }
 }
 
-/// One step of one round of a job.
+/// A step in one round of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StepKey {
     /// The job.
     pub job: JobId,
     /// The round, from 0; always 0 without a schedule.
     pub round: u32,
-    /// The step, from 0.
+    /// The index of the step in the job, from 0.
     pub step: u32,
 }
 
@@ -70,12 +70,12 @@
     }
 }
 
-/// One task of a step.
+/// A task of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskKey {
     /// The step.
     pub step: StepKey,
-    /// The task's number in the step, from 0.
+    /// The index of the task in the step, from 0.
     pub index: u32,
 }
 
@@ -91,93 +91,94 @@
     }
 }
 
-/// What a step asks for.
+/// The definition of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
     /// The number of tasks.
     pub tasks_count: u32,
-    /// What each task needs.
+    /// The demand of each task.
     pub demand: Resources,
-    /// The client's rough guess of a task's time, in milliseconds; 0 without.
+    /// The client's estimate of a task's duration, in milliseconds; 0 if there is none.
     pub estimate_ms: u64,
-    /// Earlier steps that must have ended before.
+    /// The indices of the steps that must complete before this one; these precede it.
     pub depends_on: Vec<u32>,
     /// Whether the tasks save checkpoints.
     pub saves_progress: bool,
-    /// Whether the tasks work only together.
+    /// Whether the tasks are a gang, which works only if all of them run.
     pub is_gang: bool,
     /// Whether a gang is slower on more than one rack.
     pub is_same_rack: bool,
     /// The label that a worker must have.
     pub required_label: Option<String>,
-    /// The rack where the step's data lies.
+    /// The rack where the step's data is.
     pub data_rack: Option<String>,
-    /// How many of the step's tasks one worker may hold; 0 for any number.
+    /// The largest number of the step's tasks on one worker; 0 for no limit.
     pub per_worker_limit_count: u32,
     /// Whether copies of a task may run side by side.
     pub is_speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     pub is_perpetual: bool,
-    /// Whether the tasks take only what others leave unused.
+    /// Whether the tasks use only resources that others leave unused.
     pub is_filler: bool,
-    /// What the tasks run.
+    /// The image that the tasks run.
     pub image: Option<String>,
-    /// The bound on the tail of a serving task's answers; 0 without.
+    /// The target for the tail latency of a serving task, in milliseconds; 0 if there is
+    /// none.
     pub target_ms: u64,
-    /// How many tasks may be away at once by the scheduler's doing, where the
-    /// step has such a limit.
+    /// The number of tasks that the scheduler may have down at the same time, if the step has
+    /// such a limit.
     pub away_limit_count: u32,
 }
 
-/// When a job's steps run again.
+/// The rounds of a job whose steps run repeatedly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// How many times the steps run.
+    /// The number of rounds.
     pub rounds_count: u32,
-    /// When the first round is due, in milliseconds since 1970.
+    /// The time at which the first round is due, in milliseconds since 1970.
     pub first_due_ms: u64,
     /// The time between rounds, in milliseconds.
     pub interval_ms: u64,
 }
 
-/// What a client asks for.
+/// The definition of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The text that is handed to every task.
+    /// The text that is passed to every task.
     pub payload: String,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// When the steps run, where they run more than once or later.
+    /// The rounds, if the steps run repeatedly or at a later time.
     pub schedule: Option<Schedule>,
 }
 
-/// An accepted job as the store keeps it.
+/// An accepted job as it is stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The queue that took the job.
+    /// The queue to which the job was submitted.
     pub queue: String,
     /// The service of the queue when the job was accepted.
     pub service: String,
-    /// When the job was accepted, in milliseconds since 1970 on the clock of
-    /// the node that took it.
+    /// When the job was accepted, in milliseconds since 1970 by the clock of the node that
+    /// accepted it.
     pub accepted_ms: u64,
-    /// What the client asks for.
+    /// The definition of the job.
     pub spec: JobSpec,
-    /// The customer that handed the job in; `None` where the queue is open to everybody.
+    /// The customer that submitted the job; `None` for an open queue.
     pub customer: Option<String>,
 }
 
 impl JobRecord {
-    /// Returns whether whoever calls as `caller` may see and cancel the job.
+    /// Returns whether `caller` may see and cancel the job.
     pub fn is_open_to(&self, caller: Option<&str>) -> bool {
         is_open_to(self.customer.as_deref(), caller)
     }
 }
 
-/// Returns whether whoever calls as `caller` may see and cancel a job of `owner`.
+/// Returns whether `caller` may see and cancel a job of `owner`.
 ///
-/// A job that is nobody's was handed in on a queue that is open to everybody, or before
-/// customers were kept with jobs.
+/// A job without an owner was submitted to an open queue, or before records contained the
+/// customer.
 pub(crate) fn is_open_to(owner: Option<&str>, caller: Option<&str>) -> bool {
     owner.is_none_or(|owner| caller == Some(owner))
 }
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: taken, cancelled, brought to their outcome, forgotten.
+//! The lifecycle of jobs: acceptance, rounds, cancellation, completion and removal.
 
 use crate::commits::Effect;
 use crate::customers::CustomerKey;
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often a task may fail where the queue is no longer configured.
+/// How often a task may fail if the queue is no longer configured.
 const DEFAULT_ATTEMPTS_COUNT: u32 = 3;
 /// The priority of a queue that is no longer configured.
 const DEFAULT_PRIORITY: u32 = 9;
@@ -26,47 +26,50 @@
     pub(crate) record: Arc<JobRecord>,
     pub(crate) payload: Arc<str>,
     pub(crate) state: JobState,
-    /// Counts the changes of the state.
+    /// The number of changes of the state.
     pub(crate) version: u64,
     /// Whether the job waits to be committed.
     pub(crate) is_dirty: bool,
-    /// Whether an open transaction carries the job.
+    /// Whether a transaction in flight contains the job.
     pub(crate) is_in_flight: bool,
-    /// What waits for a version to be in the store.
+    /// Effects that take place once a version of the state is committed.
     pub(crate) effects: Vec<(u64, Effect)>,
     pub(crate) has_begun: bool,
-    /// The phase that is in the store.
+    /// The phase in the store.
     pub(crate) committed_phase: Phase,
     pub(crate) ended_at: Option<Instant>,
     pub(crate) rank: (u32, u64),
-    /// Whose job it is.
+    /// The customer that submitted it.
     pub(crate) customer: Option<CustomerKey>,
-    /// The service in whose accounts of shares it is open, or was.
+    /// The service in whose fair-share account the job is, or was last, open.
     pub(crate) service: Option<ServiceKey>,
-    /// Whether its customer had handed in more than its rate when it came.
+    /// Whether its customer exceeded its rate with this job.
     pub(crate) is_beyond_rate: bool,
-    /// Whether it was told that work of it is held back by its customer's limit.
+    /// Whether it has been logged that the customer's limit holds back some of its work.
     pub(crate) is_held_by_limit: bool,
-    /// What the tasks of steps took that are done, where that was learned.
+    /// The actual duration of the tasks of finished steps, where it was learned.
     pub(crate) done_lengths: BTreeMap<StepKey, Duration>,
-    /// The time within which the job should be done, by what its steps take.
+    /// The time from acceptance within which the job should complete, by the durations of its
+    /// steps.
     pub(crate) objective: Duration,
-    /// How long what is left of its longest chain should take, in milliseconds.
+    /// The expected remaining duration of its critical path, in milliseconds.
     pub(crate) remaining_ms: u64,
-    /// What of that is surely needed, in milliseconds.
+    /// The lower bound of the remaining duration of its critical path, in milliseconds.
     pub(crate) min_remaining_ms: u64,
     /// When the job was accepted, on this node's clock.
     pub(crate) accepted_at: Instant,
-    /// Until when its tasks that may have crashed a worker wait for one of their own.
+    /// Until when those of its tasks that may have crashed a worker wait for a worker of
+    /// their own.
     pub(crate) probation_until: Instant,
-    /// The runs of gangs that were stopped for a checkpoint, which is newer than what their
-    /// members tell that ended otherwise.
+    /// Runs of gangs that were stopped for a checkpoint. It is newer than the checkpoints
+    /// reported by members that ended otherwise.
     pub(crate) gang_stops: BTreeMap<StepKey, u32>,
-    /// The steps that may be started, where they have been worked out.
+    /// The steps that are ready to start, if cached.
     pub(crate) ready: Option<Vec<StepKey>>,
-    /// What the waiting tasks of these took together when its service counted them last.
+    /// The demand of the waiting tasks of ready steps, as last added to the fair-share
+    /// account.
     pub(crate) ready_demand: ResourceTotals,
-    /// What it needs, where that has been worked out.
+    /// The work and usage of its tasks, if cached.
     pub(crate) demand: Option<JobDemand>,
 }
 
@@ -106,8 +109,7 @@
         }
     }
 
-    /// Drops what is of no use once the job has its outcome and no run of it
-    /// can be alive.
+    /// Drops everything but the outcome, once no run of the job can be alive.
     pub(crate) fn retain_outcome_only(&mut self) {
         self.record = Arc::new(JobRecord {
             queue: self.record.queue.clone(),
@@ -121,14 +123,14 @@
         self.clear_derived();
     }
 
-    /// Forgets what was worked out from a state that has changed.
+    /// Clears the values that are derived from the state, which has changed.
     pub(crate) fn clear_derived(&mut self) {
         self.ready = None;
         self.demand = None;
     }
 
-    /// Returns whether the job has an objective that can be missed: no perpetual work, and no
-    /// rounds at set times.
+    /// Returns whether the job has an objective that it can miss: it has no perpetual work
+    /// and no scheduled rounds.
     pub(crate) fn has_objective(&self) -> bool {
         let spec = &self.record.spec;
         spec.schedule.is_none() && !spec.steps.iter().any(|step| step.is_perpetual)
@@ -139,7 +141,7 @@
         self.effects.iter().any(|(_, e)| *e == Effect::Forget)
     }
 
-    /// Returns the steps whose turn has come and that have a waiting task.
+    /// Returns the steps that have a waiting task and whose dependencies are done.
     pub(crate) fn ready_steps(&mut self, id: JobId) -> Vec<StepKey> {
         if let Some(ready) = &self.ready {
             return ready.clone();
@@ -154,13 +156,13 @@
         ready
     }
 
-    /// Returns what the waiting tasks take whose turn has come.
+    /// Returns the demand of the waiting tasks of all ready steps.
     pub(crate) fn current_ready_demand(&mut self, id: JobId) -> ResourceTotals {
         let ready = self.ready_steps(id);
         self.waiting_demand(&ready)
     }
 
-    /// Returns what the waiting tasks of steps take together.
+    /// Returns the demand of the waiting tasks of `steps`.
     pub(crate) fn waiting_demand(&self, steps: &[StepKey]) -> ResourceTotals {
         let mut room = ResourceTotals::default();
         for key in steps {
@@ -176,7 +178,7 @@
         room
     }
 
-    /// Returns whether a step's turn has come and it has a waiting task.
+    /// Returns whether any step is ready.
     pub(crate) fn has_ready_step(&mut self, id: JobId) -> bool {
         match &self.ready {
             Some(ready) => !ready.is_empty(),
@@ -184,8 +186,8 @@
         }
     }
 
-    /// Returns whether no run of a step's tasks can be alive and none is done, or the tasks
-    /// start one by one.
+    /// Returns whether all tasks of a gang are waiting; always true for other steps, whose
+    /// tasks start one by one.
     pub(crate) fn is_whole_step_waiting(&self, step: StepKey) -> bool {
         let spec = self.record.spec.steps.get(step.step as usize);
         if spec.is_none_or(|spec| !spec.is_gang) {
@@ -236,7 +238,7 @@
         self.insert_job(now, id, record, JobState::default());
     }
 
-    /// Adds a job to the tables, with its first round where that is due.
+    /// Adds a job to the tables; begins the first round if it is due.
     pub(crate) fn insert_job(
         &mut self,
         now: Instant,
@@ -286,7 +288,7 @@
         }
     }
 
-    /// Returns whether the job has rounds left to begin.
+    /// Returns whether the job has more rounds to begin.
     fn begin_due_rounds_of(&mut self, id: JobId, wall_ms: u64) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else {
             return false;
@@ -315,7 +317,7 @@
         self.end_job(now, id, Phase::Canceled, "cancelled", out);
     }
 
-    /// Brings a job to its outcome, once.
+    /// Ends a job with an outcome, unless it has one already.
     pub(crate) fn end_job(
         &mut self,
         now: Instant,
@@ -341,7 +343,7 @@
         self.unsettled.insert(id);
         self.touch(id, Some(Effect::Show(phase)));
         if phase != Phase::Complete {
-            // The other members of a gang that is done end by themselves.
+            // If a gang is done, its other members end by themselves.
             self.stop_job(now, id, out);
         }
         for step in self.steps_of(id) {
@@ -349,7 +351,7 @@
         }
         self.waits.forget_job(id);
         self.release_room_of(id);
-        // What it took or kept may be room for others now.
+        // The capacity that the job used or reserved may be free for others now.
         self.is_place_due = true;
     }
 
@@ -401,7 +403,7 @@
         !self.placed_tasks(id).is_empty()
     }
 
-    /// Ends the job where every round is done.
+    /// Ends the job if all rounds are done.
     pub(crate) fn complete_if_done(&mut self, now: Instant, id: JobId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -412,7 +414,7 @@
             .schedule
             .map_or(1, |schedule| schedule.rounds_count);
         let is_over = job.state.next_round >= rounds_count;
-        // The rounds of a finished job stay until its members have been heard of.
+        // The last round of a finished job stays until its members' ends have been reported.
         if job.state.rounds.len() > 1 {
             job.state.rounds.retain(|round| !round.is_done());
         }
@@ -421,7 +423,7 @@
         }
     }
 
-    /// Notes that a task of the job has begun.
+    /// Records that a task of the job has begun.
     pub(crate) fn mark_begun(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.has_begun = true;
@@ -435,7 +437,7 @@
         queue.map_or(DEFAULT_ATTEMPTS_COUNT, |queue| queue.attempts_limit_count)
     }
 
-    /// Removes jobs whose outcome has been kept long enough.
+    /// Queues the removal of jobs whose outcome has been kept for the retention time.
     pub(crate) fn remove_expired_jobs(&mut self, now: Instant) {
         let retention = self.config.retention;
         let is_old = |job: &Job| {
@@ -455,7 +457,7 @@
         }
     }
 
-    /// Returns the task's place in the job's state.
+    /// Returns a task's entry in its job's state.
     pub(crate) fn task_state_mut(&mut self, task: TaskKey) -> Option<&mut crate::state::TaskState> {
         let job = self.jobs.get_mut(&task.step.job)?;
         let round = job.state.round_mut(task.step.round)?;
@@ -463,7 +465,7 @@
         step.tasks.get_mut(task.index as usize)
     }
 
-    /// Stops a task's run, or takes it back where nothing was sent.
+    /// Stops a task's run, or unplaces the task if its start hasn't been sent.
     pub(crate) fn stop_task(
         &mut self,
         now: Instant,
@@ -481,7 +483,8 @@
         match run.phase {
             RunPhase::Recording => self.take_back(task),
             RunPhase::Stopping { .. } => {}
-            // Whether it is there is not known: it is stopped once it is listed.
+            // It isn't known whether the run is there; it is stopped once the worker lists
+            // it.
             RunPhase::Inherited => {}
             RunPhase::Starting | RunPhase::Running { .. } => {
                 run.phase = RunPhase::Stopping {
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -1,8 +1,9 @@
-//! What a leader learns while it leads: lengths of tasks, and speeds of machines.
+//! What a leader learns during its term: durations of tasks and speeds of machines.
 //!
-//! Only runs whose whole time was spent on the work and is known count: begun afresh by this
-//! leader, answered at once, beside the step's data, not disturbed by tasks that share their
-//! room, and ended well. A new leader learns anew; nothing of this is stored.
+//! Only runs count whose whole duration is known and was spent on the task's work: started
+//! from the beginning by this leader, with the first start order acknowledged, on the rack of
+//! the step's data, without tasks on the same worker that slow each other down, and
+//! successful. Nothing of this is stored.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::durations::{Durations, StepClass};
@@ -19,33 +20,33 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// An end may have been unknown for this part of a run's time at most: a third, as far as
-/// tasks of one step differ anyway.
+/// A run counts only if its duration is at least this many times the time for which its end
+/// may have been unknown: tasks of one step differ by a third anyway.
 const MIN_DURATION_PER_END_LAG: u64 = 3;
-/// The time between two looks at all workers' speeds.
+/// Interval between updates of all workers' speeds.
 const REFRESH_PERIOD: Duration = Duration::from_ms(1000);
-/// A run that takes twice what its step's tasks take, or what nearly all of its queue's do,
-/// tells of its machine before it ends, since on one that stands still it may never. It
-/// tells again each time that this has doubled, so that two such runs are enough.
+/// A run that takes twice its step's median, or twice its queue's 0.9 quantile, is a speed
+/// sample of its machine before it ends, since on a hung machine it may never end. It is a
+/// sample again each time that its duration has doubled, so that two such runs suffice.
 const OVERDUE_FACTOR: u64 = 2;
-/// The most doublings.
+/// Largest number of samples per overdue run.
 const OVERDUE_SAMPLES_LIMIT_COUNT: u32 = 6;
-/// How old the last word of such a run may be: a few renewals.
+/// An overdue run counts only if its worker listed it within this time, a few lease renewals.
 const OVERDUE_REPORT_AGE_LIMIT: Duration = Duration::from_ms(5000);
-/// Speeds of a service's workers are told apart only where the fastest and the slowest, but
-/// for a twentieth at either end, differ by this factor: less is how tasks of a step differ.
+/// Speeds of a service's workers are used only if the fastest and the slowest differ by this
+/// factor, without the outliers at either end: tasks of a step differ by less.
 const MIN_SPEED_RATIO: f64 = 1.25;
-/// The workers of which a speed must be known for that.
+/// Least number of workers whose speed must be known for that.
 const MIN_KNOWN_SPEEDS_COUNT: usize = 4;
-/// A twentieth at either end is left out.
+/// One in this many speeds is left out at either end.
 const TRIM_DIVISOR: usize = 20;
-/// A worker below this part of its service's median is slow: midway between the usual and
-/// one that takes 1.3 times as long.
+/// A worker below this factor of its service's median is slow: midway between a typical one
+/// and one that takes 1.3 times as long.
 const SLOW_BELOW_FACTOR: f64 = 0.87;
-/// One above this is fast.
+/// A worker above this factor is fast.
 const FAST_ABOVE_FACTOR: f64 = 1.25;
 
-/// How a worker's speed compares with its service's.
+/// A worker's speed compared with the median of its service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum SpeedClass {
     Slow,
@@ -54,18 +55,18 @@
     Fast,
 }
 
-/// What is estimated of a worker's speed.
+/// The estimated speed of a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkerSpeed {
-    /// As a factor on the usual one of its service.
+    /// The speed as a factor of the typical one of its service.
     pub(crate) factor: f64,
     pub(crate) class: SpeedClass,
-    /// Whether it comes last, since it is slow of late.
+    /// Whether it is placed on last, since it has been slow recently.
     pub(crate) is_ejected: bool,
 }
 
 impl WorkerSpeed {
-    /// Returns whether it is known to differ from the usual one.
+    /// Returns whether the speed is known to differ from the typical one.
     pub(crate) fn is_known(&self) -> bool {
         self.factor != TYPICAL_SPEED
     }
@@ -84,13 +85,13 @@
 /// The speeds of a service's workers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceSpeeds {
-    /// The lower end of them, as a factor on the median.
+    /// The lower end of the speeds, as a factor of the median.
     pub(crate) low_factor: f64,
     median: f64,
 }
 
 impl ServiceSpeeds {
-    /// Returns the speeds where enough are known and they differ.
+    /// Returns the service's speeds if enough are known and they differ.
     fn of(mut speeds: Vec<f64>) -> Option<Self> {
         if speeds.len() < MIN_KNOWN_SPEEDS_COUNT {
             return None;
@@ -126,16 +127,16 @@
 pub(crate) struct Learning {
     pub(crate) durations: Durations,
     pub(crate) speeds: Speeds,
-    /// The steps of which a task is done and others are not.
+    /// The steps that have some finished tasks and some unfinished ones.
     pub(crate) step_durations: HashMap<StepKey, StepDurations>,
     /// The services whose workers' speeds differ.
     pub(crate) services: HashMap<Arc<str>, ServiceSpeeds>,
-    /// When this was looked at last.
+    /// The time of the last update.
     pub(crate) now: Instant,
     next_refresh_at: Instant,
 }
 
-/// A run that has ended and tells what its step's tasks take.
+/// A finished run whose duration counts for its step.
 pub(crate) struct FinishedRun {
     step: StepKey,
     tasks_count: usize,
@@ -143,17 +144,20 @@
 }
 
 impl Worker {
-    /// Returns the machine that it is a life of, or its id where that is not told.
+    /// Returns the machine on which the worker runs, or the worker's id if the machine isn't
+    /// known.
     pub(crate) fn machine(&self) -> &Arc<str> {
         self.facts.machine.as_ref().unwrap_or(&self.facts.id)
     }
 
-    /// Returns whether a run tells what its step's tasks take: it has told nothing else.
+    /// Returns whether a run's duration counts for its step: it is a speed sample and hasn't
+    /// been one while it was overdue.
     fn is_duration_sample(&self, run: &Run, spec: &StepSpec) -> bool {
         run.overdue_count == 0 && self.is_speed_sample(run, spec)
     }
 
-    /// Returns whether a run's time is known and was spent on the whole work alone.
+    /// Returns whether a run's duration is known and was spent on the whole task,
+    /// undisturbed.
     fn is_speed_sample(&self, run: &Run, spec: &StepSpec) -> bool {
         let is_whole = run.checkpoint.is_none() && !spec.is_perpetual;
         let is_start_known = run.sends_count == 1 && run.answers_count == 1;
@@ -170,7 +174,7 @@
         self.config.features.has(Feature::Learning)
     }
 
-    /// Returns what a run that a worker lists as ended tells of lengths, where it does.
+    /// Returns the duration of a run that a worker lists as ended, if it counts for its step.
     pub(crate) fn finished_run(
         &self,
         now: Instant,
@@ -189,14 +193,14 @@
         let spec = job.record.spec.steps.get(end.task.step.step as usize)?;
         let round = job.state.round(end.task.step.round)?;
         let step = round.steps.get(end.task.step.step as usize)?;
-        // Of a gang the first member that ends tells of all.
+        // Only the first member of a gang that ends counts, for the whole gang.
         let is_counted = step.tasks.get(end.task.index as usize)?.status == TaskStatus::Done;
         let duration = now.since(run.begun_at?);
         let is_end_known = worker.end_lag.times(MIN_DURATION_PER_END_LAG) <= duration;
         if is_counted || !is_end_known || !worker.is_duration_sample(run, spec) {
             return None;
         }
-        // A gang is as slow as its slowest member, which is not told.
+        // A gang is as slow as its slowest member, which isn't known.
         let factor = if spec.is_gang {
             TYPICAL_SPEED
         } else {
@@ -215,7 +219,7 @@
         })
     }
 
-    /// Learns from a run that has ended.
+    /// Records a finished run.
     pub(crate) fn record_finished_run(&mut self, now: Instant, finished: FinishedRun) {
         self.learning.now = now;
         let new = || StepDurations::new(finished.tasks_count);
@@ -232,7 +236,7 @@
         }
     }
 
-    /// Learns from a step that is done.
+    /// Records a finished step.
     pub(crate) fn record_finished_step(&mut self, now: Instant, step: StepKey) {
         let Some(mut pace) = self.learning.step_durations.remove(&step) else {
             return;
@@ -249,7 +253,8 @@
             durations, speeds, ..
         } = &mut self.learning;
         let (queue, kind) = (&job.record.queue, StepClass::of(spec));
-        // Too few tasks to tell of one another are told by those of other jobs.
+        // Where the step has too few tasks to compare with each other, its tasks are compared
+        // with the forecast, which comes from other jobs.
         let forecast = durations.forecast(now, queue, kind);
         if let Some(forecast) = forecast.filter(|_| !spec.is_gang) {
             for task in pace.unsampled() {
@@ -277,7 +282,7 @@
         }
     }
 
-    /// Works out anew what is estimated of workers' speeds, now and then.
+    /// Updates the estimated speeds of workers, if that is due.
     pub(crate) fn refresh_speeds(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.learning.now = now;
         if !self.is_learning() || now < self.learning.next_refresh_at {
@@ -299,7 +304,7 @@
     }
 
     fn eject_slow(&mut self, now: Instant, workers: &[WorkerKey], out: &mut Vec<Action>) {
-        // A machine may be listed with two of its lives.
+        // A machine may be listed with two incarnations of its worker.
         let by_machine = workers
             .iter()
             .map(|key| (self.workers[*key].machine(), *key));
@@ -336,7 +341,7 @@
         };
     }
 
-    /// Learns from runs that take far longer than others.
+    /// Records speed samples of runs that take far longer than others.
     fn learn_from_overdue(&mut self, now: Instant) {
         let mut overdue = Vec::new();
         for (key, worker) in self.workers.iter().filter(|(_, it)| it.is_reachable) {
@@ -355,7 +360,8 @@
         }
     }
 
-    /// Returns the speed that a run tells of its machine, where it takes far too long.
+    /// Returns the speed of a run's machine as far as the run shows it, if the run is
+    /// overdue.
     fn overdue_speed(
         &self,
         now: Instant,
@@ -399,12 +405,12 @@
     }
 }
 
-/// Returns how many times a duration is another.
+/// Returns a duration divided by another.
 pub(crate) fn ratio(duration: Duration, other: Duration) -> f64 {
     duration.as_ms() as f64 / other.as_ms().max(1) as f64
 }
 
-/// Returns a duration by a factor.
+/// Returns a duration multiplied by a factor.
 pub(crate) fn scaled(duration: Duration, factor: f64) -> Duration {
     Duration::from_ms((duration.as_ms() as f64 * factor).round() as u64)
 }
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -1,4 +1,4 @@
-//! Which services are short of room, and what that makes of their jobs.
+//! Detects overloaded services and ranks their jobs.
 
 use crate::cycle::SchedulingCycle;
 use crate::deadline_selection::{
@@ -18,101 +18,99 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A service with less of its room in use than this part is not overloaded, whatever waits:
-/// what has room there is to start.
+/// A service whose used share of capacity is below this isn't overloaded, whatever waits:
+/// there is free capacity for what waits.
 const MIN_USED_SHARE: f64 = 0.5;
-/// The jobs for which the look for services that are short of room may take a millisecond of
-/// the time until the next, so that looks take a part of the leader's time that is bounded
-/// however many jobs wait. A job that comes in between has the place that it would have
-/// without.
+/// Jobs that are ranked per millisecond until the next ranking, which bounds the part of the
+/// leader's time that ranking takes, however many jobs wait. A job that arrives in between is
+/// ordered without a rank.
 const RANKED_JOBS_PER_MS: u64 = 25;
-/// How long a service counts as overloaded at least.
+/// Least time for which a service counts as overloaded.
 const MIN_OVERLOAD_TIME: Duration = Duration::from_ms(1000);
-/// A job whose objective has been over for so long has a turn before all others of its
-/// service, and again after as long; of several the one that was accepted first. Most callers
-/// have gone by then, but the job was accepted.
+/// A job that is this late goes first in its service for one turn, and again after each
+/// further period of this length; only the job that was accepted first has the turn. Most
+/// callers have given up by then, but the job was accepted.
 const AGED_AFTER: Duration = Duration::from_s(30);
-/// How long a turn is: a gang that never fits must not keep room from others for ever.
+/// Duration of a turn: a gang that never fits must not reserve capacity forever.
 const AGED_TURN: Duration = Duration::from_s(5);
-/// The part of a run's length that is remaining of it, taken over all that run.
+/// Average fraction of its duration that a run still takes.
 const REMAINING_FRACTION: f64 = 0.5;
 
-/// How long a chain is likely to take, in percent of its estimate: each of its steps is over
-/// with the longest of its tasks.
+/// Duration of a critical path in percent of its estimate: each step ends with its longest
+/// task.
 const CRITICAL_PATH_PERCENT: u64 = 130;
-/// How long a job's records and orders take besides its work.
+/// Time that committing a job's records and sending its orders adds to its work.
 const ORDER_OVERHEAD: Duration = Duration::from_ms(100);
 
-/// What is added to the priority of work beyond its customer's share, so that it is remaining out
-/// first: more than any queue's.
+/// Added to the priority number of jobs beyond their customer's rate, so that they are
+/// dropped first; larger than any queue's priority.
 const OVER_RATE_PRIORITY: u32 = 1 << 16;
 
-/// What a job needs besides what it has.
+/// The resources that a job uses and still needs.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct JobDemand {
-    /// What its waiting tasks need, times milliseconds.
+    /// Work of its waiting tasks, as resources times milliseconds.
     waiting: ResourceVector,
-    /// What its runs take.
+    /// Usage of its runs.
     running: ResourceVector,
-    /// For how long they do; `None` where they don't end by themselves.
+    /// The longest remaining time of its runs; `None` where one doesn't end by itself.
     running_remaining: Option<Duration>,
 }
 
-/// A service that is short of room.
+/// An overloaded service.
 #[derive(Clone, Debug)]
 struct Overload {
     service: Arc<str>,
     since: Instant,
 }
 
-/// The services that are short of room.
+/// The overloaded services.
 #[derive(Debug, Default)]
 pub(crate) struct Overloads {
     overloads: Vec<Overload>,
-    /// The places of their jobs, as they were last worked out.
+    /// The ranks of their jobs, as of the last ranking.
     ranks: OverloadRanks,
-    /// When they are worked out again.
+    /// The time of the next ranking.
     next_ranking_at: Instant,
 }
 
 impl Overloads {
-    /// Returns the places of the jobs of services that are short of room, where there are any.
+    /// Returns the ranks of the jobs of overloaded services.
     pub(crate) const fn ranks(&self) -> &OverloadRanks {
         &self.ranks
     }
 
-    /// Returns how many services are short of room.
+    /// Returns the number of overloaded services.
     pub(crate) const fn len(&self) -> usize {
         self.overloads.len()
     }
 }
 
-/// The place of a job of an overloaded service.
+/// The rank of a job of an overloaded service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OverloadRank {
     pub(crate) selection: Selection,
-    /// For how long it would take all of the service, in microseconds.
+    /// The time for which the job would need the whole service, in microseconds.
     pub(crate) size_us: u64,
-    /// Whether it has waited for so long that it comes first.
+    /// Whether it has waited so long that it goes first.
     pub(crate) is_aged: bool,
 }
 
-/// The places of the jobs of overloaded services.
+/// The ranks of the jobs of overloaded services.
 pub(crate) type OverloadRanks = HashMap<JobId, OverloadRank>;
 
-/// What is known of one service in a cycle.
+/// The jobs and the capacity of one service in a scheduling cycle.
 struct ServiceJobs {
     service: Arc<str>,
     capacity: ResourceVector,
     occupancy: Occupancy,
     waiting_jobs: Vec<WaitingJob<JobId>>,
-    /// The job that was accepted first of those that have waited too long.
+    /// The job accepted first among those whose turn it is for having waited too long.
     aged: Option<(Instant, JobId)>,
 }
 
 impl Scheduler {
-    /// Finds the services that are short of room and works out the places of their jobs, where
-    /// that is due.
+    /// Detects overloaded services and ranks their jobs, if a ranking is due.
     pub(crate) fn rank_overloaded(
         &mut self,
         now: Instant,
@@ -167,15 +165,15 @@
         ranks
     }
 
-    /// Notes that no service is short of room: nothing waits.
+    /// Ends all overloads, since nothing waits.
     pub(crate) fn end_overloads(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.end_overloads_except(now, &[], out);
         self.overloads.ranks.clear();
         self.forecasts.clear();
     }
 
-    /// Notes that none but these services are short of room, unless one was found to be a
-    /// short while ago: it would be told to and fro otherwise.
+    /// Ends the overloads of all services but those in `full`, unless they began a short
+    /// while ago: that keeps the log from flapping.
     fn end_overloads_except(&mut self, now: Instant, full: &[ServiceJobs], out: &mut Vec<Action>) {
         self.overloads.overloads.retain(|overload| {
             let is_full = full.iter().any(|it| it.service == overload.service);
@@ -187,7 +185,7 @@
         });
     }
 
-    /// Takes in a service's load; returns whether it is overloaded.
+    /// Updates whether a service is overloaded by its load, and returns it.
     fn update_overload(
         &mut self,
         now: Instant,
@@ -220,7 +218,8 @@
         is_overloaded
     }
 
-    /// Returns what waits and runs in each service whose room is mostly in use.
+    /// Returns the waiting jobs and runs of each service whose used share of capacity is
+    /// high.
     fn jobs_of_busy_services(
         &mut self,
         now: Instant,
@@ -260,7 +259,7 @@
         };
         let demand = job.demand.unwrap_or_else(|| self.job_demand(job));
         jobs.occupancy.add(demand.running, demand.running_remaining);
-        // What is held by its customer's limit could not use room.
+        // Work that its customer's limit holds back couldn't use free capacity.
         let is_candidate = job.has_objective() && !job.is_held_by_limit && demand.has_waiting();
         if is_candidate {
             jobs.waiting_jobs.push(waiting_job(now, id, job, demand));
--- a/crates/scheduler/src/resource_totals.rs
+++ b/crates/scheduler/src/resource_totals.rs
@@ -1,13 +1,12 @@
-//! Dominant shares: how much of a service's room work takes, by the resource of which it
-//! takes the largest part.
+//! Sums of resources over many workers or runs, and dominant shares of them.
 
 use ospreywing_types::Resources;
 
-/// A whole, in millionths.
+/// The whole, in millionths.
 pub(crate) const WHOLE_PPM: u64 = 1_000_000;
 
-/// The room of many workers, or the demand of many runs, which a worker's amounts would not
-/// hold.
+/// The capacity of many workers or the demand of many runs. The sums don't fit the integers
+/// of [`Resources`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ResourceTotals {
     pub(crate) cores_milli: u64,
@@ -21,7 +20,7 @@
         [self.cores_milli, self.memory_mib, self.accelerators_count]
     }
 
-    /// Adds so many times an amount.
+    /// Adds `amount` multiplied by `count`.
     pub(crate) fn add(&mut self, amount: &Resources, count: usize) {
         let count = count as u64;
         self.cores_milli += u64::from(amount.cores_milli) * count;
@@ -29,28 +28,28 @@
         self.accelerators_count += u64::from(amount.accelerators_count) * count;
     }
 
-    /// Adds other room.
+    /// Adds other totals.
     pub(crate) fn add_totals(&mut self, other: &Self) {
         self.cores_milli += other.cores_milli;
         self.memory_mib += other.memory_mib;
         self.accelerators_count += other.accelerators_count;
     }
 
-    /// Takes an amount off that was added before.
+    /// Subtracts an amount that was added before.
     pub(crate) fn remove(&mut self, amount: &Resources) {
         self.cores_milli -= u64::from(amount.cores_milli);
         self.memory_mib -= u64::from(amount.memory_mib);
         self.accelerators_count -= u64::from(amount.accelerators_count);
     }
 
-    /// Takes other room off that was added before.
+    /// Subtracts totals that were added before.
     pub(crate) fn subtract_totals(&mut self, other: &Self) {
         self.cores_milli -= other.cores_milli;
         self.memory_mib -= other.memory_mib;
         self.accelerators_count -= other.accelerators_count;
     }
 
-    /// Returns as much of this as `limit` has of each part.
+    /// Returns the component-wise minimum of these totals and `limit`.
     pub(crate) fn capped(&self, limit: &Resources) -> Self {
         Self {
             cores_milli: self.cores_milli.min(u64::from(limit.cores_milli)),
@@ -61,7 +60,7 @@
         }
     }
 
-    /// Returns how many tasks of a demand it would hold in one piece.
+    /// Returns how many tasks of a demand would fit if all of this were on one worker.
     pub(crate) fn fit_count(&self, demand: &Resources) -> u64 {
         let by = |free: u64, need: u32| free.checked_div(u64::from(need)).unwrap_or(u64::MAX);
         by(self.cores_milli, demand.cores_milli)
@@ -69,21 +68,21 @@
             .min(by(self.accelerators_count, demand.accelerators_count))
     }
 
-    /// Returns whether there is none of any part.
+    /// Returns whether all components are zero.
     pub(crate) fn is_zero(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Returns whether every part is at most as large as that of `room`.
-    pub(crate) const fn fits_in(&self, room: &Self) -> bool {
-        self.cores_milli <= room.cores_milli
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators_count <= room.accelerators_count
+    /// Returns whether no component is larger than that of `capacity`.
+    pub(crate) const fn fits_in(&self, capacity: &Self) -> bool {
+        self.cores_milli <= capacity.cores_milli
+            && self.memory_mib <= capacity.memory_mib
+            && self.accelerators_count <= capacity.accelerators_count
     }
 
-    /// Returns the part of `capacity` that this takes, of the resource of which it takes the
-    /// largest, in millionths. A resource that nobody has counts nothing: what needs it runs
-    /// nowhere.
+    /// Returns the dominant share of `capacity`: the largest fraction over all kinds of
+    /// resources, in millionths. A kind of which there is no capacity counts as 0, since
+    /// tasks that need it can't run.
     pub(crate) fn dominant_share_ppm(&self, capacity: &Self) -> u64 {
         let part = |need: u64, whole: u64| (need * WHOLE_PPM).checked_div(whole).unwrap_or(0);
         part(self.cores_milli, capacity.cores_milli)
--- a/crates/scheduler/src/share_accounts.rs
+++ b/crates/scheduler/src/share_accounts.rs
@@ -1,7 +1,7 @@
-//! The accounts of shares: a virtual clock for each service, and what customers have there.
+//! Fair-share accounts: a virtual clock per service, and what customers use there.
 //!
-//! Only customers with open jobs or runs have an account, so that there are no more than
-//! these.
+//! Only customers with open jobs or runs have an account, which bounds the number of
+//! accounts.
 
 use crate::customers::CustomerKey;
 use crate::resource_totals::{ResourceTotals, WHOLE_PPM};
@@ -11,45 +11,46 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// How far a tag may be ahead of the clock before its customer's work beyond its share comes
-/// after that of others. A judgement: callers come in waves of about a second.
+/// How far a tag may be ahead of the clock before the customer's work over its share comes
+/// after that of others; callers arrive in bursts of about a second.
 pub(crate) const LAG_SLACK: Duration = Duration::from_ms(1000);
-/// The time ahead for which starting work is weighed: work is beyond its customer's share
-/// where the customer's tag would be ahead by more than the slack after so long. With the
-/// slack, a customer that was within its share may have twice its share running.
+/// Work is over its customer's share if it would put the customer's tag ahead by more than
+/// [`LAG_SLACK`] after this time. With the slack, a customer that was within its share may
+/// use twice its share.
 const HORIZON: Duration = Duration::from_ms(1000);
-/// How far a tag is ahead at most: a customer that has nothing running is within its share
-/// again at once, whatever it had before.
+/// Upper bound of how far a tag is ahead: a customer without runs is within its share again
+/// at once, whatever it used before.
 const LAG_LIMIT: Duration = Duration::from_ms(LAG_SLACK.as_ms() + HORIZON.as_ms());
-/// A customer that has more than so much of its share running, and whose tag is ahead by the
-/// slack, gives way.
+/// Runs of a customer that uses more than this part of its share may be preempted, if its tag
+/// is ahead by the slack.
 const WELL_OVER_PPM: u64 = WHOLE_PPM * 3 / 2;
 /// Microseconds of virtual time in a millisecond.
 const US_PER_MS: u64 = 1000;
 
-/// A service in the accounts of shares.
+/// A service in the fair-share accounts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ServiceKey(u32);
 entity_impl!(ServiceKey, "service");
 
-/// Whose work it is: a customer's, or open queues', which have one account.
+/// The owner of an account: a customer, or `None` for the jobs of all open queues.
 pub(crate) type AccountOwner = Option<CustomerKey>;
 
-/// A time that only goes on, in microseconds of a customer's exact share.
+/// A virtual time in microseconds, which advances in real time for a customer that uses
+/// exactly its share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct VirtualTime {
     us: u64,
 }
 
 impl VirtualTime {
-    /// Goes on by the work of so many millionths of a share over a time.
+    /// Advances by a usage in millionths of a share over a time.
     fn advance(&mut self, share_ppm: u64, passed: Duration) {
         let us = passed.as_ms().saturating_mul(US_PER_MS) as f64;
         let us = us * share_ppm as f64 / WHOLE_PPM as f64;
         self.us = self.us.saturating_add(us as u64);
     }
 
-    /// Returns the same, so much later.
+    /// Returns the virtual time that is later by `length`.
     const fn after(self, length: Duration) -> Self {
         Self {
             us: self.us + length.as_ms() * US_PER_MS,
@@ -60,25 +61,25 @@
         self.us.saturating_sub(earlier.us)
     }
 
-    /// Returns the time since an earlier one.
+    /// Returns the time since an earlier virtual time.
     pub(crate) const fn since(self, earlier: Self) -> Duration {
         Duration::from_ms(self.us_since(earlier) / US_PER_MS)
     }
 }
 
-/// What a customer has in one service.
+/// A customer's account in one service.
 #[derive(Debug, Default)]
 pub(crate) struct ShareAccount {
     pub(crate) open_jobs_count: usize,
     running: ResourceTotals,
-    /// What is ready to start.
+    /// The demand of its tasks that are ready to start.
     pub(crate) ready_demand: ResourceTotals,
     tag: VirtualTime,
-    /// What it had running when work was last placed, in millionths of its share.
+    /// Its usage in the last scheduling cycle, in millionths of its share.
     pub(crate) share_ppm: u64,
-    /// What one millionth of the service's room is of its share, in millionths.
+    /// The service's capacity divided by the customer's share.
     scale: f64,
-    /// Whether it was told to be over its share, and when that was told or taken back.
+    /// Whether it was last logged as over its share, and the time of that log line.
     pub(crate) is_logged_over: bool,
     pub(crate) logged_at: Option<Instant>,
 }
@@ -88,19 +89,19 @@
         self.open_jobs_count == 0 && self.running.is_zero()
     }
 
-    /// Returns how far its tag is ahead of the clock.
+    /// Returns how far the tag is ahead of the clock.
     pub(crate) const fn lag(&self, clock: VirtualTime) -> Duration {
         self.tag.since(clock)
     }
 
-    /// Returns how much it may have running or asked for before its further work is beyond
-    /// its share, in millionths of that.
+    /// Returns how much the customer may use or request before further work is over its
+    /// share, in millionths of the share.
     pub(crate) fn allowed_ppm(&self, clock: VirtualTime) -> u64 {
         let left_us = clock.after(LAG_LIMIT).us_since(self.tag);
         left_us * WHOLE_PPM / (HORIZON.as_ms() * US_PER_MS)
     }
 
-    /// Returns what an amount is of its share, in millionths.
+    /// Returns an amount in millionths of the customer's share.
     pub(crate) fn share_of(&self, amount: &ResourceTotals, capacity: &ResourceTotals) -> u64 {
         (amount.dominant_share_ppm(capacity) as f64 * self.scale) as u64
     }
@@ -113,12 +114,12 @@
     pub(crate) clock: VirtualTime,
     advanced_at: Instant,
     pub(crate) capacity: ResourceTotals,
-    /// Whether what was ready did not fit the free room when work was last placed.
+    /// Whether the ready demand exceeded the free capacity in the last scheduling cycle.
     pub(crate) is_short: bool,
     pub(crate) accounts: BTreeMap<AccountOwner, ShareAccount>,
-    /// The customer that is furthest over its share, where one is well over it.
+    /// The customer that is most over its share, if one is well over it.
     pub(crate) most_over_share: Option<AccountOwner>,
-    /// When room was last sought among its runs.
+    /// The time of the last search for runs to preempt.
     pub(crate) last_search_at: Option<Instant>,
 }
 
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Returns whether what is ready does not fit a room, of each customer as much as may
-    /// still start of it.
+    /// Returns whether the ready demand exceeds the free capacity; the demand of each
+    /// customer counts up to its remaining limit.
     pub(crate) fn ready_demand_exceeds(
         &self,
         free: &ResourceTotals,
@@ -150,7 +151,7 @@
         !ready_demand.fits_in(free)
     }
 
-    /// Returns a customer's account, which begins at the clock.
+    /// Returns a customer's account; a new one's tag starts at the clock.
     fn account(&mut self, owner: AccountOwner) -> &mut ShareAccount {
         let tag = self.clock;
         let account = self.accounts.entry(owner);
@@ -160,14 +161,14 @@
         })
     }
 
-    fn drop_if_unused(&mut self, owner: AccountOwner) {
+    fn remove_if_unused(&mut self, owner: AccountOwner) {
         let account = self.accounts.get(&owner);
         if account.is_some_and(ShareAccount::is_unused) {
             self.accounts.remove(&owner);
         }
     }
 
-    /// Lets the clock and the tags go on.
+    /// Advances the clock and the tags.
     pub(crate) fn advance(&mut self, now: Instant) {
         let passed = now.since(self.advanced_at);
         self.advanced_at = self.advanced_at.max(now);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Works out what each customer has running of its share.
+    /// Recomputes each customer's usage of its share.
     pub(crate) fn update_shares(&mut self, weight_of: impl Fn(AccountOwner) -> f64) {
         let weights = self.accounts.keys().map(|owner| weight_of(*owner));
         let sum: f64 = weights.sum();
@@ -205,14 +206,14 @@
     }
 }
 
-/// How customers stand to their shares, for metrics.
+/// A summary of all accounts, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ShareSummary {
     pub(crate) beyond_count: usize,
     pub(crate) largest_lag: Duration,
 }
 
-/// The accounts of shares in all services.
+/// The fair-share accounts of all services.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     pub(crate) services: PrimaryMap<ServiceKey, ServiceShares>,
@@ -237,10 +238,10 @@
     pub(crate) fn close_job(&mut self, service: ServiceKey, owner: AccountOwner) {
         let service = &mut self.services[service];
         service.account(owner).open_jobs_count -= 1;
-        service.drop_if_unused(owner);
+        service.remove_if_unused(owner);
     }
 
-    /// Counts anew what a job asks for in a service.
+    /// Replaces a job's ready demand in its customer's account.
     pub(crate) fn replace_ready_demand(
         &mut self,
         service: ServiceKey,
@@ -253,7 +254,7 @@
         account.ready_demand.add_totals(after);
     }
 
-    /// Notes that nothing asks for room.
+    /// Marks all services as not short of capacity, since no job waits for any.
     pub(crate) fn mark_none_short(&mut self, now: Instant) {
         for service in self.services.values_mut().filter(|it| it.is_short) {
             service.advance(now);
@@ -270,17 +271,17 @@
         }
     }
 
-    /// Takes a run off.
+    /// Removes a run.
     pub(crate) fn refund(&mut self, run: &Run) {
         if let Some(service) = run.charge.service {
             let owner = run.charge.customer;
             let service = &mut self.services[service];
             service.account(owner).running.remove(&run.demand);
-            service.drop_if_unused(owner);
+            service.remove_if_unused(owner);
         }
     }
 
-    /// Returns how customers stand.
+    /// Returns a summary of all accounts.
     pub(crate) fn summary(&self) -> ShareSummary {
         let mut summary = ShareSummary::default();
         for service in self.services.values() {
@@ -293,8 +294,8 @@
         summary
     }
 
-    /// Returns the accounts that hold something else than `counted` does, and those whose
-    /// tags are behind the clock, or further ahead than any may be.
+    /// Returns the service of an account that differs from `counted`, or whose tag is further
+    /// ahead of the clock than the limit.
     pub(crate) fn miscounted(
         &self,
         counted: &BTreeMap<(ServiceKey, AccountOwner), CountedShare>,
@@ -319,7 +320,7 @@
     }
 }
 
-/// What a customer has in one service, counted anew.
+/// A customer's use of one service, recomputed for verification.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CountedShare {
     pub(crate) open_jobs_count: usize,
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -1,17 +1,18 @@
-//! Fair shares of a service's room among customers.
+//! Fair sharing of a service's capacity between customers.
 //!
-//! Each service has a virtual clock, and each customer with work there a tag on it. The
-//! clock runs at the pace at which a customer's tag does that has exactly its share running:
-//! its weight's part of the service's room, by dominant resource, among the customers that
-//! have open jobs there. A customer that has twice its share running is a second further on
-//! after each second. The tag of one that has less running goes with the clock, so that
-//! nobody saves credit up, and nobody's tag is ahead by more than its limit.
+//! Each service has a virtual clock, and each customer with work in the service has a tag.
+//! The clock advances in real time. A customer's fair share is the part of the service's
+//! capacity, by dominant resource, that its weight has of the weights of all customers with
+//! open jobs there. The tag of a customer that uses exactly its share advances as fast as the
+//! clock; that of a customer that uses twice its share gains a second on the clock in each
+//! second. The tag of a customer that uses less moves with the clock, so that nobody
+//! accumulates credit, and no tag gets further ahead of the clock than a limit.
 //!
-//! Tags only go ahead while the service is short of room: what nobody else asked for is not
-//! owed. Neither do the order of service and preemption look at shares otherwise.
+//! Tags get ahead only while the service is short of capacity: what nobody else needed isn't
+//! charged. Otherwise shares affect neither the order of service nor preemption.
 //!
-//! What is running, what waits and whose it is follow from the store's records. A new leader
-//! only does not know the tags, which begin at the clock: it is off by that limit at most.
+//! What runs, what waits and to whom it belongs follows from the store's records. A new
+//! leader lacks only the tags, which start at the clock; they are wrong by at most the limit.
 
 use crate::cycle::SchedulingCycle;
 use crate::decision::{Decision, DecisionKind};
@@ -26,41 +27,41 @@
 use ospreywing_types::{Duration, Instant, Resources};
 use std::collections::HashMap;
 
-/// The steps, in parts of a customer's share, by which work beyond shares is ordered: finer
-/// steps would order it by chance in place of urgency.
+/// Granularity, as a part of a customer's share, by which work over its share is ordered:
+/// with a finer one, chance would decide instead of urgency.
 const EXCESS_STEP_PPM: u64 = WHOLE_PPM / 4;
-/// A customer's tag is told as back within its share once it is ahead by less than this, so
-/// that one at the threshold is not told of all the time.
+/// A customer is logged as within its share again once its tag is ahead by less than this, so
+/// that one near the threshold isn't logged all the time.
 const LAG_WITHIN_SHARE: Duration = Duration::from_ms(500);
-/// The least time between two log lines on one customer in one service.
+/// Least interval between log lines for one customer in one service.
 const LOG_PERIOD: Duration = Duration::from_ms(10_000);
-/// A customer that has less than this part of its share running is well under it: others'
-/// work may be stopped for what it would miss.
+/// A customer that uses less than this part of its share is well under it: runs of others may
+/// be preempted for its jobs that would miss their objective.
 const WELL_UNDER_PPM: u64 = WHOLE_PPM / 2;
-/// A job that must start within this time would miss its objective: a stop, its end in the
-/// store and the start that follows take about as long.
+/// A job that must start within this time would miss its objective: to stop a run, commit its
+/// end and start the next one takes about as long.
 const MISS_SLACK: Duration = Duration::from_ms(1000);
-/// The time between two searches for runs that give way in a service.
+/// Interval between searches for runs to preempt in a service.
 const SEARCH_PERIOD: Duration = Duration::from_ms(100);
-/// What open queues' jobs may have running.
+/// The limit of jobs in open queues.
 const NO_LIMIT: Resources = Resources::new(u32::MAX, u32::MAX, u32::MAX);
-/// The weight of open queues' jobs where no customer has one.
+/// The weight of the open queues' jobs if no customer has a weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// A job's place by its customer's share; the smallest is served first.
+/// A job's rank by its customer's share; the lowest is served first.
 ///
-/// Nothing is owed for jobs beyond their customer's rate, so that they come last; and among
-/// the others, those beyond its share of room.
+/// Jobs beyond their customer's rate have no claim to a share and come last. Among the
+/// others, those over their customer's share of capacity come last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ShareRank {
     is_beyond_rate: bool,
-    /// By how many steps it is beyond its customer's share of room that is short; 0 where it
-    /// is within it.
+    /// By how many steps the job is over its customer's share of a service that is short of
+    /// capacity; 0 if it is within the share.
     excess_steps_count: u64,
 }
 
 impl ShareRank {
-    /// Returns the rank of a job where no room is short.
+    /// Returns the rank of a job in a service that isn't short of capacity.
     pub(crate) const fn of_job(job: &Job) -> Self {
         Self {
             is_beyond_rate: job.is_beyond_rate,
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Returns the same for a job before which its customer has so much running or asked for,
-    /// in millionths of its share, where so much is allowed.
+    /// Returns the rank of a job whose customer already uses or has requested `used_ppm`
+    /// millionths of its share and is allowed `allowed_ppm`.
     const fn with_excess(mut self, used_ppm: u64, allowed_ppm: u64) -> Self {
         let excess_ppm = used_ppm.saturating_sub(allowed_ppm);
         self.excess_steps_count = excess_ppm.div_ceil(EXCESS_STEP_PPM);
@@ -77,30 +78,30 @@
     }
 }
 
-/// What a customer has of a service's room, for operators.
+/// A customer's use of a service's capacity, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShareView {
     /// How far the customer's tag is ahead of the service's clock.
     pub lag: Duration,
-    /// What it had running when work was last placed, in thousandths of its share.
+    /// Its usage in the last scheduling cycle, in thousandths of its share.
     pub share_per_mille: u64,
-    /// Its open jobs.
+    /// The number of its open jobs.
     pub open_jobs_count: usize,
     /// The service's virtual time.
     pub virtual_time: Duration,
-    /// Whether the service was short of room.
+    /// Whether the service was short of capacity.
     pub is_short: bool,
 }
 
 impl Scheduler {
-    /// Returns whether room that is short is shared by customers' weights.
+    /// Returns whether scarce capacity is shared by the customers' weights.
     pub(crate) fn has_fair_shares(&self) -> bool {
         let has_customers = !self.configuration.customers.is_empty();
         has_customers && self.config.features.has(Feature::FairShares)
     }
 
-    /// Opens a job in the account of its customer in the service that runs it now, and closes
-    /// it in the one that did before.
+    /// Opens a job in its customer's account in the service that runs it now, and closes it
+    /// in the previous service's account.
     pub(crate) fn open_in_share_account(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -123,7 +124,7 @@
         self.stale_ready_demand.insert(id);
     }
 
-    /// Closes a job's share; what of it still runs stays charged.
+    /// Closes a job in its customer's account; its runs stay charged.
     pub(crate) fn close_in_share_account(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Has open jobs follow their queues to other services.
+    /// Moves open jobs to the accounts of the services that their queues belong to now.
     pub(crate) fn update_share_services(&mut self) {
         let ids: Vec<JobId> = self.active.values().copied().collect();
         for id in ids {
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Takes in, at the begin of a cycle, what room there is and how much is asked for.
+    /// Updates the shares with the capacity and the demand at the start of a scheduling
+    /// cycle.
     pub(crate) fn refresh_shares(
         &mut self,
         now: Instant,
@@ -157,7 +159,7 @@
         out: &mut Vec<Action>,
     ) {
         if !self.has_fair_shares() {
-            // All are counted once shares come into force.
+            // All jobs are marked as stale once fair shares are enabled.
             self.stale_ready_demand.clear();
             return;
         }
@@ -180,7 +182,7 @@
         self.log_share_changes(now, out);
     }
 
-    /// Counts anew what jobs ask for that have changed.
+    /// Recomputes the ready demand of jobs that have changed.
     fn refresh_ready_demand(&mut self) {
         for id in self.stale_ready_demand.drain() {
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Tells of customers that went over their share, or came back.
+    /// Logs the customers that went over their share or returned within it.
     fn log_share_changes(&mut self, now: Instant, out: &mut Vec<Action>) {
         let accounts = &self.accounts;
         for service in self.shares.services.values_mut() {
@@ -221,7 +223,7 @@
                     true => "over its share",
                     false => "within its share",
                 };
-                // Thousandths of its share.
+                // In thousandths of its share.
                 let figure = account.share_ppm / 1000;
                 let line = Decision::new(DecisionKind::Share, reason).with_figure(figure);
                 out.push(Action::Log(
@@ -231,14 +233,14 @@
         }
     }
 
-    /// Returns whether a service is short of room that is shared.
+    /// Returns whether any service is short of capacity that is shared.
     pub(crate) fn is_capacity_short(&self) -> bool {
         let mut services = self.shares.services.values();
         self.has_fair_shares() && services.any(|service| service.is_short)
     }
 
-    /// Returns the ranks of jobs by their customers' shares, in the order of the jobs, which is
-    /// that in which each customer's own work is served.
+    /// Returns the ranks of jobs by their customers' shares. `order` is the order in which
+    /// each customer's own jobs are served.
     pub(crate) fn share_ranks(&self, order: &[JobId]) -> Vec<ShareRank> {
         let mut ahead: HashMap<(ServiceKey, AccountOwner), u64> = HashMap::new();
         let jobs = order.iter().map(|id| self.jobs.get(id));
@@ -246,7 +248,8 @@
         ranks.map(Option::unwrap_or_default).collect()
     }
 
-    /// Returns a job's rank, and adds what it asks for to what is ahead of later jobs.
+    /// Returns a job's rank, and adds its ready demand to what is ahead of its customer's
+    /// later jobs.
     fn share_rank(
         &self,
         job: &Job,
@@ -269,8 +272,9 @@
         rank
     }
 
-    /// Returns whose runs give way to a job: the customer that is most over its share, where
-    /// the job would miss its objective and its own customer is well under its share.
+    /// Returns the customer whose runs may be preempted for a job: the one that is most over
+    /// its share, if the job would miss its objective and its own customer is well under its
+    /// share.
     pub(crate) fn customer_to_preempt(&self, now: Instant, job: &Job) -> Option<AccountOwner> {
         let service = &self.shares.services[job.service?];
         let preempted_customer = service.most_over_share.filter(|_| self.has_fair_shares())?;
@@ -280,8 +284,8 @@
         (would_miss && account.share_ppm < WELL_UNDER_PPM).then_some(preempted_customer)
     }
 
-    /// Returns whether room may be sought now among runs in the service of a job, and notes
-    /// that it is: that goes over the service's workers.
+    /// Returns whether runs in a job's service may be searched for preemption now, and
+    /// records that they are. This limits how often the service's workers are gone over.
     pub(crate) fn try_begin_share_search(&mut self, now: Instant, id: JobId) -> bool {
         let key = self.jobs.get(&id).and_then(|job| job.service);
         let Some(key) = key else {
@@ -295,7 +299,7 @@
         is_due
     }
 
-    /// Returns how a customer stands in a service; `None` where it has nothing there.
+    /// Returns a customer's share in a service; `None` if it has no account there.
     pub fn share_of(&self, service: &str, customer: Option<&str>) -> Option<ShareView> {
         let key = self.shares.by_name.get(service)?;
         let owner = match customer {
@@ -314,9 +318,9 @@
     }
 }
 
-/// Returns whether a job comes later where its customer is over its share. Jobs of open
-/// queues are nobody's to be held to one, and perpetual work that has begun keeps its room: a
-/// task of it that ends must go on at once.
+/// Returns whether a job is ranked by its customer's share. Jobs of open queues have no
+/// customer. Perpetual work that has begun keeps its capacity: if one of its tasks ends, it
+/// must restart at once.
 fn is_subject_to_share(job: &Job) -> bool {
     let is_perpetual = job.record.spec.steps.iter().any(|step| step.is_perpetual);
     job.customer.is_some() && !(is_perpetual && job.has_begun)
--- a/crates/scheduler/src/speeds.rs
+++ b/crates/scheduler/src/speeds.rs
@@ -1,77 +1,79 @@
-//! How fast machines work, learned from runs of one step on different machines.
+//! The speeds of machines, learned from runs of the same step on different machines.
 //!
-//! A machine's baseline is followed slowly, and what it does of recent beside it. Each run moves
-//! the estimate_ln by a bounded amount, so that a few wrong reports don't move it far. Speeds are
-//! factors on the typical_change one and are compared as logarithms: twice as fast and half as fast
-//! are equally far off.
+//! Each machine has a baseline speed, which changes slowly, and a recent speed. One run
+//! changes the baseline only by a bounded amount, so that a few wrong reports don't change it
+//! much. Speeds are factors of the typical one and are compared as logarithms: twice as fast
+//! and half as fast differ by the same amount.
 
 use crate::handover::LearnedSpeed;
 use ospreywing_types::{Duration, Instant};
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// The speed of a machine of which nothing else is known; one of 0.5 takes twice as long.
+/// The speed of a machine of which nothing is known; one of 0.5 takes twice as long.
 pub const TYPICAL_SPEED: f64 = 1.0;
-/// The runs after which a machine's baseline counts, by their weights.
+/// Least sum of the weights of a machine's runs for its baseline to be used.
 const BASELINE_MIN_WEIGHT: f64 = 4.0;
-/// The least that a further run weighs in a machine's baseline.
+/// Least weight of a new run in a machine's baseline.
 const BASELINE_MIN_GAIN: f64 = 0.1;
-/// The runs beside which one counts that has no others of its step: as few as follow a
-/// change of all machines within a second or two, and enough for a median.
+/// Number of earlier runs with which a run is compared if it has no others of its step: few
+/// enough to follow a change of all machines within a second or two, and enough for a median.
 const FORECAST_RATIOS_COUNT: usize = 15;
-/// How far tasks of one step are spread, as a logarithm.
+/// Standard deviation of the logarithm of the durations in one step.
 const STEP_LOG_STD_DEV: f64 = 0.25;
-/// The most by which a run may differ from the estimate_ln, as a logarithm: a machine of half the
-/// speed is still told in full, more is taken for an outlier.
+/// Largest deviation from the baseline that a run counts for, as a logarithm: a machine of
+/// half the speed counts in full, anything beyond that is clipped as an outlier.
 const MAX_DEVIATION_LN: f64 = core::f64::consts::LN_2;
-/// The runs that tell what a machine does of recent: the median of these, so that two wrong
-/// ones of five do nothing.
+/// The recent speed is the median of this many runs, so that two wrong ones don't change it
+/// much.
 const RECENT_RUNS_COUNT: usize = 5;
-/// The least of them.
+/// Least number of runs for a recent speed.
 const RECENT_MIN_COUNT: usize = 3;
-/// How old these may be.
+/// Largest age of a run that counts for the recent speed.
 const RECENT_AGE_LIMIT: Duration = Duration::from_s(30);
-/// How far what a machine does of recent must be from its baseline to take its place, as a
+/// Least difference of the recent speed from the baseline for it to be used instead, as a
 /// logarithm: tasks of one step differ by up to 30%.
 const RECENT_MIN_DIFFERENCE_LN: f64 = 0.35;
-/// A machine that works below this part of its baseline is slow of recent.
+/// A machine whose recent speed is below this factor of its baseline is ejected.
 const SLOW_FACTOR: f64 = 0.6;
-/// How long a machine that is slow of recent comes last, at first; doubled with each time.
+/// Duration of the first ejection; it doubles with each further one.
 const EJECTION_BASE: Duration = Duration::from_s(5);
-/// The most doublings.
+/// Largest number of doublings.
 const EJECTION_MAX_DOUBLINGS_COUNT: u32 = 4;
-/// How long an ejection counts for the length of the next.
+/// A machine whose last ejection ended longer ago than this starts over with the base
+/// duration.
 const EJECTION_MEMORY: Duration = Duration::from_s(120);
-/// The part of a service's machines that may come last at a time, in percent; one at least.
-/// Where more are slow it is not them.
+/// Largest percentage of a service's machines that are ejected at a time, but at least one.
+/// If more are slow, the cause isn't the machines.
 const EJECTED_LIMIT_PERCENT: usize = 10;
-/// The most machines that are kept, twice as many as the largest fleet has. Those that were
-/// heard of longest ago are forgotten first.
+/// Largest number of machines in memory, twice that of the largest fleet. The machines whose
+/// last run is the oldest are evicted first.
 const MACHINES_LIMIT_COUNT: usize = 20_000;
 
-/// The machines whose speeds are handed on to the next leader: some 100 KB.
+/// Largest number of machines whose speeds are sent to the next leader; about 100 KB.
 const HANDOVER_LIMIT_COUNT: usize = 4_000;
-/// The speeds that are taken from an earlier leader, in thousandths: others can't be.
+/// Range of plausible speeds from an earlier leader, in thousandths; others are ignored.
 const PLAUSIBLE_SPEEDS_MILLI: core::ops::RangeInclusive<u32> = 50..=20_000;
 
-/// What is known of one machine.
+/// What has been learned of one machine.
 #[derive(Clone, Debug, Default)]
 struct MachineSpeed {
-    /// Its baseline, as a logarithm.
+    /// The baseline speed, as a logarithm.
     baseline_ln: f64,
     runs_count: u32,
-    /// The sum of their weights.
+    /// The sum of the weights of the runs.
     weight: f64,
-    /// The last runs, as logarithms.
+    /// The logarithms of the speeds in the last runs.
     recent: VecDeque<(Instant, f64)>,
     last_at: Instant,
-    /// Until when it comes last, and how often it did in a row.
+    /// The end of the last ejection, and the number of ejections in a row.
     ejected_until: Instant,
     ejections_count: u32,
 }
 
 impl MachineSpeed {
-    /// Takes in a run; `weight` is 1 for one that is told as well as beside its step's others.
+    /// Records a run in the baseline; `weight` is 1 for a run that is compared with others of
+    /// its step.
     fn record_baseline(&mut self, now: Instant, speed_ln: f64, weight: f64) {
         self.weight += weight;
         let gain = weight * BASELINE_MIN_GAIN.max(1.0 / (self.weight + 1.0));
@@ -92,7 +94,7 @@
         (self.weight >= BASELINE_MIN_WEIGHT).then_some(self.baseline_ln)
     }
 
-    /// Returns the median of what it did of recent.
+    /// Returns the median of the recent runs.
     fn recent(&self, now: Instant) -> Option<f64> {
         let fresh = self.recent.iter();
         let fresh = fresh.filter(|(at, _)| now.since(*at) <= RECENT_AGE_LIMIT);
@@ -118,32 +120,32 @@
         let length = EJECTION_BASE.times(1 << doublings);
         self.ejections_count += 1;
         self.ejected_until = now + length;
-        // It is tried again on what it does then.
+        // After the ejection the machine is judged by new runs only.
         self.recent.clear();
         length
     }
 }
 
-/// A machine that comes last for a while.
+/// An ejection: for some time a machine is placed on last.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ejection {
     /// The machine.
     pub machine: Arc<str>,
-    /// For how long it does.
+    /// The duration of the ejection.
     pub length: Duration,
 }
 
-/// How fast machines work.
+/// The speeds of machines.
 #[derive(Clone, Debug, Default)]
 pub struct Speeds {
     machines: HashMap<Arc<str>, MachineSpeed>,
-    /// The last speeds of runs that have no others of their step beside them, by service, as
-    /// logarithms: what all machines do now is no machine's own.
+    /// The logarithms of the ratios of forecast to duration in the last runs that had no
+    /// others of their step, by service. Their median is the change that all machines share.
     forecast_ratios_ln: HashMap<Arc<str>, VecDeque<f64>>,
 }
 
 impl Speeds {
-    /// Takes in how fast a machine did a run beside the other runs of its step.
+    /// Records the speed of a machine in a run, relative to the other runs of its step.
     pub fn record(&mut self, now: Instant, machine: &Arc<str>, speed: f64) {
         if !speed.is_finite() || speed <= 0.0 {
             return;
@@ -153,10 +155,10 @@
         entry.record_recent(now, speed.ln());
     }
 
-    /// Takes in how fast a machine did a run beside what its queue's steps take, which are
-    /// spread by `log_std_dev` as a logarithm, and beside what such runs of its service were like
-    /// just before. That tells its baseline, the less the wider the spread, and nothing of what
-    /// it does of recent.
+    /// Records the speed of a machine in a run, relative to the forecast for its queue, whose
+    /// logarithm has the standard deviation `log_std_dev`, and to the last runs of the
+    /// service that were recorded in the same way. This counts only for the baseline, with
+    /// less weight for a larger standard deviation, and not for the recent speed.
     pub fn record_against_forecast(
         &mut self,
         now: Instant,
@@ -183,27 +185,27 @@
         entry.record_baseline(now, speed.ln() - typical_ln, weight);
     }
 
-    /// Returns a machine's speed as a factor on the typical_change one; `None` where too little is
+    /// Returns a machine's speed as a factor of the typical one; `None` if too little is
     /// known.
     pub fn speed(&self, now: Instant, machine: &str) -> Option<f64> {
         let machine = self.machines.get(machine)?;
         machine.estimate_ln(now).map(f64::exp)
     }
 
-    /// Returns how many runs told a machine's speed, and the age of the last.
+    /// Returns the number of runs behind a machine's speed, and the age of the last one.
     pub fn evidence(&self, now: Instant, machine: &str) -> Option<(u32, Duration)> {
         let machine = self.machines.get(machine)?;
         Some((machine.runs_count, now.since(machine.last_at)))
     }
 
-    /// Returns whether a machine comes last since it is slow of recent.
+    /// Returns whether a machine is ejected because it has been slow recently.
     pub fn is_ejected(&self, now: Instant, machine: &str) -> bool {
         let machine = self.machines.get(machine);
         machine.is_some_and(|machine| now < machine.ejected_until)
     }
 
-    /// Has those of a service's machines come last for a while that are slow of recent, beside
-    /// their baseline and beside the others: the slowest first, up to a part of all.
+    /// Ejects machines of a service that are slow compared both with their baseline and with
+    /// the change of the other machines: the slowest first, up to [`EJECTED_LIMIT_PERCENT`].
     pub fn eject_slow(&mut self, now: Instant, service: &[Arc<str>]) -> Vec<Ejection> {
         let mut changes: Vec<(f64, &Arc<str>)> = Vec::new();
         let mut ejected_count = 0;
@@ -219,7 +221,7 @@
         if changes.is_empty() {
             return Vec::new();
         }
-        // Where all have become slower, none is slow.
+        // If all machines have become slower, none is ejected.
         let typical_change = median(changes.iter().map(|(change, _)| *change).collect());
         changes.retain(|(change, _)| {
             change - typical_change < SLOW_FACTOR.ln() && *change < SLOW_FACTOR.ln()
@@ -242,8 +244,8 @@
         ejections
     }
 
-    /// Returns what is known of machines' baseline, in the form in which it is handed on; of
-    /// those that are farthest from typical_change first, as far as the limit goes.
+    /// Returns the baselines for the next leader: those furthest from the typical speed
+    /// first, up to the limit.
     pub(crate) fn learned(&self, now: Instant) -> Vec<LearnedSpeed> {
         let known = self.machines.iter();
         let known = known.filter_map(|(id, it)| Some((it.baseline()?, id, it)));
@@ -259,8 +261,9 @@
         learned.collect()
     }
 
-    /// Creates them from what an earlier leader has learned. What can't be is left out, and
-    /// the first runs that this leader sees weigh as much as all before.
+    /// Creates the speeds from what an earlier leader has learned, without implausible
+    /// values. Together these count as little as the minimum weight, so that this leader's
+    /// first runs soon outweigh them.
     pub(crate) fn from_learned(now: Instant, learned: &[LearnedSpeed]) -> Self {
         let mut speeds = Self::default();
         let known = learned.iter().take(HANDOVER_LIMIT_COUNT);
@@ -277,7 +280,7 @@
         speeds
     }
 
-    /// Forgets the machines that were heard of longest ago, where there are too many.
+    /// Evicts the machines whose last run is the oldest if there are too many.
     pub fn forget_old(&mut self) {
         let excess_count = self.machines.len().saturating_sub(MACHINES_LIMIT_COUNT);
         if excess_count == 0 {
@@ -294,17 +297,17 @@
         }
     }
 
-    /// Returns how many machines are kept.
+    /// Returns the number of machines in memory.
     pub fn machines_count(&self) -> usize {
         self.machines.len()
     }
 }
 
-/// Returns the middle one; the upper of the two middle ones of an even number.
+/// Returns the median; of an even number of values the upper one of the two in the middle.
 ///
 /// # Panics
 ///
-/// Panics without any value.
+/// Panics if `values` is empty.
 fn median(mut values: Vec<f64>) -> f64 {
     let middle = values.len() / 2;
     *values.select_nth_unstable_by(middle, f64::total_cmp).1
--- a/crates/scheduler/src/step_durations.rs
+++ b/crates/scheduler/src/step_durations.rs
@@ -1,39 +1,41 @@
-//! What the tasks of one step take: they are about alike, so those that are done sample_speeds of the
-//! others, and each tells of the machine that did it.
+//! Durations of the tasks of one step.
+//!
+//! The tasks of a step take about equally long, so the finished ones predict the others, and
+//! each is a sample of its machine's speed.
 
 use ospreywing_types::Duration;
 use std::sync::Arc;
 
-/// The tasks that are recent of a step; of a larger one the last.
+/// Largest number of finished tasks that are kept per step, the most recent ones.
 const RECENT_TASKS_COUNT: usize = 32;
-/// The tasks that must be done before they sample_speeds of the others.
+/// Least number of finished tasks that predict the others.
 const MIN_TASKS_COUNT: usize = 3;
 
-/// A task that is done.
+/// A finished task.
 #[derive(Clone, Debug)]
 pub(crate) struct FinishedTask {
     pub(crate) machine: Arc<str>,
     /// The service that the machine belongs to.
     pub(crate) service: Arc<str>,
     pub(crate) duration: Duration,
-    /// The same on a worker of usual speed.
+    /// The duration on a worker of typical speed.
     pub(crate) typical_duration: Duration,
 }
 
-/// How fast a machine did a task, beside the others of its step.
+/// The speed of a machine in one task, relative to the median of its step.
 #[derive(Clone, Debug)]
 pub(crate) struct SpeedSample {
     pub(crate) machine: Arc<str>,
     pub(crate) speed: f64,
 }
 
-/// What the tasks of a step take.
+/// The durations of a step's finished tasks.
 #[derive(Clone, Debug)]
 pub(crate) struct StepDurations {
     tasks_count: usize,
     done_count: usize,
     recent: Vec<FinishedTask>,
-    /// How many of those that are recent have told of their machines.
+    /// How many of the recent tasks have been used as speed samples.
     sampled_count: usize,
     median_ms: u64,
 }
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Takes in a task that is done; returns what is now known of machines.
+    /// Records a finished task; returns the speed samples that this yields.
     pub(crate) fn record(&mut self, task: FinishedTask) -> Vec<SpeedSample> {
         if self.recent.len() == RECENT_TASKS_COUNT {
             self.recent.remove(0);
@@ -65,21 +67,23 @@
         }
     }
 
-    /// Returns what the step's tasks take on a worker of usual speed, where some are done.
+    /// Returns the expected duration of the step's tasks on a worker of typical speed; `None`
+    /// while too few are finished.
     pub(crate) fn likely(&self) -> Option<Duration> {
         let is_known = self.recent.len() >= MIN_TASKS_COUNT;
         is_known.then_some(Duration::from_ms(self.median_ms))
     }
 
-    /// Returns whether the task that was taken in last was the first that made the duration
-    /// known, or made it known for good.
+    /// Returns whether the last recorded task was the first that made the duration known, or
+    /// the one that completed half of the step.
     pub(crate) const fn should_update_estimates(&self) -> bool {
         self.done_count == MIN_TASKS_COUNT || self.done_count == self.half_count()
     }
 
-    /// Takes in that no further task will be done; returns what is now known of machines.
+    /// Records that no more tasks of the step will finish; returns the speed samples that
+    /// this yields.
     pub(crate) fn finish(&mut self) -> Vec<SpeedSample> {
-        // Some tasks may have been done in ways that sample_speeds nothing.
+        // Some tasks may have finished without being recorded.
         self.tasks_count = self.done_count;
         if self.recent.is_empty() {
             return Vec::new();
@@ -92,12 +96,12 @@
         }
     }
 
-    /// Returns the tasks that have not told of their machines.
+    /// Returns the recent tasks that haven't been used as speed samples.
     pub(crate) fn unsampled(&self) -> &[FinishedTask] {
         &self.recent[self.sampled_count..]
     }
 
-    /// Returns the median of those that are done, of however few.
+    /// Returns the median duration of the recorded tasks, however few; `None` without any.
     pub(crate) fn median(&self) -> Option<Duration> {
         (!self.recent.is_empty()).then_some(Duration::from_ms(self.median_ms))
     }
@@ -106,8 +110,9 @@
         self.tasks_count / 2 + 1
     }
 
-    /// Returns whether the median of those that are done is that of all. The first that are
-    /// done are the fastest, and beside these alone every machine would seem slow.
+    /// Returns whether the median of the finished tasks is the median of all tasks. The first
+    /// to finish are the fastest, and compared with these alone every machine would seem
+    /// slow.
     const fn is_median_representative(&self) -> bool {
         let is_half_done = self.done_count >= self.half_count();
         self.recent.len() >= MIN_TASKS_COUNT
@@ -117,7 +122,7 @@
     fn compute_median_ms(&self) -> u64 {
         let durations = self.recent.iter().map(|task| task.typical_duration.as_ms());
         let mut durations: Vec<u64> = durations.collect();
-        // Tasks that are not done yet are longer, as far as they began together.
+        // Unfinished tasks take longer, if all started together.
         let are_all_recent = self.tasks_count <= RECENT_TASKS_COUNT;
         let median_of_count = if are_all_recent {
             self.tasks_count
--- a/crates/scheduler/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -1,13 +1,13 @@
-//! The rate at which a customer may hand jobs in.
+//! A token bucket that limits the rate at which a customer submits jobs.
 
 use ospreywing_types::{Duration, Instant};
 
-/// For how long a customer that was idle may go beyond its rate: a bucket of so many
-/// seconds of it. A judgement: callers come in waves of some seconds.
+/// Burst that an idle customer may submit, in seconds of its rate: callers arrive in bursts
+/// of some seconds.
 const BURST_S: f64 = 1.0;
 const MS_PER_S: f64 = 1000.0;
 
-/// A token bucket of jobs.
+/// A token bucket with one token per job.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     jobs_per_s: f64,
@@ -27,11 +27,11 @@
 }
 
 impl TokenBucket {
-    /// Sets the rate; 0, or what is no rate, stands for no limit.
+    /// Sets the rate; 0, a negative number or one that isn't finite means no limit.
     pub(crate) fn set_rate(&mut self, jobs_per_s: f64) {
         let is_limit = jobs_per_s.is_finite() && jobs_per_s > 0.0;
         let jobs_per_s = if is_limit { jobs_per_s } else { f64::INFINITY };
-        // The bucket begins full, and stays as full as it was.
+        // A bucket that had no limit starts full; otherwise the tokens stay as they are.
         let full = bucket_size(jobs_per_s);
         self.tokens = if self.tokens.is_finite() {
             self.tokens.min(full)
@@ -41,7 +41,7 @@
         self.jobs_per_s = jobs_per_s;
     }
 
-    /// Takes one job off; returns whether there was one.
+    /// Takes one token; returns whether there was one.
     pub(crate) fn try_take(&mut self, now: Instant) -> bool {
         if !self.jobs_per_s.is_finite() {
             return true;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns what a full bucket holds: one job at least, so that a slow rate lets some pass.
+/// Returns the size of the bucket: at least one job, so that slow rates admit some.
 fn bucket_size(jobs_per_s: f64) -> f64 {
     (jobs_per_s * BURST_S).max(1.0)
 }
