--- a/crates/scheduler/src/commits.rs
+++ b/crates/scheduler/src/commits.rs
@@ -76,7 +76,7 @@
         };
         job.version += 1;
         job.clear_derived();
-        self.stale_ready_demand.insert(id);
+        self.stale_demands.insert(id);
         if let Some(effect) = effect {
             job.effects.push((job.version, effect));
         }
--- a/crates/scheduler/src/deadline_selection.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -192,8 +192,8 @@
     }
 }
 
-fn duration_bucket(length: Duration) -> usize {
-    let power = length.as_ms().checked_ilog2();
+fn duration_bucket(duration: Duration) -> usize {
+    let power = duration.as_ms().checked_ilog2();
     let index = power.map_or(0, |power| power as usize + 1);
     index.min(DURATION_BUCKETS_COUNT - 1)
 }
@@ -323,7 +323,8 @@
         let on_time = self.select_feasible(&vec![false; self.waiting_jobs.len()], |it| {
             it.time_for_critical_path()
         });
-        let before_worthless = self.select_feasible(&on_time, |it| it.worth_for_critical_path());
+        let before_worthless =
+            self.select_feasible(&on_time, |it| it.late_time_for_critical_path());
         let mut needed = self.work_excluding(&on_time);
         let mut selected = Vec::with_capacity(self.waiting_jobs.len());
         for (index, waiting_job) in self.waiting_jobs.iter().enumerate() {
@@ -462,7 +463,7 @@
 
     /// Returns the time until the result is worthless, if that is long enough for the
     /// critical path.
-    fn worth_for_critical_path(&self) -> Option<Duration> {
+    fn late_time_for_critical_path(&self) -> Option<Duration> {
         self.time_to_worthless
             .filter(|remaining| self.critical_path <= *remaining)
     }
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -115,11 +115,11 @@
 
 impl Quantiles {
     fn learned(&self) -> LearnedQuantiles {
-        let all_steps = |ln: f64| ln.exp().round().max(1.0) as u64;
+        let rounded = |ln: f64| ln.exp().round().max(1.0) as u64;
         LearnedQuantiles {
-            sure: all_steps(self.sure),
-            likely: all_steps(self.likely),
-            late: all_steps(self.late),
+            sure: rounded(self.sure),
+            likely: rounded(self.likely),
+            late: rounded(self.late),
             spread_milli: (self.log_std_dev * 1000.0).round() as u32,
         }
     }
@@ -177,51 +177,51 @@
 #[derive(Clone, Debug)]
 struct ClassSketches {
     ratios: RotatingHistogram,
-    lengths: RotatingHistogram,
+    durations: RotatingHistogram,
     began_at: Instant,
-    last_at: Instant,
+    last_step_at: Instant,
     ratio_quantiles: Quantiles,
     duration_quantiles: Quantiles,
     /// The number of steps behind the quantiles of an earlier leader; 0 once this leader's
     /// own steps have replaced these.
-    recovered_count: u64,
-    has_recovered_ratios: bool,
+    handover_steps_count: u64,
+    has_handover_ratios: bool,
 }
 
 impl ClassSketches {
     fn new(now: Instant) -> Option<Self> {
         Some(Self {
             ratios: RotatingHistogram::new(MAX_RATIO_MILLI)?,
-            lengths: RotatingHistogram::new(MAX_DURATION_MS)?,
+            durations: RotatingHistogram::new(MAX_DURATION_MS)?,
             began_at: now,
-            last_at: now,
+            last_step_at: now,
             ratio_quantiles: Quantiles::default(),
             duration_quantiles: Quantiles::default(),
-            recovered_count: 0,
-            has_recovered_ratios: false,
+            handover_steps_count: 0,
+            has_handover_ratios: false,
         })
     }
 
     fn record(&mut self, now: Instant, estimate: Duration, actual: Duration) {
         if now.since(self.began_at) >= WINDOW {
             self.ratios.rotate();
-            self.lengths.rotate();
+            self.durations.rotate();
             self.began_at = now;
         }
-        self.last_at = now;
+        self.last_step_at = now;
         let actual_ms = actual.as_ms().max(1);
-        self.lengths.current.saturating_record(actual_ms);
+        self.durations.current.saturating_record(actual_ms);
         if let Some(ratio_milli) = (actual_ms * 1000).checked_div(estimate.as_ms()) {
             self.ratios.current.saturating_record(ratio_milli.max(1));
         }
-        if self.recovered_count > self.lengths.count() {
+        if self.handover_steps_count > self.durations.count() {
             return;
         }
-        self.recovered_count = 0;
-        self.has_recovered_ratios = false;
-        let count = self.lengths.current.len();
+        self.handover_steps_count = 0;
+        self.has_handover_ratios = false;
+        let count = self.durations.current.len();
         if count < FREQUENT_UPDATE_LIMIT_COUNT || count.is_multiple_of(UPDATE_PERIOD_COUNT) {
-            self.duration_quantiles = self.lengths.quantiles();
+            self.duration_quantiles = self.durations.quantiles();
             self.ratio_quantiles = self.ratios.quantiles();
         }
     }
@@ -234,7 +234,7 @@
         size: Option<u32>,
     ) -> Option<LearnedSize> {
         let count = self.count();
-        let age = now.since(self.last_at);
+        let age = now.since(self.last_step_at);
         (count >= CLASS_MIN_STEPS_COUNT && age <= AGE_LIMIT).then(|| LearnedSize {
             queue: queue.clone(),
             is_gang,
@@ -255,45 +255,45 @@
         if !is_possible || age > AGE_LIMIT {
             return None;
         }
-        let mut class = Self::new(now)?;
-        class.last_at = now - age;
-        class.recovered_count = learned.count.min(QUEUE_MIN_STEPS_COUNT);
-        class.duration_quantiles = Quantiles::from_learned(&learned.lengths);
+        let mut sketches = Self::new(now)?;
+        sketches.last_step_at = now - age;
+        sketches.handover_steps_count = learned.count.min(QUEUE_MIN_STEPS_COUNT);
+        sketches.duration_quantiles = Quantiles::from_learned(&learned.lengths);
         if let Some(ratios) = &learned.ratios {
-            class.has_recovered_ratios = true;
-            class.ratio_quantiles = Quantiles::from_learned(ratios);
+            sketches.has_handover_ratios = true;
+            sketches.ratio_quantiles = Quantiles::from_learned(ratios);
         }
-        Some(class)
+        Some(sketches)
     }
 
     /// Returns the number of steps behind the quantiles.
     fn count(&self) -> u64 {
-        self.lengths.count().max(self.recovered_count)
+        self.durations.count().max(self.handover_steps_count)
     }
 
-    fn has_ratios(&self, least_count: u64) -> bool {
-        self.has_recovered_ratios || self.ratios.count() >= least_count
+    fn has_ratios(&self, min_count: u64) -> bool {
+        self.has_handover_ratios || self.ratios.count() >= min_count
     }
 
     fn forecast(
         &self,
         now: Instant,
         estimate: Duration,
-        least_count: u64,
+        min_count: u64,
     ) -> Option<DurationForecast> {
         let count = self.count();
-        let age = now.since(self.last_at);
-        if count < least_count || age > AGE_LIMIT {
+        let age = now.since(self.last_step_at);
+        if count < min_count || age > AGE_LIMIT {
             return None;
         }
-        let (ratio, length) = (&self.ratio_quantiles, &self.duration_quantiles);
-        let has_ratios = estimate > Duration::ZERO && self.has_ratios(least_count);
+        let (ratio, duration) = (&self.ratio_quantiles, &self.duration_quantiles);
+        let has_ratios = estimate > Duration::ZERO && self.has_ratios(min_count);
         let ratio_weight = if has_ratios {
             ratio.log_std_dev.powi(-2)
         } else {
             0.0
         };
-        let duration_weight = length.log_std_dev.powi(-2);
+        let duration_weight = duration.log_std_dev.powi(-2);
         // Ratios are in thousandths.
         let estimate_ln = (estimate.as_ms().max(1) as f64 / 1000.0).ln();
         let blend = |ratio_ln: f64, duration_ln: f64| {
@@ -303,9 +303,9 @@
             Duration::from_ms(blended.exp().round() as u64)
         };
         Some(DurationForecast {
-            sure: blend(ratio.sure, length.sure),
-            likely: blend(ratio.likely, length.likely),
-            late: blend(ratio.late, length.late),
+            sure: blend(ratio.sure, duration.sure),
+            likely: blend(ratio.likely, duration.likely),
+            late: blend(ratio.late, duration.late),
             count,
             age,
         })
@@ -321,7 +321,7 @@
 }
 
 impl MeanErrors {
-    fn note(&mut self, forecast: Duration, estimate: Duration, actual: Duration) {
+    fn record(&mut self, forecast: Duration, estimate: Duration, actual: Duration) {
         let gain = ERROR_GAIN.max(1.0 / (self.count + 1) as f64);
         self.count += 1;
         self.forecast += gain * (log_error(forecast, actual) - self.forecast);
@@ -359,7 +359,7 @@
     /// Sketches by whether the steps are gangs, and by size class.
     sizes: BTreeMap<(bool, u32), ClassSketches>,
     errors: MeanErrors,
-    last_at: Instant,
+    last_step_at: Instant,
 }
 
 impl QueueSketches {
@@ -368,26 +368,26 @@
     }
 
     /// Returns a forecast, even if past forecasts were worse than the estimates.
-    fn unchecked_forecast(&self, now: Instant, kind: StepClass) -> Option<DurationForecast> {
-        let of_class_size = self.sizes.get(&(kind.is_gang, kind.size()));
-        let of_class_size =
-            of_class_size.and_then(|it| it.forecast(now, kind.estimate, CLASS_MIN_STEPS_COUNT));
-        of_class_size.or_else(|| {
-            let all_steps = self.all_steps.get(&kind.is_gang)?;
-            all_steps.forecast(now, kind.estimate, QUEUE_MIN_STEPS_COUNT)
+    fn unchecked_forecast(&self, now: Instant, class: StepClass) -> Option<DurationForecast> {
+        let by_size = self.sizes.get(&(class.is_gang, class.size()));
+        let by_size =
+            by_size.and_then(|it| it.forecast(now, class.estimate, CLASS_MIN_STEPS_COUNT));
+        by_size.or_else(|| {
+            let all_steps = self.all_steps.get(&class.is_gang)?;
+            all_steps.forecast(now, class.estimate, QUEUE_MIN_STEPS_COUNT)
         })
     }
 
-    fn record(&mut self, now: Instant, kind: StepClass, actual: Duration) {
-        self.last_at = now;
-        let forecast = self.unchecked_forecast(now, kind);
-        if let Some(forecast) = forecast.filter(|_| kind.estimate > Duration::ZERO) {
-            self.errors.note(forecast.likely, kind.estimate, actual);
+    fn record(&mut self, now: Instant, class: StepClass, actual: Duration) {
+        self.last_step_at = now;
+        let forecast = self.unchecked_forecast(now, class);
+        if let Some(forecast) = forecast.filter(|_| class.estimate > Duration::ZERO) {
+            self.errors.record(forecast.likely, class.estimate, actual);
         }
-        let all_steps = class_entry(&mut self.all_steps, kind.is_gang, now);
-        let of_class_size = class_entry(&mut self.sizes, (kind.is_gang, kind.size()), now);
-        for class in all_steps.into_iter().chain(of_class_size) {
-            class.record(now, kind.estimate, actual);
+        let all_steps = class_entry(&mut self.all_steps, class.is_gang, now);
+        let by_size = class_entry(&mut self.sizes, (class.is_gang, class.size()), now);
+        for sketches in all_steps.into_iter().chain(by_size) {
+            sketches.record(now, class.estimate, actual);
         }
     }
 }
@@ -402,17 +402,17 @@
 impl Durations {
     /// Records the duration of a step's tasks on a worker of typical speed. A step is
     /// recorded once, however many tasks it has, since these share its estimate.
-    pub fn record(&mut self, now: Instant, queue: &str, kind: StepClass, actual: Duration) {
+    pub fn record(&mut self, now: Instant, queue: &str, class: StepClass, actual: Duration) {
         if !self.queues.contains_key(queue) {
             self.queues
                 .insert(Arc::from(queue), QueueSketches::default());
         }
-        let Some(lengths) = self.queues.get_mut(queue) else {
+        let Some(sketches) = self.queues.get_mut(queue) else {
             return;
         };
-        let before_count = lengths.classes_count();
-        lengths.record(now, kind, actual);
-        self.classes_count += lengths.classes_count() - before_count;
+        let before_count = sketches.classes_count();
+        sketches.record(now, class, actual);
+        self.classes_count += sketches.classes_count() - before_count;
         while self.classes_count > CLASSES_LIMIT_COUNT && self.queues.len() > 1 {
             self.evict_oldest_queue();
         }
@@ -420,29 +420,34 @@
 
     /// Returns the expected duration of a step's tasks; `None` if too little is known, or if
     /// past forecasts were further off than the estimates.
-    pub fn forecast(&self, now: Instant, queue: &str, kind: StepClass) -> Option<DurationForecast> {
-        let lengths = self.queues.get(queue)?;
-        if lengths.errors.is_worse() {
+    pub fn forecast(
+        &self,
+        now: Instant,
+        queue: &str,
+        class: StepClass,
+    ) -> Option<DurationForecast> {
+        let sketches = self.queues.get(queue)?;
+        if sketches.errors.is_worse() {
             return None;
         }
-        lengths.unchecked_forecast(now, kind)
+        sketches.unchecked_forecast(now, class)
     }
 
     /// Returns what has been learned, for the next leader: the queues with the most recent
     /// steps first, up to the limit.
     pub(crate) fn learned(&self, now: Instant) -> Vec<LearnedSize> {
         let mut queues: Vec<(&Arc<str>, &QueueSketches)> = self.queues.iter().collect();
-        queues.sort_by_key(|(name, lengths)| (Reverse(lengths.last_at), *name));
+        queues.sort_by_key(|(name, sketches)| (Reverse(sketches.last_step_at), *name));
         let mut sizes = Vec::new();
-        for (queue, lengths) in queues {
-            let all_steps = lengths
+        for (queue, sketches) in queues {
+            let all_steps = sketches
                 .all_steps
                 .iter()
                 .map(|(gang, it)| ((*gang, None), it));
-            let of_class_size = lengths.sizes.iter();
-            let of_class_size = of_class_size.map(|((gang, size), it)| ((*gang, Some(*size)), it));
-            for ((is_gang, size), class) in all_steps.chain(of_class_size) {
-                sizes.extend(class.learned(now, queue, is_gang, size));
+            let by_size = sketches.sizes.iter();
+            let by_size = by_size.map(|((gang, size), it)| ((*gang, Some(*size)), it));
+            for ((is_gang, size), class_sketches) in all_steps.chain(by_size) {
+                sizes.extend(class_sketches.learned(now, queue, is_gang, size));
             }
         }
         sizes.truncate(HANDOVER_LIMIT_COUNT);
@@ -454,17 +459,19 @@
     pub(crate) fn from_learned(now: Instant, sizes: &[LearnedSize]) -> Self {
         let mut durations = Self::default();
         for learned in sizes.iter().take(HANDOVER_LIMIT_COUNT) {
-            let Some(class) = ClassSketches::from_learned(now, learned) else {
+            let Some(class_sketches) = ClassSketches::from_learned(now, learned) else {
                 continue;
             };
-            let lengths = durations.queues.entry(learned.queue.clone()).or_default();
-            lengths.last_at = lengths.last_at.max(class.last_at);
-            let before_count = lengths.classes_count();
+            let sketches = durations.queues.entry(learned.queue.clone()).or_default();
+            sketches.last_step_at = sketches.last_step_at.max(class_sketches.last_step_at);
+            let before_count = sketches.classes_count();
             match learned.size {
-                Some(size) => lengths.sizes.insert((learned.is_gang, size), class),
-                None => lengths.all_steps.insert(learned.is_gang, class),
+                Some(size) => sketches
+                    .sizes
+                    .insert((learned.is_gang, size), class_sketches),
+                None => sketches.all_steps.insert(learned.is_gang, class_sketches),
             };
-            durations.classes_count += lengths.classes_count() - before_count;
+            durations.classes_count += sketches.classes_count() - before_count;
         }
         durations
     }
@@ -481,7 +488,7 @@
         };
         let queues = self.queues.values();
         let classes = queues.flat_map(|it| it.all_steps.values().chain(it.sizes.values()));
-        let cells = classes.map(|it| cells_count(&it.ratios) + cells_count(&it.lengths));
+        let cells = classes.map(|it| cells_count(&it.ratios) + cells_count(&it.durations));
         cells.sum::<usize>() * size_of::<u32>()
     }
 
@@ -504,7 +511,7 @@
         let oldest = self
             .queues
             .iter()
-            .min_by_key(|(name, it)| (it.last_at, *name));
+            .min_by_key(|(name, it)| (it.last_step_at, *name));
         let Some(name) = oldest.map(|(name, _)| name.clone()) else {
             return;
         };
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -81,8 +81,8 @@
         step: StepKey,
         spec: &StepSpec,
     ) -> Option<LearnedDuration> {
-        let pace = self.learning.step_durations.get(&step);
-        if let Some(likely) = pace.and_then(|pace| pace.likely()) {
+        let step_durations = self.learning.step_durations.get(&step);
+        if let Some(likely) = step_durations.and_then(|step_durations| step_durations.likely()) {
             let part = |percent| Duration::from_ms(likely.as_ms() * percent / 100);
             return Some(LearnedDuration {
                 sure: part(STEP_SURE_PERCENT),
@@ -174,14 +174,14 @@
     /// finished steps and the expected duration of the others.
     fn learned_objective(&self, id: JobId, job: &Job) -> Duration {
         let record = &job.record;
-        let length_ms = |number: usize| {
+        let duration_ms = |number: usize| {
             let spec = &record.spec.steps[number];
             let step = StepKey {
                 job: id,
                 round: 0,
                 step: number as u32,
             };
-            let done = job.done_lengths.get(&step).copied();
+            let done = job.finished_step_durations.get(&step).copied();
             let likely = || {
                 Some(
                     self.learned_task_duration(&record.queue, step, spec)?
@@ -191,7 +191,7 @@
             let known = done.filter(|_| self.is_learning()).or_else(likely);
             known.map_or(spec.estimate_ms, Duration::as_ms)
         };
-        self.objective(record, length_ms)
+        self.objective(record, duration_ms)
     }
 
     fn remaining_of_round(&self, id: JobId, job: &Job, round: &RoundState) -> RoundRemaining {
@@ -211,13 +211,13 @@
             likely.unwrap_or(steps[number].estimate_ms)
         };
         // In hundredths, so that the percentage isn't rounded for each step.
-        let sure = |number: usize| {
-            let sure = learned[number].map(|duration| duration.sure.as_ms() * 100);
-            sure.unwrap_or(steps[number].estimate_ms * SURE_PERCENT)
+        let min_hundredths_ms = |number: usize| {
+            let min_hundredths_ms = learned[number].map(|duration| duration.sure.as_ms() * 100);
+            min_hundredths_ms.unwrap_or(steps[number].estimate_ms * SURE_PERCENT)
         };
         RoundRemaining {
             remaining_ms: chain(&job.record, Some(round), likely_ms),
-            min_remaining_ms: chain(&job.record, Some(round), sure) / 100,
+            min_remaining_ms: chain(&job.record, Some(round), min_hundredths_ms) / 100,
         }
     }
 }
@@ -245,8 +245,8 @@
         if done_percent < MIN_PROGRESS_PERCENT {
             return None;
         }
-        let spent_ms = self.listed_at.since(from.at).as_ms();
-        let percent_ms = spent_ms / u64::from(done_percent);
+        let elapsed_ms = self.listed_at.since(from.at).as_ms();
+        let percent_ms = elapsed_ms / u64::from(done_percent);
         Some(Duration::from_ms(
             percent_ms * u64::from(self.remaining_percent()),
         ))
@@ -254,8 +254,8 @@
 
     /// Returns the same, if the run has made progress for long enough.
     pub(crate) fn remaining_by_steady_progress(&self) -> Option<Duration> {
-        let spent = self.listed_at.since(self.pace_from?.at);
-        let is_steady = spent >= MIN_PROGRESS_TIME;
+        let elapsed = self.listed_at.since(self.pace_from?.at);
+        let is_steady = elapsed >= MIN_PROGRESS_TIME;
         self.remaining_by_progress().filter(|_| is_steady)
     }
 }
--- a/crates/scheduler/src/forecast.rs
+++ b/crates/scheduler/src/forecast.rs
@@ -159,7 +159,7 @@
         occupying
     }
 
-    /// Returns for how long a run certainly occupies capacity, or `None` if that is unknown.
+    /// Returns for how long a run certainly occupies capacity; `None` if it may not be running.
     fn blocking_run(&self, now: Instant, task: TaskKey, run: &Run) -> Option<OccupyingRun> {
         if !matches!(run.phase, RunPhase::Running { .. }) {
             return None;
@@ -169,10 +169,10 @@
         let remaining = if spec.is_perpetual {
             MAX_COMPLETION
         } else {
-            let length_ms = self.expected_task_duration(&job.record.queue, spec).as_ms();
+            let duration_ms = self.expected_task_duration(&job.record.queue, spec).as_ms();
             let by_progress_ms =
                 self.remaining_time(task, run)?.as_ms() * MIN_DURATION_PERCENT / 100;
-            let min_ms = length_ms * MIN_DURATION_PERCENT / 100;
+            let min_ms = duration_ms * MIN_DURATION_PERCENT / 100;
             let by_age_ms = min_ms.saturating_sub(now.since(run.placed_at).as_ms());
             Duration::from_ms(by_progress_ms.min(by_age_ms))
         };
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -48,7 +48,7 @@
     /// Whether it has been logged that the customer's limit holds back some of its work.
     pub(crate) is_held_by_limit: bool,
     /// The actual duration of the tasks of finished steps, where it was learned.
-    pub(crate) done_lengths: BTreeMap<StepKey, Duration>,
+    pub(crate) finished_step_durations: BTreeMap<StepKey, Duration>,
     /// The time from acceptance within which the job should complete, by the durations of its
     /// steps.
     pub(crate) objective: Duration,
@@ -96,7 +96,7 @@
             is_beyond_rate: false,
             is_held_by_limit: false,
             accepted_at,
-            done_lengths: BTreeMap::new(),
+            finished_step_durations: BTreeMap::new(),
             objective: Duration::ZERO,
             remaining_ms: 0,
             min_remaining_ms: 0,
@@ -119,7 +119,7 @@
         self.payload = Arc::from("");
         self.state.rounds = Vec::new();
         self.state.crashes = Vec::new();
-        self.done_lengths.clear();
+        self.finished_step_durations.clear();
         self.clear_derived();
     }
 
@@ -307,7 +307,7 @@
             job.state.rounds.push(round);
             job.state.next_round += 1;
             job.clear_derived();
-            self.stale_ready_demand.insert(id);
+            self.stale_demands.insert(id);
             self.is_place_due = true;
         }
         job.state.next_round < schedule.rounds_count
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -2,8 +2,8 @@
 //!
 //! Only runs count whose whole duration is known and was spent on the task's work: started
 //! from the beginning by this leader, with the first start order acknowledged, on the rack of
-//! the step's data, without tasks on the same worker that slow each other down, and
-//! successful. Nothing of this is stored.
+//! the step's data, of a task that doesn't interfere with others, and successful. Nothing of
+//! this is stored.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::durations::{Durations, StepClass};
@@ -100,9 +100,9 @@
         let trimmed = speeds.len() / TRIM_DIVISOR;
         let median = speeds[speeds.len() / 2];
         let low_factor = speeds[trimmed] / median;
-        let fast = speeds[speeds.len() - 1 - trimmed] / median;
-        let does_differ = fast / low_factor >= MIN_SPEED_RATIO;
-        does_differ.then_some(Self { low_factor, median })
+        let high_factor = speeds[speeds.len() - 1 - trimmed] / median;
+        let are_different = high_factor / low_factor >= MIN_SPEED_RATIO;
+        are_different.then_some(Self { low_factor, median })
     }
 
     fn worker_speed(&self, known: Option<f64>) -> WorkerSpeed {
@@ -223,13 +223,13 @@
     pub(crate) fn record_finished_run(&mut self, now: Instant, finished: FinishedRun) {
         self.learning.now = now;
         let new = || StepDurations::new(finished.tasks_count);
-        let pace = self
+        let step_durations = self
             .learning
             .step_durations
             .entry(finished.step)
             .or_insert_with(new);
-        let samples = pace.record(finished.task);
-        let should_update_estimates = pace.should_update_estimates();
+        let samples = step_durations.record(finished.task);
+        let should_update_estimates = step_durations.should_update_estimates();
         self.record_speed_samples(now, samples);
         if should_update_estimates {
             self.update_remaining(finished.step.job);
@@ -238,26 +238,26 @@
 
     /// Records a finished step.
     pub(crate) fn record_finished_step(&mut self, now: Instant, step: StepKey) {
-        let Some(mut pace) = self.learning.step_durations.remove(&step) else {
+        let Some(mut step_durations) = self.learning.step_durations.remove(&step) else {
             return;
         };
-        self.record_speed_samples(now, pace.finish());
+        self.record_speed_samples(now, step_durations.finish());
         let Some(job) = self.jobs.get(&step.job) else {
             return;
         };
         let spec = job.record.spec.steps.get(step.step as usize);
-        let Some((spec, actual)) = spec.zip(pace.median()) else {
+        let Some((spec, actual)) = spec.zip(step_durations.median()) else {
             return;
         };
         let Learning {
             durations, speeds, ..
         } = &mut self.learning;
-        let (queue, kind) = (&job.record.queue, StepClass::of(spec));
+        let (queue, class) = (&job.record.queue, StepClass::of(spec));
         // Where the step has too few tasks to compare with each other, its tasks are compared
         // with the forecast, which comes from other jobs.
-        let forecast = durations.forecast(now, queue, kind);
+        let forecast = durations.forecast(now, queue, class);
         if let Some(forecast) = forecast.filter(|_| !spec.is_gang) {
-            for task in pace.unsampled() {
+            for task in step_durations.unsampled() {
                 let speed = ratio(forecast.likely, task.duration);
                 let service = &task.service;
                 speeds.record_against_forecast(
@@ -269,9 +269,9 @@
                 );
             }
         }
-        durations.record(now, queue, kind, actual);
+        durations.record(now, queue, class, actual);
         if let Some(job) = self.jobs.get_mut(&step.job) {
-            job.done_lengths.insert(step, actual);
+            job.finished_step_durations.insert(step, actual);
         }
     }
 
@@ -316,7 +316,7 @@
             let key = by_machine[&ejection.machine];
             let line = Decision::new(DecisionKind::WorkerAvoided, "slow of late")
                 .with_worker(&self.workers[key].facts.id)
-                .with_figure(ejection.length.as_ms());
+                .with_figure(ejection.duration.as_ms());
             out.push(Action::Log(line));
         }
     }
@@ -370,7 +370,7 @@
         run: &Run,
     ) -> Option<f64> {
         let is_fresh = now.since(run.listed_at) <= OVERDUE_REPORT_AGE_LIMIT;
-        let spent = run.listed_at.since(run.begun_at?);
+        let elapsed = run.listed_at.since(run.begun_at?);
         if !is_fresh || run.overdue_count >= OVERDUE_SAMPLES_LIMIT_COUNT {
             return None;
         }
@@ -379,8 +379,8 @@
         if spec.is_gang || !worker.is_speed_sample(run, spec) {
             return None;
         }
-        let pace = self.learning.step_durations.get(&task.step);
-        let by_step = pace.and_then(StepDurations::likely);
+        let step_durations = self.learning.step_durations.get(&task.step);
+        let by_step = step_durations.and_then(StepDurations::likely);
         let by_queue = || {
             Some(
                 self.learned_task_duration(&job.record.queue, task.step, spec)?
@@ -389,7 +389,7 @@
         };
         let expected = scaled(by_step.or_else(by_queue)?, 1.0 / worker.speed.factor);
         let factor = OVERDUE_FACTOR << run.overdue_count;
-        (spent >= expected.times(factor)).then(|| ratio(expected, spent) * worker.speed.factor)
+        (elapsed >= expected.times(factor)).then(|| ratio(expected, elapsed) * worker.speed.factor)
     }
 
     fn prune_learned(&mut self) {
@@ -401,7 +401,7 @@
         self.learning
             .step_durations
             .retain(|step, _| is_active(step));
-        self.learning.speeds.forget_old();
+        self.learning.speeds.evict_oldest();
     }
 }
 
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -21,9 +21,9 @@
 /// A service whose used share of capacity is below this isn't overloaded, whatever waits:
 /// there is free capacity for what waits.
 const MIN_USED_SHARE: f64 = 0.5;
-/// Jobs that are ranked per millisecond until the next ranking, which bounds the part of the
-/// leader's time that ranking takes, however many jobs wait. A job that arrives in between is
-/// ordered without a rank.
+/// The pause after a ranking is one millisecond for each this many active jobs, which bounds
+/// the part of the leader's time that ranking takes, however many jobs wait. A job that
+/// arrives in between is ordered without a rank.
 const RANKED_JOBS_PER_MS: u64 = 25;
 /// Least time for which a service counts as overloaded.
 const MIN_OVERLOAD_TIME: Duration = Duration::from_ms(1000);
@@ -135,8 +135,8 @@
     ) -> OverloadRanks {
         let mut ranks = OverloadRanks::new();
         let has_admission = self.config.features.has(Feature::Admission);
-        let is_sure = !self.has_store_trouble;
-        let is_forecast_due = has_admission && is_sure && self.forecasts.are_due(now);
+        let are_jobs_known = !self.has_store_trouble;
+        let is_forecast_due = has_admission && are_jobs_known && self.forecasts.are_due(now);
         let mut forecasts = Vec::new();
         for jobs in self.jobs_of_busy_services(now, cycle, out) {
             let mut load = ServiceLoad::new(jobs.capacity, jobs.occupancy);
@@ -172,12 +172,12 @@
         self.forecasts.clear();
     }
 
-    /// Ends the overloads of all services but those in `full`, unless they began a short
-    /// while ago: that keeps the log from flapping.
-    fn end_overloads_except(&mut self, now: Instant, full: &[ServiceJobs], out: &mut Vec<Action>) {
+    /// Ends the overloads of all services but those in `busy`, unless they began a short
+    /// while ago: otherwise the state would flap.
+    fn end_overloads_except(&mut self, now: Instant, busy: &[ServiceJobs], out: &mut Vec<Action>) {
         self.overloads.overloads.retain(|overload| {
-            let is_full = full.iter().any(|it| it.service == overload.service);
-            let is_kept = is_full || now.since(overload.since) < MIN_OVERLOAD_TIME;
+            let is_busy = busy.iter().any(|it| it.service == overload.service);
+            let is_kept = is_busy || now.since(overload.since) < MIN_OVERLOAD_TIME;
             if !is_kept {
                 out.push(Action::Log(ended_line(&overload.service)));
             }
@@ -209,8 +209,8 @@
             }
             return is_overloaded;
         };
-        let is_young = now.since(overloads[index].since) < MIN_OVERLOAD_TIME;
-        let is_overloaded = is_young || load_percent >= LEAVE_LOAD_PERCENT;
+        let is_recent = now.since(overloads[index].since) < MIN_OVERLOAD_TIME;
+        let is_overloaded = is_recent || load_percent >= LEAVE_LOAD_PERCENT;
         if !is_overloaded {
             overloads.swap_remove(index);
             out.push(Action::Log(ended_line(service)));
@@ -228,10 +228,10 @@
     ) -> Vec<ServiceJobs> {
         let mut services: Vec<ServiceJobs> = cycle
             .rooms()
-            .filter(|room| room.used_share() >= MIN_USED_SHARE)
-            .map(|room| ServiceJobs {
-                service: room.service.clone(),
-                capacity: room.capacity,
+            .filter(|pool| pool.used_share() >= MIN_USED_SHARE)
+            .map(|pool| ServiceJobs {
+                service: pool.service.clone(),
+                capacity: pool.capacity,
                 occupancy: Occupancy::default(),
                 waiting_jobs: Vec::new(),
                 aged: None,
@@ -277,8 +277,8 @@
         };
         for round in &job.state.rounds {
             for (spec, step) in job.record.spec.steps.iter().zip(&round.steps) {
-                let length = self.expected_task_duration(&job.record.queue, spec);
-                demand.add_step(spec, step, length);
+                let duration = self.expected_task_duration(&job.record.queue, spec);
+                demand.add_step(spec, step, duration);
             }
         }
         demand
@@ -290,7 +290,7 @@
         self.waiting != ResourceVector::default()
     }
 
-    fn add_step(&mut self, spec: &StepSpec, step: &StepState, length: Duration) {
+    fn add_step(&mut self, spec: &StepSpec, step: &StepState, duration: Duration) {
         let demand = ResourceVector::of(&counted_demand(spec));
         let count = |status: fn(&TaskStatus) -> bool| {
             let tasks = step.tasks.iter().filter(|task| status(&task.status));
@@ -298,13 +298,13 @@
         };
         let waiting_count = count(|status| matches!(status, TaskStatus::Waiting));
         let running_count = count(|status| matches!(status, TaskStatus::Placed { .. }));
-        let length_ms = length.as_ms() as f64;
-        self.waiting.add(demand.times(waiting_count * length_ms));
+        let duration_ms = duration.as_ms() as f64;
+        self.waiting.add(demand.times(waiting_count * duration_ms));
         if running_count == 0.0 {
             return;
         }
         self.running.add(demand.times(running_count));
-        let remaining = Duration::from_ms((length_ms * REMAINING_FRACTION) as u64);
+        let remaining = Duration::from_ms((duration_ms * REMAINING_FRACTION) as u64);
         self.running_remaining = self
             .running_remaining
             .filter(|_| !spec.is_perpetual)
--- a/crates/scheduler/src/resource_totals.rs
+++ b/crates/scheduler/src/resource_totals.rs
@@ -5,8 +5,8 @@
 /// The whole, in millionths.
 pub(crate) const WHOLE_PPM: u64 = 1_000_000;
 
-/// The capacity of many workers or the demand of many runs. The sums don't fit the integers
-/// of [`Resources`].
+/// The capacity of many workers or the demand of many runs. The sums may not fit
+/// the fields of [`Resources`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ResourceTotals {
     pub(crate) cores_milli: u64,
@@ -36,7 +36,7 @@
     }
 
     /// Subtracts an amount that was added before.
-    pub(crate) fn remove(&mut self, amount: &Resources) {
+    pub(crate) fn subtract(&mut self, amount: &Resources) {
         self.cores_milli -= u64::from(amount.cores_milli);
         self.memory_mib -= u64::from(amount.memory_mib);
         self.accelerators_count -= u64::from(amount.accelerators_count);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -107,7 +107,7 @@
     pub(crate) limit_reservations: LimitReservations,
     pub(crate) shares: Shares,
     /// Jobs whose services have to count anew what they ask for.
-    pub(crate) stale_ready_demand: HashSet<JobId>,
+    pub(crate) stale_demands: HashSet<JobId>,
     pub(crate) cordons: Cordons,
     /// Whether nothing new may be started anywhere.
     pub(crate) are_starts_held: bool,
@@ -177,7 +177,7 @@
             accounts,
             limit_reservations: LimitReservations::default(),
             shares: Shares::default(),
-            stale_ready_demand: HashSet::new(),
+            stale_demands: HashSet::new(),
             cordons: Cordons::default(),
             are_starts_held: false,
             workers: PrimaryMap::new(),
@@ -339,7 +339,7 @@
             learned_sizes_count: self.learning.durations.classes_count(),
             forecast_error: self.learning.durations.error(),
             limit_reservations_count: self.limit_reservations.count(),
-            beyond_share_count: shares.beyond_count,
+            beyond_share_count: shares.over_share_count,
             largest_share_lag: shares.largest_lag,
             overloaded_services_count: self.overloads.len(),
             forecast_queues_count: self.forecasts.len(),
--- a/crates/scheduler/src/share_accounts.rs
+++ b/crates/scheduler/src/share_accounts.rs
@@ -44,16 +44,16 @@
 
 impl VirtualTime {
     /// Advances by a usage in millionths of a share over a time.
-    fn advance(&mut self, share_ppm: u64, passed: Duration) {
-        let us = passed.as_ms().saturating_mul(US_PER_MS) as f64;
+    fn advance(&mut self, share_ppm: u64, elapsed: Duration) {
+        let us = elapsed.as_ms().saturating_mul(US_PER_MS) as f64;
         let us = us * share_ppm as f64 / WHOLE_PPM as f64;
         self.us = self.us.saturating_add(us as u64);
     }
 
-    /// Returns the virtual time that is later by `length`.
-    const fn after(self, length: Duration) -> Self {
+    /// Returns the virtual time that is later by `duration`.
+    const fn after(self, duration: Duration) -> Self {
         Self {
-            us: self.us + length.as_ms() * US_PER_MS,
+            us: self.us + duration.as_ms() * US_PER_MS,
         }
     }
 
@@ -97,8 +97,8 @@
     /// Returns how much the customer may use or request before further work is over its
     /// share, in millionths of the share.
     pub(crate) fn allowed_ppm(&self, clock: VirtualTime) -> u64 {
-        let left_us = clock.after(LAG_LIMIT).us_since(self.tag);
-        left_us * WHOLE_PPM / (HORIZON.as_ms() * US_PER_MS)
+        let remaining_us = clock.after(LAG_LIMIT).us_since(self.tag);
+        remaining_us * WHOLE_PPM / (HORIZON.as_ms() * US_PER_MS)
     }
 
     /// Returns an amount in millionths of the customer's share.
@@ -170,13 +170,13 @@
 
     /// Advances the clock and the tags.
     pub(crate) fn advance(&mut self, now: Instant) {
-        let passed = now.since(self.advanced_at);
+        let elapsed = now.since(self.advanced_at);
         self.advanced_at = self.advanced_at.max(now);
-        self.clock.advance(WHOLE_PPM, passed);
+        self.clock.advance(WHOLE_PPM, elapsed);
         let last = self.clock.after(LAG_LIMIT);
         for account in self.accounts.values_mut() {
             if self.is_short {
-                account.tag.advance(account.share_ppm, passed);
+                account.tag.advance(account.share_ppm, elapsed);
             }
             account.tag = account.tag.clamp(self.clock, last);
         }
@@ -209,7 +209,7 @@
 /// A summary of all accounts, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ShareSummary {
-    pub(crate) beyond_count: usize,
+    pub(crate) over_share_count: usize,
     pub(crate) largest_lag: Duration,
 }
 
@@ -276,7 +276,7 @@
         if let Some(service) = run.charge.service {
             let owner = run.charge.customer;
             let service = &mut self.services[service];
-            service.account(owner).running.remove(&run.demand);
+            service.account(owner).running.subtract(&run.demand);
             service.remove_if_unused(owner);
         }
     }
@@ -288,14 +288,15 @@
             for account in service.accounts.values() {
                 let lag = account.lag(service.clock);
                 summary.largest_lag = summary.largest_lag.max(lag);
-                summary.beyond_count += usize::from(lag >= LAG_SLACK);
+                summary.over_share_count += usize::from(lag >= LAG_SLACK);
             }
         }
         summary
     }
 
     /// Returns the service of an account that differs from `counted`, or whose tag is further
-    /// ahead of the clock than the limit.
+    /// ahead of the clock than the limit. Returns `of all` if only the number of accounts
+    /// differs.
     pub(crate) fn miscounted(
         &self,
         counted: &BTreeMap<(ServiceKey, AccountOwner), CountedShare>,
@@ -304,13 +305,13 @@
         let is_wrong = |key: ServiceKey, service: &ServiceShares| {
             let mut accounts = service.accounts.iter();
             accounts.any(|(owner, account)| {
-                let held = CountedShare {
+                let recorded = CountedShare {
                     open_jobs_count: account.open_jobs_count,
                     running: account.running,
                     ready_demand: account.ready_demand,
                 };
                 let last = service.clock.after(LAG_LIMIT);
-                counted.get(&(key, *owner)) != Some(&held) || account.tag > last
+                counted.get(&(key, *owner)) != Some(&recorded) || account.tag > last
             })
         };
         let mut services = self.services.iter();
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -121,7 +121,7 @@
             );
             self.shares.close_job(before, job.customer);
         }
-        self.stale_ready_demand.insert(id);
+        self.stale_demands.insert(id);
     }
 
     /// Closes a job in its customer's account; its runs stay charged.
@@ -160,7 +160,7 @@
     ) {
         if !self.has_fair_shares() {
             // All jobs are marked as stale once fair shares are enabled.
-            self.stale_ready_demand.clear();
+            self.stale_demands.clear();
             return;
         }
         self.refresh_ready_demand();
@@ -184,7 +184,7 @@
 
     /// Recomputes the ready demand of jobs that have changed.
     fn refresh_ready_demand(&mut self) {
-        for id in self.stale_ready_demand.drain() {
+        for id in self.stale_demands.drain() {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
@@ -267,8 +267,8 @@
         let before = ahead.entry((key, job.customer));
         let before_ppm = before.or_insert(account.share_ppm);
         let rank = rank.with_excess(*before_ppm, account.allowed_ppm(service.clock));
-        let asked_ppm = account.share_of(&job.ready_demand, &service.capacity);
-        *before_ppm = before_ppm.saturating_add(asked_ppm);
+        let requested_ppm = account.share_of(&job.ready_demand, &service.capacity);
+        *before_ppm = before_ppm.saturating_add(requested_ppm);
         rank
     }
 
--- a/crates/scheduler/src/speeds.rs
+++ b/crates/scheduler/src/speeds.rs
@@ -65,7 +65,7 @@
     weight: f64,
     /// The logarithms of the speeds in the last runs.
     recent: VecDeque<(Instant, f64)>,
-    last_at: Instant,
+    last_run_at: Instant,
     /// The end of the last ejection, and the number of ejections in a row.
     ejected_until: Instant,
     ejections_count: u32,
@@ -80,7 +80,7 @@
         let step = (speed_ln - self.baseline_ln).clamp(-MAX_DEVIATION_LN, MAX_DEVIATION_LN);
         self.baseline_ln += gain * step;
         self.runs_count += 1;
-        self.last_at = now;
+        self.last_run_at = now;
     }
 
     fn record_recent(&mut self, now: Instant, speed_ln: f64) {
@@ -117,12 +117,12 @@
             self.ejections_count = 0;
         }
         let doublings = self.ejections_count.min(EJECTION_MAX_DOUBLINGS_COUNT);
-        let length = EJECTION_BASE.times(1 << doublings);
+        let duration = EJECTION_BASE.times(1 << doublings);
         self.ejections_count += 1;
-        self.ejected_until = now + length;
+        self.ejected_until = now + duration;
         // After the ejection the machine is judged by new runs only.
         self.recent.clear();
-        length
+        duration
     }
 }
 
@@ -132,7 +132,7 @@
     /// The machine.
     pub machine: Arc<str>,
     /// The duration of the ejection.
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 /// The speeds of machines.
@@ -195,7 +195,7 @@
     /// Returns the number of runs behind a machine's speed, and the age of the last one.
     pub fn evidence(&self, now: Instant, machine: &str) -> Option<(u32, Duration)> {
         let machine = self.machines.get(machine)?;
-        Some((machine.runs_count, now.since(machine.last_at)))
+        Some((machine.runs_count, now.since(machine.last_run_at)))
     }
 
     /// Returns whether a machine is ejected because it has been slow recently.
@@ -234,10 +234,10 @@
         let mut ejections = Vec::with_capacity(slow.len());
         for id in slow {
             if let Some(machine) = self.machines.get_mut(&id) {
-                let length = machine.eject(now);
+                let duration = machine.eject(now);
                 ejections.push(Ejection {
                     machine: id,
-                    length,
+                    duration,
                 });
             }
         }
@@ -256,14 +256,14 @@
             machine: id.clone(),
             speed_milli: (baseline_ln.exp() * 1000.0).round() as u32,
             runs_count: it.runs_count,
-            age_ms: now.since(it.last_at).as_ms(),
+            age_ms: now.since(it.last_run_at).as_ms(),
         });
         learned.collect()
     }
 
     /// Creates the speeds from what an earlier leader has learned, without implausible
-    /// values. Together these count as little as the minimum weight, so that this leader's
-    /// first runs soon outweigh them.
+    /// values. All earlier runs of a machine together have the minimum weight, so that this
+    /// leader's first runs weigh as much.
     pub(crate) fn from_learned(now: Instant, learned: &[LearnedSpeed]) -> Self {
         let mut speeds = Self::default();
         let known = learned.iter().take(HANDOVER_LIMIT_COUNT);
@@ -272,7 +272,7 @@
                 baseline_ln: (f64::from(it.speed_milli) / 1000.0).ln(),
                 runs_count: it.runs_count,
                 weight: BASELINE_MIN_WEIGHT,
-                last_at: now - Duration::from_ms(it.age_ms),
+                last_run_at: now - Duration::from_ms(it.age_ms),
                 ..MachineSpeed::default()
             };
             speeds.machines.insert(it.machine.clone(), machine);
@@ -281,7 +281,7 @@
     }
 
     /// Evicts the machines whose last run is the oldest if there are too many.
-    pub fn forget_old(&mut self) {
+    pub fn evict_oldest(&mut self) {
         let excess_count = self.machines.len().saturating_sub(MACHINES_LIMIT_COUNT);
         if excess_count == 0 {
             return;
@@ -289,7 +289,7 @@
         let ages = self
             .machines
             .iter()
-            .map(|(id, it)| (it.last_at, id.clone()));
+            .map(|(id, it)| (it.last_run_at, id.clone()));
         let mut ages: Vec<(Instant, Arc<str>)> = ages.collect();
         ages.sort();
         for (_, id) in ages.into_iter().take(excess_count) {
--- a/crates/scheduler/src/step_durations.rs
+++ b/crates/scheduler/src/step_durations.rs
@@ -77,7 +77,7 @@
     /// Returns whether the last recorded task was the first that made the duration known, or
     /// the one that completed half of the step.
     pub(crate) const fn should_update_estimates(&self) -> bool {
-        self.done_count == MIN_TASKS_COUNT || self.done_count == self.half_count()
+        self.done_count == MIN_TASKS_COUNT || self.done_count == self.majority_count()
     }
 
     /// Records that no more tasks of the step will finish; returns the speed samples that
@@ -106,7 +106,7 @@
         (!self.recent.is_empty()).then_some(Duration::from_ms(self.median_ms))
     }
 
-    const fn half_count(&self) -> usize {
+    const fn majority_count(&self) -> usize {
         self.tasks_count / 2 + 1
     }
 
@@ -114,7 +114,7 @@
     /// to finish are the fastest, and compared with these alone every machine would seem
     /// slow.
     const fn is_median_representative(&self) -> bool {
-        let is_half_done = self.done_count >= self.half_count();
+        let is_half_done = self.done_count >= self.majority_count();
         self.recent.len() >= MIN_TASKS_COUNT
             && (is_half_done || self.done_count >= RECENT_TASKS_COUNT)
     }
--- a/crates/scheduler/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -31,7 +31,8 @@
     pub(crate) fn set_rate(&mut self, jobs_per_s: f64) {
         let is_limit = jobs_per_s.is_finite() && jobs_per_s > 0.0;
         let jobs_per_s = if is_limit { jobs_per_s } else { f64::INFINITY };
-        // A bucket that had no limit starts full; otherwise the tokens stay as they are.
+        // A bucket that had no limit starts full; otherwise its tokens are kept, up to the new
+        // size.
         let full = bucket_size(jobs_per_s);
         self.tokens = if self.tokens.is_finite() {
             self.tokens.min(full)
@@ -46,8 +47,8 @@
         if !self.jobs_per_s.is_finite() {
             return true;
         }
-        let passed: Duration = now.since(self.refilled_at);
-        let earned = self.jobs_per_s * passed.as_ms() as f64 / MS_PER_S;
+        let elapsed: Duration = now.since(self.refilled_at);
+        let earned = self.jobs_per_s * elapsed.as_ms() as f64 / MS_PER_S;
         self.tokens = (self.tokens + earned).min(bucket_size(self.jobs_per_s));
         self.refilled_at = self.refilled_at.max(now);
         let has_one = self.tokens >= 1.0;
--- a/crates/scheduler/src/verifier.rs
+++ b/crates/scheduler/src/verifier.rs
@@ -176,7 +176,7 @@
             let job = self
                 .jobs
                 .get(id)
-                .filter(|_| !self.stale_ready_demand.contains(id));
+                .filter(|_| !self.stale_demands.contains(id));
             job.is_some_and(|job| {
                 let ready = job.ready.as_deref();
                 ready.is_none_or(|ready| job.waiting_demand(ready) != job.ready_demand)
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -289,10 +289,10 @@
     assert_eq!(speeds.eject_slow(at(1), &machines), vec![]);
     let sick = |number| [0.25, 0.5].get(number).copied().unwrap_or(1.0);
     run(&mut speeds, &mut rng, at(1), &fleet_of(&machines, sick), 5);
-    let expected = |length| {
+    let expected = |duration| {
         vec![Ejection {
             machine: machines[0].clone(),
-            length,
+            duration,
         }]
     };
     let first = speeds.eject_slow(at(2), &machines);
