--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -164,7 +164,7 @@
 
     /// Returns the demand of the waiting tasks of `steps`.
     pub(crate) fn waiting_demand(&self, steps: &[StepKey]) -> ResourceTotals {
-        let mut room = ResourceTotals::default();
+        let mut demand = ResourceTotals::default();
         for key in steps {
             let spec = self.record.spec.steps.get(key.step as usize);
             let round = self.state.round(key.round);
@@ -172,10 +172,10 @@
             if let Some((spec, step)) = spec.zip(step) {
                 let is_waiting = |task: &&TaskState| task.status == TaskStatus::Waiting;
                 let waiting_count = step.tasks.iter().filter(is_waiting).count();
-                room.add(&counted_demand(spec), waiting_count);
+                demand.add(&counted_demand(spec), waiting_count);
             }
         }
-        room
+        demand
     }
 
     /// Returns whether any step is ready.
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -360,8 +360,8 @@
         }
     }
 
-    /// Returns the speed of a run's machine as far as the run shows it, if the run is
-    /// overdue.
+    /// Returns the upper bound that an overdue run gives for its machine's speed; `None` if the
+    /// run isn't overdue.
     fn overdue_speed(
         &self,
         now: Instant,
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -28,8 +28,8 @@
 /// Least time for which a service counts as overloaded.
 const MIN_OVERLOAD_TIME: Duration = Duration::from_ms(1000);
 /// A job that is this late goes first in its service for one turn, and again after each
-/// further period of this length; only the job that was accepted first has the turn. Most
-/// callers have given up by then, but the job was accepted.
+/// further period of this length. If several have a turn at the same time, it is the one that
+/// was accepted first. Most callers have given up by then, but the job was accepted.
 const AGED_AFTER: Duration = Duration::from_s(30);
 /// Duration of a turn: a gang that never fits must not reserve capacity forever.
 const AGED_TURN: Duration = Duration::from_s(5);
@@ -105,7 +105,7 @@
     capacity: ResourceVector,
     occupancy: Occupancy,
     waiting_jobs: Vec<WaitingJob<JobId>>,
-    /// The job accepted first among those whose turn it is for having waited too long.
+    /// The first accepted of the jobs that are late enough to have a turn.
     aged: Option<(Instant, JobId)>,
 }
 
