--- a/crates/scheduler/src/deadline_selection.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -301,7 +301,7 @@
     }
 
     /// Returns the load in percent of the usable capacity: the largest over the objectives of
-    /// all jobs. Jobs that can't be on time are counted as due within [`LATE_WORK_WINDOW`].
+    /// all jobs. Jobs that can't be on time are counted as due within `LATE_WORK_WINDOW`.
     pub fn load_percent(&mut self) -> u64 {
         self.sort();
         let mut needed = ResourceVector::default();
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -34,10 +34,12 @@
     pub(crate) is_in_flight: bool,
     /// Effects that take place once a version of the state is committed.
     pub(crate) effects: Vec<(u64, Effect)>,
+    /// Whether a run of the job has certainly begun.
     pub(crate) has_begun: bool,
     /// The phase in the store.
     pub(crate) committed_phase: Phase,
     pub(crate) ended_at: Option<Instant>,
+    /// The priority of its queue, and its number in the order of acceptance.
     pub(crate) rank: (u32, u64),
     /// The customer that submitted it.
     pub(crate) customer: Option<CustomerKey>,
@@ -61,8 +63,8 @@
     /// Until when those of its tasks that may have crashed a worker wait for a worker of
     /// their own.
     pub(crate) probation_until: Instant,
-    /// Runs of gangs that were stopped for a checkpoint. It is newer than the checkpoints
-    /// reported by members that ended otherwise.
+    /// The run of each gang that was last stopped with a checkpoint. That checkpoint is newer
+    /// than those of members of the same run that ended otherwise.
     pub(crate) gang_stops: BTreeMap<StepKey, u32>,
     /// The steps that are ready to start, if cached.
     pub(crate) ready: Option<Vec<StepKey>>,
--- a/crates/scheduler/src/share_accounts.rs
+++ b/crates/scheduler/src/share_accounts.rs
@@ -79,7 +79,7 @@
     pub(crate) share_ppm: u64,
     /// The service's capacity divided by the customer's share.
     scale: f64,
-    /// Whether it was last logged as over its share, and the time of that log line.
+    /// Whether it was last logged as over its share, and the time of the last log line.
     pub(crate) is_logged_over: bool,
     pub(crate) logged_at: Option<Instant>,
 }
--- a/crates/scheduler/src/speeds.rs
+++ b/crates/scheduler/src/speeds.rs
@@ -205,7 +205,7 @@
     }
 
     /// Ejects machines of a service that are slow compared both with their baseline and with
-    /// the change of the other machines: the slowest first, up to [`EJECTED_LIMIT_PERCENT`].
+    /// the change of the other machines: the slowest first, up to `EJECTED_LIMIT_PERCENT`.
     pub fn eject_slow(&mut self, now: Instant, service: &[Arc<str>]) -> Vec<Ejection> {
         let mut changes: Vec<(f64, &Arc<str>)> = Vec::new();
         let mut ejected_count = 0;
