--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -63,8 +63,8 @@
     /// Until when those of its tasks that may have crashed a worker wait for a worker of
     /// their own.
     pub(crate) probation_until: Instant,
-    /// The run of each gang that was last stopped with a checkpoint. That checkpoint is newer
-    /// than those of members of the same run that ended otherwise.
+    /// The last run of each gang that was stopped so that it saves a checkpoint. This is newer
+    /// than a checkpoint of a member of the same run that ended otherwise.
     pub(crate) gang_stops: BTreeMap<StepKey, u32>,
     /// The steps that are ready to start, if cached.
     pub(crate) ready: Option<Vec<StepKey>>,
@@ -442,17 +442,17 @@
     /// Queues the removal of jobs whose outcome has been kept for the retention time.
     pub(crate) fn remove_expired_jobs(&mut self, now: Instant) {
         let retention = self.config.retention;
-        let is_old = |job: &Job| {
+        let is_expired = |job: &Job| {
             let ended = job.ended_at.is_some_and(|at| now.since(at) > retention);
             ended && !job.is_dirty && job.effects.is_empty()
         };
-        let old: Vec<JobId> = self
+        let expired: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, job)| is_old(job))
+            .filter(|(_, job)| is_expired(job))
             .map(|(id, _)| *id)
             .collect();
-        for id in old {
+        for id in expired {
             if !self.has_runs(id) {
                 self.touch(id, Some(Effect::Forget));
             }
