--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -185,7 +185,7 @@
         });
     }
 
-    /// Updates whether a service is overloaded by its load, and returns it.
+    /// Updates from its load whether a service is overloaded; returns whether it is.
     fn update_overload(
         &mut self,
         now: Instant,
