--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -301,10 +301,10 @@
         &fleet_of(&machines, slowed),
         5,
     );
-    let expected = |length| {
+    let expected = |duration| {
         vec![Ejection {
             machine: machines[0].clone(),
-            length,
+            duration,
         }]
     };
     let first = speeds.eject_slow(at(2), &machines);
