--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -1,11 +1,12 @@
-//! What a node knows of the leader's forecast, and the jobs that it refuses by it.
+//! Admission control: rejects jobs that would finish too late by the leader's forecast.
 //!
-//! The forecast comes with the leader's answers on jobs that were taken. A node that refuses
-//! all jobs hears of none any more, and takes the next one as soon as what it knows is old.
+//! The leader sends its forecast with the answers to notifications of accepted jobs. A node
+//! that rejects all jobs receives no new forecast, and so accepts the next job once its
+//! forecast is outdated.
 
 use crate::node::Node;
 use crate::platform::{Platform, Retry};
-use crate::spread::draw_below;
+use crate::stable_hash::stable_hash_below;
 use crate::store::{LeaseId, Store};
 use crate::{clock, keys};
 use ospreywing_scheduler::{Configuration, Feature, Forecast, JobId, JobRecord, Rejection};
@@ -14,52 +15,56 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Nothing is refused for so long after a write of a job was in doubt: it may be done late,
-/// and its caller may hand it in again.
-const DOUBT_TIME: Duration = Duration::from_s(10);
+/// How long no job is rejected after an unconfirmed write of a job: the write may be applied
+/// late, and its caller may submit the job again.
+const UNCONFIRMED_WRITE_PAUSE: Duration = Duration::from_s(10);
 
-/// What a leader told.
+/// A leader's last answer.
 #[derive(Clone, Debug)]
-struct Kept {
+struct ReceivedForecast {
     forecast: Option<Forecast>,
-    /// The lease of the leader that told it.
+    /// The lease of the leader that sent it.
     leader: LeaseId,
-    asked_at: Instant,
+    sent_at: Instant,
 }
 
-/// What a node knows of the leader's forecast.
+/// A node's view of the leader's forecast.
 #[derive(Debug, Default)]
 pub struct ForecastView {
-    kept: RefCell<Option<Kept>>,
-    doubted_at: Cell<Option<Instant>>,
+    received: RefCell<Option<ReceivedForecast>>,
+    unconfirmed_at: Cell<Option<Instant>>,
 }
 
 impl ForecastView {
-    /// Takes in what a leader that was asked at `asked_at` told.
-    pub fn learn(&self, leader: LeaseId, asked_at: Instant, forecast: Option<Forecast>) {
-        let mut kept = self.kept.borrow_mut();
-        if kept.as_ref().is_some_and(|kept| kept.asked_at > asked_at) {
+    /// Stores the forecast in a leader's answer to a call that was sent at `sent_at`, unless
+    /// there is one of a later call.
+    pub fn update(&self, leader: LeaseId, sent_at: Instant, forecast: Option<Forecast>) {
+        let mut received = self.received.borrow_mut();
+        if received
+            .as_ref()
+            .is_some_and(|received| received.sent_at > sent_at)
+        {
             return;
         }
-        *kept = Some(Kept {
+        *received = Some(ReceivedForecast {
             forecast,
             leader,
-            asked_at,
+            sent_at,
         });
     }
 
-    /// Notes that a write of a job is in doubt.
-    pub fn note_doubt(&self, now: Instant) {
-        self.doubted_at.set(Some(now));
+    /// Records that a write of a job is unconfirmed.
+    pub fn record_unconfirmed_write(&self, now: Instant) {
+        self.unconfirmed_at.set(Some(now));
     }
 
-    /// Returns whether a write was in doubt a short while ago.
-    pub fn is_in_doubt(&self, now: Instant) -> bool {
-        let doubted_at = self.doubted_at.get();
-        doubted_at.is_some_and(|at| now.since(at) < DOUBT_TIME)
+    /// Returns whether a write was unconfirmed a short while ago.
+    pub fn has_recent_unconfirmed_write(&self, now: Instant) -> bool {
+        let unconfirmed_at = self.unconfirmed_at.get();
+        unconfirmed_at.is_some_and(|at| now.since(at) < UNCONFIRMED_WRITE_PAUSE)
     }
 
-    /// Returns why a job is refused by what this leader told, if it is.
+    /// Returns why a job is rejected by this leader's forecast; `None` if it is not.
     pub fn rejection(
         &self,
         now: Instant,
@@ -67,20 +72,22 @@
         record: &JobRecord,
         configuration: &Configuration,
     ) -> Option<Rejection> {
-        let kept = self.kept.borrow();
-        let kept = kept.as_ref().filter(|kept| kept.leader == leader)?;
-        let since = now.since(kept.asked_at);
-        kept.forecast
+        let received = self.received.borrow();
+        let received = received
+            .as_ref()
+            .filter(|received| received.leader == leader)?;
+        let since = now.since(received.sent_at);
+        received
+            .forecast
             .as_ref()?
             .rejection(record, configuration, since)
     }
 }
 
-/// Returns when the caller of a job may come back that is refused, if it is.
+/// Checks a job against the forecast; returns when its caller may retry if it is rejected.
 ///
-/// Only the store tells whether the job was handed in before and is there, so it is read
-/// before a job is refused.
-pub(crate) async fn refuse<P: Platform>(
+/// The job may have been accepted before, so the store is read before it is rejected.
+pub(crate) async fn check_forecast<P: Platform>(
     node: &Rc<Node<P>>,
     job: JobId,
     record: &JobRecord,
@@ -90,12 +97,12 @@
     if !matches!(node.store.get(&keys::job(job)).await, Ok(None)) {
         return None;
     }
-    let after = rejection.retry_after(draw_below(&job.to_string(), u64::MAX));
-    info!(node.log, "job refused"; "job" => %job, "queue" => &record.queue,
+    let after = rejection.retry_after(stable_hash_below(&job.to_string(), u64::MAX));
+    info!(node.log, "job rejected by forecast"; "job" => %job, "queue" => &record.queue,
         "done_after_ms" => rejection.done_after.as_ms(),
         "worthless_after_ms" => rejection.worthless_after.as_ms(),
         "forecast_age_ms" => rejection.age.as_ms(), "come_back_ms" => after.as_ms());
-    node.metrics.note_refused_by_forecast();
+    node.metrics.count_rejected_by_forecast();
     Some(Retry { after })
 }
 
@@ -106,11 +113,11 @@
 ) -> Option<Rejection> {
     let now = clock::now();
     let is_off = !node.settings.features.has(Feature::Admission);
-    if is_off || node.forecasts.is_in_doubt(now) || !node.has_contact() {
+    if is_off || node.forecasts.has_recent_unconfirmed_write(now) || !node.has_store_contact() {
         return None;
     }
-    if let Some(leading) = node.leading() {
-        let forecast = leading.forecast(now)?;
+    if let Some(term) = node.valid_term() {
+        let forecast = term.forecast(now)?;
         return forecast.rejection(record, configuration, Duration::ZERO);
     }
     let leader = node.cell.borrow().leader.as_ref()?.lease;
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration: which one is in force, and whether requests
-//! may be answered by it.
+//! The operators' configuration: keeps the active one up to date, and decides whether it
+//! is recent enough to answer requests.
 
 use crate::clock;
 use crate::configuration_sharing::{self, AvoidedNodes};
@@ -15,22 +15,22 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// The watches that answer within the time in which a change must be in force:
+/// The watches that fit into the time within which a change must be in force, so that
 /// one may fail.
 const CONFIRMATIONS_COUNT: u64 = 2;
-/// How long a request waits for the configuration to be confirmed: a call
-/// that fails, and the next.
-const CONFIRMATION_WAIT: Duration = Duration::from_ms(700);
+/// How long a request waits for the configuration to be confirmed: long enough for one
+/// failed call and its retry.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_ms(700);
 
-/// A configuration that is in force.
-pub struct InForce<P: Platform> {
-    /// The product's part.
+/// The configuration that is in force.
+pub struct ActiveConfiguration<P: Platform> {
+    /// The scheduler's part.
     pub configuration: Configuration,
-    /// How requests find their queues.
+    /// The platform's part, which maps requests to queues.
     pub routes: P::Routes,
 }
 
-/// A configuration as it stands in the store.
+/// A configuration as stored.
 pub(crate) struct StoredConfiguration {
     /// The revision of its last change.
     pub(crate) revision: Revision,
@@ -38,27 +38,27 @@
     pub(crate) value: Vec<u8>,
 }
 
-/// What a node knows of the operators' configuration.
+/// A node's view of the operators' configuration.
 pub struct ConfigurationView<P: Platform> {
-    in_force: RefCell<Option<Rc<InForce<P>>>>,
-    /// The one that is in force, as other nodes are told of it.
+    active: RefCell<Option<Rc<ActiveConfiguration<P>>>>,
+    /// The stored form of the active one, for other nodes.
     stored: RefCell<Option<Rc<StoredConfiguration>>>,
-    /// Told whenever another one is in force.
+    /// Notified when another one becomes active.
     replaced: Notify,
-    /// The nodes that are not asked for it for a while.
+    /// The nodes from which it is not fetched for a while.
     pub(crate) avoided_sources: RefCell<AvoidedNodes>,
     /// When the store last confirmed that there is no newer one.
     confirmed_at: Cell<Instant>,
-    /// Told whenever it does.
+    /// Notified when the store confirms that.
     confirmed: Notify,
-    /// Whether the lack of a confirmation was logged.
+    /// Whether it was logged that the confirmation is overdue.
     is_outdated: Cell<bool>,
 }
 
 impl<P: Platform> Default for ConfigurationView<P> {
     fn default() -> Self {
         Self {
-            in_force: RefCell::new(None),
+            active: RefCell::new(None),
             stored: RefCell::new(None),
             replaced: Notify::new(),
             avoided_sources: RefCell::default(),
@@ -70,35 +70,35 @@
 }
 
 impl<P: Platform> ConfigurationView<P> {
-    /// Returns the configuration that is in force.
-    pub fn in_force(&self) -> Option<Rc<InForce<P>>> {
-        self.in_force.borrow().clone()
+    /// Returns the active configuration.
+    pub fn active(&self) -> Option<Rc<ActiveConfiguration<P>>> {
+        self.active.borrow().clone()
     }
 
-    /// Returns whether there is one at all.
+    /// Returns whether there is an active configuration.
     pub fn is_known(&self) -> bool {
-        self.in_force.borrow().is_some()
+        self.active.borrow().is_some()
     }
 
-    /// Returns the version that is in force, 0 without one.
+    /// Returns the active version; 0 without one.
     pub fn version(&self) -> u64 {
-        let in_force = self.in_force.borrow();
-        let in_force = in_force.as_ref();
-        in_force.map_or(0, |in_force| in_force.configuration.version)
+        let active = self.active.borrow();
+        let active = active.as_ref();
+        active.map_or(0, |active| active.configuration.version)
     }
 
-    /// Returns the one that is in force as it stands in the store.
+    /// Returns the stored form of the active configuration.
     pub(crate) fn stored(&self) -> Option<Rc<StoredConfiguration>> {
         self.stored.borrow().clone()
     }
 
-    /// Returns the revision of the one that is in force, 0 without one.
+    /// Returns the revision of the active configuration; 0 without one.
     pub(crate) fn revision(&self) -> Revision {
         let stored = self.stored.borrow();
         stored.as_ref().map_or(0, |stored| stored.revision)
     }
 
-    /// Returns once another one is in force.
+    /// Returns a future that completes when another configuration becomes active.
     pub(crate) fn changed(&self) -> Notified<'_> {
         self.replaced.notified()
     }
@@ -108,41 +108,40 @@
         self.replaced.notify_waiters();
     }
 
-    /// Returns the time since the store confirmed it.
+    /// Returns the time since the store last confirmed the configuration.
     pub fn age(&self, now: Instant) -> Duration {
         now.since(self.confirmed_at.get())
     }
 
-    /// Puts a configuration in force, unless it is no newer; returns whether
-    /// it is.
-    fn put_in_force(&self, configuration: Configuration, routes: P::Routes) -> bool {
+    /// Activates a configuration if it is newer than the active one; returns whether it is.
+    fn activate(&self, configuration: Configuration, routes: P::Routes) -> bool {
         if self.is_known() && self.version() >= configuration.version {
             return false;
         }
-        let in_force = InForce {
+        let active = ActiveConfiguration {
             configuration,
             routes,
         };
-        *self.in_force.borrow_mut() = Some(Rc::new(in_force));
+        *self.active.borrow_mut() = Some(Rc::new(active));
         true
     }
 }
 
 impl<P: Platform> Node<P> {
-    /// Returns whether requests may be answered by the configuration at hand.
+    /// Returns whether the active configuration is recent enough to answer requests.
     ///
-    /// It may be outdated where the store has not confirmed it for as long as
-    /// a change may take to be in force. Where the store answers this node
-    /// nothing at all, it may be down for all, so that there are no changes; it
-    /// may also turn this node away alone, so that is borne for a while only.
+    /// It may be outdated if the store has not confirmed it within the time that a change
+    /// may take to be in force. If the store does not answer this node at all, it may be
+    /// down for all nodes, so that there are no changes; but it may also be unreachable
+    /// from this node only, so the time is extended by a limited amount.
     pub fn is_current(&self) -> bool {
-        let limit = if self.has_contact() {
+        let limit = if self.has_store_contact() {
             self.settings.apply_limit
         } else {
             self.settings.apply_limit + self.settings.stretch_limit
         };
-        // Where the operators want it so, a key that may have been taken away is not
-        // taken even while the store is down.
+        // With a separate revocation limit, a key that may have been revoked is not
+        // accepted for longer, even while the store is down.
         let revoke_limit = self.settings.revoke_limit;
         let limit = revoke_limit.map_or(limit, |revoke_limit| limit.min(revoke_limit));
         self.configuration.age(clock::now()) <= limit
@@ -152,31 +151,31 @@
         self.configuration.age(clock::now()) <= self.settings.apply_limit
     }
 
-    /// Returns the configuration by which requests may be answered; waits a
-    /// while for its confirmation where that is missing.
-    pub async fn current_configuration(&self) -> Option<Rc<InForce<P>>> {
+    /// Returns the configuration with which requests may be answered; waits a short time
+    /// for a confirmation if that is overdue.
+    pub async fn current_configuration(&self) -> Option<Rc<ActiveConfiguration<P>>> {
         let confirmed = self.configuration.confirmed.notified();
         if !self.is_current() {
-            // Whether it came is looked at below.
-            let _ = tokio::time::timeout(CONFIRMATION_WAIT.into(), confirmed).await;
+            // Whether it was confirmed is checked below.
+            let _ = tokio::time::timeout(CONFIRMATION_TIMEOUT.into(), confirmed).await;
         }
-        let in_force = self.configuration.in_force();
-        in_force.filter(|_| self.is_current())
+        let active = self.configuration.active();
+        active.filter(|_| self.is_current())
     }
 
-    /// Tells the metrics which configuration is in force, and how old it is.
-    pub(crate) fn note_configuration_age(&self) {
+    /// Updates the metrics of the active configuration's version and age.
+    pub(crate) fn update_configuration_metrics(&self) {
         let view = &self.configuration;
         if view.is_known() {
             let age = view.age(clock::now());
-            self.metrics.note_configuration(view.version(), age);
+            self.metrics.set_configuration(view.version(), age);
         }
     }
 
-    /// Notes that the store knew of no newer configuration at an instant.
-    fn note_confirmed(&self, true_at: Instant) {
+    /// Records that the store had no newer configuration at `as_of`.
+    fn record_confirmation(&self, as_of: Instant) {
         let view = &self.configuration;
-        view.confirmed_at.set(view.confirmed_at.get().max(true_at));
+        view.confirmed_at.set(view.confirmed_at.get().max(as_of));
         if !self.is_confirmed() {
             return;
         }
@@ -186,8 +185,8 @@
         view.confirmed.notify_waiters();
     }
 
-    /// Notes that the store was asked for the configuration in vain.
-    fn note_unconfirmed(&self) {
+    /// Logs that the confirmation is overdue, unless that was logged already.
+    fn log_if_outdated(&self) {
         let view = &self.configuration;
         if self.is_confirmed() || view.is_outdated.replace(true) {
             return;
@@ -197,8 +196,8 @@
             "version" => view.version(), "age_ms" => age.as_ms());
     }
 
-    /// Takes in what the store holds.
-    fn learn_configuration(&self, item: &Item) -> Result<(), CallError> {
+    /// Parses a stored configuration and activates it if it is newer.
+    fn apply_configuration_item(&self, item: &Item) -> Result<(), CallError> {
         let value = item.bytes().map_err(|error| CallError::Malformed {
             field: item.key.clone(),
             reason: error.to_string(),
@@ -206,10 +205,7 @@
         let (configuration, routes) = self.platform.parse_configuration(value)?;
         let before = self.configuration.version();
         let version = configuration.version;
-        if !self
-            .configuration
-            .put_in_force(configuration.clone(), routes)
-        {
+        if !self.configuration.activate(configuration.clone(), routes) {
             return Ok(());
         }
         self.configuration.store(StoredConfiguration {
@@ -217,80 +213,81 @@
             value: value.to_vec(),
         });
         info!(self.log, "configuration in force"; "version" => version, "before" => before);
-        if let Some(leading) = self.term() {
-            leading.configure(configuration);
+        if let Some(term) = self.term() {
+            term.configure(configuration);
         }
         self.cell_changed.notify_waiters();
         Ok(())
     }
 
-    /// Takes in what the store answered, and an instant from which on it said so.
-    fn learn_configuration_update(&self, update: Update, true_at: Instant) {
+    /// Handles an update of the followed configuration, current as of `as_of`.
+    fn handle_configuration_update(&self, update: Update, as_of: Instant) {
         let items = match update {
             Update::Snapshot(items) => items,
-            Update::Changes(changes) => changes.into_iter().filter_map(written).collect(),
+            Update::Changes(changes) => changes.into_iter().filter_map(put_item).collect(),
             Update::Unchanged => Vec::new(),
             Update::Failed(error) => {
                 warn!(self.log, "store call failed";
                     "what" => "configuration", "error" => error.to_string());
-                return self.note_unconfirmed();
+                return self.log_if_outdated();
             }
         };
-        self.note_contact();
-        self.take_configuration(&items, true_at);
+        self.record_store_contact();
+        self.apply_configuration_items(&items, as_of);
     }
 
-    /// Takes in what was told, and an instant at which the store knew of nothing newer.
-    pub(crate) fn take_configuration(&self, items: &[Item], true_at: Instant) {
+    /// Applies the configuration among `items`, if any, and records that the store had no
+    /// newer one at `as_of`.
+    pub(crate) fn apply_configuration_items(&self, items: &[Item], as_of: Instant) {
         let key = self.platform.configuration_key();
         for item in items.iter().filter(|item| item.key == key) {
-            if let Err(error) = self.learn_configuration(item) {
-                // The last valid one stays in force: it is the newest there is.
+            if let Err(error) = self.apply_configuration_item(item) {
+                // The last valid configuration stays active.
                 warn!(self.log, "configuration refused"; "error" => error.to_string());
             }
         }
-        self.note_confirmed(true_at);
+        self.record_confirmation(as_of);
     }
 }
 
-fn written(change: WatchedChange) -> Option<Item> {
+fn put_item(change: WatchedChange) -> Option<Item> {
     match change {
         WatchedChange::Put(item) => Some(item),
         WatchedChange::Gone { .. } => None,
     }
 }
 
-/// Keeps the configuration current for as long as the node lives: by what another node hands
-/// on, where there is one to ask, and by the store otherwise.
+/// Keeps the configuration up to date while the node runs: from another node if there is one
+/// to fetch it from, otherwise from the store.
 pub(crate) async fn follow_configuration<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        match configuration_sharing::source_of(&node) {
-            Some(source) if configuration_sharing::ask(&node, &source).await => {}
+        match configuration_sharing::choose_source(&node) {
+            Some(source) if configuration_sharing::fetch(&node, &source).await => {}
             _ => follow_stored(&node).await,
         }
     }
 }
 
-/// Follows the store until another node may be asked.
+/// Follows the configuration in the store until it can be fetched from another node.
 async fn follow_stored<P: Platform>(node: &Rc<Node<P>>) {
     let apply_limit_ms = node.settings.apply_limit.as_ms();
     let policy = FollowPolicy {
         wait: Duration::from_ms(apply_limit_ms / CONFIRMATIONS_COUNT),
-        // A watch that is answered has missed nothing.
-        refresh: None,
-        pace: Duration::ZERO,
-        is_confirming: true,
-        reads_after_failure: true,
+        // An answered watch misses no change.
+        reread_after: None,
+        max_pause: Duration::ZERO,
+        confirms_changes: true,
+        rereads_after_failure: true,
     };
     let key = node.platform.configuration_key();
     let store = node.store.clone();
     let from = node.configuration.revision();
     let from = (from > 0).then_some(from);
-    follow(store, key, policy, from, |update, true_at| {
-        // Whether changes are the newest is asked right after them.
+    follow(store, key, policy, from, |update, as_of| {
+        // After changes the store must first confirm that they are the newest.
         let is_answered = !matches!(update, Update::Changes(_));
-        node.learn_configuration_update(update, true_at);
-        if is_answered && configuration_sharing::source_of(node).is_some() {
+        node.handle_configuration_update(update, as_of);
+        if is_answered && configuration_sharing::choose_source(node).is_some() {
             Flow::Stop
         } else {
             Flow::Continue
--- a/crates/control/src/cordons.rs
+++ b/crates/control/src/cordons.rs
@@ -1,8 +1,9 @@
-//! Cordons, as the operators set them in the store: the leader follows them for as long as
-//! its term lasts, and starts nothing while it may have missed one.
+//! Follows the operators' cordons in the store.
+//!
+//! The leader follows them during its term, and starts no run while it may have missed one.
 
 use crate::follow::{follow, FollowPolicy, Update};
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::platform::{CordonError, CordonFault, Platform};
 use crate::store::{Item, WatchedChange};
@@ -13,30 +14,30 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The watches that answer within the time for which an answer holds: two may fail.
+/// The watches that fit into the time for which a confirmation is valid, so that two may fail.
 const CONFIRMATIONS_COUNT: u64 = 3;
 
-/// The cordons of all data centres, as they were read last.
+/// The cordons by key, as last read.
 #[derive(Debug, Default)]
 pub struct CordonList {
     by_key: BTreeMap<String, Arc<str>>,
 }
 
 impl CordonList {
-    /// Takes in a whole list; returns what of it can't be used.
+    /// Replaces the whole list; returns the errors of unusable cordons.
     pub fn replace(
         &mut self,
         items: impl Iterator<Item = (String, Result<Arc<str>, CordonError>)>,
     ) -> Vec<CordonError> {
         let before = core::mem::take(&mut self.by_key);
         let mut errors = Vec::new();
-        for (key, read) in items {
-            match read {
+        for (key, parsed) in items {
+            match parsed {
                 Ok(data_centre) => {
                     self.by_key.insert(key, data_centre);
                 }
                 Err(error) => {
-                    // What can't be read changes nothing.
+                    // An unusable cordon leaves the state as it was.
                     if let Some(data_centre) = before.get(&key) {
                         self.by_key.insert(key, data_centre.clone());
                     }
@@ -47,33 +48,36 @@
         errors
     }
 
-    /// Takes in a cordon that was written.
+    /// Applies a cordon that was written.
     ///
     /// # Errors
     ///
-    /// Returns the [`CordonError`] of one that can't be used; what was known stands.
+    /// Returns the [`CordonError`] of an unusable cordon, which leaves the list as it was.
     pub fn write(
         &mut self,
         key: String,
-        read: Result<Arc<str>, CordonError>,
+        parsed: Result<Arc<str>, CordonError>,
     ) -> Result<(), CordonError> {
-        self.by_key.insert(key, read?);
+        self.by_key.insert(key, parsed?);
         Ok(())
     }
 
-    /// Takes in that a cordon was lifted.
+    /// Removes a cordon that was lifted.
     pub fn lift(&mut self, key: &str) {
         self.by_key.remove(key);
     }
 
-    /// Returns the data centres.
+    /// Returns the cordoned data centres.
     pub fn data_centres(&self) -> BTreeSet<Arc<str>> {
         self.by_key.values().cloned().collect()
     }
 }
 
-/// Reads a stored cordon.
-pub(crate) fn read<P: Platform>(node: &Node<P>, item: &Item) -> Result<Arc<str>, CordonError> {
+/// Parses a stored cordon.
+pub(crate) fn parse_item<P: Platform>(
+    node: &Node<P>,
+    item: &Item,
+) -> Result<Arc<str>, CordonError> {
     let value = item.bytes().map_err(|error| CordonError {
         key: item.key.clone(),
         fault: CordonFault::Form,
@@ -82,71 +86,73 @@
     node.platform.parse_cordon(&item.key, value)
 }
 
-/// Reads the cordons that stand at the start of a term.
-pub(crate) fn read_all<P: Platform>(node: &Node<P>, items: &[Item]) -> BTreeSet<Arc<str>> {
+/// Parses the cordons that are set at the start of a term.
+pub(crate) fn parse_all<P: Platform>(node: &Node<P>, items: &[Item]) -> BTreeSet<Arc<str>> {
     let mut list = CordonList::default();
-    let read = items
+    let parsed = items
         .iter()
-        .map(|item| (item.key.clone(), read(node, item)));
-    for error in list.replace(read) {
-        note_error(node, &error);
+        .map(|item| (item.key.clone(), parse_item(node, item)));
+    for error in list.replace(parsed) {
+        log_cordon_error(node, &error);
     }
     list.data_centres()
 }
 
-fn note_error<P: Platform>(node: &Node<P>, error: &CordonError) {
-    node.metrics.note_unusable_cordon(error.fault);
+fn log_cordon_error<P: Platform>(node: &Node<P>, error: &CordonError) {
+    node.metrics.count_unusable_cordon(error.fault);
     warn!(node.log, "cordon not followed";
         "key" => &error.key, "reason" => error.fault.as_str(), "detail" => &error.detail);
 }
 
-/// Returns how the cordons are followed.
+/// Returns the policy for following cordons whose confirmations are valid for `limit`.
 fn policy(limit: Duration) -> FollowPolicy {
     FollowPolicy {
         wait: Duration::from_ms(limit.as_ms() / CONFIRMATIONS_COUNT),
-        refresh: None,
-        pace: Duration::ZERO,
-        is_confirming: true,
-        reads_after_failure: true,
+        reread_after: None,
+        max_pause: Duration::ZERO,
+        confirms_changes: true,
+        rereads_after_failure: true,
     }
 }
 
-/// Tells the scheduler of cordons until the term is over.
-pub(crate) async fn follow_cordons<P: Platform>(node: Rc<Node<P>>, leading: Rc<Leading<P>>) {
+/// Passes changes of the cordons to the scheduler until the term is over.
+pub(crate) async fn follow_cordons<P: Platform>(node: Rc<Node<P>>, term: Rc<Term<P>>) {
     let mut list = CordonList::default();
-    let mut told = None;
+    let mut last_sent = None;
     let store = node.store.clone();
     let prefix = node.platform.cordons_prefix();
-    let policy = policy(leading.beliefs.cordons.limit());
-    follow(store, prefix, policy, None, |update, true_at| {
+    let policy = policy(term.store_views.cordons.limit());
+    follow(store, prefix, policy, None, |update, as_of| {
         let errors = match update {
             Update::Snapshot(items) => {
-                let read = items
+                let parsed = items
                     .iter()
-                    .map(|item| (item.key.clone(), read(&node, item)));
-                list.replace(read)
+                    .map(|item| (item.key.clone(), parse_item(&node, item)));
+                list.replace(parsed)
             }
-            Update::Changes(changes) => take_changes(&node, &mut list, changes),
+            Update::Changes(changes) => apply_changes(&node, &mut list, changes),
             Update::Unchanged => Vec::new(),
             Update::Failed(error) => {
                 warn!(node.log, "store call failed";
                     "what" => "cordons", "error" => error.to_string());
-                return leading.flow();
+                return term.flow();
             }
         };
-        errors.iter().for_each(|error| note_error(&node, error));
+        errors
+            .iter()
+            .for_each(|error| log_cordon_error(&node, error));
         let data_centres = list.data_centres();
-        if told.as_ref() != Some(&data_centres) {
-            leading.tell(Event::CordonsListed(data_centres.clone()));
-            told = Some(data_centres);
+        if last_sent.as_ref() != Some(&data_centres) {
+            term.send_event(Event::CordonsListed(data_centres.clone()));
+            last_sent = Some(data_centres);
         }
-        leading.beliefs.cordons.confirm(true_at);
-        leading.flow()
+        term.store_views.cordons.confirm(as_of);
+        term.flow()
     })
     .await;
 }
 
-fn take_changes<P: Platform>(
+fn apply_changes<P: Platform>(
     node: &Node<P>,
     list: &mut CordonList,
     changes: Vec<WatchedChange>,
@@ -155,8 +161,8 @@
     for change in changes {
         match change {
             WatchedChange::Put(item) => {
-                let read = read(node, &item);
-                errors.extend(list.write(item.key, read).err());
+                let parsed = parse_item(node, &item);
+                errors.extend(list.write(item.key, parsed).err());
             }
             WatchedChange::Gone { key } => list.lift(&key),
         }
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -1,8 +1,8 @@
-//! Reading what the store keeps, at the start of a term.
+//! Recovery of the scheduler's state from the store at the start of a term.
 
 use crate::follow::{read_all, Update};
 use crate::keys::{self, IntakeKey};
-use crate::leader::Leading;
+use crate::leader::Term;
 use crate::node::Node;
 use crate::platform::Platform;
 use crate::store::{Item, Revision, StoreError, UnreadableValue};
@@ -12,25 +12,27 @@
 use slog::{warn, Logger};
 use std::rc::Rc;
 
-/// Failed attempts after which another node may try.
-const RECOVERIES_LIMIT_COUNT: usize = 3;
-/// The time between two attempts.
-const RETRY: Duration = Duration::from_ms(100);
+/// Failed attempts after which the leader gives up, so that another node may try.
+const ATTEMPTS_LIMIT_COUNT: usize = 3;
+/// The pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_ms(100);
 
-/// Reads what the store keeps; `None` where the term is over before.
+/// Reads the state of all jobs from the store, and returns it with the intake's revision.
+///
+/// Returns `None` if the term ends first or all attempts fail.
 pub async fn recover<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Rc<Leading<P>>,
+    term: &Rc<Term<P>>,
 ) -> Option<(Recovered, Revision)> {
-    for _ in 0..RECOVERIES_LIMIT_COUNT {
-        if leading.is_over() {
+    for _ in 0..ATTEMPTS_LIMIT_COUNT {
+        if term.is_over() {
             return None;
         }
-        match read_recovered(node, leading).await {
+        match read_recovered(node, term).await {
             Ok(found) => return Some(found),
             Err(error) => {
                 warn!(node.log, "recovery failed"; "error" => error.to_string());
-                tokio::time::sleep(RETRY.into()).await;
+                tokio::time::sleep(RETRY_PAUSE.into()).await;
             }
         }
     }
@@ -39,30 +41,36 @@
 
 async fn read_recovered<P: Platform>(
     node: &Rc<Node<P>>,
-    leading: &Leading<P>,
+    term: &Term<P>,
 ) -> Result<(Recovered, Revision), StoreError> {
-    let begun_at = clock::now();
-    // All at once: a slow store makes each page long.
+    let started_at = clock::now();
+    // Read concurrently, since a slow store delays each page.
     let intake = read_all(&node.store, keys::INTAKE_PREFIX);
     let states = read_all(&node.store, keys::STATE_PREFIX);
     let cordons = read_all(&node.store, node.platform.cordons_prefix());
     let nodes = read_all(&node.store, keys::NODES_PREFIX);
     let (intake, states, cordons, nodes) = tokio::join!(intake, states, cordons, nodes);
     let ((intake, at), (states, _), (cordons, _)) = (intake?, states?, cordons?);
-    // The first looks at the workers go through relays.
-    cell_follow::learn_nodes(node, Update::Snapshot(nodes?.0));
-    let mut recovered = assemble(&node.log, intake, &states, clock::wall_ms());
-    recovered.cordons = cordons::read_all(node, &cordons);
-    leading.beliefs.cordons.confirm(begun_at);
+    // The nodes are needed to choose relays for the first polls of the workers.
+    cell_follow::handle_nodes_update(node, Update::Snapshot(nodes?.0));
+    let mut recovered = assemble_recovered(&node.log, intake, &states, clock::wall_ms());
+    recovered.cordons = cordons::parse_all(node, &cordons);
+    term.store_views.cordons.confirm(started_at);
     Ok((recovered, at))
 }
 
-/// Puts together what the store keeps of all jobs; what can't be read is logged.
+/// Assembles the recovered state from the stored items; items that can't be parsed are
+/// logged.
 ///
-/// A job whose state can't be read is none that has not begun: its tasks may
-/// run, or may be done. It is kept apart.
-pub fn assemble(log: &Logger, mut intake: Vec<Item>, states: &[Item], wall_ms: u64) -> Recovered {
-    // The order in which jobs were accepted.
+/// A job whose state can't be parsed must not be treated as one that has not started: its
+/// tasks may be running or finished. Such jobs are listed in `unreadable` instead.
+pub fn assemble_recovered(
+    log: &Logger,
+    mut intake: Vec<Item>,
+    states: &[Item],
+    wall_ms: u64,
+) -> Recovered {
+    // By the order in which the jobs were accepted.
     intake.sort_by_key(|item| item.revision);
     let mut recovered = Recovered {
         wall_ms,
@@ -70,27 +78,27 @@
     };
     for item in &intake {
         match keys::parse_intake(&item.key) {
-            Some(IntakeKey::Job(id)) => match stored_job(item) {
+            Some(IntakeKey::Job(id)) => match parse_stored_job(item) {
                 Ok(StoredJob::Accepted(record)) => recovered.jobs.push((id, *record)),
                 Ok(StoredJob::Ended(outcome)) => recovered.ended.push((id, outcome)),
                 Err(error) => {
-                    damaged(log, &item.key, &error.to_string());
+                    log_unreadable_item(log, &item.key, &error.to_string());
                     recovered.unreadable.push(id);
                 }
             },
             Some(IntakeKey::Cancel(id)) => recovered.cancels.push(id),
-            None => damaged(log, &item.key, "unknown key"),
+            None => log_unreadable_item(log, &item.key, "unknown key"),
         }
     }
     for item in states {
-        let state = stored_state(item);
+        let state = parse_stored_state(item);
         match (keys::parse_state(&item.key), state) {
             (Some(id), Ok(state)) => recovered.states.push((id, state)),
             (Some(id), Err(error)) => {
-                damaged(log, &item.key, &error.to_string());
+                log_unreadable_item(log, &item.key, &error.to_string());
                 recovered.unreadable.push(id);
             }
-            (None, _) => damaged(log, &item.key, "unknown key"),
+            (None, _) => log_unreadable_item(log, &item.key, "unknown key"),
         }
     }
     let unreadable = &recovered.unreadable;
@@ -98,21 +106,21 @@
     recovered
 }
 
-/// Reads what the store keeps under a job's key.
+/// Parses the item under a job's key.
 ///
 /// # Errors
 ///
-/// Returns a [`StateError`] where that can't be read.
-pub fn stored_job(item: &Item) -> Result<StoredJob, StateError> {
+/// Returns a [`StateError`] if the item can't be parsed.
+pub fn parse_stored_job(item: &Item) -> Result<StoredJob, StateError> {
     StoredJob::from_bytes(item.bytes().map_err(malformed)?)
 }
 
-/// Reads what the store keeps of a job's progress.
+/// Parses a job's progress.
 ///
 /// # Errors
 ///
-/// Returns a [`StateError`] where that can't be read.
-pub fn stored_state(item: &Item) -> Result<JobState, StateError> {
+/// Returns a [`StateError`] if the item can't be parsed.
+pub fn parse_stored_state(item: &Item) -> Result<JobState, StateError> {
     JobState::from_bytes(item.bytes().map_err(malformed)?)
 }
 
@@ -120,7 +128,7 @@
     StateError::Malformed(error.to_string())
 }
 
-/// Notes a stored item that can't be read.
-pub fn damaged(log: &Logger, key: &str, error: &str) {
+/// Logs a stored item that can't be parsed.
+pub fn log_unreadable_item(log: &Logger, key: &str, error: &str) {
     warn!(log, "stored item can't be read"; "key" => key, "error" => error);
 }
--- a/crates/control/src/worker_entries.rs
+++ b/crates/control/src/worker_entries.rs
@@ -1,38 +1,37 @@
-//! Workers' entries in the store, as they were read last.
+//! The workers' entries in the store, as last read.
 //!
-//! An entry may come from another writer, or be damaged on its way. One that can't be read
-//! names no worker to use: nothing new is started there until a good one is written. What
-//! runs there is neither given up nor started elsewhere for that reason; leases decide that,
-//! as for an entry that has gone.
+//! An entry may come from another writer, or be damaged in transit. A worker whose entry is
+//! unusable gets no new runs until a valid entry is written. Its runs are not given up or
+//! started elsewhere for that reason; as with a removed entry, their leases decide that.
 
-use crate::platform::EntryError;
+use crate::platform::WorkerEntryError;
 use crate::store::Revision;
 use ospreywing_scheduler::{WorkerChange, WorkerFacts};
 use std::collections::BTreeMap;
 
-/// The faults that are told of one update at most, so that a writer that changes many
-/// entries all the time fills no log.
-const TOLD_FAULTS_LIMIT_COUNT: usize = 20;
+/// The most faults that are reported for one update, so that a writer that keeps changing
+/// many entries does not flood the log.
+const NEW_FAULTS_LIMIT_COUNT: usize = 20;
 
-/// One entry.
+/// A worker's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
     key: String,
     revision: Revision,
-    read: Result<WorkerFacts, EntryError>,
+    parsed: Result<WorkerFacts, WorkerEntryError>,
 }
 
 impl WorkerEntry {
-    /// Creates an entry from what was read of it.
+    /// Creates an entry from its parsed value.
     pub const fn new(
         key: String,
         revision: Revision,
-        read: Result<WorkerFacts, EntryError>,
+        parsed: Result<WorkerFacts, WorkerEntryError>,
     ) -> Self {
         Self {
             key,
             revision,
-            read,
+            parsed,
         }
     }
 }
@@ -40,39 +39,41 @@
 /// A change of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryChange {
-    /// It was written.
+    /// The entry was written.
     Written(WorkerEntry),
-    /// The entry with this key has gone.
+    /// The entry with this key was removed.
     Gone(String),
 }
 
-/// All entries.
+/// All entries by key, and the faults that are not reported yet.
 #[derive(Debug, Default)]
 pub struct WorkerEntries {
     entries: BTreeMap<String, WorkerEntry>,
-    new_faults: Vec<EntryError>,
+    new_faults: Vec<WorkerEntryError>,
 }
 
 impl WorkerEntries {
-    /// Returns the workers that may be used.
+    /// Returns the workers with usable entries.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerFacts> + '_ {
         let entries = self.entries.values();
-        entries.filter_map(|entry| entry.read.as_ref().ok())
+        entries.filter_map(|entry| entry.parsed.as_ref().ok())
     }
 
-    /// Takes in a whole list; returns whether the workers have changed.
+    /// Replaces all entries; returns whether the usable workers have changed.
     pub fn replace(&mut self, entries: impl Iterator<Item = WorkerEntry>) -> bool {
         let before = core::mem::take(&mut self.entries);
         for entry in entries {
-            self.note_fault(before.get(&entry.key), &entry);
+            self.record_fault(before.get(&entry.key), &entry);
             self.entries.insert(entry.key.clone(), entry);
         }
-        let old = before.values().filter_map(|entry| entry.read.as_ref().ok());
+        let old = before
+            .values()
+            .filter_map(|entry| entry.parsed.as_ref().ok());
         !old.eq(self.workers())
     }
 
-    /// Takes in changes; returns what has changed of the workers, in its order. Entries are
-    /// rewritten all the time, so that is next to nothing of what comes in.
+    /// Applies changes of entries; returns the resulting changes of workers, in their order.
+    /// There are far fewer of these, since most entries are rewritten unchanged.
     pub fn apply(&mut self, changes: impl Iterator<Item = EntryChange>) -> Vec<WorkerChange> {
         let changed = changes.filter_map(|change| match change {
             EntryChange::Written(entry) => self.write(entry),
@@ -81,18 +82,18 @@
         changed.collect()
     }
 
-    /// Takes in an entry, unless a later page of a list showed what came after it: a
-    /// worker's room may shrink, and an older word must not bring it back.
+    /// Applies an entry that was written, unless a later version is known from a page of a
+    /// list: a worker's capacity may shrink, and an older entry must not restore it.
     fn write(&mut self, entry: WorkerEntry) -> Option<WorkerChange> {
         let known = self.entries.get(&entry.key);
         if known.is_some_and(|known| known.revision >= entry.revision) {
             return None;
         }
-        let facts = entry.read.as_ref().ok().cloned();
+        let facts = entry.parsed.as_ref().ok().cloned();
         let known = self.entries.remove(&entry.key);
-        self.note_fault(known.as_ref(), &entry);
+        self.record_fault(known.as_ref(), &entry);
         self.entries.insert(entry.key.clone(), entry);
-        let facts_before = known.and_then(|known| known.read.ok());
+        let facts_before = known.and_then(|known| known.parsed.ok());
         if facts == facts_before {
             return None;
         }
@@ -103,24 +104,24 @@
     }
 
     fn remove(&mut self, key: &str) -> Option<WorkerChange> {
-        let facts = self.entries.remove(key)?.read.ok()?;
+        let facts = self.entries.remove(key)?.parsed.ok()?;
         Some(WorkerChange::Unlisted(facts.id))
     }
 
-    /// Notes an entry that has become unreadable, or is it for another reason.
-    fn note_fault(&mut self, before: Option<&WorkerEntry>, entry: &WorkerEntry) {
-        let Err(error) = &entry.read else {
+    /// Records the fault of an entry that has become unusable, or is now so for another reason.
+    fn record_fault(&mut self, before: Option<&WorkerEntry>, entry: &WorkerEntry) {
+        let Err(error) = &entry.parsed else {
             return;
         };
-        let fault_before = before.and_then(|before| before.read.as_ref().err());
+        let fault_before = before.and_then(|before| before.parsed.as_ref().err());
         let is_known = fault_before.is_some_and(|before| before.fault == error.fault);
-        if !is_known && self.new_faults.len() < TOLD_FAULTS_LIMIT_COUNT {
+        if !is_known && self.new_faults.len() < NEW_FAULTS_LIMIT_COUNT {
             self.new_faults.push(error.clone());
         }
     }
 
-    /// Returns the entries that have become unreadable since the last call.
-    pub fn take_new_faults(&mut self) -> Vec<EntryError> {
+    /// Returns and clears the faults of entries that have become unusable since the last call.
+    pub fn take_new_faults(&mut self) -> Vec<WorkerEntryError> {
         core::mem::take(&mut self.new_faults)
     }
 }
--- a/crates/control/tests/control/campaign.rs
+++ b/crates/control/tests/control/campaign.rs
@@ -1,11 +1,11 @@
-//! Who stands first.
+//! Which nodes campaign first, and which candidate shares its configuration.
 
 use ospreywing_control::cell_view::{
-    candidates_of, Candidate, CellView, NodeRecord, CANDIDATES_COUNT,
+    choose_candidates, Candidate, CellView, NodeRecord, CANDIDATES_COUNT,
 };
-use ospreywing_control::configuration_sharing::source_among;
+use ospreywing_control::configuration_sharing::choose_source_among;
 use ospreywing_control::election::{campaign_delay, has_stronger_joined, is_much_weaker};
-use ospreywing_control::{keys, spread};
+use ospreywing_control::{keys, stable_hash};
 use ospreywing_types::Duration;
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -24,14 +24,14 @@
     nodes.into()
 }
 
-/// Returns how long a node of the cell waits whose leader has named its candidates.
+/// Returns how long a node of the cell waits if the leader has named the candidates.
 fn delay(name: &str, cores_milli: u32) -> Duration {
-    let candidates = candidates_of(&nodes());
+    let candidates = choose_candidates(&nodes());
     campaign_delay(name, &record(cores_milli), &candidates, Duration::ZERO)
 }
 
-/// Found on the grown swaramala-ow's scale-2: a node of 0.12 cores was elected
-/// beside nodes of 0.5, and could not read the store's pages in time.
+/// Stronger nodes campaign first. A node with 0.12 cores was elected although there were
+/// nodes with 0.5, and could not read the store's pages in time.
 #[rstest]
 #[case::first_of_equals("a", 500, "b", 500)]
 #[case::stronger("b", 500, "c", 120)]
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn campaign_delay_much_weaker_waits_for_all() {
+fn campaign_delay_much_weaker_node() {
     let strong = delay("b", 500);
     let weak = delay("c", 120);
     assert!(weak.as_ms() >= strong.as_ms() + 300);
@@ -58,34 +58,34 @@
 #[case::strong(500, false)]
 #[case::nearly(300, false)]
 #[case::weak(120, true)]
-fn is_much_weaker_than_the_strongest(#[case] cores_milli: u32, #[case] expected: bool) {
+fn is_much_weaker_than_strongest(#[case] cores_milli: u32, #[case] expected: bool) {
     assert_eq!(is_much_weaker(&record(cores_milli), &nodes()), expected);
 }
 
-/// Found on the grown swaramala-ow's scale-2: every strong node was killed or
-/// cut off at once; a weak one was elected 10 ms before they were back, and
-/// led for 7 s.
+/// A weak leader steps down if a stronger node registers after the election. All strong nodes
+/// had been killed or partitioned at once, a weak one was elected 10 ms before they returned,
+/// and it led for 7 s.
 #[rstest]
 #[case::strong_since("a", 41, true)]
 #[case::strong_before_may_be_gone("a", 39, false)]
 #[case::as_weak_since("d", 41, false)]
 fn has_stronger_joined_since_election(
     #[case] name: &str,
-    #[case] registered: u64,
+    #[case] registered_at: u64,
     #[case] expected: bool,
 ) {
     let view = CellView {
         nodes: nodes(),
-        registered: [(name.to_owned(), registered)].into(),
+        registered_at: [(name.to_owned(), registered_at)].into(),
         ..CellView::default()
     };
     assert_eq!(has_stronger_joined(&record(120), &view, 40), expected);
 }
 
-/// A node that follows the leader is not told of each node that comes and goes: with as many
-/// nodes that are told, that would grow with the square of the cell.
+/// The prefix that every node follows contains no node items: otherwise each node would
+/// receive each change of a node, and the traffic would grow with the square of the cell.
 #[test]
-fn leader_prefix_without_nodes() {
+fn leader_prefix_excludes_nodes() {
     let node = keys::node("front-a-1");
     assert!(!node.starts_with(keys::LEADER_PREFIX));
     assert!(keys::LEADER.starts_with(keys::LEADER_PREFIX));
@@ -100,23 +100,23 @@
     (0..count).map(node).collect()
 }
 
-/// However large the cell is, few nodes are named, the strongest ones.
+/// Even in a large cell only a few candidates are named, the strongest nodes.
 #[rstest]
 #[case::small(6)]
 #[case::large(585)]
 #[case::larger(2_099)]
-fn candidates_of_cell(#[case] nodes_count: usize) {
-    let candidates = candidates_of(&large_cell(nodes_count));
+fn choose_candidates_by_cell_size(#[case] nodes_count: usize) {
+    let candidates = choose_candidates(&large_cell(nodes_count));
     assert_eq!(candidates.len(), nodes_count.min(CANDIDATES_COUNT));
     if nodes_count > 100 {
         assert!(candidates.iter().all(|it| it.record.cores_milli == 1000));
     }
 }
 
-/// Of equally strong nodes those of different data centres go first, so that one that is lost
-/// takes few of them.
+/// Equally strong candidates are spread over the data centres, so that the loss of one
+/// removes only a few.
 #[test]
-fn candidates_of_several_data_centres() {
+fn choose_candidates_several_data_centres() {
     let node = |number: usize| {
         let data_centre = ["a", "b", "c"][number / 100].to_owned();
         let record = NodeRecord {
@@ -125,7 +125,7 @@
         };
         (format!("n{number:03}"), record)
     };
-    let candidates = candidates_of(&(0..300).map(node).collect());
+    let candidates = choose_candidates(&(0..300).map(node).collect());
     let count_in = |name: &str| {
         let here = candidates.iter().filter(|it| it.record.data_centre == name);
         here.count()
@@ -133,9 +133,10 @@
     assert_eq!([count_in("a"), count_in("b"), count_in("c")], [3, 3, 2]);
 }
 
-/// A node asks a candidate of its own data centre, and never itself.
+/// A node fetches from a candidate in its own data centre if possible; a candidate itself
+/// uses the store.
 #[test]
-fn source_among_candidates() {
+fn choose_source_among_candidates() {
     let candidate = |name: &str, data_centre: &str| Candidate {
         name: name.to_owned(),
         record: NodeRecord {
@@ -150,7 +151,7 @@
     ];
     let chosen = |name: &str, data_centre: &str, avoided: &[&str]| {
         let is_avoided = |name: &str| avoided.contains(&name);
-        let source = source_among(name, data_centre, &candidates, is_avoided);
+        let source = choose_source_among(name, data_centre, &candidates, is_avoided);
         source.map(|source| source.name.clone())
     };
     assert_eq!(chosen("n", "b", &[]).as_deref(), Some("z"));
@@ -164,23 +165,23 @@
     assert_eq!(chosen("x", "a", &[]), None, "a candidate asks the store");
 }
 
-/// Nodes that are no candidates, a whole cell of them, don't stand at one moment.
+/// In a large cell the campaigns of nodes that are not candidates are spread over time.
 #[test]
-fn campaign_delay_crowd() {
+fn campaign_delay_many_non_candidates() {
     let nodes = large_cell(2_099);
-    let candidates = candidates_of(&nodes);
+    let candidates = choose_candidates(&nodes);
     let mut at_ms: BTreeMap<u64, usize> = BTreeMap::new();
     for (name, record) in &nodes {
-        let draw = Duration::from_ms(spread::draw_below(name, 200));
+        let draw = Duration::from_ms(stable_hash::stable_hash_below(name, 200));
         let delay = campaign_delay(name, record, &candidates, draw);
         *at_ms.entry(delay.as_ms()).or_default() += 1;
     }
-    // The rest of two thousand, each in one of two hundred milliseconds.
+    // Some two thousand nodes are spread over 200 ms.
     assert!(at_ms.values().all(|count| *count <= 40), "{at_ms:?}");
     assert_eq!(at_ms.first_key_value(), Some((&0, &1)));
 }
 
-/// At the first start nobody has named candidates: strong nodes go first.
+/// At the first start of a cell there are no candidates: stronger nodes campaign first.
 #[test]
 fn campaign_delay_without_candidates() {
     let of = |cores_milli| campaign_delay("n", &record(cores_milli), &[], Duration::ZERO);
