--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -3,7 +3,7 @@
 use crate::CliError;
 use clap::ArgMatches;
 use ospreywing_soak::settings::check_size;
-use ospreywing_soak::{play, report, Plan, Size, SoakError, SoakSettings};
+use ospreywing_soak::{report, run_plan, Plan, Size, SoakError, SoakSettings};
 use std::path::{Path, PathBuf};
 
 /// The program of the nodes, as it lies beside this one.
@@ -48,11 +48,11 @@
     for plan in plans {
         let settings = SoakSettings::new(binary.clone(), report_dir.clone(), plan);
         let settings = settings.map_err(|error| usage(&error))?;
-        let verdict = play(&settings).await.map_err(|error| failed(&error))?;
+        let verdict = run_plan(&settings).await.map_err(|error| failed(&error))?;
         report::write(&report_dir, &settings.plan, &verdict).map_err(|error| failed(&error))?;
-        println!("{}", report::line_of(&verdict));
+        println!("{}", report::summary_line(&verdict));
         if verdict.violation.is_some() {
-            println!("{}", report::short_story_of(&verdict));
+            println!("{}", report::short_violation_report(&verdict));
             let played_count = passed_count + 1;
             let not_run_count = plans_count - played_count;
             return Err(CliError::Broken(format!(
