--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,4 +1,5 @@
-//! The verb `soak`: real nodes on this machine, faults, and the promises.
+//! The command `soak`: runs randomized fault-injection tests against real nodes on this
+//! machine.
 
 use crate::CliError;
 use clap::ArgMatches;
@@ -6,10 +7,10 @@
 use ospreywing_soak::{report, run_plan, Plan, Size, SoakError, SoakSettings};
 use std::path::{Path, PathBuf};
 
-/// The program of the nodes, as it lies beside this one.
+/// The name of the node program, which is in the directory of this program.
 const NODE_PROGRAM: &str = "ospreywing-platformd";
 
-/// The seeds of one call, the last one among them.
+/// An inclusive range of seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seeds {
     /// The first.
@@ -19,11 +20,11 @@
 }
 
 impl Seeds {
-    /// Reads `A..B`, both of which are played.
+    /// Parses `A..B`; both ends are included.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the text.
+    /// Returns the reason if the text is not a valid range.
     pub fn parse(text: &str) -> Result<Self, String> {
         let (first, last) = text.split_once("..").ok_or("it is not A..B")?;
         let number = |text: &str| text.parse().map_err(|_| format!("{text}: not a number"));
@@ -38,7 +39,12 @@
     }
 }
 
-/// Plays the runs that are asked for, and stops at the first broken promise.
+/// Runs the plans that the command line selects, and stops at the first invariant violation.
+///
+/// # Errors
+///
+/// Returns a [`CliError`] if an argument is invalid, a plan can't be run, a report can't be
+/// written, or an invariant is violated.
 pub async fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let binary = binary(matches)?;
     let report_dir = matches.get_one::<PathBuf>("report").cloned();
@@ -53,10 +59,10 @@
         println!("{}", report::summary_line(&verdict));
         if verdict.violation.is_some() {
             println!("{}", report::short_violation_report(&verdict));
-            let played_count = passed_count + 1;
-            let not_run_count = plans_count - played_count;
+            let run_count = passed_count + 1;
+            let not_run_count = plans_count - run_count;
             return Err(CliError::Broken(format!(
-                "seed {} broke a promise; {passed_count} passed before, {not_run_count} not run",
+                "seed {} violated an invariant; {passed_count} passed before, {not_run_count} not run",
                 verdict.seed
             )));
         }
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The words of the verb `soak`.
+//! The arguments of the command `soak`.
 
 use ospreywing_cli::command::command;
 use ospreywing_cli::Seeds;
@@ -14,7 +14,7 @@
 #[case("3", "it is not A..B")]
 #[case("3..x", "x: not a number")]
 #[case("5..3", "the first is above the last")]
-fn seeds_parse_wrong(#[case] text: &str, #[case] reason: &str) {
+fn seeds_parse_invalid(#[case] text: &str, #[case] reason: &str) {
     assert_eq!(Seeds::parse(text), Err(reason.to_owned()));
 }
 
@@ -22,10 +22,10 @@
 #[case(&["--seeds", "5..3"], "--seeds")]
 #[case(&["--boxes", "many"], "--boxes")]
 #[case(&["--plan", "plan.json", "--seed", "7"], "--seed")]
-fn soak_wrong_word_is_named(#[case] words: &[&str], #[case] flag: &str) {
+fn soak_names_invalid_flag(#[case] words: &[&str], #[case] flag: &str) {
     let line = ["ospreywing", "soak"].iter().chain(words);
     let error = command()
         .try_get_matches_from(line)
-        .expect_err("it is wrong");
+        .expect_err("the arguments are invalid");
     assert!(error.to_string().contains(flag), "{error}");
 }
