--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -113,8 +113,8 @@
     ///
     /// If suspected tasks had runs in their start window, only these runs are suspected and
     /// the others are cleared. Otherwise no run is suspected if much of the rack was lost
-    /// with the worker. How far a run was that an earlier leader recorded is unknown; it is
-    /// suspected only if it was alone.
+    /// with the worker. The progress of a run that an earlier leader recorded is unknown;
+    /// such a run is suspected only if it was alone on the worker.
     ///
     /// A draining worker ends its runs as planned; only a run that had just begun may have
     /// ended it early.
--- a/crates/scheduler/src/departures.rs
+++ b/crates/scheduler/src/departures.rs
@@ -20,7 +20,7 @@
 /// How long before a departure a run must end, so that a poll can report its end.
 const END_MARGIN: Duration = Duration::from_ms(300);
 
-/// The reason for such stops in the log.
+/// The reason that is logged for these stops.
 const REASON: &str = "worker leaving";
 
 impl Worker {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -135,7 +135,7 @@
     pub(crate) learning: Learning,
     /// The workers with reservations for gangs whose advice requests are open.
     pub(crate) reservations: BTreeMap<StepKey, Vec<WorkerKey>>,
-    /// The broken gangs, which have lost a member, and when they did.
+    /// The gangs that have lost a member, with the time of the loss.
     pub(crate) broken_gangs: BTreeMap<StepKey, Instant>,
     /// The workers found suitable and the workers asked about, by queue.
     pub(crate) goodness: HashMap<String, (f64, f64)>,
--- a/crates/scheduler/src/verifier.rs
+++ b/crates/scheduler/src/verifier.rs
@@ -118,7 +118,7 @@
                     known += run.demand;
                 }
             }
-            // A worker whose capacity has shrunk may hold the runs that it held then.
+            // A worker whose capacity has shrunk may still hold the runs from before.
             let capacity = worker.facts.capacity.max(worker.overcommitted);
             if is_counted && !known.fits_in(&capacity) {
                 return Err(Violation::Overcommitted(worker.facts.id.to_string()));
