--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -220,7 +220,7 @@
             suspicion: lost.suspicion,
             is_confirmed,
         });
-        job.trial_until = now + policy.probation_wait;
+        job.probation_until = now + policy.probation_wait;
         let exceeds_crash_limits = job.state.exceeds_crash_limits(lost.task, &policy);
         let worker = &self.workers[key];
         let line = Decision::new(DecisionKind::WorkerCrashed, reason_of(&lost, is_confirmed))
@@ -270,7 +270,7 @@
         let job = self.jobs.get(&id);
         let is_awaiting = job.is_some_and(|job| {
             let mut tasks = job.state.crashes.iter().map(|crash| crash.task);
-            now < job.trial_until && tasks.any(|task| job.state.is_suspect(task, policy))
+            now < job.probation_until && tasks.any(|task| job.state.is_suspect(task, policy))
         });
         is_awaiting && policy.probation_rule == ProbationRule::Alone
     }
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -1,6 +1,6 @@
 //! Log entries: one for each decision of the scheduler.
 
-use crate::customers::CustomerUse;
+use crate::customers::CustomerUsage;
 use crate::job::{JobId, StepKey, TaskKey};
 use ospreywing_types::Duration;
 use std::sync::Arc;
@@ -131,7 +131,7 @@
     /// The service, for a decision about a whole service.
     pub service: Option<Arc<str>>,
     /// The customer with its usage and limit, if these were decisive.
-    pub customer: Option<CustomerUse>,
+    pub customer: Option<CustomerUsage>,
     /// The reservation of the customer's limit, if there is one.
     pub reserved: Option<ReservedLimit>,
     /// The reason or the result.
@@ -200,7 +200,7 @@
     }
 
     /// Sets the customer and its usage.
-    pub fn with_customer(mut self, customer: CustomerUse) -> Self {
+    pub fn with_customer(mut self, customer: CustomerUsage) -> Self {
         self.customer = Some(customer);
         self
     }
--- a/crates/scheduler/src/departures.rs
+++ b/crates/scheduler/src/departures.rs
@@ -40,8 +40,8 @@
     /// Returns the earliest departure, if it is reported and the worker's clock is known.
     fn reported_departure(&self) -> Option<Instant> {
         let clock = self.clock?;
-        let left_ms = self.facts.departs_at_clock_ms?.checked_sub(clock.clock_ms);
-        Some(clock.read_at + Duration::from_ms(left_ms.unwrap_or(0)))
+        let remaining_ms = self.facts.departs_at_clock_ms?.checked_sub(clock.clock_ms);
+        Some(clock.read_at + Duration::from_ms(remaining_ms.unwrap_or(0)))
     }
 }
 
@@ -80,7 +80,7 @@
             return false;
         };
         let ends_in_time =
-            !spec.is_perpetual && self.expected_end(task, spec, run) + END_MARGIN <= departs_at;
+            !spec.is_perpetual && self.earliest_end(task, spec, run) + END_MARGIN <= departs_at;
         let is_last_moment = now + STOP_MARGIN + self.config.stop_grace >= departs_at;
         let loses_all = !spec.saves_progress && !spec.is_perpetual;
         !ends_in_time && (loses_all || is_last_moment)
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -109,7 +109,7 @@
     pub(crate) limit_reservations: LimitReservations,
     pub(crate) shares: Shares,
     /// Jobs whose demand has to be recomputed for their service's shares.
-    pub(crate) stale_asks: HashSet<JobId>,
+    pub(crate) stale_ready_demand: HashSet<JobId>,
     pub(crate) cordons: Cordons,
     /// Whether starts are paused everywhere.
     pub(crate) are_starts_paused: bool,
@@ -179,7 +179,7 @@
             accounts,
             limit_reservations: LimitReservations::default(),
             shares: Shares::default(),
-            stale_asks: HashSet::new(),
+            stale_ready_demand: HashSet::new(),
             cordons: Cordons::default(),
             are_starts_paused: false,
             workers: PrimaryMap::new(),
@@ -220,7 +220,7 @@
     /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::JobAccepted { job, record } => self.take_job(now, job, *record, out),
+            Event::JobAccepted { job, record } => self.accept_job(now, job, *record, out),
             Event::CancelAccepted { job } => self.cancel_job(now, job, out),
             Event::Configured(configuration) => self.configure(configuration, out),
             Event::CordonsListed(data_centres) => self.set_cordons(data_centres, out),
@@ -251,7 +251,7 @@
             Event::Committed { lane } => self.on_committed(now, lane as usize, out),
             Event::StoreDegraded(is_degraded) => {
                 self.is_store_degraded = is_degraded;
-                self.forecasts.note_unsure(now);
+                self.forecasts.suspend(now);
             }
             Event::WallClock(wall_ms) => self.begin_due_rounds(wall_ms),
             Event::Tick => self.on_tick(now, out),
@@ -298,9 +298,9 @@
     pub fn job(&self, job: JobId) -> Option<JobView> {
         let job = self.jobs.get(&job)?;
         Some(JobView {
-            phase: job.shown,
+            phase: job.committed_phase,
             has_begun: job.has_begun,
-            is_settled: job.state.phase == job.shown || !job.is_on_its_way,
+            is_settled: job.state.phase == job.committed_phase || !job.is_in_flight,
         })
     }
 
@@ -384,7 +384,7 @@
             self.waits.forget_old(now);
             self.shapes.forget_old(now);
             self.name_interner.remove_unused();
-            self.forget_old_jobs(now);
+            self.remove_expired_jobs(now);
         }
         self.is_cycle_due = true;
     }
@@ -397,7 +397,7 @@
         out.push(Action::Log(line.with_figure(configuration.version)));
         self.accounts.configure(configuration.customers.values());
         self.configuration = configuration;
-        self.move_shares();
+        self.update_share_services();
         self.update_has_service();
         self.is_cycle_due = true;
     }
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -4,10 +4,10 @@
 use crate::customers::Charge;
 use crate::event::Endpoint;
 use crate::incarnation::Incarnation;
+use crate::interference::RunRole;
 use crate::job::{StepKey, TaskKey};
 use crate::learning::WorkerSpeed;
 use crate::open_starts::OpenStarts;
-use crate::sharing::RunRole;
 use cranelift_entity::entity_impl;
 use ospreywing_types::{Duration, Instant, Resources};
 use serde::{Deserialize, Serialize};
@@ -176,7 +176,7 @@
     }
 
     /// Records that the worker has the run.
-    pub(crate) fn note_begun(&mut self, now: Instant) {
+    pub(crate) fn mark_begun(&mut self, now: Instant) {
         self.was_absent = false;
         if self.begun_at.is_none() && self.checkpoint.is_none() {
             let percent = 0;
