--- a/crates/scheduler/src/placed_incarnations.rs
+++ b/crates/scheduler/src/placed_incarnations.rs
@@ -13,6 +13,7 @@
     round: u32,
     step: u32,
     index: u32,
+    #[serde(rename = "life_start")]
     incarnation: Incarnation,
 }
 
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -55,7 +55,7 @@
         worker: String,
         /// The incarnation to which the task was assigned, if known. It is stored
         /// separately, after the rest of the progress.
-        #[serde(skip)]
+        #[serde(skip, rename = "life_start")]
         incarnation: Option<Incarnation>,
     },
     /// A run has succeeded.
