--- a/crates/daemon/src/sessions.rs
+++ b/crates/daemon/src/sessions.rs
@@ -262,7 +262,7 @@
             Ok(Err(RpcError::Call(_))) => Event::StartNotSent { attempt },
             Ok(Err(_)) | Err(_) => {
                 self.broken.notify_one();
-                Event::StartInDoubt { attempt }
+                Event::StartUnconfirmed { attempt }
             }
         };
         self.session.engine.tell(event).await;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -297,7 +297,7 @@
             MembershipAction::ClaimShard { shard, revision } => {
                 self.claim_shard(shard, revision, actions);
             }
-            MembershipAction::HandOverShard(shard) => self.begin_hand_over(now, shard),
+            MembershipAction::HandOverShard(shard) => self.begin_handover(now, shard),
             MembershipAction::ClaimSeat { seat, revision } => {
                 actions.push(Action::ClaimSeat { seat, revision });
             }
--- a/crates/node/src/shards.rs
+++ b/crates/node/src/shards.rs
@@ -221,11 +221,11 @@
         }
     }
 
-    pub(crate) fn begin_hand_over(&mut self, now: Instant, shard: u32) {
+    pub(crate) fn begin_handover(&mut self, now: Instant, shard: u32) {
         let slot = core::mem::take(&mut self.shards[shard as usize]);
         self.shards[shard as usize] = match slot {
             ShardSlot::Owned(mut owner) => {
-                owner.begin_hand_over();
+                owner.begin_handover();
                 ShardSlot::HandingOver {
                     owner,
                     since: now,
@@ -253,7 +253,7 @@
                 continue;
             };
             let is_overdue = now.since(*since) >= HAND_OVER_LIMIT;
-            if *is_finishing && owner.is_settled() && !owner.wants_commit() || is_overdue {
+            if *is_finishing && owner.is_settled() && !owner.needs_commit() || is_overdue {
                 let epoch = owner.config().epoch;
                 self.close_shard(now, shard, false, actions);
                 self.vacate_shard(now, shard, epoch, actions);
@@ -283,7 +283,7 @@
             let Some(owner) = self.shards[shard as usize].owner_mut() else {
                 continue;
             };
-            if !owner.wants_commit() || !self.pace.take(now) {
+            if !owner.needs_commit() || !self.pace.take(now) {
                 continue;
             }
             let epoch = owner.config().epoch;
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -62,8 +62,8 @@
                 let event = shard::Event::StartNotSent { attempt };
                 self.on_start_resolved(now, attempt, event, actions);
             }
-            Event::StartInDoubt { attempt } => {
-                let event = shard::Event::StartInDoubt { attempt };
+            Event::StartUnconfirmed { attempt } => {
+                let event = shard::Event::StartUnconfirmed { attempt };
                 self.on_start_resolved(now, attempt, event, actions);
             }
             Event::Ended { worker, ended } => {
--- a/crates/replay/src/player.rs
+++ b/crates/replay/src/player.rs
@@ -286,7 +286,7 @@
     }
 
     fn commit(&mut self) {
-        if !self.owner.wants_commit() {
+        if !self.owner.needs_commit() {
             return;
         }
         let before = self.owner.counts().started_count;
@@ -313,7 +313,7 @@
             }
             self.actions = actions;
         }
-        if self.owner.wants_commit() && !self.is_commit_due {
+        if self.owner.needs_commit() && !self.is_commit_due {
             self.is_commit_due = true;
             let earliest_ms = self.committed_at_ms + COMMIT_EVERY_MS;
             self.at(self.now_ms.max(earliest_ms), Due::Commit);
--- a/crates/shard/src/closing.rs
+++ b/crates/shard/src/closing.rs
@@ -8,7 +8,7 @@
 pub struct Closing {
     shard: u32,
     epoch: u64,
-    on_their_way: BTreeSet<AttemptId>,
+    starts_in_flight: BTreeSet<AttemptId>,
 }
 
 impl Closing {
@@ -17,18 +17,18 @@
         Self {
             shard,
             epoch,
-            on_their_way: attempts.into_iter().collect(),
+            starts_in_flight: attempts.into_iter().collect(),
         }
     }
 
     /// Notes that a start was taken, not sent, or lost with its connection.
     pub fn resolve(&mut self, attempt: AttemptId) {
-        self.on_their_way.remove(&attempt);
+        self.starts_in_flight.remove(&attempt);
     }
 
     /// Returns whether no start of the epoch is on its way.
     pub fn is_closed(&self) -> bool {
-        self.on_their_way.is_empty()
+        self.starts_in_flight.is_empty()
     }
 
     /// Returns the shard.
--- a/crates/shard/src/commit.rs
+++ b/crates/shard/src/commit.rs
@@ -23,9 +23,9 @@
         if self.inflight.is_some() {
             return None;
         }
-        self.take_up_intake(now);
+        self.apply_intake(now);
         self.place_waiting(now);
-        let is_idle = self.pending.iter().all(Record::is_rider);
+        let is_idle = self.pending.iter().all(Record::is_deferrable);
         if is_idle && self.pending_effects.is_empty() {
             return None;
         }
@@ -49,10 +49,10 @@
             return;
         }
         self.may_place = false;
-        self.passed.clear();
+        self.skipped.clear();
         for _ in 0..STARTS_PER_COMMIT {
             let step = self.config.ageing_step;
-            let next = self.workloads.next(&self.passed, now, step);
+            let next = self.workloads.next(&self.skipped, now, step);
             let Some((workload, waiting)) = next else {
                 return;
             };
@@ -63,7 +63,7 @@
             match worker {
                 Some(worker) => self.record_start(waiting.task, worker),
                 None => {
-                    self.passed.insert(workload);
+                    self.skipped.insert(workload);
                 }
             }
         }
--- a/crates/shard/src/config.rs
+++ b/crates/shard/src/config.rs
@@ -20,13 +20,13 @@
     /// How often a worker is asked for its report.
     pub report_every: Duration,
     /// How often it is asked while a start on it is in doubt.
-    pub doubt_report_every: Duration,
+    pub unconfirmed_report_every: Duration,
     /// How long an awake worker may take to read what is in its buffers.
-    pub settle: Duration,
+    pub settling_time: Duration,
     /// How long after a box has left the box list nothing runs on it.
     pub unlisted_quarantine: Duration,
     /// How long a commit may take before new work is refused.
-    pub commit_patience: Duration,
+    pub commit_timeout: Duration,
     /// How long results of ended tasks are kept.
     pub result_retention: Duration,
     /// How long granted request keys are kept.
@@ -48,10 +48,10 @@
             lease: Duration::from_s(30),
             renew_every: Duration::from_s(5),
             report_every: Duration::from_s(20),
-            doubt_report_every: Duration::from_ms(1500),
-            settle: Duration::from_s(5),
+            unconfirmed_report_every: Duration::from_ms(1500),
+            settling_time: Duration::from_s(5),
             unlisted_quarantine: Duration::from_s(120),
-            commit_patience: Duration::from_ms(1500),
+            commit_timeout: Duration::from_ms(1500),
             result_retention: Duration::from_s(900),
             key_retention: Duration::from_s(900),
             waiting_limit_count: 50_000,
@@ -66,7 +66,7 @@
     /// before a pause can reach a worker that still holds the lease, once:
     /// hence twice the lease. The margin of a quarter is for clocks that run
     /// at different rates.
-    pub const fn lapse(&self) -> Duration {
+    pub const fn max_lease_time(&self) -> Duration {
         Duration::from_ms(self.lease.as_ms() * 2 + self.lease.as_ms() / 4)
     }
 }
--- a/crates/shard/src/event.rs
+++ b/crates/shard/src/event.rs
@@ -85,7 +85,7 @@
         attempt: AttemptId,
     },
     /// A start was sent and its connection broke before an answer.
-    StartInDoubt {
+    StartUnconfirmed {
         /// The attempt.
         attempt: AttemptId,
     },
--- a/crates/shard/src/free_index.rs
+++ b/crates/shard/src/free_index.rs
@@ -23,12 +23,12 @@
 impl FreeIndex {
     /// Adds a worker with `free` room.
     pub(crate) fn insert(&mut self, worker: Worker, free: &Resources, is_accelerated: bool) {
-        self.part(is_accelerated).insert(slot(worker, free));
+        self.set_of(is_accelerated).insert(slot(worker, free));
     }
 
     /// Removes a worker that was added with `free` room.
     pub(crate) fn remove(&mut self, worker: Worker, free: &Resources, is_accelerated: bool) {
-        self.part(is_accelerated).remove(&slot(worker, free));
+        self.set_of(is_accelerated).remove(&slot(worker, free));
     }
 
     /// Returns the number of workers in the index.
@@ -54,7 +54,7 @@
         find_in(&self.accelerated, need, policy, &fits)
     }
 
-    fn part(&mut self, is_accelerated: bool) -> &mut BTreeSet<Slot> {
+    fn set_of(&mut self, is_accelerated: bool) -> &mut BTreeSet<Slot> {
         if is_accelerated {
             &mut self.accelerated
         } else {
@@ -76,13 +76,13 @@
     policy: Policy,
     fits: &impl Fn(Worker) -> bool,
 ) -> Option<Worker> {
-    let least = Slot {
+    let min_slot = Slot {
         cores_milli: need.cores_milli,
         worker: Worker::from_u32(0),
     };
-    let mut roomy = slots.range(least..).map(|slot| slot.worker);
+    let mut candidates = slots.range(min_slot..).map(|slot| slot.worker);
     match policy {
-        Policy::Packing => roomy.find(|&worker| fits(worker)),
-        Policy::Waiting => roomy.rfind(|&worker| fits(worker)),
+        Policy::Packing => candidates.find(|&worker| fits(worker)),
+        Policy::Waiting => candidates.rfind(|&worker| fits(worker)),
     }
 }
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -50,7 +50,7 @@
 const HAND_OVER_REASON: &str = "the shard is changing hands";
 const HAND_OVER_RETRY_AFTER: Duration = Duration::from_s(1);
 
-fn refused(reason: impl Into<String>, retry_after: Option<Duration>) -> Reply {
+fn rejected(reason: impl Into<String>, retry_after: Option<Duration>) -> Reply {
     Reply::Submit(SubmitReply::Refused {
         reason: reason.into(),
         retry_after_ms: retry_after.map(Duration::as_ms),
@@ -70,7 +70,7 @@
         if let Some(task) = self.state.by_key(&key) {
             if self.state.tasks[task].image.row != row {
                 let reason = "key: in use by a task of another row";
-                self.answer(token, refused(reason, None), actions);
+                self.answer(token, rejected(reason, None), actions);
                 return;
             }
             self.reply_when_committed(token, task, actions);
@@ -80,7 +80,7 @@
             task.tokens.push(token);
             return;
         }
-        if let Some(reply) = self.refusal(now, &row, &spec) {
+        if let Some(reply) = self.rejection(now, &row, &spec) {
             self.answer(token, reply, actions);
             return;
         }
@@ -90,42 +90,42 @@
         self.intake.tasks.insert(key, task);
     }
 
-    fn refusal(&self, now: Instant, row: &Name, spec: &TaskSpec) -> Option<Reply> {
+    fn rejection(&self, now: Instant, row: &Name, spec: &TaskSpec) -> Option<Reply> {
         let workload = self.workloads.by_name(row);
         if !workload.is_some_and(|workload| self.workloads.get(workload).is_listed) {
             let reason = format!("row: the table has no batch row {row:?}");
-            return Some(refused(reason, None));
+            return Some(rejected(reason, None));
         }
         if spec.resources.is_zero() {
-            return Some(refused("spec.resources: all are zero", None));
+            return Some(rejected("spec.resources: all are zero", None));
         }
-        if !self.workers.could_hold(&spec.resources) {
+        if !self.workers.fits_any_worker(&spec.resources) {
             let reason = format!("spec.resources: no worker holds {}", spec.resources);
-            return Some(refused(reason, None));
+            return Some(rejected(reason, None));
         }
         let waiting_count = self.waiting_count() + self.intake.order.len();
         if waiting_count >= self.config.waiting_limit_count {
             let reason = format!("{waiting_count} tasks wait in the shard, the limit");
-            return Some(refused(reason, Some(FULL_RETRY_AFTER)));
+            return Some(rejected(reason, Some(FULL_RETRY_AFTER)));
         }
-        self.trouble(now)
-            .map(|(reason, retry_after)| refused(reason, Some(retry_after)))
+        self.intake_obstacle(now)
+            .map(|(reason, retry_after)| rejected(reason, Some(retry_after)))
     }
 
     /// Why nothing new can be put on record now, if so.
-    fn trouble(&self, now: Instant) -> Option<(&'static str, Duration)> {
+    fn intake_obstacle(&self, now: Instant) -> Option<(&'static str, Duration)> {
         if self.is_handing_over {
             return Some((HAND_OVER_REASON, HAND_OVER_RETRY_AFTER));
         }
         let reason = "the platform's store does not answer";
-        self.is_store_silent(now)
+        self.is_commit_overdue(now)
             .then_some((reason, STORE_RETRY_AFTER))
     }
 
     /// Returns whether the commit under way has waited too long for its answer.
-    fn is_store_silent(&self, now: Instant) -> bool {
+    fn is_commit_overdue(&self, now: Instant) -> bool {
         let inflight = self.inflight.as_ref();
-        inflight.is_some_and(|it| now.since(it.since) >= self.config.commit_patience)
+        inflight.is_some_and(|it| now.since(it.since) >= self.config.commit_timeout)
     }
 
     /// Answers with a task's status once all that is decided so far is on record.
@@ -152,13 +152,13 @@
     ) {
         let Some(task) = self.state.by_key(key) else {
             let reason = "key: no task of this key is on record";
-            self.answer(token, refused(reason, None), actions);
+            self.answer(token, rejected(reason, None), actions);
             return;
         };
         let id = self.state.tasks[task].image.id;
         match &self.state.tasks[task].image.position {
             Position::Waiting => {
-                self.end(now, task, TaskPhase::Cancelled, None);
+                self.end_task(now, task, TaskPhase::Cancelled, None);
             }
             Position::Started(_) => {
                 self.append(Record::Cancel { id });
@@ -195,18 +195,18 @@
             self.answer(token, Reply::TakeKey(TakeKeyReply::Taken), actions);
             return;
         }
-        if let Some((_, retry_after)) = self.trouble(now) {
-            self.answer(token, key_refused(retry_after), actions);
+        if let Some((_, retry_after)) = self.intake_obstacle(now) {
+            self.answer(token, rejected_key(retry_after), actions);
             return;
         }
         self.intake.keys.insert(key, NewKey { token, nonce });
     }
 
     /// Moves what waits into the state and the next commit.
-    pub(crate) fn take_up_intake(&mut self, now: Instant) {
+    pub(crate) fn apply_intake(&mut self, now: Instant) {
         for key in core::mem::take(&mut self.intake.order) {
             if let Some(new) = self.intake.tasks.remove(&key) {
-                self.take_up_task(now, key, new);
+                self.apply_new_task(now, key, new);
             }
         }
         for (key, new) in core::mem::take(&mut self.intake.keys) {
@@ -223,7 +223,7 @@
         }
     }
 
-    fn take_up_task(&mut self, now: Instant, key: Key, new: NewTask) {
+    fn apply_new_task(&mut self, now: Instant, key: Key, new: NewTask) {
         let id = TaskId(self.state.next_id);
         let workload = self.workloads.intern(&new.row);
         let record = Record::Submit {
@@ -250,27 +250,27 @@
     ///
     /// What no commit has taken up was not run. What one has is unknown where
     /// the store is silent; a commit on its way at a hand-over is waited for.
-    pub(crate) fn refuse_overdue(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let Some((reason, retry_after)) = self.trouble(now) else {
+    pub(crate) fn reject_overdue(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let Some((reason, retry_after)) = self.intake_obstacle(now) else {
             return;
         };
-        self.refuse_intake(reason, retry_after, actions);
-        if self.is_store_silent(now) {
-            self.answer_inflight(in_doubt, actions);
+        self.reject_intake(reason, retry_after, actions);
+        if self.is_commit_overdue(now) {
+            self.answer_inflight(unconfirmed_reply, actions);
         }
     }
 
     /// Gives up on every caller that waits.
-    pub(crate) fn refuse_all(&mut self, is_refused: bool, actions: &mut Vec<Action>) {
-        self.refuse_intake(HAND_OVER_REASON, HAND_OVER_RETRY_AFTER, actions);
+    pub(crate) fn reject_all(&mut self, is_refused: bool, actions: &mut Vec<Action>) {
+        self.reject_intake(HAND_OVER_REASON, HAND_OVER_RETRY_AFTER, actions);
         if is_refused {
-            self.answer_inflight(not_run, actions);
+            self.answer_inflight(not_run_reply, actions);
         } else {
-            self.answer_inflight(in_doubt, actions);
+            self.answer_inflight(unconfirmed_reply, actions);
         }
     }
 
-    fn refuse_intake(
+    fn reject_intake(
         &mut self,
         reason: &'static str,
         retry_after: Duration,
@@ -280,13 +280,13 @@
         for (_, new) in self.intake.tasks.drain() {
             for token in new.tokens {
                 self.counts.refused_count += 1;
-                let reply = refused(reason, Some(retry_after));
+                let reply = rejected(reason, Some(retry_after));
                 actions.push(Action::Reply { token, reply });
             }
         }
         for (_, new) in self.intake.keys.drain() {
             self.counts.refused_count += 1;
-            let reply = key_refused(retry_after);
+            let reply = rejected_key(retry_after);
             actions.push(Action::Reply {
                 token: new.token,
                 reply,
@@ -294,8 +294,8 @@
         }
     }
 
-    /// Answers those that wait on a commit with `word` in place of their reply.
-    fn answer_inflight(&mut self, word: fn(&Reply) -> Reply, actions: &mut Vec<Action>) {
+    /// Answers those that wait on a commit with `replacement` in place of their reply.
+    fn answer_inflight(&mut self, replacement: fn(&Reply) -> Reply, actions: &mut Vec<Action>) {
         let inflight = self.inflight.as_mut();
         let in_flight = inflight.map(|inflight| &mut inflight.effects);
         for effects in in_flight.into_iter().chain([&mut self.pending_effects]) {
@@ -303,7 +303,7 @@
                 let Effect::Reply(token, reply) = effect else {
                     return true;
                 };
-                let (token, reply) = (*token, word(reply));
+                let (token, reply) = (*token, replacement(reply));
                 actions.push(Action::Reply { token, reply });
                 false
             });
@@ -311,17 +311,17 @@
     }
 
     pub(crate) fn answer(&mut self, token: Token, reply: Reply, actions: &mut Vec<Action>) {
-        let is_refusal = matches!(
+        let is_rejection = matches!(
             reply,
             Reply::Submit(SubmitReply::Refused { .. })
                 | Reply::TakeKey(TakeKeyReply::Refused { .. })
         );
-        self.counts.refused_count += u64::from(is_refusal);
+        self.counts.refused_count += u64::from(is_rejection);
         actions.push(Action::Reply { token, reply });
     }
 }
 
-fn key_refused(retry_after: Duration) -> Reply {
+fn rejected_key(retry_after: Duration) -> Reply {
     Reply::TakeKey(TakeKeyReply::Refused {
         retry_after_ms: retry_after.as_ms(),
     })
@@ -331,17 +331,17 @@
 ///
 /// A claim that is not known to be on record is refused: the claimant must not
 /// send, and nobody else will be granted the key if it is.
-fn in_doubt(reply: &Reply) -> Reply {
+fn unconfirmed_reply(reply: &Reply) -> Reply {
     match reply {
         Reply::Submit(_) => Reply::Submit(SubmitReply::Unknown),
-        Reply::TakeKey(_) => key_refused(STORE_RETRY_AFTER),
+        Reply::TakeKey(_) => rejected_key(STORE_RETRY_AFTER),
     }
 }
 
 /// What a caller is told in place of `reply` when the commit had no effect.
-fn not_run(reply: &Reply) -> Reply {
+fn not_run_reply(reply: &Reply) -> Reply {
     match reply {
-        Reply::Submit(_) => refused("the shard has another owner", Some(HAND_OVER_RETRY_AFTER)),
-        Reply::TakeKey(_) => key_refused(HAND_OVER_RETRY_AFTER),
+        Reply::Submit(_) => rejected("the shard has another owner", Some(HAND_OVER_RETRY_AFTER)),
+        Reply::TakeKey(_) => rejected_key(HAND_OVER_RETRY_AFTER),
     }
 }
--- a/crates/shard/src/log.rs
+++ b/crates/shard/src/log.rs
@@ -26,7 +26,7 @@
 
 /// What a batch has a record about.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Mention {
+enum Subject {
     Task(TaskId),
     Key(Key),
     Epoch(u64),
@@ -36,7 +36,7 @@
 struct BatchInfo {
     seq: u64,
     size_bytes: usize,
-    mentions: Vec<Mention>,
+    subjects: Vec<Subject>,
 }
 
 /// The log's shape, as far as the cleaner needs it.
@@ -48,7 +48,7 @@
 }
 
 /// A log smaller than this is not cleaned.
-const CLEAN_FLOOR_BYTES: usize = 32 * 1024;
+const CLEAN_MIN_BYTES: usize = 32 * 1024;
 /// What an entity takes in the log, at a guess: the cleaner's notion of live.
 const LIVE_TASK_BYTES: usize = 160;
 const LIVE_KEY_BYTES: usize = 48;
@@ -61,7 +61,7 @@
 
 impl Log {
     /// Notes a batch found in the store.
-    pub(crate) fn note(&mut self, batch: &Batch, size_bytes: usize) {
+    pub(crate) fn add_batch(&mut self, batch: &Batch, size_bytes: usize) {
         self.push(batch.seq, &batch.records, size_bytes);
         self.next_seq = batch.seq + 1;
     }
@@ -102,12 +102,12 @@
     }
 
     fn push(&mut self, seq: u64, records: &[Record], size_bytes: usize) {
-        let mentions = records.iter().map(mention).collect();
+        let subjects = records.iter().map(subject).collect();
         self.size_bytes += size_bytes;
         self.batches.push_back(BatchInfo {
             seq,
             size_bytes,
-            mentions,
+            subjects,
         });
     }
 
@@ -115,7 +115,7 @@
         let mut written_bytes = 0;
         let mut seen = HashSet::new();
         for _ in 0..CLEAN_BATCHES_COUNT {
-            if !self.is_due(state) || written_bytes > BATCH_LIMIT_BYTES {
+            if !self.is_cleaning_due(state) || written_bytes > BATCH_LIMIT_BYTES {
                 return;
             }
             let Some(oldest) = self.batches.pop_front() else {
@@ -123,47 +123,47 @@
             };
             self.size_bytes -= oldest.size_bytes;
             written_bytes += oldest.size_bytes;
-            for mention in oldest.mentions {
-                if !seen.contains(&mention) {
-                    write_again(&mention, state, records);
-                    seen.insert(mention);
+            for subject in oldest.subjects {
+                if !seen.contains(&subject) {
+                    rewrite(&subject, state, records);
+                    seen.insert(subject);
                 }
             }
         }
     }
 
-    fn is_due(&self, state: &State) -> bool {
+    fn is_cleaning_due(&self, state: &State) -> bool {
         let live_bytes =
             state.tasks_count() * LIVE_TASK_BYTES + state.taken_keys.len() * LIVE_KEY_BYTES;
-        self.size_bytes > CLEAN_FLOOR_BYTES.max(live_bytes * CLEAN_FACTOR)
+        self.size_bytes > CLEAN_MIN_BYTES.max(live_bytes * CLEAN_FACTOR)
     }
 }
 
-fn mention(record: &Record) -> Mention {
+fn subject(record: &Record) -> Subject {
     match record {
-        Record::Open { epoch, .. } | Record::Close { epoch } => Mention::Epoch(*epoch),
+        Record::Open { epoch, .. } | Record::Close { epoch } => Subject::Epoch(*epoch),
         Record::Submit { id, .. }
         | Record::Start { id, .. }
         | Record::Confirm { id, .. }
         | Record::Requeue { id, .. }
         | Record::Cancel { id }
         | Record::End { id, .. }
-        | Record::Forget { id } => Mention::Task(*id),
-        Record::Task(image) => Mention::Task(image.id),
-        Record::TakeKey { key, .. } | Record::ForgetKey { key } => Mention::Key(key.clone()),
+        | Record::Forget { id } => Subject::Task(*id),
+        Record::Task(image) => Subject::Task(image.id),
+        Record::TakeKey { key, .. } | Record::ForgetKey { key } => Subject::Key(key.clone()),
     }
 }
 
-fn write_again(mention: &Mention, state: &State, records: &mut Vec<Record>) {
-    let record = match mention {
-        Mention::Task(id) => state
+fn rewrite(subject: &Subject, state: &State, records: &mut Vec<Record>) {
+    let record = match subject {
+        Subject::Task(id) => state
             .by_id(*id)
             .map(|task| Record::Task(state.tasks[task].image.clone())),
-        Mention::Key(key) => state.taken_keys.get(key).map(|nonce| Record::TakeKey {
+        Subject::Key(key) => state.taken_keys.get(key).map(|nonce| Record::TakeKey {
             key: key.clone(),
             nonce: *nonce,
         }),
-        Mention::Epoch(epoch) => state.open_epochs.get(epoch).map(|owner| Record::Open {
+        Subject::Epoch(epoch) => state.open_epochs.get(epoch).map(|owner| Record::Open {
             epoch: *epoch,
             owner: owner.clone(),
         }),
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -86,10 +86,10 @@
     /// When the shard was claimed; no former owner was confirmed after it.
     pub(crate) claimed_at: Instant,
     /// Since when no former owner can act; `None` while one may.
-    pub(crate) sole_since: Option<Instant>,
+    pub(crate) sole_owner_since: Option<Instant>,
     pub(crate) ended: VecDeque<Retained<Task>>,
     pub(crate) keys: VecDeque<Retained<Key>>,
-    pub(crate) passed: EntitySet<Workload>,
+    pub(crate) skipped: EntitySet<Workload>,
     /// Whether something may have made room since tasks were last placed.
     pub(crate) may_place: bool,
     pub(crate) counts: Counts,
@@ -114,15 +114,15 @@
             is_handing_over: false,
             confirmed_at: now,
             claimed_at: now,
-            sole_since: None,
+            sole_owner_since: None,
             ended: VecDeque::new(),
             keys: VecDeque::new(),
-            passed: EntitySet::new(),
+            skipped: EntitySet::new(),
             may_place: true,
             counts: Counts::default(),
         };
-        owner.take_in_tasks(now);
-        owner.note_sole(now);
+        owner.index_tasks(now);
+        owner.update_sole_ownership(now);
         owner.append(Record::Open {
             epoch: owner.config.epoch,
             owner: owner.config.identity.clone(),
@@ -131,7 +131,7 @@
     }
 
     /// Sets up what is not in the log for every task that is.
-    fn take_in_tasks(&mut self, now: Instant) {
+    fn index_tasks(&mut self, now: Instant) {
         let tasks: Vec<Task> = self.state.live_tasks().map(|(task, _)| task).collect();
         for task in tasks {
             let image = self.state.tasks[task].image.clone();
@@ -144,7 +144,7 @@
                 Position::Started(started) => {
                     let worker = self.workers.intern(&started.worker);
                     self.occupy(task, worker);
-                    self.presence[task] = Presence::IN_DOUBT;
+                    self.presence[task] = Presence::UNCONFIRMED;
                 }
                 Position::Ended { .. } => self.ended.push_back(Retained {
                     since: now,
@@ -206,7 +206,7 @@
             }
             Event::StartAcked { attempt } => self.on_start_acked(now, attempt),
             Event::StartNotSent { attempt } => self.on_start_not_sent(now, attempt),
-            Event::StartInDoubt { attempt } => self.on_start_in_doubt(attempt),
+            Event::StartUnconfirmed { attempt } => self.on_start_in_doubt(attempt),
             Event::Ended { worker, ended } => {
                 let worker = self.workers.intern(&worker);
                 self.on_ended(now, worker, &ended);
@@ -220,27 +220,27 @@
     fn on_epoch_closed(&mut self, now: Instant, epoch: u64) {
         if epoch != self.config.epoch && self.state.open_epochs.contains_key(&epoch) {
             self.append(Record::Close { epoch });
-            self.note_sole(now);
+            self.update_sole_ownership(now);
         }
     }
 
     /// Notes since when this owner alone can send orders to the workers.
-    fn note_sole(&mut self, now: Instant) {
+    fn update_sole_ownership(&mut self, now: Instant) {
         let own = self.config.epoch;
         let is_sole = self.state.open_epochs.keys().all(|&epoch| epoch == own);
-        if is_sole && self.sole_since.is_none() {
-            self.sole_since = Some(now);
+        if is_sole && self.sole_owner_since.is_none() {
+            self.sole_owner_since = Some(now);
         }
     }
 
     fn on_tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        self.refuse_overdue(now, actions);
-        self.resolve_silent(now);
+        self.reject_overdue(now, actions);
+        self.resolve_disconnected(now);
         self.drop_expired(now);
         let workers: Vec<Worker> = self.workers.keys().collect();
         for worker in workers {
             self.renew(now, worker, actions);
-            self.ask_report(now, worker, actions);
+            self.request_report(now, worker, actions);
         }
     }
 
@@ -282,12 +282,13 @@
         !is_recording && now.since(self.confirmed_at) < hold
     }
 
-    fn ask_report(&mut self, now: Instant, worker: Worker, actions: &mut Vec<Action>) {
+    fn request_report(&mut self, now: Instant, worker: Worker, actions: &mut Vec<Action>) {
         let data = self.workers.get(worker);
         let Some(session) = &data.session else { return };
-        let is_in_doubt = |task: &Task| matches!(self.presence[*task], Presence::InDoubt { .. });
+        let is_in_doubt =
+            |task: &Task| matches!(self.presence[*task], Presence::Unconfirmed { .. });
         let every = if data.tasks.iter().any(is_in_doubt) {
-            self.config.doubt_report_every
+            self.config.unconfirmed_report_every
         } else {
             self.config.report_every
         };
@@ -468,9 +469,9 @@
     }
 
     /// Returns whether [`Self::next_commit`] has something to do.
-    pub fn wants_commit(&self) -> bool {
+    pub fn needs_commit(&self) -> bool {
         let is_asked = !self.intake.is_empty() || !self.pending_effects.is_empty();
-        let is_due = !self.pending.iter().all(Record::is_rider);
+        let is_due = !self.pending.iter().all(Record::is_deferrable);
         let has_room = self.may_place && self.is_deciding && self.waiting_count() > 0;
         self.inflight.is_none() && (is_asked || is_due || has_room)
     }
@@ -484,7 +485,7 @@
     }
 
     /// Takes no more work, so that what is on its way can settle.
-    pub fn begin_hand_over(&mut self) {
+    pub fn begin_handover(&mut self) {
         self.is_handing_over = true;
     }
 
@@ -501,7 +502,7 @@
     /// `is_refused` says that the commit under way certainly had no effect;
     /// otherwise its callers are told that nothing is known.
     pub fn close(mut self, is_refused: bool, actions: &mut Vec<Action>) -> Closing {
-        self.refuse_all(is_refused, actions);
+        self.reject_all(is_refused, actions);
         let mut attempts = Vec::new();
         for (task, _) in self.state.live_tasks() {
             if self.presence[task] == Presence::Sent {
--- a/crates/shard/src/presence.rs
+++ b/crates/shard/src/presence.rs
@@ -42,7 +42,7 @@
         since: Instant,
     },
     /// It may have been sent, by a former owner or over a connection that broke.
-    InDoubt {
+    Unconfirmed {
         /// Reports that lacked it, all after every sender had closed.
         absence: Option<Absence>,
     },
@@ -50,7 +50,7 @@
 
 impl Presence {
     /// In doubt, with no report that lacks it.
-    pub const IN_DOUBT: Self = Self::InDoubt { absence: None };
+    pub const UNCONFIRMED: Self = Self::Unconfirmed { absence: None };
 
     /// Returns whether the worker said that it has the attempt.
     pub const fn is_confirmed(&self) -> bool {
--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -7,7 +7,7 @@
 
 /// One durable fact.
 ///
-/// A record about a task that is not known is passed over on replay: a later
+/// A record about a task that is not known is skipped over on replay: a later
 /// [`Record::Task`] then holds the whole of it, written when the batch with
 /// the earlier records was cleaned away.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -104,7 +104,7 @@
 
 impl Record {
     /// Returns whether the record waits for others rather than cause a commit.
-    pub const fn is_rider(&self) -> bool {
+    pub const fn is_deferrable(&self) -> bool {
         matches!(
             self,
             Self::Confirm { .. } | Self::Forget { .. } | Self::ForgetKey { .. }
--- a/crates/shard/src/recovery.rs
+++ b/crates/shard/src/recovery.rs
@@ -54,7 +54,7 @@
             self.state.apply(record);
         }
         self.state.next_id = self.state.next_id.max(batch.next_id);
-        self.log.note(&batch, value.len());
+        self.log.add_batch(&batch, value.len());
         Ok(())
     }
 
--- a/crates/shard/src/resolve.rs
+++ b/crates/shard/src/resolve.rs
@@ -66,12 +66,12 @@
         let worker = self.workers.intern(name);
         self.workers.update(worker, |data| {
             if data.session.take().is_some() {
-                data.silent_since = now;
+                data.disconnected_since = now;
             }
         });
         for task in self.tasks_on(worker) {
-            if matches!(self.presence[task], Presence::InDoubt { .. }) {
-                self.presence[task] = Presence::IN_DOUBT;
+            if matches!(self.presence[task], Presence::Unconfirmed { .. }) {
+                self.presence[task] = Presence::UNCONFIRMED;
             }
         }
     }
@@ -90,7 +90,7 @@
             return;
         }
         self.read_report(now, asked_at, worker, report);
-        self.stop_strays(worker, report, actions);
+        self.stop_stray_attempts(worker, report, actions);
         for task in self.tasks_on(worker) {
             if self.state.tasks[task].image.is_cancelled {
                 self.send_stop(task, actions);
@@ -131,7 +131,7 @@
             // The connection it was sent over breaks with the worker's run,
             // and the send is then reported as in doubt.
             Presence::Sent if is_mine => {}
-            _ => self.lose(now, task),
+            _ => self.handle_lost_attempt(now, task),
         }
     }
 
@@ -140,11 +140,11 @@
             Presence::None | Presence::Recording | Presence::Sent => {}
             Presence::Confirmed { since } => {
                 if since < asked_at {
-                    self.presence[task] = Presence::IN_DOUBT;
-                    self.note_absence(now, asked_at, task, started);
+                    self.presence[task] = Presence::UNCONFIRMED;
+                    self.record_absence(now, asked_at, task, started);
                 }
             }
-            Presence::InDoubt { .. } => self.note_absence(now, asked_at, task, started),
+            Presence::Unconfirmed { .. } => self.record_absence(now, asked_at, task, started),
         }
     }
 
@@ -153,8 +153,8 @@
     ///
     /// A worker that was frozen may read a later report's call before an older
     /// start in another connection's buffer, but not one call after the other.
-    fn note_absence(&mut self, now: Instant, asked_at: Instant, task: Task, started: &Started) {
-        let Presence::InDoubt { absence } = self.presence[task] else {
+    fn record_absence(&mut self, now: Instant, asked_at: Instant, task: Task, started: &Started) {
+        let Presence::Unconfirmed { absence } = self.presence[task] else {
             return;
         };
         if !self.is_epoch_closed(started.epoch) {
@@ -169,21 +169,21 @@
             },
             Some(_) => return,
         };
-        self.presence[task] = Presence::InDoubt {
+        self.presence[task] = Presence::Unconfirmed {
             absence: Some(absence),
         };
-        let is_settled = now >= absence.since + self.config.settle;
+        let is_settled = now >= absence.since + self.config.settling_time;
         if is_settled && absence.reports_count >= ABSENT_REPORTS_COUNT {
-            self.on_proved_absent(now, task, started);
+            self.on_absence_proven(now, task, started);
         }
     }
 
     /// Proof 3: nobody will send it, and the worker does not have it.
-    fn on_proved_absent(&mut self, now: Instant, task: Task, started: &Started) {
+    fn on_absence_proven(&mut self, now: Instant, task: Task, started: &Started) {
         if started.is_confirmed {
-            self.lose(now, task);
+            self.handle_lost_attempt(now, task);
         } else if self.state.tasks[task].image.is_cancelled {
-            self.end(now, task, TaskPhase::Cancelled, None);
+            self.end_task(now, task, TaskPhase::Cancelled, None);
         } else {
             self.requeue(now, task, false);
         }
@@ -209,7 +209,7 @@
     }
 
     /// Returns the task whose attempt on record is `attempt`.
-    fn current(&self, attempt: AttemptId) -> Option<Task> {
+    fn task_of_attempt(&self, attempt: AttemptId) -> Option<Task> {
         if attempt.shard != self.config.shard {
             return None;
         }
@@ -219,13 +219,13 @@
     }
 
     pub(crate) fn on_start_acked(&mut self, now: Instant, attempt: AttemptId) {
-        if let Some(task) = self.current(attempt) {
+        if let Some(task) = self.task_of_attempt(attempt) {
             self.confirm(now, task);
         }
     }
 
     pub(crate) fn on_start_not_sent(&mut self, now: Instant, attempt: AttemptId) {
-        let Some(task) = self.current(attempt) else {
+        let Some(task) = self.task_of_attempt(attempt) else {
             return;
         };
         if self.presence[task] == Presence::Sent {
@@ -234,37 +234,39 @@
     }
 
     pub(crate) fn on_start_in_doubt(&mut self, attempt: AttemptId) {
-        let Some(task) = self.current(attempt) else {
+        let Some(task) = self.task_of_attempt(attempt) else {
             return;
         };
         if self.presence[task] == Presence::Sent {
-            self.presence[task] = Presence::IN_DOUBT;
+            self.presence[task] = Presence::UNCONFIRMED;
         }
     }
 
     pub(crate) fn on_ended(&mut self, now: Instant, worker: Worker, ended: &Ended) {
-        let Some(task) = self.current(ended.attempt) else {
-            if self.is_settled_attempt(ended.attempt) {
+        let Some(task) = self.task_of_attempt(ended.attempt) else {
+            if self.is_past_attempt(ended.attempt) {
                 let effect = Effect::Forget(worker, ended.attempt);
-                self.forget_soon(effect);
+                self.forget_when_committed(effect);
             }
             return;
         };
         let is_cancelled = self.state.tasks[task].image.is_cancelled;
         match &ended.end {
             TaskEnd::Finished(result) => {
-                self.end(now, task, TaskPhase::Finished, Some(result.clone()));
+                self.end_task(now, task, TaskPhase::Finished, Some(result.clone()));
+            }
+            TaskEnd::Failed(reason) => self.handle_failure(now, task, reason),
+            _ if is_cancelled => self.end_task(now, task, TaskPhase::Cancelled, None),
+            TaskEnd::LeaseLapsed | TaskEnd::Stopped | TaskEnd::WorkerLost => {
+                self.handle_lost_attempt(now, task)
             }
-            TaskEnd::Failed(reason) => self.fail(now, task, reason),
-            _ if is_cancelled => self.end(now, task, TaskPhase::Cancelled, None),
-            TaskEnd::LeaseLapsed | TaskEnd::Stopped | TaskEnd::WorkerLost => self.lose(now, task),
         }
         let effect = Effect::Forget(worker, ended.attempt);
         self.pending_effects.push(effect);
     }
 
     /// Returns whether the log, as far as it is committed, is past `attempt`.
-    fn is_settled_attempt(&self, attempt: AttemptId) -> bool {
+    fn is_past_attempt(&self, attempt: AttemptId) -> bool {
         if attempt.shard != self.config.shard {
             return false;
         }
@@ -279,7 +281,7 @@
     }
 
     /// Lets a worker forget an attempt, not before all so far is on record.
-    fn forget_soon(&mut self, effect: Effect) {
+    fn forget_when_committed(&mut self, effect: Effect) {
         let Effect::Forget(worker, attempt) = effect else {
             return;
         };
@@ -294,7 +296,7 @@
         });
     }
 
-    fn fail(&mut self, now: Instant, task: Task, reason: &str) {
+    fn handle_failure(&mut self, now: Instant, task: Task, reason: &str) {
         let image = &self.state.tasks[task].image;
         let workload = self.workloads.get(self.workload_of(task));
         let may_retry = workload.repeat == Repeat::Repeatable
@@ -302,18 +304,18 @@
         if may_retry && !image.is_cancelled {
             self.requeue(now, task, true);
         } else {
-            self.end(now, task, TaskPhase::Failed, Some(reason.to_owned()));
+            self.end_task(now, task, TaskPhase::Failed, Some(reason.to_owned()));
         }
     }
 
     /// Ends an attempt that may have run in part and will not go on.
-    pub(crate) fn lose(&mut self, now: Instant, task: Task) {
+    pub(crate) fn handle_lost_attempt(&mut self, now: Instant, task: Task) {
         let workload = self.workloads.get(self.workload_of(task));
         if self.state.tasks[task].image.is_cancelled {
-            self.end(now, task, TaskPhase::Cancelled, None);
+            self.end_task(now, task, TaskPhase::Cancelled, None);
         } else if workload.repeat == Repeat::AtMostOnce {
             let reason = "its worker was lost and the work is unsafe to repeat";
-            self.end(now, task, TaskPhase::Unknown, Some(reason.to_owned()));
+            self.end_task(now, task, TaskPhase::Unknown, Some(reason.to_owned()));
         } else {
             self.requeue(now, task, false);
         }
@@ -339,7 +341,7 @@
     }
 
     /// Ends a task for good.
-    pub(crate) fn end(
+    pub(crate) fn end_task(
         &mut self,
         now: Instant,
         task: Task,
@@ -361,38 +363,44 @@
     }
 
     /// Proofs 4 and 5, for workers that have no open connection.
-    pub(crate) fn resolve_silent(&mut self, now: Instant) {
+    pub(crate) fn resolve_disconnected(&mut self, now: Instant) {
         let workers: Vec<Worker> = self.workers.keys().collect();
         for worker in workers {
             if self.workers.get(worker).session.is_some() {
                 continue;
             }
-            let is_off = self.is_off(now, worker);
+            let is_delisted = self.is_delisted(now, worker);
             for task in self.tasks_on(worker) {
-                self.resolve_silent_task(now, worker, task, is_off);
+                self.resolve_disconnected_task(now, worker, task, is_delisted);
             }
         }
     }
 
     /// Proof 5: the platform dropped the box, and no former owner can act.
-    fn is_off(&self, now: Instant, worker: Worker) -> bool {
+    fn is_delisted(&self, now: Instant, worker: Worker) -> bool {
         let Listing::Dropped(since) = self.workers.get(worker).listing else {
             return false;
         };
         let quarantine = self.config.unlisted_quarantine;
-        self.sole_since
+        self.sole_owner_since
             .is_some_and(|sole| now >= sole.max(since) + quarantine)
     }
 
-    fn resolve_silent_task(&mut self, now: Instant, worker: Worker, task: Task, is_off: bool) {
+    fn resolve_disconnected_task(
+        &mut self,
+        now: Instant,
+        worker: Worker,
+        task: Task,
+        is_delisted: bool,
+    ) {
         if matches!(self.presence[task], Presence::Recording | Presence::Sent) {
             return;
         }
         let started = self.state.tasks[task].started();
         let was_confirmed = started.is_some_and(|started| started.is_confirmed);
-        let is_lapsed = was_confirmed && now >= self.lapse_of(worker, task);
-        if is_off || is_lapsed {
-            self.lose(now, task);
+        let is_expired = was_confirmed && now >= self.lease_expires_at(worker, task);
+        if is_delisted || is_expired {
+            self.handle_lost_attempt(now, task);
         }
     }
 
@@ -401,17 +409,21 @@
     /// An order may be held for long between its decision and its sending, but
     /// not beyond the end of its connection. A former owner that has not closed its epoch may renew for the row's
     /// hold after it was last confirmed, which was before the claim.
-    fn lapse_of(&self, worker: Worker, task: Task) -> Instant {
+    fn lease_expires_at(&self, worker: Worker, task: Task) -> Instant {
         let hold = self.workloads.get(self.workload_of(task)).hold;
-        let others_until = self.sole_since.unwrap_or(self.claimed_at + hold);
-        let renewed_until = self.workers.get(worker).silent_since.max(others_until);
-        renewed_until + self.config.lapse()
+        let others_until = self.sole_owner_since.unwrap_or(self.claimed_at + hold);
+        let renewed_until = self
+            .workers
+            .get(worker)
+            .disconnected_since
+            .max(others_until);
+        renewed_until + self.config.max_lease_time()
     }
 
     /// Stops attempts that run though the log is past them.
-    fn stop_strays(&mut self, worker: Worker, report: &Report, actions: &mut Vec<Action>) {
+    fn stop_stray_attempts(&mut self, worker: Worker, report: &Report, actions: &mut Vec<Action>) {
         for &attempt in &report.running {
-            if self.current(attempt).is_none() && self.is_settled_attempt(attempt) {
+            if self.task_of_attempt(attempt).is_none() && self.is_past_attempt(attempt) {
                 self.counts.stray_attempts_count += 1;
                 actions.push(Action::Order {
                     worker: self.workers.get(worker).name.clone(),
--- a/crates/shard/src/verifier.rs
+++ b/crates/shard/src/verifier.rs
@@ -169,7 +169,7 @@
     let is_sound = match presence {
         Presence::None => started.is_none(),
         Presence::Recording | Presence::Sent => is_own,
-        Presence::Confirmed { .. } | Presence::InDoubt { .. } => started.is_some(),
+        Presence::Confirmed { .. } | Presence::Unconfirmed { .. } => started.is_some(),
     };
     if !is_sound {
         errors.push(VerifierError::Presence { task, presence });
--- a/crates/shard/src/worker.rs
+++ b/crates/shard/src/worker.rs
@@ -44,7 +44,7 @@
     pub(crate) tasks: BTreeSet<Task>,
     pub(crate) session: Option<Session>,
     /// When the last connection closed; nothing was sent after that.
-    pub(crate) silent_since: Instant,
+    pub(crate) disconnected_since: Instant,
     /// Ended attempts that are on record and may be forgotten.
     pub(crate) forget: Vec<AttemptId>,
     is_indexed: bool,
@@ -59,7 +59,7 @@
             used: Resources::ZERO,
             tasks: BTreeSet::new(),
             session: None,
-            silent_since: Instant::default(),
+            disconnected_since: Instant::default(),
             forget: Vec::new(),
             is_indexed: false,
         }
@@ -172,7 +172,7 @@
     }
 
     /// Returns whether some listed worker could hold `need` when empty.
-    pub(crate) fn could_hold(&self, need: &Resources) -> bool {
+    pub(crate) fn fits_any_worker(&self, need: &Resources) -> bool {
         self.workers
             .values()
             .any(|data| need.fits_in(&data.capacity))
--- a/crates/shard/src/workload.rs
+++ b/crates/shard/src/workload.rs
@@ -248,10 +248,10 @@
         data.is_listed && team_admits && data.allowance.admits(&data.usage, need)
     }
 
-    /// Returns the workload that goes next, leaving out those in `passed`.
+    /// Returns the workload that goes next, leaving out those in `skipped`.
     pub(crate) fn next(
         &self,
-        passed: &EntitySet<Workload>,
+        skipped: &EntitySet<Workload>,
         now: Instant,
         ageing_step: Duration,
     ) -> Option<(Workload, Waiting)> {
@@ -260,7 +260,7 @@
             let Some(first) = data.queue.first() else {
                 continue;
             };
-            if passed.contains(workload) {
+            if skipped.contains(workload) {
                 continue;
             }
             let rank = rank(data, now.since(first.since), ageing_step);
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -184,7 +184,7 @@
         let Some(owner) = &self.daemons[daemon].owner else {
             return false;
         };
-        let is_committed = self.daemons[daemon].commit.is_none() && !owner.wants_commit();
+        let is_committed = self.daemons[daemon].commit.is_none() && !owner.needs_commit();
         let is_owner = self.store.owner == Some(daemon) && is_committed;
         let mut tasks = owner.state().live_tasks();
         is_owner && tasks.all(|(_, data)| data.is_ended())
--- a/crates/shard/tests/owner/support/world.rs
+++ b/crates/shard/tests/owner/support/world.rs
@@ -446,7 +446,7 @@
             return;
         }
         if let Some(owner) = &mut state.owner {
-            if owner.wants_commit() {
+            if owner.needs_commit() {
                 state.commit = owner.next_commit(now);
             }
         }
@@ -489,7 +489,7 @@
 
     fn hand_over(&mut self, daemon: usize) {
         if let Some(owner) = self.daemons[daemon].owner.as_mut() {
-            owner.begin_hand_over();
+            owner.begin_handover();
         }
     }
 
@@ -683,7 +683,7 @@
             })
             .collect();
         for attempt in in_doubt {
-            self.queue(daemon, Event::StartInDoubt { attempt });
+            self.queue(daemon, Event::StartUnconfirmed { attempt });
         }
         // Answers that were on their way over it are lost.
         let lost_acks: Vec<AttemptId> = self
@@ -696,7 +696,7 @@
             })
             .collect();
         for attempt in lost_acks {
-            self.queue(daemon, Event::StartInDoubt { attempt });
+            self.queue(daemon, Event::StartUnconfirmed { attempt });
         }
         self.backs
             .retain(|b| b.daemon != daemon || b.session != link.session);
@@ -933,7 +933,7 @@
     fn resolve_closing(&mut self, daemon: usize, event: &Event) {
         let (Event::StartAcked { attempt }
         | Event::StartNotSent { attempt }
-        | Event::StartInDoubt { attempt }) = event
+        | Event::StartUnconfirmed { attempt }) = event
         else {
             return;
         };
--- a/crates/table/src/column.rs
+++ b/crates/table/src/column.rs
@@ -63,7 +63,11 @@
     number(text, min, max.min(CAP_MAX)).map(|value| value as u32)
 }
 
-fn word<T: Copy>(text: &str, words: &[(&str, T)], allowed: &'static str) -> Result<T, CellError> {
+fn keyword<T: Copy>(
+    text: &str,
+    words: &[(&str, T)],
+    allowed: &'static str,
+) -> Result<T, CellError> {
     let found = words.iter().find(|(name, _)| *name == text);
     match found {
         Some((_, value)) => Ok(*value),
@@ -116,7 +120,7 @@
         set: |row, text| {
             let words = ALL.iter().map(|kind| (kind.as_str(), *kind));
             let words: Vec<_> = words.collect();
-            row.kind = word(text, &words, "cell, team, service, batch")?;
+            row.kind = keyword(text, &words, "cell, team, service, batch")?;
             Ok(())
         },
     },
@@ -137,7 +141,7 @@
         get: |row| row.policy.as_str().to_owned(),
         set: |row, text| {
             let words = [Policy::Waiting, Policy::Packing].map(|word| (word.as_str(), word));
-            row.policy = word(text, &words, "waiting, packing")?;
+            row.policy = keyword(text, &words, "waiting, packing")?;
             Ok(())
         },
     },
@@ -229,7 +233,7 @@
         get: |row| row.repeat.as_str().to_owned(),
         set: |row, text| {
             let words = [Repeat::AtMostOnce, Repeat::Repeatable].map(|word| (word.as_str(), word));
-            row.repeat = word(text, &words, "at_most_once, repeatable")?;
+            row.repeat = keyword(text, &words, "at_most_once, repeatable")?;
             Ok(())
         },
     },
--- a/crates/table/src/csv_form.rs
+++ b/crates/table/src/csv_form.rs
@@ -102,27 +102,27 @@
             source,
         });
     };
-    let mut is_sound = true;
-    let heads = COLUMNS.iter().take_while(|column| column.name != "team");
-    for column in heads {
+    let mut is_valid = true;
+    let key_columns = COLUMNS.iter().take_while(|column| column.name != "team");
+    for column in key_columns {
         if let Err(error) = (column.set)(&mut row, text_of(column.name)) {
             fault(column.name, error);
-            is_sound = false;
+            is_valid = false;
         }
     }
-    if !is_sound {
+    if !is_valid {
         return;
     }
     let cells = columns.iter().zip(record.iter());
     for (column, text) in cells.filter(|(_, text)| !text.is_empty()) {
         if let Err(error) = set_cell(column, &mut row, text) {
             fault(column.name, error);
-            is_sound = false;
+            is_valid = false;
         }
     }
     if table.get(&row.name).is_some() {
-        faults.push(TableError::TwiceNamed { row: label });
-    } else if is_sound {
+        faults.push(TableError::DuplicateRow { row: label });
+    } else if is_valid {
         table.put(row);
     }
 }
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -74,7 +74,7 @@
     },
     /// Two rows have the same name.
     #[error("row {row:?} stands twice")]
-    TwiceNamed {
+    DuplicateRow {
         /// The row's name.
         row: String,
     },
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -5,7 +5,7 @@
 //! I/O. A table is edited as CSV in a spreadsheet and kept in the store as one
 //! JSON value per row.
 
-mod allowance;
+mod cap_parts;
 mod column;
 mod csv_form;
 mod difference;
@@ -13,7 +13,7 @@
 mod row;
 mod table;
 
-pub use allowance::{part_of, part_of_resources};
+pub use cap_parts::{part_of, part_of_resources};
 pub use column::{Column, COLUMNS};
 pub use csv_form::{from_csv, to_csv};
 pub use difference::{differences, CellChange};
