--- a/crates/shard/benches/decisions.rs
+++ b/crates/shard/benches/decisions.rs
@@ -51,7 +51,7 @@
     Name::new(text).expect("a name")
 }
 
-struct Bench {
+struct Harness {
     owner: Owner,
     now: Instant,
     actions: Vec<Action>,
@@ -59,7 +59,7 @@
     next_key: u64,
 }
 
-impl Bench {
+impl Harness {
     fn new(size: &Size) -> Self {
         let identity = DaemonIdentity {
             name: name("bench"),
@@ -70,24 +70,24 @@
         config.waiting_limit_count = usize::MAX;
         // Ended tasks are dropped soon, so that the state stays of one size.
         config.result_retention = Duration::from_ms(1);
-        let mut bench = Self {
+        let mut harness = Self {
             owner: Recovery::new(config).finish(Instant::from_ms(1000)),
             now: Instant::from_ms(1000),
             actions: Vec::new(),
             running: Vec::new(),
             next_key: 0,
         };
-        bench.tell(Event::Table(table()));
-        bench.add_workers(size.workers_count);
-        while bench.running.len() < size.running_count {
-            let missing = size.running_count - bench.running.len();
-            bench.submit(missing.min(500));
-            bench.commit();
+        harness.handle_event(Event::Table(table()));
+        harness.add_workers(size.workers_count);
+        while harness.running.len() < size.running_count {
+            let missing = size.running_count - harness.running.len();
+            harness.submit(missing.min(500));
+            harness.commit();
         }
-        bench
+        harness
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.owner.handle(self.now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             if let Action::Order {
@@ -111,14 +111,14 @@
             resources: Resources::new(64_000, 262_144, (index % 2) as u32 * 4),
             serves: Vec::new(),
         };
-        self.tell(Event::Boxes((0..count).map(facts).collect()));
+        self.handle_event(Event::Boxes((0..count).map(facts).collect()));
         for index in 0..count {
             let report = Report {
                 incarnation: 1,
                 running: Vec::new(),
                 ended: Vec::new(),
             };
-            self.tell(Event::SessionOpened {
+            self.handle_event(Event::SessionOpened {
                 worker: name(&format!("w{index}")),
                 session: index as u64,
                 report,
@@ -130,7 +130,7 @@
         for _ in 0..count {
             self.next_key += 1;
             let row = self.next_key as usize % TEAMS_COUNT;
-            self.tell(Event::Submit {
+            self.handle_event(Event::Submit {
                 token: Token(self.next_key),
                 key: Key::new(&format!("k{}", self.next_key)).expect("a key"),
                 row: name(&format!("row{row}")),
@@ -148,14 +148,14 @@
         let before = self.running.len();
         let began = std::time::Instant::now();
         let commit = self.owner.next_commit(self.now);
-        self.tell(Event::CommitDone);
-        let length = began.elapsed();
+        self.handle_event(Event::CommitDone);
+        let elapsed = began.elapsed();
         drop(commit);
         let started = self.running[before..].to_vec();
         for (_, attempt) in &started {
-            self.tell(Event::StartAcked { attempt: *attempt });
+            self.handle_event(Event::StartAcked { attempt: *attempt });
         }
-        (length, started.len())
+        (elapsed, started.len())
     }
 
     /// Ends the oldest of what runs.
@@ -163,9 +163,9 @@
         for (worker, attempt) in self.running.drain(..count).collect::<Vec<_>>() {
             let end = TaskEnd::Finished(String::new());
             let ended = Ended { attempt, end };
-            self.tell(Event::Ended { worker, ended });
+            self.handle_event(Event::Ended { worker, ended });
         }
-        self.tell(Event::Tick);
+        self.handle_event(Event::Tick);
     }
 }
 
@@ -194,19 +194,19 @@
 fn main() {
     println!("workers  running  decisions/s   p50 us   p99 us   resident MB");
     for size in &SIZES {
-        let mut bench = Bench::new(size);
+        let mut harness = Harness::new(size);
         let each_ns = Histogram::new_with_max(LONGEST_NS, 3);
         let mut each_ns: Histogram<u64> = each_ns.expect("the bounds are sound");
         let mut deciding = std::time::Duration::ZERO;
         let mut starts_count = 0;
         for _ in 0..ROUNDS_COUNT {
-            bench.end(BATCH_COUNT);
-            bench.submit(BATCH_COUNT);
-            let (length, started_count) = bench.commit();
+            harness.end(BATCH_COUNT);
+            harness.submit(BATCH_COUNT);
+            let (elapsed, started_count) = harness.commit();
             assert_eq!(started_count, BATCH_COUNT, "there is room for all");
-            deciding += length;
+            deciding += elapsed;
             starts_count += started_count;
-            each_ns.saturating_record(length.as_nanos() as u64 / started_count as u64);
+            each_ns.saturating_record(elapsed.as_nanos() as u64 / started_count as u64);
         }
         println!(
             "{:7}  {:7}  {:11.0}  {:7.1}  {:7.1}  {:12.1}",
--- a/crates/shard/tests/owner/search.rs
+++ b/crates/shard/tests/owner/search.rs
@@ -2,7 +2,7 @@
 //! breaks a promise: message delay, loss and reordering, pauses between a check
 //! and its send, deaths, takeovers, lost answers. Seeds are fixed.
 
-use crate::support::world::{Broken, Op, Tally, World, DAEMONS_COUNT, WORKERS_COUNT};
+use crate::support::simulation::{Broken, Op, Simulation, Tally, DAEMONS_COUNT, WORKERS_COUNT};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use std::sync::Mutex;
@@ -69,26 +69,26 @@
     proptest::collection::vec(step, 1..STEPS_COUNT)
 }
 
-fn play(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
-    let mut world = World::new();
-    world.step(&Op::Claim { daemon: 0 })?;
+fn run_scenario(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
+    let mut simulation = Simulation::new();
+    simulation.step(&Op::Claim { daemon: 0 })?;
     for op in ops {
-        world.step(op)?;
+        simulation.step(op)?;
     }
-    world.heal()?;
+    simulation.heal()?;
     let mut sum = tally.lock().unwrap_or_else(|e| e.into_inner());
     sum.interleavings_count += 1;
-    sum.steps_count += world.tally.steps_count;
-    sum.faults_count += world.tally.faults_count;
-    sum.runs_count += world.tally.runs_count;
-    sum.finished_count += world.tally.finished_count;
-    sum.claims_count += world.tally.claims_count;
-    sum.requeues_count += world.tally.requeues_count;
+    sum.steps_count += simulation.tally.steps_count;
+    sum.faults_count += simulation.tally.faults_count;
+    sum.runs_count += simulation.tally.runs_count;
+    sum.finished_count += simulation.tally.finished_count;
+    sum.claims_count += simulation.tally.claims_count;
+    sum.requeues_count += simulation.tally.requeues_count;
     Ok(())
 }
 
 #[test]
-fn owner_keeps_its_promises_in_every_interleaving() {
+fn owner_handle_interleavings_keep_invariants() {
     let config = Config {
         cases: CASES_COUNT,
         failure_persistence: None,
@@ -99,7 +99,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let tally = Mutex::new(Tally::default());
     let found = runner.run(&steps(), |ops| {
-        play(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
+        run_scenario(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
     });
     println!("{:?}", tally.lock().unwrap_or_else(|e| e.into_inner()));
     if let Err(error) = found {
--- a/crates/shard/tests/owner/support/box_fake.rs
+++ b/crates/shard/tests/owner/support/box_fake.rs
@@ -21,7 +21,7 @@
     pub is_frozen: bool,
     pub is_dead: bool,
     /// Every attempt that ever began here.
-    pub begun: Vec<AttemptId>,
+    pub started: Vec<AttemptId>,
     pub finished: Vec<AttemptId>,
 }
 
@@ -34,7 +34,7 @@
             ended: BTreeMap::new(),
             is_frozen: false,
             is_dead: false,
-            begun: Vec::new(),
+            started: Vec::new(),
             finished: Vec::new(),
         }
     }
@@ -45,25 +45,25 @@
 
     /// Does what it is told, whatever that is.
     pub fn start(&mut self, running: Running) {
-        self.begun.push(running.attempt);
+        self.started.push(running.attempt);
         self.running.push(running);
     }
 
-    /// Ends what has lapsed; returns the ends.
-    pub fn lapse(&mut self, now: Instant) -> Vec<Ended> {
-        let (lapsed, kept) = self
+    /// Ends what has expired; returns the ends.
+    pub fn expire_leases(&mut self, now: Instant) -> Vec<Ended> {
+        let (expired, kept) = self
             .running
             .drain(..)
             .partition(|running| running.lease_until <= now);
         self.running = kept;
-        let lapsed: Vec<Running> = lapsed;
-        lapsed
+        let expired: Vec<Running> = expired;
+        expired
             .into_iter()
-            .map(|running| self.note_end(running.attempt, TaskEnd::LeaseLapsed))
+            .map(|running| self.record_end(running.attempt, TaskEnd::LeaseLapsed))
             .collect()
     }
 
-    fn note_end(&mut self, attempt: AttemptId, end: TaskEnd) -> Ended {
+    fn record_end(&mut self, attempt: AttemptId, end: TaskEnd) -> Ended {
         self.ended.insert(attempt, end.clone());
         Ended { attempt, end }
     }
@@ -79,13 +79,13 @@
         } else {
             TaskEnd::Failed("fault".to_owned())
         };
-        Some(self.note_end(running.attempt, end))
+        Some(self.record_end(running.attempt, end))
     }
 
     pub fn stop(&mut self, attempt: AttemptId) -> Option<Ended> {
         let index = self.running.iter().position(|r| r.attempt == attempt)?;
         self.running.remove(index);
-        Some(self.note_end(attempt, TaskEnd::Stopped))
+        Some(self.record_end(attempt, TaskEnd::Stopped))
     }
 
     pub fn renew(&mut self, attempts: &[AttemptId], until: Instant) {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// What runs, at `now`: a lapsed attempt of a frozen box does not.
+    /// What runs, at `now`: a expired attempt of a frozen box does not.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = &Running> {
         let runs = self.running.iter().filter(|_| !self.is_dead);
         runs.filter(move |running| running.lease_until > now)
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -1,12 +1,12 @@
-//! What must always hold in a world, and the way back to health.
+//! What must always hold in a simulation, and the way in_flight to health.
 
-use super::world::{reader, Broken, Op, World, DAEMONS_COUNT, WORKERS_COUNT};
+use super::simulation::{recovered_owner, Broken, Op, Simulation, DAEMONS_COUNT, WORKERS_COUNT};
 use ospreywing_shard::{verify, Owner, Position};
 use ospreywing_types::{Key, Resources, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-impl World {
-    /// Checks what must always hold, in the owners and in the world.
+impl Simulation {
+    /// Checks what must always hold, in the owners and in the simulation.
     pub(super) fn check(&mut self) -> Result<(), Broken> {
         for (daemon, state) in self.daemons.iter().enumerate() {
             let Some(owner) = &state.owner else { continue };
@@ -14,7 +14,7 @@
                 return Err(Broken(format!("daemon {daemon}: {}", errors[0])));
             }
         }
-        if let Some(attempt) = self.off_log.take() {
+        if let Some(attempt) = self.stray_start.take() {
             return Err(Broken(format!(
                 "{attempt}: began while the log was past it"
             )));
@@ -34,11 +34,11 @@
     }
 
     fn check_runs(&self) -> Result<(), Broken> {
-        let mut places: BTreeMap<TaskId, usize> = BTreeMap::new();
+        let mut worker_of_task: BTreeMap<TaskId, usize> = BTreeMap::new();
         for (worker, state) in self.workers.iter().enumerate() {
             for running in state.live(self.now) {
                 let task = running.attempt.task;
-                if let Some(other) = places.insert(task, worker) {
+                if let Some(other) = worker_of_task.insert(task, worker) {
                     return Err(Broken(format!(
                         "{task}: runs on worker {other} and on worker {worker}"
                     )));
@@ -60,10 +60,10 @@
     }
 
     fn check_unsafe(&self) -> Result<(), Broken> {
-        let mut begun: BTreeMap<TaskId, u32> = BTreeMap::new();
+        let mut started: BTreeMap<TaskId, u32> = BTreeMap::new();
         for state in &self.workers {
-            for attempt in &state.begun {
-                *begun.entry(attempt.task).or_default() += 1;
+            for attempt in &state.started {
+                *started.entry(attempt.task).or_default() += 1;
             }
         }
         // What a fenced owner has not committed is nothing.
@@ -71,7 +71,7 @@
         for owner in owners.filter(|owner| owner.config().epoch == self.store.epoch) {
             for (_, data) in owner.state().live_tasks() {
                 let is_unsafe = self.unsafe_keys.contains(&data.image.key);
-                let count = begun.get(&data.image.id).copied().unwrap_or(0);
+                let count = started.get(&data.image.id).copied().unwrap_or(0);
                 // A failed run is not repeated either.
                 if is_unsafe && count > 1 {
                     let id = data.image.id;
@@ -83,13 +83,13 @@
     }
 
     /// What was refused is not on record: "not run" means that it will not run.
-    fn check_refused(&self, reader: &Owner) -> Result<(), Broken> {
-        let waits: BTreeSet<&Key> = self.tokens.values().collect();
+    fn check_refused(&self, recovered_owner: &Owner) -> Result<(), Broken> {
+        let waiting_keys: BTreeSet<&Key> = self.tokens.values().collect();
         let mut refused = self.said.iter().filter(|(key, &word)| {
-            let is_settled = !self.doubtful.contains(key) && !self.accepted.contains(key);
-            word == "refused" && is_settled && !waits.contains(key)
+            let is_settled = !self.unconfirmed_keys.contains(key) && !self.accepted.contains(key);
+            word == "refused" && is_settled && !waiting_keys.contains(key)
         });
-        match refused.find(|(key, _)| reader.state().by_key(key).is_some()) {
+        match refused.find(|(key, _)| recovered_owner.state().by_key(key).is_some()) {
             Some((key, _)) => Err(Broken(format!("{key}: was refused and is on record"))),
             None => Ok(()),
         }
@@ -97,8 +97,8 @@
 
     /// Every task that was acknowledged is in the log with an end.
     fn check_accepted(&mut self) -> Result<(), Broken> {
-        let reader = reader(&self.store);
-        self.check_refused(&reader)?;
+        let recovered_owner = recovered_owner(&self.store);
+        self.check_refused(&recovered_owner)?;
         self.tally.requeues_count += self
             .daemons
             .iter()
@@ -106,10 +106,10 @@
             .map(|owner| owner.counts().requeued_count)
             .sum::<u64>();
         for key in &self.accepted {
-            let Some(task) = reader.state().by_key(key) else {
+            let Some(task) = recovered_owner.state().by_key(key) else {
                 return Err(Broken(format!("{key}: was acknowledged and is lost")));
             };
-            let position = &reader.state().tasks[task].image.position;
+            let position = &recovered_owner.state().tasks[task].image.position;
             if !matches!(position, Position::Ended { .. }) {
                 return Err(Broken(format!("{key}: has no end on record")));
             }
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Mends everything and lets the world run until all tasks have ended.
+    /// Mends everything and lets the simulation run until all tasks have ended.
     pub fn heal(&mut self) -> Result<(), Broken> {
         for worker in 0..WORKERS_COUNT {
             self.step(&Op::Thaw { worker })?;
@@ -154,7 +154,7 @@
         for _ in 0..self.buffers.len() {
             self.step(&Op::Arrive { index: 0 })?;
         }
-        for _ in 0..self.backs.len() {
+        for _ in 0..self.replies_in_flight.len() {
             self.step(&Op::Answer { index: 0 })?;
         }
         let owner = self.owners().first().copied();
--- a/crates/shard/tests/owner/support/daemon_fake.rs
+++ b/crates/shard/tests/owner/support/daemon_fake.rs
@@ -6,7 +6,7 @@
 
 /// An order that was decided and not yet sent: a pause may lie in between.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldOrder {
     pub worker: usize,
     pub session: u64,
     pub order: Order,
@@ -31,10 +31,10 @@
     /// Whether an answer to that commit was lost.
     pub has_tried: bool,
     pub links: Vec<Link>,
-    pub held: Vec<Held>,
+    pub held: Vec<HeldOrder>,
     pub inbox: VecDeque<Event>,
     pub is_paused: bool,
-    /// Whether what has happened waits to be taken in.
+    /// Whether what has happened waiting_keys to be taken in.
     pub is_lagging: bool,
     pub is_dead: bool,
 }
--- a/crates/shard/tests/owner/support/mod.rs
+++ b/crates/shard/tests/owner/support/mod.rs
@@ -4,5 +4,5 @@
 mod checks;
 pub mod daemon_fake;
 pub mod script;
+pub mod simulation;
 pub mod store_fake;
-pub mod world;
--- a/crates/shard/tests/owner/support/script.rs
+++ b/crates/shard/tests/owner/support/script.rs
@@ -4,7 +4,7 @@
 //! Daemons are `d0` to `d2`, workers `w0` to `w2`, tasks `k0`, `k1` and so on
 //! in the order of their submission.
 
-use super::world::{Broken, Op, World};
+use super::simulation::{Broken, Op, Simulation};
 use ospreywing_filetest::{index, ms};
 
 /// Plays a trace.
@@ -12,20 +12,20 @@
 /// # Errors
 ///
 /// Returns what went wrong, with the line's number.
-pub fn play(text: &str) -> Result<(), Broken> {
-    let mut world = World::new();
-    ospreywing_filetest::play(text, |words| step(&mut world, words))
+pub fn run_trace(text: &str) -> Result<(), Broken> {
+    let mut simulation = Simulation::new();
+    ospreywing_filetest::play(text, |words| step(&mut simulation, words))
 }
 
-fn step(world: &mut World, words: &[&str]) -> Result<(), Broken> {
+fn step(simulation: &mut Simulation, words: &[&str]) -> Result<(), Broken> {
     match words {
-        ["expect", rest @ ..] => expect(world, rest),
-        ["heal"] => world.heal(),
+        ["expect", rest @ ..] => expect(simulation, rest),
+        ["heal"] => simulation.heal(),
         ["flow", length] => {
             let ms = ms(length);
-            world.step(&Op::Run { ms })
+            simulation.step(&Op::Run { ms })
         }
-        _ => world.step(&op(words)?),
+        _ => simulation.step(&op(words)?),
     }
 }
 
@@ -116,16 +116,19 @@
     })
 }
 
-fn expect(world: &World, words: &[&str]) -> Result<(), Broken> {
+fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), Broken> {
     let (found, wanted) = match *words {
-        ["said", key, wanted] => (world.said(key).to_owned(), wanted),
-        ["phase", key, wanted] => (world.phase(key), wanted),
-        ["runs", key, wanted] => (world.runs_count(key).to_string(), wanted),
-        ["running", worker, wanted] => (world.running_count(index(worker)).to_string(), wanted),
-        ["held-starts", daemon, wanted] => {
-            (world.held_starts_count(index(daemon)).to_string(), wanted)
+        ["said", key, wanted] => (simulation.said(key).to_owned(), wanted),
+        ["phase", key, wanted] => (simulation.phase(key), wanted),
+        ["runs", key, wanted] => (simulation.runs_count(key).to_string(), wanted),
+        ["running", worker, wanted] => {
+            (simulation.running_count(index(worker)).to_string(), wanted)
         }
-        ["batches", wanted] => (world.batches_count().to_string(), wanted),
+        ["held-starts", daemon, wanted] => (
+            simulation.held_starts_count(index(daemon)).to_string(),
+            wanted,
+        ),
+        ["batches", wanted] => (simulation.batches_count().to_string(), wanted),
         _ => return Err(Broken("no such outcome".to_owned())),
     };
     ospreywing_filetest::expect(&found, wanted)
--- a/crates/shard/tests/owner/support/world.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -2,7 +2,7 @@
 //! between them, step by step.
 
 use super::box_fake::{BoxFake, Running};
-use super::daemon_fake::{DaemonFake, Held, Link};
+use super::daemon_fake::{DaemonFake, HeldOrder, Link};
 use super::store_fake::StoreFake;
 use ospreywing_shard::{Action, Event, Owner, OwnerConfig, Recovery, Reply, Token};
 use ospreywing_table::{Repeat, Row, RowKind, Table};
@@ -24,7 +24,7 @@
 /// An awake worker reads what is in its buffers within this time.
 const READ_WITHIN_MS: u64 = 10_000;
 /// A box that the list has dropped goes off within this time.
-const OFF_WITHIN: Duration = Duration::from_s(60);
+const SHUT_DOWN_WITHIN: Duration = Duration::from_s(60);
 /// The length of one step of a run without faults.
 const RUN_STEP_MS: u64 = 4000;
 
@@ -118,7 +118,7 @@
 }
 
 /// An order in a worker's buffer.
-pub(super) struct Buffered {
+pub(super) struct BufferedOrder {
     daemon: usize,
     process: u64,
     link: Link,
@@ -127,8 +127,8 @@
     awake_ms: u64,
 }
 
-/// A worker's word on its way back.
-pub(super) struct Back {
+/// A worker's word on its way reply.
+pub(super) struct ReplyInFlight {
     daemon: usize,
     process: u64,
     session: u64,
@@ -150,21 +150,21 @@
 /// A promise that was broken, with the entity at fault.
 pub use ospreywing_filetest::Broken;
 
-pub struct World {
+pub struct Simulation {
     pub now: Instant,
     pub(super) store: StoreFake,
     pub(super) daemons: Vec<DaemonFake>,
     pub(super) workers: Vec<BoxFake>,
-    pub(super) buffers: Vec<Buffered>,
-    pub(super) backs: Vec<Back>,
+    pub(super) buffers: Vec<BufferedOrder>,
+    pub(super) replies_in_flight: Vec<ReplyInFlight>,
     pub(super) table: Arc<Table>,
     pub(super) listed: BTreeSet<usize>,
-    pub(super) off_at: [Option<Instant>; WORKERS_COUNT],
+    pub(super) shut_down_at: [Option<Instant>; WORKERS_COUNT],
     pub(super) keys: Vec<Key>,
     pub(super) unsafe_keys: BTreeSet<Key>,
     pub(super) accepted: BTreeSet<Key>,
     /// Keys of which a caller was told anything but a refusal, or nothing yet.
-    pub(super) doubtful: BTreeSet<Key>,
+    pub(super) unconfirmed_keys: BTreeSet<Key>,
     /// The claims that got each request key.
     pub(super) granted: BTreeMap<Key, BTreeSet<u64>>,
     pub(super) claims: BTreeMap<u64, u64>,
@@ -175,7 +175,7 @@
     pub(super) next: u64,
     pub tally: Tally,
     /// An attempt that began though the log did not have it as current.
-    pub(super) off_log: Option<AttemptId>,
+    pub(super) stray_start: Option<AttemptId>,
 }
 
 fn name(text: &str) -> Name {
@@ -197,7 +197,7 @@
 }
 
 /// Reads the log as one that takes over would.
-pub(super) fn reader(store: &StoreFake) -> Owner {
+pub(super) fn recovered_owner(store: &StoreFake) -> Owner {
     let identity = DaemonIdentity {
         name: name("reader"),
         incarnation: 0,
@@ -212,28 +212,28 @@
 
 /// Returns whether the log has `attempt` as the current one of its task.
 fn is_on_log(store: &StoreFake, attempt: AttemptId) -> bool {
-    let reader = reader(store);
-    let state = reader.state();
+    let recovered_owner = recovered_owner(store);
+    let state = recovered_owner.state();
     let task = state.by_id(attempt.task);
     task.and_then(|task| state.attempt(0, task)) == Some(attempt)
 }
 
-impl World {
+impl Simulation {
     pub fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Instant::from_ms(1_000_000),
             store: StoreFake::default(),
             daemons: (0..DAEMONS_COUNT).map(|_| DaemonFake::default()).collect(),
             workers: Vec::new(),
             buffers: Vec::new(),
-            backs: Vec::new(),
+            replies_in_flight: Vec::new(),
             table: table(),
             listed: (0..WORKERS_COUNT).collect(),
-            off_at: [None; WORKERS_COUNT],
+            shut_down_at: [None; WORKERS_COUNT],
             keys: Vec::new(),
             unsafe_keys: BTreeSet::new(),
             accepted: BTreeSet::new(),
-            doubtful: BTreeSet::new(),
+            unconfirmed_keys: BTreeSet::new(),
             granted: BTreeMap::new(),
             claims: BTreeMap::new(),
             said: BTreeMap::new(),
@@ -241,16 +241,16 @@
             asked_at: BTreeMap::new(),
             next: 0,
             tally: Tally::default(),
-            off_log: None,
+            stray_start: None,
         };
         for _ in 0..WORKERS_COUNT {
-            let incarnation = world.number();
-            world.workers.push(BoxFake::new(incarnation, CAPACITY));
+            let incarnation = simulation.number();
+            simulation.workers.push(BoxFake::new(incarnation, CAPACITY));
         }
         for daemon in 0..DAEMONS_COUNT {
-            world.daemons[daemon].process = world.number();
+            simulation.daemons[daemon].process = simulation.number();
         }
-        world
+        simulation
     }
 
     fn number(&mut self) -> u64 {
@@ -262,7 +262,7 @@
     pub fn step(&mut self, op: &Op) -> Result<(), Broken> {
         self.tally.steps_count += 1;
         self.apply(op);
-        self.settle_inboxes();
+        self.process_inboxes();
         self.check()
     }
 
@@ -332,7 +332,7 @@
                     command: String::new(),
                 },
             };
-            self.tell(daemon, event);
+            self.handle_event(daemon, event);
         }
     }
 
@@ -344,7 +344,7 @@
         for daemon in self.owners() {
             let token = Token(self.number());
             let key = key.clone();
-            self.tell(daemon, Event::Cancel { token, key });
+            self.handle_event(daemon, Event::Cancel { token, key });
         }
     }
 
@@ -355,20 +355,20 @@
         self.tokens.insert(token, key.clone());
         self.claims.insert(token, nonce);
         let token = Token(token);
-        self.tell(daemon, Event::TakeKey { token, key, nonce });
+        self.handle_event(daemon, Event::TakeKey { token, key, nonce });
     }
 
     /// Lets time pass.
     fn pass(&mut self, ms: u64) {
         self.read_overdue(ms);
         self.now = self.now + Duration::from_ms(ms);
-        self.turn_off();
+        self.shut_down_delisted();
         for worker in 0..WORKERS_COUNT {
-            self.lapse(worker);
+            self.expire_leases(worker);
         }
         for daemon in 0..DAEMONS_COUNT {
             if self.daemons[daemon].is_awake() {
-                self.tell(daemon, Event::Tick);
+                self.handle_event(daemon, Event::Tick);
                 self.make_commit(daemon);
             }
         }
@@ -396,7 +396,7 @@
             self.pass(RUN_STEP_MS);
             for daemon in 0..DAEMONS_COUNT {
                 self.commit(daemon, true);
-                self.settle_inboxes();
+                self.process_inboxes();
                 while self.daemons[daemon].is_awake() && !self.daemons[daemon].held.is_empty() {
                     self.send(daemon, 0);
                 }
@@ -404,29 +404,29 @@
             for index in (0..self.buffers.len()).rev() {
                 self.arrive(index);
             }
-            for _ in 0..self.backs.len() {
+            for _ in 0..self.replies_in_flight.len() {
                 self.answer(0);
             }
-            self.settle_inboxes();
+            self.process_inboxes();
         }
     }
 
-    fn lapse(&mut self, worker: usize) {
+    fn expire_leases(&mut self, worker: usize) {
         if self.workers[worker].is_awake() {
             let now = self.now;
-            for ended in self.workers[worker].lapse(now) {
-                self.say_ended(worker, &ended);
+            for ended in self.workers[worker].expire_leases(now) {
+                self.send_ended(worker, &ended);
             }
         }
     }
 
     /// The worker tells every daemon that is connected to its present run.
-    fn say_ended(&mut self, worker: usize, ended: &Ended) {
+    fn send_ended(&mut self, worker: usize, ended: &Ended) {
         for daemon in 0..DAEMONS_COUNT {
             let link = self.daemons[daemon].link(worker);
             let Some(link) = link else { continue };
             if link.incarnation == self.workers[worker].incarnation {
-                self.backs.push(Back {
+                self.replies_in_flight.push(ReplyInFlight {
                     daemon,
                     process: self.daemons[daemon].process,
                     session: link.session,
@@ -510,7 +510,7 @@
         let inbox = &mut self.daemons[daemon].inbox;
         inbox.retain(|event| !matches!(event, Event::CommitDone));
         self.daemons[daemon].commit = None;
-        self.take_replies(&actions);
+        self.record_replies(&actions);
     }
 
     fn claim(&mut self, daemon: usize) {
@@ -539,16 +539,16 @@
             recovery.read(*seq, value).expect("the log is sound");
         }
         self.daemons[daemon].owner = Some(recovery.finish(self.now));
-        self.tell(daemon, Event::Table(Arc::clone(&self.table)));
+        self.handle_event(daemon, Event::Table(Arc::clone(&self.table)));
         let boxes = self.boxes();
-        self.tell(daemon, Event::Boxes(boxes));
-        self.open_known_links(daemon);
+        self.handle_event(daemon, Event::Boxes(boxes));
+        self.reopen_links(daemon);
     }
 
     /// Connections are opened anew after a claim.
     ///
     /// The node passes over what comes from those of an earlier epoch.
-    fn open_known_links(&mut self, daemon: usize) {
+    fn reopen_links(&mut self, daemon: usize) {
         let of_session = |event: &Event| {
             matches!(
                 event,
@@ -588,7 +588,7 @@
         }
         if epoch == self.store.epoch {
             let asked_at = self.now;
-            self.tell(daemon, Event::OwnershipConfirmed { asked_at });
+            self.handle_event(daemon, Event::OwnershipConfirmed { asked_at });
         } else {
             self.close(daemon, false);
         }
@@ -606,7 +606,7 @@
             let process = former.owner.incarnation;
             if self.is_closed(process, former.epoch) {
                 let epoch = former.epoch;
-                self.tell(daemon, Event::EpochClosed { epoch });
+                self.handle_event(daemon, Event::EpochClosed { epoch });
             }
         }
     }
@@ -664,16 +664,16 @@
         let (lost, kept) = state
             .held
             .drain(..)
-            .partition(|held: &Held| held.session == link.session);
+            .partition(|held: &HeldOrder| held.session == link.session);
         state.held = kept;
-        let lost: Vec<Held> = lost;
+        let lost: Vec<HeldOrder> = lost;
         for held in &lost {
             if let Order::Start { start, .. } = &held.order {
                 let attempt = start.attempt;
                 self.queue(daemon, Event::StartNotSent { attempt });
             }
         }
-        let in_doubt: Vec<AttemptId> = self
+        let unconfirmed: Vec<AttemptId> = self
             .buffers
             .iter()
             .filter(|b| b.daemon == daemon && b.link == link)
@@ -682,12 +682,12 @@
                 _ => None,
             })
             .collect();
-        for attempt in in_doubt {
+        for attempt in unconfirmed {
             self.queue(daemon, Event::StartUnconfirmed { attempt });
         }
         // Answers that were on their way over it are lost.
         let lost_acks: Vec<AttemptId> = self
-            .backs
+            .replies_in_flight
             .iter()
             .filter(|b| b.daemon == daemon && b.session == link.session)
             .filter_map(|b| match b.event {
@@ -698,7 +698,7 @@
         for attempt in lost_acks {
             self.queue(daemon, Event::StartUnconfirmed { attempt });
         }
-        self.backs
+        self.replies_in_flight
             .retain(|b| b.daemon != daemon || b.session != link.session);
         let worker = worker_name(worker);
         let session = link.session;
@@ -716,7 +716,7 @@
         let Some(link) = link.filter(|link| link.session == held.session) else {
             return;
         };
-        self.buffers.push(Buffered {
+        self.buffers.push(BufferedOrder {
             daemon,
             process: self.daemons[daemon].process,
             link,
@@ -728,7 +728,7 @@
 
     /// Returns the order that the worker reads when `index` is its turn: an
     /// older one that was overtaken often enough goes first.
-    fn overtake(&mut self, index: usize) -> usize {
+    fn next_to_read(&mut self, index: usize) -> usize {
         let worker = self.buffers[index].link.worker;
         let older = |i: &usize| self.buffers[*i].link.worker == worker;
         let older: Vec<usize> = (0..index).filter(older).collect();
@@ -752,9 +752,9 @@
         if !self.workers[worker].is_awake() {
             return;
         }
-        let index = self.overtake(index);
+        let index = self.next_to_read(index);
         let buffered = self.buffers.remove(index);
-        self.lapse(worker);
+        self.expire_leases(worker);
         let now = self.now;
         let state = &mut self.workers[worker];
         if state.incarnation != buffered.link.incarnation {
@@ -764,7 +764,7 @@
             Order::Start { start, .. } => {
                 let attempt = start.attempt;
                 let is_on_log = is_on_log(&self.store, attempt);
-                self.off_log = (!is_on_log).then_some(attempt);
+                self.stray_start = (!is_on_log).then_some(attempt);
                 state.start(Running {
                     attempt,
                     resources: start.resources,
@@ -784,7 +784,7 @@
             Order::Stop(stop) => {
                 let ended = state.stop(stop.attempt);
                 if let Some(ended) = ended {
-                    self.say_ended(worker, &ended);
+                    self.send_ended(worker, &ended);
                 }
                 None
             }
@@ -800,7 +800,7 @@
             }
         };
         if let Some(event) = event {
-            self.backs.push(Back {
+            self.replies_in_flight.push(ReplyInFlight {
                 daemon: buffered.daemon,
                 process: buffered.process,
                 session: buffered.link.session,
@@ -811,17 +811,20 @@
 
     /// A worker's word reaches its daemon, in any order, if still connected.
     fn answer(&mut self, index: usize) {
-        if self.backs.is_empty() {
+        if self.replies_in_flight.is_empty() {
             return;
         }
-        let index = index % self.backs.len();
-        let back = self.backs.remove(index);
-        let daemon = &self.daemons[back.daemon];
-        let is_linked = daemon.links.iter().any(|link| link.session == back.session);
-        if daemon.process != back.process || !is_linked {
+        let index = index % self.replies_in_flight.len();
+        let reply = self.replies_in_flight.remove(index);
+        let daemon = &self.daemons[reply.daemon];
+        let is_linked = daemon
+            .links
+            .iter()
+            .any(|link| link.session == reply.session);
+        if daemon.process != reply.process || !is_linked {
             return;
         }
-        self.queue(back.daemon, back.event);
+        self.queue(reply.daemon, reply.event);
     }
 
     fn finish(&mut self, worker: usize, index: usize, is_good: bool) {
@@ -830,7 +833,7 @@
         }
         if let Some(ended) = self.workers[worker].finish(index, is_good) {
             self.tally.finished_count += u64::from(is_good);
-            self.say_ended(worker, &ended);
+            self.send_ended(worker, &ended);
         }
     }
 
@@ -856,7 +859,7 @@
 
     fn thaw(&mut self, worker: usize) {
         self.workers[worker].is_frozen = false;
-        self.lapse(worker);
+        self.expire_leases(worker);
     }
 
     fn restart_worker(&mut self, worker: usize) {
@@ -873,14 +876,14 @@
     fn delist(&mut self, worker: usize) {
         self.tally.faults_count += 1;
         self.listed.remove(&worker);
-        self.off_at[worker] = Some(self.now + OFF_WITHIN);
-        self.say_boxes();
+        self.shut_down_at[worker] = Some(self.now + SHUT_DOWN_WITHIN);
+        self.send_boxes();
     }
 
-    fn turn_off(&mut self) {
+    fn shut_down_delisted(&mut self) {
         for worker in 0..WORKERS_COUNT {
-            if self.off_at[worker].is_some_and(|at| self.now >= at) {
-                self.off_at[worker] = None;
+            if self.shut_down_at[worker].is_some_and(|at| self.now >= at) {
+                self.shut_down_at[worker] = None;
                 self.restart_worker(worker);
                 self.workers[worker].is_dead = true;
             }
@@ -889,10 +892,10 @@
 
     fn relist(&mut self) {
         for worker in 0..WORKERS_COUNT {
-            // A box that was dropped comes back only after it was off.
-            if let Some(at) = self.off_at[worker] {
+            // A box that was dropped comes reply only after it was off.
+            if let Some(at) = self.shut_down_at[worker] {
                 self.now = self.now.max(at);
-                self.turn_off();
+                self.shut_down_delisted();
             }
             if self.workers[worker].is_dead {
                 let incarnation = self.number();
@@ -901,10 +904,10 @@
             }
             self.listed.insert(worker);
         }
-        self.say_boxes();
+        self.send_boxes();
     }
 
-    fn say_boxes(&mut self) {
+    fn send_boxes(&mut self) {
         for daemon in 0..DAEMONS_COUNT {
             let boxes = self.boxes();
             self.queue(daemon, Event::Boxes(boxes));
@@ -917,14 +920,14 @@
         }
     }
 
-    fn settle_inboxes(&mut self) {
+    fn process_inboxes(&mut self) {
         for daemon in 0..DAEMONS_COUNT {
             while self.daemons[daemon].is_awake() && !self.daemons[daemon].is_lagging {
                 let Some(event) = self.daemons[daemon].inbox.pop_front() else {
                     break;
                 };
                 self.resolve_closing(daemon, &event);
-                self.tell(daemon, event);
+                self.handle_event(daemon, event);
             }
         }
     }
@@ -942,19 +945,19 @@
         }
     }
 
-    fn tell(&mut self, daemon: usize, event: Event) {
+    fn handle_event(&mut self, daemon: usize, event: Event) {
         let now = self.now;
         let mut actions = Vec::new();
         if let Some(owner) = &mut self.daemons[daemon].owner {
             owner.handle(now, event, &mut actions);
         }
-        self.take_replies(&actions);
+        self.record_replies(&actions);
         for action in actions {
             self.hold(daemon, action);
         }
     }
 
-    fn take_replies(&mut self, actions: &[Action]) {
+    fn record_replies(&mut self, actions: &[Action]) {
         for action in actions {
             let Action::Reply { token, reply } = action else {
                 continue;
@@ -969,7 +972,7 @@
                 }
                 Reply::Submit(SubmitReply::Refused { .. }) => "refused",
                 Reply::Submit(SubmitReply::Unknown) => {
-                    self.doubtful.insert(key.clone());
+                    self.unconfirmed_keys.insert(key.clone());
                     "unknown"
                 }
                 Reply::TakeKey(TakeKeyReply::Granted) => {
@@ -1011,7 +1014,7 @@
             self.asked_at.insert(link.session, self.now);
         }
         let session = link.session;
-        self.daemons[daemon].held.push(Held {
+        self.daemons[daemon].held.push(HeldOrder {
             worker,
             session,
             order,
@@ -1019,7 +1022,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Returns the last word to the callers of a key.
     pub fn said(&self, key: &str) -> &'static str {
         let key = Key::new(key).expect("a key");
@@ -1038,11 +1041,11 @@
     /// Returns how often a task began to run.
     pub fn runs_count(&self, key: &str) -> usize {
         let key = Key::new(key).expect("a key");
-        let reader = reader(&self.store);
-        let task = reader.state().by_key(&key);
-        let id = task.map(|task| reader.state().tasks[task].image.id);
-        let begun = self.workers.iter().flat_map(|worker| &worker.begun);
-        begun.filter(|attempt| Some(attempt.task) == id).count()
+        let recovered_owner = recovered_owner(&self.store);
+        let task = recovered_owner.state().by_key(&key);
+        let id = task.map(|task| recovered_owner.state().tasks[task].image.id);
+        let started = self.workers.iter().flat_map(|worker| &worker.started);
+        started.filter(|attempt| Some(attempt.task) == id).count()
     }
 
     /// Returns how many attempts run on a worker.
--- a/crates/shard/tests/owner/traces.rs
+++ b/crates/shard/tests/owner/traces.rs
@@ -4,9 +4,9 @@
 use std::path::PathBuf;
 
 #[rstest]
-fn trace_has_its_outcome(#[files("tests/traces/*.trace")] path: PathBuf) {
+fn run_trace_expected_outcomes(#[files("tests/traces/*.trace")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("the trace can be read");
-    if let Err(broken) = crate::support::script::play(&text) {
+    if let Err(broken) = crate::support::script::run_trace(&text) {
         panic!("{}: {}", path.display(), broken.0);
     }
 }
