--- a/crates/shard/src/action.rs
+++ b/crates/shard/src/action.rs
@@ -1,33 +1,33 @@
-//! What an owner wants done.
+//! Actions: what an owner asks its caller to do.
 
 use ospreywing_types::peer::{SubmitReply, TakeKeyReply};
 use ospreywing_types::worker::Order;
 use ospreywing_types::Name;
 
-/// Stands for a caller that waits for an answer.
+/// Identifies a caller that waits for a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Token(pub u64);
 
-/// An answer to a caller.
+/// A reply to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To a submission or a cancellation.
+    /// The reply to a submission or a cancellation.
     Submit(SubmitReply),
-    /// To a claim on a request key.
+    /// The reply to a claim on a request key.
     TakeKey(TakeKeyReply),
 }
 
-/// One thing to do. Actions are carried out in order.
+/// An action for the daemon. Actions must be carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Answer a caller.
+    /// Reply to a caller.
     Reply {
         /// The caller.
         token: Token,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// Give a worker an order over its open connection.
+    /// Send an order to a worker over its open connection.
     Order {
         /// The worker.
         worker: Name,
--- a/crates/shard/src/closing.rs
+++ b/crates/shard/src/closing.rs
@@ -1,9 +1,9 @@
-//! An ownership that has ended, until nothing of it is on its way.
+//! An ownership that has ended, kept until none of its starts is in flight.
 
 use ospreywing_types::AttemptId;
 use std::collections::BTreeSet;
 
-/// A former owner with the starts it has sent and not heard of.
+/// An ended ownership and its starts that were sent and not yet resolved.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Closing {
     shard: u32,
@@ -12,7 +12,7 @@
 }
 
 impl Closing {
-    /// Creates the closing of an epoch with `attempts` on their way.
+    /// Creates the closing state of an epoch with the starts of `attempts` in flight.
     pub fn new(shard: u32, epoch: u64, attempts: Vec<AttemptId>) -> Self {
         Self {
             shard,
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Notes that a start was taken, not sent, or lost with its connection.
+    /// Records that a start was acknowledged, not sent, or lost with its connection.
     pub fn resolve(&mut self, attempt: AttemptId) {
         self.starts_in_flight.remove(&attempt);
     }
 
-    /// Returns whether no start of the epoch is on its way.
+    /// Returns whether no start of the epoch is in flight.
     pub fn is_closed(&self) -> bool {
         self.starts_in_flight.is_empty()
     }
--- a/crates/shard/src/config.rs
+++ b/crates/shard/src/config.rs
@@ -1,44 +1,46 @@
-//! What an owner is told once, when it begins.
+//! The settings of an owner.
 
 use ospreywing_types::{DaemonIdentity, Duration};
 
-/// The settings of an owner. None of them may change while it owns the shard.
+/// The settings of an owner, constant for as long as it owns the shard.
 #[derive(Clone, Debug)]
 pub struct OwnerConfig {
     /// The shard, in `0..shards_count`.
     pub shard: u32,
-    /// How many shards the cell has.
+    /// The number of shards in the cell.
     pub shards_count: u32,
-    /// The epoch of this ownership: the store's revision of the claim.
+    /// The epoch of this ownership: the store's revision at which the shard was claimed.
     pub epoch: u64,
-    /// The process that owns.
+    /// The daemon process that owns the shard.
     pub identity: DaemonIdentity,
-    /// How long a worker runs an attempt without a renewal.
+    /// How long a worker runs an attempt without a lease renewal.
     pub lease: Duration,
-    /// How often leases are renewed.
+    /// The interval between lease renewals.
     pub renew_every: Duration,
-    /// How often a worker is asked for its report.
+    /// The interval between requests for a worker's report.
     pub report_every: Duration,
-    /// How often it is asked while a start on it is in doubt.
+    /// The interval between these requests while a start on the worker is
+    /// unconfirmed.
     pub unconfirmed_report_every: Duration,
-    /// How long an awake worker may take to read what is in its buffers.
+    /// The longest time for which a running worker may leave a message unread in
+    /// its buffers.
     pub settling_time: Duration,
-    /// How long after a box has left the box list nothing runs on it.
+    /// The time after a box has left the box list from which nothing runs on it.
     pub unlisted_quarantine: Duration,
-    /// How long a commit may take before new work is refused.
+    /// The time after which an unanswered commit causes new work to be rejected.
     pub commit_timeout: Duration,
     /// How long results of ended tasks are kept.
     pub result_retention: Duration,
     /// How long granted request keys are kept.
     pub key_retention: Duration,
-    /// How many tasks may wait in the shard.
+    /// The maximum number of waiting tasks in the shard.
     pub waiting_limit_count: usize,
-    /// Waiting that raises a task's priority by one.
+    /// The waiting time that raises a task's priority by one.
     pub ageing_step: Duration,
 }
 
 impl OwnerConfig {
-    /// Creates a configuration with every period at its default.
+    /// Creates a configuration with all other settings at their defaults.
     pub const fn new(shard: u32, shards_count: u32, epoch: u64, identity: DaemonIdentity) -> Self {
         Self {
             shard,
@@ -59,13 +61,13 @@
         }
     }
 
-    /// Returns how long after the last order was sent a silent worker may run an
-    /// attempt.
+    /// Returns the longest time for which an unresponsive worker may run an
+    /// attempt after the last order was sent.
     ///
-    /// A worker may take a moment to read a renewal, and one that was checked
-    /// before a pause can reach a worker that still holds the lease, once:
-    /// hence twice the lease. The margin of a quarter is for clocks that run
-    /// at different rates.
+    /// This is twice the lease plus a quarter. A worker may read a renewal with a
+    /// delay, and a daemon that pauses between its ownership check and the send
+    /// can renew once more while the worker still holds the lease; hence twice.
+    /// The quarter allows for clocks that run at different rates.
     pub const fn max_lease_time(&self) -> Duration {
         Duration::from_ms(self.lease.as_ms() * 2 + self.lease.as_ms() / 4)
     }
--- a/crates/shard/src/entity.rs
+++ b/crates/shard/src/entity.rs
@@ -1,4 +1,4 @@
-//! Dense keys of the entities that an owner decides about.
+//! Dense keys of tasks, workers, workloads and teams.
 
 use cranelift_entity::entity_impl;
 
@@ -12,12 +12,12 @@
 pub struct Worker(u32);
 entity_impl!(Worker, "worker");
 
-/// A row of the table that tasks are submitted to.
+/// A workload: a batch row of the table, to which tasks are submitted.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Workload(u32);
 entity_impl!(Workload, "workload");
 
-/// A team that workloads belong to.
+/// A team to which workloads belong.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Team(u32);
 entity_impl!(Team, "team");
--- a/crates/shard/src/error.rs
+++ b/crates/shard/src/error.rs
@@ -2,15 +2,15 @@
 
 use thiserror::Error;
 
-/// Why a batch of the log can't be used.
+/// The reason why a batch of the log can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LogError {
-    /// The bytes are not a batch of this version.
-    #[error("batch {seq}: not readable: {reason}")]
+    /// The bytes can't be decoded as a batch of this version.
+    #[error("batch {seq}: can't be decoded: {reason}")]
     Malformed {
         /// The batch's number.
         seq: u64,
-        /// What the decoder said.
+        /// The decoder's error message.
         reason: String,
     },
     /// The batch belongs to another shard.
@@ -23,8 +23,8 @@
         /// The shard that is being recovered.
         expected: u32,
     },
-    /// The batch's number does not follow the one before it.
-    #[error("batch {seq}: stands after batch {previous}")]
+    /// The batch's number is not greater than that of the batch before it.
+    #[error("batch {seq}: out of order after batch {previous}")]
     OutOfOrder {
         /// The batch's number.
         seq: u64,
--- a/crates/shard/src/event.rs
+++ b/crates/shard/src/event.rs
@@ -1,4 +1,4 @@
-//! What an owner is told.
+//! Events: the inputs of an owner.
 
 use crate::action::Token;
 use ospreywing_table::Table;
@@ -6,16 +6,16 @@
 use ospreywing_types::{AttemptId, BoxFacts, Instant, Key, Name, TaskSpec};
 use std::sync::Arc;
 
-/// One thing that happened.
+/// An event that an owner handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The shard's workers as the box list has them now.
+    /// The shard's workers in the newest box list.
     Boxes(Vec<BoxFacts>),
     /// The table in force.
     Table(Arc<Table>),
-    /// A caller hands in a task.
+    /// A caller submits a task.
     Submit {
-        /// Whom to answer.
+        /// The caller that waits for the reply.
         token: Token,
         /// The caller's key.
         key: Key,
@@ -24,85 +24,86 @@
         /// What to run.
         spec: TaskSpec,
     },
-    /// A caller wants a task stopped.
+    /// A caller cancels a task.
     Cancel {
-        /// Whom to answer.
+        /// The caller that waits for the reply.
         token: Token,
         /// The task's key.
         key: Key,
     },
-    /// A daemon claims the one run of a request that is unsafe to repeat.
+    /// A daemon claims the only run of a request that is unsafe to repeat.
     TakeKey {
-        /// Whom to answer.
+        /// The caller that waits for the reply.
         token: Token,
         /// The caller's key.
         key: Key,
-        /// The claim.
+        /// The nonce that identifies the claim.
         nonce: u64,
     },
-    /// The commit last made has taken effect.
+    /// The store has applied the latest commit.
     CommitDone,
-    /// The store was seen to name this owner, by a call begun at the instant.
+    /// A read of the store confirmed that this owner still owns the shard.
     OwnershipConfirmed {
-        /// When the call began.
+        /// When the read was sent.
         asked_at: Instant,
     },
-    /// A connection to a worker is open and gave its first report.
+    /// A connection to a worker was opened and returned its first report.
     SessionOpened {
         /// The worker.
         worker: Name,
-        /// The connection's number, never used again by this process.
+        /// The connection's number; the process uses each number once.
         session: u64,
-        /// Its report.
+        /// The worker's report.
         report: Report,
     },
-    /// A worker answered on its open connection.
+    /// A worker returned a report over its open connection.
     Reported {
         /// The worker.
         worker: Name,
         /// The connection.
         session: u64,
-        /// When it was asked.
+        /// When the report was requested.
         asked_at: Instant,
-        /// Its report.
+        /// The worker's report.
         report: Report,
     },
-    /// The connection to a worker is gone.
+    /// The connection to a worker was closed.
     SessionClosed {
         /// The worker.
         worker: Name,
         /// The connection.
         session: u64,
     },
-    /// A worker took a start.
+    /// A worker acknowledged a start.
     StartAcked {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A start was certainly not sent and will not be.
+    /// A start was not sent and won't be.
     StartNotSent {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A start was sent and its connection broke before an answer.
+    /// A start was sent, and its connection broke before the worker acknowledged it.
     StartUnconfirmed {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A worker said that an attempt ended.
+    /// A worker reported the end of an attempt.
     Ended {
         /// The worker.
         worker: Name,
-        /// The attempt and its end.
+        /// The attempt and how it ended.
         ended: Ended,
     },
-    /// No start of a former epoch is on its way or will be sent.
+    /// No start of a former epoch is in flight, and none will be sent.
     EpochClosed {
         /// The epoch.
         epoch: u64,
     },
-    /// Whether the daemon knows its table to be current.
+    /// Whether the daemon's table is known to be current; starts are placed
+    /// only while it is.
     Deciding(bool),
-    /// Time has passed.
+    /// Time has passed; handles whatever is due.
     Tick,
 }
--- a/crates/shard/src/free_index.rs
+++ b/crates/shard/src/free_index.rs
@@ -1,19 +1,21 @@
-//! Workers in the order of their free processors.
+//! An index of workers by their free processors.
 
 use crate::entity::Worker;
 use ospreywing_table::Policy;
 use ospreywing_types::Resources;
 use std::collections::BTreeSet;
 
-/// A worker with its free processors, the order of the index.
+/// An entry of the index, ordered by free processors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Slot {
     cores_milli: u32,
     worker: Worker,
 }
 
-/// The workers that may be given work, plain ones apart from those with
-/// accelerators, so that plain tasks leave accelerators free where they can.
+/// The workers on which tasks may be placed.
+///
+/// Workers with accelerators are kept in a set of their own, so that tasks
+/// without accelerators are placed there only when no other worker fits.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FreeIndex {
     plain: BTreeSet<Slot>,
@@ -21,12 +23,12 @@
 }
 
 impl FreeIndex {
-    /// Adds a worker with `free` room.
+    /// Adds a worker with the free capacity `free`.
     pub(crate) fn insert(&mut self, worker: Worker, free: &Resources, is_accelerated: bool) {
         self.set_of(is_accelerated).insert(slot(worker, free));
     }
 
-    /// Removes a worker that was added with `free` room.
+    /// Removes a worker that was added with the free capacity `free`.
     pub(crate) fn remove(&mut self, worker: Worker, free: &Resources, is_accelerated: bool) {
         self.set_of(is_accelerated).remove(&slot(worker, free));
     }
@@ -36,9 +38,9 @@
         self.plain.len() + self.accelerated.len()
     }
 
-    /// Returns the worker to give `need` to, where one has room.
+    /// Returns the worker on which to place `need`, if one has the free capacity.
     ///
-    /// `fits` says whether a worker has room for the whole need.
+    /// `fits` returns whether a worker's free capacity covers all of `need`.
     pub(crate) fn find(
         &self,
         need: &Resources,
--- a/crates/shard/src/lib.rs
+++ b/crates/shard/src/lib.rs
@@ -1,14 +1,15 @@
-//! The decisions of a shard's owner.
+//! Decides where and when the tasks of a shard run.
 //!
 //! A shard is a fixed part of a cell's workers together with the tasks that
 //! run on them. One daemon at a time owns it. The owner records every start in
-//! the platform's store before it sends it, so that whoever takes over knows
-//! what may run where.
+//! the platform's store before it sends the start, so that the next owner knows
+//! which attempts may run on which workers.
 //!
-//! The crate does no I/O and reads no clock: [`Owner::handle`] takes an
-//! [`Event`] and an instant and appends [`Action`]s. The life cycle is typed:
-//! a [`Recovery`] reads the log and becomes an [`Owner`]; an owner that is
-//! fenced or hands over becomes a [`Closing`] and then is dropped.
+//! The crate does no I/O and reads no clock: [`Owner::handle`] processes an
+//! [`Event`] at an instant and appends [`Action`]s. Each stage of an ownership
+//! has a type of its own: a [`Recovery`] reads the log and becomes an
+//! [`Owner`]; an owner that is fenced or hands over becomes a [`Closing`],
+//! which is dropped once no start of its epoch is in flight.
 
 mod action;
 mod closing;
--- a/crates/shard/src/presence.rs
+++ b/crates/shard/src/presence.rs
@@ -1,20 +1,23 @@
-//! What an owner knows of a recorded start beyond the log.
+//! An owner's knowledge of whether a recorded start has reached its worker.
+//!
+//! It is kept in memory only.
 
 use ospreywing_types::Instant;
 
-/// Reports of one open connection that lacked an attempt, one after the other.
+/// Successive reports over one open connection that did not list an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Absence {
-    /// When the first came.
+    /// When the first of them was received.
     pub since: Instant,
-    /// When the last came; the next is asked for after it.
+    /// When the last of them was received; a report counts only if it was
+    /// requested after that.
     pub last_at: Instant,
-    /// How many there were.
+    /// The number of such reports.
     pub reports_count: u32,
 }
 
 impl Absence {
-    /// Creates the absence that one report shows.
+    /// Creates the absence after a first report, received at `now`.
     pub const fn new(now: Instant) -> Self {
         Self {
             since: now,
@@ -26,33 +29,35 @@
 
 /// Whether a recorded start has reached its worker.
 ///
-/// Until it is resolved, a start counts as occupying its worker.
+/// Until it is resolved, a start occupies capacity of its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Presence {
     /// No start is on record.
     #[default]
     None,
-    /// The record is not committed; nothing was sent.
+    /// The record is not committed yet; the start was not sent.
     Recording,
-    /// Sent over the worker's open connection; no answer yet.
+    /// The start was sent over the worker's open connection and not answered yet.
     Sent,
-    /// The worker said that it has it.
+    /// The worker acknowledged the attempt or listed it in a report.
     Confirmed {
-        /// When the worker's word came.
+        /// When the acknowledgement or report was received.
         since: Instant,
     },
-    /// It may have been sent, by a former owner or over a connection that broke.
+    /// The start may have been sent, by a former owner or over a connection that
+    /// broke.
     Unconfirmed {
-        /// Reports that lacked it, all after every sender had closed.
+        /// Reports that did not list it, received after the epoch that recorded
+        /// the start was closed.
         absence: Option<Absence>,
     },
 }
 
 impl Presence {
-    /// In doubt, with no report that lacks it.
+    /// Unconfirmed, with no report yet that does not list the attempt.
     pub const UNCONFIRMED: Self = Self::Unconfirmed { absence: None };
 
-    /// Returns whether the worker said that it has the attempt.
+    /// Returns whether the worker confirmed that it has the attempt.
     pub const fn is_confirmed(&self) -> bool {
         matches!(self, Self::Confirmed { .. })
     }
--- a/crates/shard/src/queue.rs
+++ b/crates/shard/src/queue.rs
@@ -1,4 +1,4 @@
-//! The tasks of one workload that wait for room.
+//! The queue of one workload's waiting tasks.
 
 use crate::entity::Task;
 use ospreywing_types::{Instant, TaskId};
@@ -9,13 +9,13 @@
 pub(crate) struct Waiting {
     /// The task.
     pub(crate) task: Task,
-    /// Since when it waits.
+    /// When it began to wait.
     pub(crate) since: Instant,
 }
 
-/// Waiting tasks in the order of their submission.
+/// Waiting tasks in the order of submission.
 ///
-/// A task that waits again, after its worker was lost, keeps its old place.
+/// A task that is requeued after its worker was lost keeps its position.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     tasks: BTreeMap<TaskId, Waiting>,
--- a/crates/shard/src/recovery.rs
+++ b/crates/shard/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading a shard's log after its ownership was claimed.
+//! Rebuilds a shard's state from its log after the shard was claimed.
 
 use crate::config::OwnerConfig;
 use crate::log::Log;
@@ -8,7 +8,7 @@
 use crate::LogError;
 use ospreywing_types::Instant;
 
-/// A claim whose log is being read. It becomes an [`Owner`].
+/// A claimed shard whose log is being read; becomes an [`Owner`].
 #[derive(Debug)]
 pub struct Recovery {
     config: OwnerConfig,
@@ -18,7 +18,7 @@
 }
 
 impl Recovery {
-    /// Creates the recovery of the shard named in `config`.
+    /// Creates the recovery of the shard in `config`, with no batch read.
     pub fn new(config: OwnerConfig) -> Self {
         Self {
             config,
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Reads the next batch, in the order of the log.
+    /// Applies the next batch. Batches must be read in the order of the log.
     ///
     /// # Errors
     ///
-    /// Returns an error where the value is no batch of this shard or stands
-    /// out of order; the shard must then not be served.
+    /// Returns an error if the value is not a batch of this shard or is out of
+    /// order; the shard must not be served then.
     pub fn read(&mut self, seq: u64, value: &[u8]) -> Result<(), LogError> {
         let batch = Batch::decode(seq, value)?;
         if batch.shard != self.config.shard {
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// Ends the recovery: the whole log was read.
+    /// Returns the owner, once the whole log has been read.
     pub fn finish(self, now: Instant) -> Owner {
         Owner::new(self.config, self.state, self.log, now)
     }
