--- a/crates/shard/src/commit.rs
+++ b/crates/shard/src/commit.rs
@@ -1,4 +1,5 @@
-//! Group commits: what goes into the next one, and what follows from it.
+//! Group commits: places tasks, builds the next commit and carries out its
+//! effects once the store has applied it.
 
 use crate::action::Action;
 use crate::entity::{Task, Worker};
@@ -9,15 +10,15 @@
 use ospreywing_types::worker::{Order, Start, Stop};
 use ospreywing_types::Instant;
 
-/// Starts in one commit at most, so that a batch stays small.
+/// The maximum number of starts in one commit; keeps batches small.
 const STARTS_PER_COMMIT: usize = 1000;
 
 impl Owner {
-    /// Makes the next commit, where one is due and none is under way.
+    /// Builds the next commit, if one is due and none is in flight.
     ///
-    /// The caller writes it on the condition that the store still names this
-    /// owner and that the log has no batch of this number, as often as it
-    /// takes, and then reports [`crate::Event::CommitDone`] or calls
+    /// The caller writes it on condition that the store still names this owner
+    /// and that the log has no batch of this number. It retries until the
+    /// outcome is known, then reports [`crate::Event::CommitDone`] or calls
     /// [`Owner::close`].
     pub fn next_commit(&mut self, now: Instant) -> Option<Commit> {
         if self.inflight.is_some() {
@@ -43,7 +44,9 @@
         Some(commit)
     }
 
-    /// Records a start for each waiting task that has room, in order.
+    /// Records a start for each waiting task that fits a worker, in scheduling order.
+    ///
+    /// A workload whose first task is over a cap or fits no worker is skipped.
     fn place_waiting(&mut self, now: Instant) {
         if !self.is_deciding || self.is_handing_over {
             return;
@@ -108,7 +111,8 @@
         }
     }
 
-    /// Sends a recorded start, or takes it back where its session has gone.
+    /// Sends a recorded start, or requeues the task if the worker's session has
+    /// closed.
     fn send_start(&mut self, now: Instant, task: Task, number: u32, actions: &mut Vec<Action>) {
         let Some(started) = self.state.tasks[task].started().cloned() else {
             return;
@@ -119,7 +123,7 @@
         let worker = self.workers.intern(&started.worker);
         let session = self.workers.get(worker).session.as_ref();
         if session.is_none_or(|session| session.incarnation != started.incarnation) {
-            // Only this owner could have sent it, and it did not.
+            // Only this owner could have sent the start, and it did not.
             self.requeue(now, task, false);
             return;
         }
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -1,8 +1,8 @@
-//! Requests that wait for the next commit, and those that are refused.
+//! Accepts or rejects requests and holds accepted ones for the next commit.
 //!
-//! Nothing of a request is in the state before a commit takes it up. Until
-//! then it can be refused with certainty, and it is, as soon as the store is
-//! seen to be slow.
+//! A request changes the state only when it becomes part of a commit. Until
+//! then it can be rejected with certainty that it had no effect, and it is
+//! rejected as soon as the store is slow to answer a commit.
 
 use crate::action::{Action, Reply, Token};
 use crate::owner::{Effect, Owner, Retained};
@@ -12,7 +12,7 @@
 use ospreywing_types::{Duration, Instant, Key, Name, TaskId, TaskPhase, TaskSpec};
 use std::collections::HashMap;
 
-/// A task that is not on record yet.
+/// A submitted task that is not part of a commit yet.
 #[derive(Clone, Debug)]
 pub(crate) struct NewTask {
     pub(crate) tokens: Vec<Token>,
@@ -20,14 +20,14 @@
     pub(crate) spec: TaskSpec,
 }
 
-/// A claim that is not on record yet.
+/// A claim on a request key that is not part of a commit yet.
 #[derive(Clone, Debug)]
 pub(crate) struct NewKey {
     pub(crate) token: Token,
     pub(crate) nonce: u64,
 }
 
-/// Requests that no commit has taken up, in the order of their keys' arrival.
+/// Requests that are not part of a commit yet; tasks in the order of arrival.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Intake {
     pub(crate) tasks: HashMap<Key, NewTask>,
@@ -36,18 +36,19 @@
 }
 
 impl Intake {
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits for the next commit.
     pub(crate) fn is_empty(&self) -> bool {
         self.order.is_empty() && self.keys.is_empty()
     }
 }
 
-/// When to come back after a refusal while the store is slow or down.
+/// When to retry a request rejected because the store is slow or down.
 const STORE_RETRY_AFTER: Duration = Duration::from_s(2);
-/// When to come back after a refusal because too many tasks wait.
+/// When to retry a task rejected because too many tasks wait.
 const FULL_RETRY_AFTER: Duration = Duration::from_s(10);
-/// What callers are told while the owner hands over, and when to come back.
+/// The reason for a rejection during a handover.
 const HAND_OVER_REASON: &str = "the shard is changing hands";
+/// When to retry a request rejected during or after a handover.
 const HAND_OVER_RETRY_AFTER: Duration = Duration::from_s(1);
 
 fn rejected(reason: impl Into<String>, retry_after: Option<Duration>) -> Reply {
@@ -112,7 +113,8 @@
             .map(|(reason, retry_after)| rejected(reason, Some(retry_after)))
     }
 
-    /// Why nothing new can be put on record now, if so.
+    /// Returns why no new request can be recorded now and when to retry it, or
+    /// `None` if it can be.
     fn intake_obstacle(&self, now: Instant) -> Option<(&'static str, Duration)> {
         if self.is_handing_over {
             return Some((HAND_OVER_REASON, HAND_OVER_RETRY_AFTER));
@@ -122,13 +124,13 @@
             .then_some((reason, STORE_RETRY_AFTER))
     }
 
-    /// Returns whether the commit under way has waited too long for its answer.
+    /// Returns whether the commit in flight has exceeded the commit timeout.
     fn is_commit_overdue(&self, now: Instant) -> bool {
         let inflight = self.inflight.as_ref();
         inflight.is_some_and(|it| now.since(it.since) >= self.config.commit_timeout)
     }
 
-    /// Answers with a task's status once all that is decided so far is on record.
+    /// Replies with a task's status once every pending record is committed.
     fn reply_when_committed(&mut self, token: Token, task: crate::Task, actions: &mut Vec<Action>) {
         let status = SubmitReply::Accepted(self.status_of(task));
         let reply = Reply::Submit(status);
@@ -202,7 +204,7 @@
         self.intake.keys.insert(key, NewKey { token, nonce });
     }
 
-    /// Moves what waits into the state and the next commit.
+    /// Applies the waiting requests to the state and adds them to the next commit.
     pub(crate) fn apply_intake(&mut self, now: Instant) {
         for key in core::mem::take(&mut self.intake.order) {
             if let Some(new) = self.intake.tasks.remove(&key) {
@@ -245,11 +247,12 @@
         }
     }
 
-    /// Gives up on callers that wait on a store that does not answer, or for an
-    /// owner that hands its shard over.
+    /// Replies to waiting callers if a commit exceeds its timeout or the owner
+    /// hands the shard over.
     ///
-    /// What no commit has taken up was not run. What one has is unknown where
-    /// the store is silent; a commit on its way at a hand-over is waited for.
+    /// Requests that are not part of a commit are rejected: they had no effect.
+    /// If the commit in flight exceeds its timeout, the outcome of its requests
+    /// is reported as unknown. A handover waits for the commit in flight.
     pub(crate) fn reject_overdue(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let Some((reason, retry_after)) = self.intake_obstacle(now) else {
             return;
@@ -260,7 +263,10 @@
         }
     }
 
-    /// Gives up on every caller that waits.
+    /// Replies to every waiting caller at the end of the ownership.
+    ///
+    /// `is_refused` means that the store refused the commit in flight, so that it
+    /// had no effect; otherwise its outcome is unknown.
     pub(crate) fn reject_all(&mut self, is_refused: bool, actions: &mut Vec<Action>) {
         self.reject_intake(HAND_OVER_REASON, HAND_OVER_RETRY_AFTER, actions);
         if is_refused {
@@ -294,7 +300,8 @@
         }
     }
 
-    /// Answers those that wait on a commit with `replacement` in place of their reply.
+    /// Answers the callers that wait for a commit, with `replacement` of the reply
+    /// that they would have got.
     fn answer_inflight(&mut self, replacement: fn(&Reply) -> Reply, actions: &mut Vec<Action>) {
         let inflight = self.inflight.as_mut();
         let in_flight = inflight.map(|inflight| &mut inflight.effects);
@@ -327,10 +334,10 @@
     })
 }
 
-/// What a caller is told in place of `reply` when the commit's fate is unknown.
+/// Returns the reply that replaces `reply` if the commit's outcome is unknown.
 ///
-/// A claim that is not known to be on record is refused: the claimant must not
-/// send, and nobody else will be granted the key if it is.
+/// A claim that may not be recorded is rejected: the claimant must not send the
+/// request. If the claim is recorded after all, no other claimant gets the key.
 fn unconfirmed_reply(reply: &Reply) -> Reply {
     match reply {
         Reply::Submit(_) => Reply::Submit(SubmitReply::Unknown),
@@ -338,7 +345,7 @@
     }
 }
 
-/// What a caller is told in place of `reply` when the commit had no effect.
+/// Returns the reply that replaces `reply` if the commit had no effect.
 fn not_run_reply(reply: &Reply) -> Reply {
     match reply {
         Reply::Submit(_) => rejected("the shard has another owner", Some(HAND_OVER_RETRY_AFTER)),
--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -1,25 +1,25 @@
-//! What is written to a shard's log.
+//! The records of a shard's log and their encoding.
 
 use crate::state::Position;
 use crate::LogError;
 use ospreywing_types::{DaemonIdentity, Key, Name, TaskId, TaskPhase, TaskSpec};
 use serde::{Deserialize, Serialize};
 
-/// One durable fact.
+/// One record of the log.
 ///
-/// A record about a task that is not known is skipped over on replay: a later
-/// [`Record::Task`] then holds the whole of it, written when the batch with
-/// the earlier records was cleaned away.
+/// Replay skips a record about an unknown task. The batch with the task's
+/// earlier records was deleted by the log cleaner; if the task still exists, a
+/// later [`Record::Task`] holds all of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A daemon began to own the shard; the first record of each epoch.
+    /// A daemon became the owner of the shard; the first record of each epoch.
     Open {
         /// The epoch.
         epoch: u64,
-        /// The process that owns it.
+        /// The daemon process that owns the shard.
         owner: DaemonIdentity,
     },
-    /// No start of the epoch is on its way or will be sent.
+    /// No start of the epoch is in flight, and none will be sent.
     Close {
         /// The epoch.
         epoch: u64,
@@ -43,22 +43,22 @@
         number: u32,
         /// The worker.
         worker: Name,
-        /// The run of the worker that alone may receive it.
+        /// The only incarnation of the worker that may receive the start.
         incarnation: u64,
-        /// The epoch that may send it.
+        /// The epoch that may send the start.
         epoch: u64,
     },
-    /// The worker said that it runs the attempt.
+    /// The worker confirmed that it runs the attempt.
     ///
-    /// It rides along with other records and never causes a commit: it only
-    /// lets a later owner rely on the lapse of the attempt's lease.
+    /// The record is written with others and never causes a commit by itself: it
+    /// only lets a later owner rely on the expiry of the attempt's lease.
     Confirm {
         /// The task.
         id: TaskId,
         /// The attempt's number.
         number: u32,
     },
-    /// An attempt is over and the task waits again.
+    /// An attempt is over and its task is waiting again.
     Requeue {
         /// The task.
         id: TaskId,
@@ -67,7 +67,7 @@
         /// Whether the attempt counts against the retry limit.
         is_failure: bool,
     },
-    /// A caller asked for the task to be stopped.
+    /// A caller cancelled the task.
     Cancel {
         /// The task.
         id: TaskId,
@@ -76,26 +76,26 @@
     End {
         /// The task.
         id: TaskId,
-        /// Its last phase.
+        /// The phase in which it ended.
         phase: TaskPhase,
-        /// The result or the reason.
+        /// The result, or the reason for a failure.
         result: Option<String>,
     },
-    /// The task and its result are dropped.
+    /// The task and its result are removed from the state.
     Forget {
         /// The task.
         id: TaskId,
     },
-    /// The whole of a task, written again by the cleaner.
+    /// All that is recorded of a task, rewritten by the log cleaner.
     Task(TaskImage),
-    /// The one run of a request that is unsafe to repeat was granted.
+    /// The only run of a request that is unsafe to repeat was granted to a claim.
     TakeKey {
         /// The caller's key.
         key: Key,
-        /// The claim that got it.
+        /// The nonce of the claim.
         nonce: u64,
     },
-    /// The key is dropped; it is too old to be asked again.
+    /// The key is removed from the state: its retention period is over.
     ForgetKey {
         /// The caller's key.
         key: Key,
@@ -103,7 +103,7 @@
 }
 
 impl Record {
-    /// Returns whether the record waits for others rather than cause a commit.
+    /// Returns whether the record causes no commit by itself and waits for the next.
     pub const fn is_deferrable(&self) -> bool {
         matches!(
             self,
@@ -112,7 +112,7 @@
     }
 }
 
-/// All that the log knows of a task.
+/// All that is recorded of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskImage {
     /// Its number in the shard.
@@ -121,37 +121,37 @@
     pub key: Key,
     /// The workload row.
     pub row: Name,
-    /// What to run; dropped once the task has ended.
+    /// What to run; `None` once the task has ended.
     pub spec: Option<TaskSpec>,
     /// The number of attempts so far.
     pub attempts_count: u32,
     /// The number of attempts that failed.
     pub failures_count: u32,
-    /// Whether a caller asked for it to be stopped.
+    /// Whether a caller cancelled it.
     pub is_cancelled: bool,
-    /// Where it stands.
+    /// Its state.
     pub position: Position,
 }
 
-/// The value of one key of the log.
+/// A batch of records, stored as the value of one key of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// The shard.
     pub shard: u32,
-    /// The epoch that wrote it.
+    /// The epoch in which it was written.
     pub epoch: u64,
-    /// Its place in the log.
+    /// Its sequence number in the log.
     pub seq: u64,
     /// The next task number that is free after this batch.
     pub next_id: u64,
-    /// The facts, in order.
+    /// The records, in order.
     pub records: Vec<Record>,
 }
 
 impl Batch {
     /// Encodes the batch.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing plain data to memory does not fail.
+        // Serializing plain data into memory does not fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`LogError::Malformed`] where the bytes are not a batch.
+    /// Returns [`LogError::Malformed`] if the bytes are not a batch.
     pub fn decode(seq: u64, bytes: &[u8]) -> Result<Self, LogError> {
         postcard::from_bytes(bytes).map_err(|error| LogError::Malformed {
             seq,
--- a/crates/shard/src/state.rs
+++ b/crates/shard/src/state.rs
@@ -1,4 +1,4 @@
-//! The durable state of a shard: what its log says.
+//! The durable state of a shard, the result of applying its log.
 
 use crate::entity::Task;
 use crate::record::{Record, TaskImage};
@@ -9,48 +9,48 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// An attempt that is on record and not over.
+/// A recorded attempt that is not over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Started {
     /// The worker.
     pub worker: Name,
-    /// The run of the worker that alone may receive it.
+    /// The only incarnation of the worker that may receive the start.
     pub incarnation: u64,
-    /// The epoch that recorded it.
+    /// The epoch that recorded the start.
     pub epoch: u64,
     /// The attempt's number.
     pub number: u32,
-    /// Whether a worker said that it runs the attempt.
+    /// Whether the worker confirmed that it runs the attempt.
     pub is_confirmed: bool,
 }
 
-/// Where a task stands in the log.
+/// The recorded state of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Position {
-    /// Waiting for room.
+    /// Waiting to be placed on a worker.
     Waiting,
-    /// A start is on record.
+    /// A start is recorded and its attempt is not over.
     Started(Started),
     /// It will never run again.
     Ended {
-        /// Its last phase.
+        /// The phase in which it ended.
         phase: TaskPhase,
-        /// The result or the reason.
+        /// The result, or the reason for a failure.
         result: Option<String>,
     },
 }
 
-/// All that the log knows of a task.
+/// A slot of the task table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskData {
-    /// The facts.
+    /// All that is recorded of the task.
     pub image: TaskImage,
-    /// Whether the task was forgotten and its slot is free.
+    /// Whether the task was removed and the slot may be reused.
     pub is_vacant: bool,
 }
 
 impl TaskData {
-    /// Returns the attempt on record, if there is one.
+    /// Returns the current attempt, if a start is recorded.
     pub const fn started(&self) -> Option<&Started> {
         match &self.image.position {
             Position::Started(started) => Some(started),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns whether the task waits for room.
+    /// Returns whether the task waits to be placed.
     pub const fn is_waiting(&self) -> bool {
         matches!(self.image.position, Position::Waiting) && !self.is_vacant
     }
@@ -75,23 +75,23 @@
     }
 }
 
-/// A period of ownership that may still have starts on their way.
+/// A former ownership of the shard that may still have starts in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Epoch {
     /// The epoch.
     pub epoch: u64,
-    /// The process that owned it.
+    /// The daemon process that owned the shard.
     pub owner: DaemonIdentity,
 }
 
 /// The durable state of a shard.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    /// Every task, vacant slots included.
+    /// Every task slot, including vacant ones.
     pub tasks: PrimaryMap<Task, TaskData>,
-    /// Epochs that are not closed.
+    /// Epochs that are not closed, and their owners.
     pub open_epochs: BTreeMap<u64, DaemonIdentity>,
-    /// Granted request keys and the claims that got them.
+    /// Granted request keys, each with the nonce of the claim that got it.
     pub taken_keys: HashMap<Key, u64>,
     /// The next free task number.
     pub next_id: u64,
@@ -106,7 +106,7 @@
         Self::default()
     }
 
-    /// Returns the task with the number `id`.
+    /// Returns the task with the id `id`.
     pub fn by_id(&self, id: TaskId) -> Option<Task> {
         self.by_id.get(&id).copied()
     }
@@ -126,7 +126,7 @@
         self.by_id.len()
     }
 
-    /// Returns the name of the attempt on record of `task` in `shard`.
+    /// Returns the id of the current attempt of `task` in `shard`, if it has one.
     pub fn attempt(&self, shard: u32, task: Task) -> Option<AttemptId> {
         let data = &self.tasks[task];
         data.started().map(|started| AttemptId {
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Applies one record and returns the task it is about, if it is known.
+    /// Applies one record and returns the task it concerns, if it is known.
     pub fn apply(&mut self, record: &Record) -> Option<Task> {
         match record {
             Record::Open { epoch, owner } => {
