--- a/crates/shard/src/log.rs
+++ b/crates/shard/src/log.rs
@@ -1,30 +1,31 @@
-//! The shard's log: batches in order, cleaned as they are written.
+//! The shard's log and its cleaner.
 //!
-//! Each commit writes one batch. Where the log has grown beyond twice what is
-//! live, the commit also writes again what is still live of the oldest batch
-//! and deletes that batch in the same transaction. No commit rewrites more
-//! than a bounded part, and a takeover never reads more than about twice the
-//! live state.
+//! Each commit writes one batch. If the log has grown beyond twice the size of
+//! the live state, the commit also rewrites the live entities of the oldest
+//! batches and deletes these batches in the same transaction. A commit rewrites
+//! a bounded amount, and a recovery reads no more than about twice the live
+//! state.
 
 use crate::record::{Batch, Record};
 use crate::state::State;
 use ospreywing_types::{Key, TaskId};
 use std::collections::{HashSet, VecDeque};
 
-/// A write of the log: one batch put, and the batches it replaces deleted.
+/// A transaction on the log: one batch is written, and batches whose live
+/// entities it rewrites are deleted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Commit {
-    /// The new batch's place in the log.
+    /// The new batch's sequence number.
     pub seq: u64,
-    /// The new batch's value.
+    /// The new batch, encoded.
     pub value: Vec<u8>,
-    /// Every batch before this number is deleted; zero for none.
+    /// Batches before this sequence number are deleted.
     pub first_kept_seq: u64,
-    /// How many records it carries.
+    /// The number of records, without those rewritten by the cleaner.
     pub records_count: usize,
 }
 
-/// What a batch has a record about.
+/// The entity that a record concerns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Subject {
     Task(TaskId),
@@ -39,7 +40,7 @@
     subjects: Vec<Subject>,
 }
 
-/// The log's shape, as far as the cleaner needs it.
+/// The log's batches, with their sizes and the entities in them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     batches: VecDeque<BatchInfo>,
@@ -47,20 +48,23 @@
     next_seq: u64,
 }
 
-/// A log smaller than this is not cleaned.
+/// The size up to which the log is not cleaned.
 const CLEAN_MIN_BYTES: usize = 32 * 1024;
-/// What an entity takes in the log, at a guess: the cleaner's notion of live.
+/// The estimated size of a task in the log; gives the size of the live state.
 const LIVE_TASK_BYTES: usize = 160;
+/// The estimated size of a granted request key in the log.
 const LIVE_KEY_BYTES: usize = 48;
-/// The log may be this many times as large as what is live.
+/// The ratio of the log's size to the live state's beyond which it is cleaned.
 const CLEAN_FACTOR: usize = 2;
-/// Batches that one commit may clean; two keep the log from growing.
+/// The maximum number of batches that one commit cleans; two are enough to
+/// keep the log from growing.
 const CLEAN_BATCHES_COUNT: usize = 4;
-/// The largest batch, well under the store's limit of a megabyte.
+/// The number of cleaned bytes after which a commit cleans no further batch;
+/// keeps batches well under the store's limit of 1 MB.
 const BATCH_LIMIT_BYTES: usize = 256 * 1024;
 
 impl Log {
-    /// Notes a batch found in the store.
+    /// Adds a batch read from the store.
     pub(crate) fn add_batch(&mut self, batch: &Batch, size_bytes: usize) {
         self.push(batch.seq, &batch.records, size_bytes);
         self.next_seq = batch.seq + 1;
@@ -71,7 +75,7 @@
         self.size_bytes
     }
 
-    /// Makes the next commit of `records`, with cleaning where it is due.
+    /// Builds the next commit from `records` and cleans the log if it is due.
     pub(crate) fn commit(
         &mut self,
         shard: u32,
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of a shard: its state, and what each event does to it.
+//! The owner of a shard: its state and its handling of events.
 
 use crate::action::{Action, Reply, Token};
 use crate::closing::Closing;
@@ -18,55 +18,55 @@
 use ospreywing_types::{AttemptId, Instant, Key, Name, TaskPhase};
 use std::collections::VecDeque;
 
-/// What has happened so far, for metrics.
+/// Counters since the start of the ownership, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Tasks accepted.
     pub submitted_count: u64,
-    /// Starts recorded.
+    /// Starts recorded, whether or not they were sent.
     pub started_count: u64,
-    /// Tasks ended, in any way.
+    /// Tasks ended, whatever the phase.
     pub ended_count: u64,
-    /// Attempts that waited again.
+    /// Attempts whose task was requeued.
     pub requeued_count: u64,
-    /// Commits made.
+    /// Commits built.
     pub commits_count: u64,
-    /// Bytes committed.
+    /// Bytes of these commits.
     pub commit_bytes: u64,
-    /// Requests refused.
+    /// Requests rejected.
     pub refused_count: u64,
-    /// Attempts that ran though the log does not say so.
+    /// Reported attempts that were over according to the state.
     pub stray_attempts_count: u64,
 }
 
-/// What follows once a commit has taken effect.
+/// What is done once the store has applied a commit.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
-    /// A caller is answered.
+    /// Reply to a caller.
     Reply(Token, Reply),
-    /// A start is sent.
+    /// Send the start of an attempt, given by its number.
     Start(Task, u32),
-    /// An attempt is stopped.
+    /// Stop a task's current attempt.
     Stop(Task),
-    /// A worker may forget an attempt.
+    /// Let a worker forget an attempt.
     Forget(Worker, AttemptId),
 }
 
-/// A commit whose outcome is not known yet.
+/// The effects of a commit whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Inflight {
     pub(crate) since: Instant,
     pub(crate) effects: Vec<Effect>,
 }
 
-/// An entity to be dropped from the state when its time comes.
+/// An entity that is removed from the state after its retention period.
 #[derive(Clone, Debug)]
 pub(crate) struct Retained<T> {
     pub(crate) since: Instant,
     pub(crate) item: T,
 }
 
-/// The daemon's ownership of one shard.
+/// A daemon's ownership of one shard.
 #[derive(Clone, Debug)]
 pub struct Owner {
     pub(crate) config: OwnerConfig,
@@ -83,20 +83,20 @@
     pub(crate) is_deciding: bool,
     pub(crate) is_handing_over: bool,
     pub(crate) confirmed_at: Instant,
-    /// When the shard was claimed; no former owner was confirmed after it.
+    /// When the shard was claimed; no former owner's ownership was confirmed later.
     pub(crate) claimed_at: Instant,
-    /// Since when no former owner can act; `None` while one may.
+    /// Since when no former owner can send orders; `None` while one may.
     pub(crate) sole_owner_since: Option<Instant>,
     pub(crate) ended: VecDeque<Retained<Task>>,
     pub(crate) keys: VecDeque<Retained<Key>>,
     pub(crate) skipped: EntitySet<Workload>,
-    /// Whether something may have made room since tasks were last placed.
+    /// Whether an event since tasks were last placed may allow further placements.
     pub(crate) may_place: bool,
     pub(crate) counts: Counts,
 }
 
 impl Owner {
-    /// Makes the owner that a recovery ends in.
+    /// Creates the owner from the result of a recovery.
     pub(crate) fn new(config: OwnerConfig, state: State, log: Log, now: Instant) -> Self {
         let mut owner = Self {
             config,
@@ -130,7 +130,7 @@
         owner
     }
 
-    /// Sets up what is not in the log for every task that is.
+    /// Derives the in-memory data of recovered tasks and request keys.
     fn index_tasks(&mut self, now: Instant) {
         let tasks: Vec<Task> = self.state.live_tasks().map(|(task, _)| task).collect();
         for task in tasks {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         self.may_place |= !matches!(event, Event::Tick | Event::OwnershipConfirmed { .. });
         match event {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Notes since when this owner alone can send orders to the workers.
+    /// Sets `sole_owner_since` once every former epoch is closed.
     fn update_sole_ownership(&mut self, now: Instant) {
         let own = self.config.epoch;
         let is_sole = self.state.open_epochs.keys().all(|&epoch| epoch == own);
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Renews the leases on a worker where it is time.
+    /// Renews the leases on a worker if the renewal interval has passed.
     fn renew(&mut self, now: Instant, worker: Worker, actions: &mut Vec<Action>) {
         let data = self.workers.get(worker);
         let Some(session) = &data.session else { return };
@@ -275,7 +275,10 @@
         }
     }
 
-    /// An owner that can't prove its ownership renews only for the row's hold.
+    /// Returns whether the owner may renew the lease of a task.
+    ///
+    /// It stops renewing once its ownership has not been confirmed for the row's
+    /// hold. A start that is not committed yet has no lease.
     fn may_renew(&self, now: Instant, task: Task) -> bool {
         let is_recording = self.presence[task] == Presence::Recording;
         let hold = self.workloads.get(self.workload_of(task)).hold;
@@ -307,7 +310,7 @@
         });
     }
 
-    /// Drops results and keys that were kept long enough.
+    /// Removes ended tasks and request keys whose retention period is over.
     fn drop_expired(&mut self, now: Instant) {
         while let Some(first) = self.ended.front() {
             if now.since(first.since) < self.config.result_retention {
@@ -327,14 +330,14 @@
         }
     }
 
-    /// Puts a record in the next commit and applies it to the state.
+    /// Adds a record to the next commit and applies it to the state.
     pub(crate) fn append(&mut self, record: Record) -> Option<Task> {
         let task = self.state.apply(&record);
         self.pending.push(record);
         task
     }
 
-    /// Counts a recorded start as occupying its worker and its workload.
+    /// Adds a recorded start to the usage of its worker and its workload.
     pub(crate) fn occupy(&mut self, task: Task, worker: Worker) {
         let need = self.state.tasks[task].resources();
         let workload = self.workload_of(task);
@@ -345,7 +348,7 @@
         self.workloads.occupy(workload, &need);
     }
 
-    /// Undoes [`Self::occupy`] before the start's record is replaced.
+    /// Reverts [`Self::occupy`]; to be called before the state drops the start.
     pub(crate) fn release(&mut self, task: Task) {
         let data = &self.state.tasks[task];
         let need = data.resources();
@@ -368,7 +371,8 @@
     ///
     /// # Panics
     ///
-    /// Panics where the task's row was never interned, which every path does.
+    /// Panics if the task's row was never interned; every code path that adds a
+    /// task interns its row.
     pub(crate) fn workload_of(&self, task: Task) -> Workload {
         let row = &self.state.tasks[task].image.row;
         self.workloads
@@ -376,7 +380,7 @@
             .expect("the row of every task is interned")
     }
 
-    /// Returns a task as callers see it.
+    /// Returns the status of a task, as reported to callers.
     pub fn status(&self, key: &Key) -> Option<TaskStatus> {
         let task = self.state.by_key(key)?;
         Some(self.status_of(task))
@@ -407,13 +411,13 @@
         }
     }
 
-    /// Returns up to `limit_count` tasks as callers see them.
+    /// Returns the statuses of up to `limit_count` tasks.
     pub fn statuses(&self, limit_count: usize) -> Vec<TaskStatus> {
         let tasks = self.state.live_tasks().take(limit_count);
         tasks.map(|(task, _)| self.status_of(task)).collect()
     }
 
-    /// Returns the names of the listed workers, each with whether it is connected.
+    /// Returns the names of all known workers, each with whether it is connected.
     pub fn workers(&self) -> Vec<(Name, bool)> {
         let workers = self.workers.iter();
         workers
@@ -421,7 +425,7 @@
             .collect()
     }
 
-    /// Returns the former epochs that may still have starts on their way.
+    /// Returns the former epochs that may still have starts in flight.
     pub fn open_epochs(&self) -> Vec<crate::Epoch> {
         let own = self.config.epoch;
         let former = self.state.open_epochs.iter().filter(|(&e, _)| e != own);
@@ -438,12 +442,12 @@
         &self.config
     }
 
-    /// Returns the durable state, the uncommitted part included.
+    /// Returns the state, including records that are not committed yet.
     pub const fn state(&self) -> &State {
         &self.state
     }
 
-    /// Returns what has happened so far.
+    /// Returns the counters.
     pub const fn counts(&self) -> Counts {
         self.counts
     }
@@ -458,7 +462,7 @@
         self.workers.iter().map(|(_, data)| data.tasks.len()).sum()
     }
 
-    /// Returns the number of workers that may be given work.
+    /// Returns the number of workers on which tasks may be placed.
     pub fn placeable_count(&self) -> usize {
         self.workers.placeable_count()
     }
@@ -468,7 +472,7 @@
         self.log.size_bytes()
     }
 
-    /// Returns whether [`Self::next_commit`] has something to do.
+    /// Returns whether [`Self::next_commit`] should be called.
     pub fn needs_commit(&self) -> bool {
         let is_asked = !self.intake.is_empty() || !self.pending_effects.is_empty();
         let is_due = !self.pending.iter().all(Record::is_deferrable);
@@ -476,31 +480,32 @@
         self.inflight.is_none() && (is_asked || is_due || has_room)
     }
 
-    /// Puts on record that nothing of this epoch is on its way.
+    /// Records that no start of this epoch is in flight.
     ///
-    /// To be called once settled; the next commit is the last.
+    /// To be called once [`Self::is_settled`] holds; the next commit is the last.
     pub fn finish(&mut self) {
         let epoch = self.config.epoch;
         self.append(Record::Close { epoch });
     }
 
-    /// Takes no more work, so that what is on its way can settle.
+    /// Rejects new work and places no more tasks, so that the starts in flight can
+    /// be resolved.
     pub fn begin_handover(&mut self) {
         self.is_handing_over = true;
     }
 
-    /// Returns whether nothing of this owner is on its way to a worker.
+    /// Returns whether no start and no commit is in flight.
     pub fn is_settled(&self) -> bool {
         let mut tasks = self.state.live_tasks();
         let is_on_its_way = |presence| matches!(presence, Presence::Sent | Presence::Recording);
         !tasks.any(|(task, _)| is_on_its_way(self.presence[task])) && self.inflight.is_none()
     }
 
-    /// Ends the ownership, after the store has refused a commit or named another.
+    /// Ends the ownership, after the store refused a commit or named another owner.
     ///
-    /// What was not committed is dropped, and callers that wait are told so.
-    /// `is_refused` says that the commit under way certainly had no effect;
-    /// otherwise its callers are told that nothing is known.
+    /// Uncommitted records are dropped, and waiting callers are answered.
+    /// `is_refused` means that the commit in flight had no effect; otherwise its
+    /// callers are told that the outcome is unknown.
     pub fn close(mut self, is_refused: bool, actions: &mut Vec<Action>) -> Closing {
         self.reject_all(is_refused, actions);
         let mut attempts = Vec::new();
--- a/crates/shard/src/resolve.rs
+++ b/crates/shard/src/resolve.rs
@@ -1,19 +1,19 @@
-//! What became of recorded starts: the proofs that each may rest on.
+//! Resolves recorded starts: determines whether their attempts run or are over.
 //!
-//! Workers have no guards, and a former owner may wake at any time and send a
-//! start that it recorded. A recorded start therefore counts as occupying its
-//! worker until one of these resolves it:
+//! Workers don't check who sends an order, and a paused former owner may resume
+//! at any time and send a start that it recorded. A recorded start therefore
+//! occupies capacity of its worker until one of these proofs resolves it:
 //!
-//! 1. the worker says that the attempt runs or has ended;
-//! 2. another incarnation of the worker answers: a start goes only over a
-//!    connection to the incarnation on record;
-//! 3. every daemon that could send it has closed its epoch, and the worker has
-//!    lacked it in several reports, one asked for after the other, over a
-//!    settling time;
-//! 4. the worker once confirmed it, every other daemon that could renew its
-//!    lease has closed its epoch, and the lease has lapsed;
-//! 5. the platform took the worker off its box list some minutes ago, and
-//!    every former epoch is closed.
+//! 1. The worker reports that the attempt runs or has ended.
+//! 2. Another incarnation of the worker answers. A start is sent only over a
+//!    connection to the recorded incarnation.
+//! 3. Every daemon that could send the start has closed its epoch, and several
+//!    reports of the worker, each requested after the one before was received
+//!    and together spanning the settling time, don't list the attempt.
+//! 4. The worker once confirmed the attempt, its lease has expired, and no other
+//!    daemon can have renewed it since.
+//! 5. The platform removed the worker from its box list longer ago than the
+//!    quarantine, and every former epoch has been closed for as long.
 
 use crate::action::Action;
 use crate::entity::{Task, Worker};
@@ -26,13 +26,14 @@
 use ospreywing_types::worker::{Ended, Order, Report, Stop};
 use ospreywing_types::{AttemptId, Instant, Name, TaskEnd, TaskPhase};
 
-/// Reports in a row that must lack a start in doubt.
+/// The number of successive reports that must not list an unconfirmed attempt
+/// before it counts as absent.
 const ABSENT_REPORTS_COUNT: u32 = 4;
 
 impl Owner {
     /// Returns whether the worker's open connection is `session`.
     ///
-    /// Word of an earlier connection may come after that of a later one.
+    /// Events of an earlier connection may be handled after those of a later one.
     pub(crate) fn has_session(&self, name: &Name, session: u64) -> bool {
         let worker = self.workers.by_name(name);
         let open = worker.and_then(|worker| self.workers.get(worker).session.as_ref());
@@ -121,15 +122,17 @@
         }
     }
 
-    /// Proof 2: the run of the worker that alone could receive it is over.
+    /// Proof 2: the only incarnation of the worker that could receive the start is
+    /// over.
     ///
-    /// A start that was not yet sent never will be; [`Self::send_start`] sees to it.
+    /// A start that is not sent yet is not sent any more: [`Self::send_start`]
+    /// checks the incarnation.
     fn on_other_incarnation(&mut self, now: Instant, task: Task, started: &Started) {
         let is_mine = started.epoch == self.config.epoch;
         match self.presence[task] {
             Presence::Recording => {}
-            // The connection it was sent over breaks with the worker's run,
-            // and the send is then reported as in doubt.
+            // The connection to the former incarnation breaks, and the daemon
+            // then reports the start as unconfirmed.
             Presence::Sent if is_mine => {}
             _ => self.handle_lost_attempt(now, task),
         }
@@ -148,11 +151,12 @@
         }
     }
 
-    /// Counts reports that lack a start in doubt, each asked for after the one
-    /// before had come.
+    /// Counts successive reports that don't list an unconfirmed attempt.
     ///
-    /// A worker that was frozen may read a later report's call before an older
-    /// start in another connection's buffer, but not one call after the other.
+    /// A report counts only if it was requested after the previous one was
+    /// received. A worker that was frozen may read a report request before an
+    /// older start in another connection's buffer, but that does not repeat over
+    /// several requests, each sent after the answer to the one before.
     fn record_absence(&mut self, now: Instant, asked_at: Instant, task: Task, started: &Started) {
         let Presence::Unconfirmed { absence } = self.presence[task] else {
             return;
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Proof 3: nobody will send it, and the worker does not have it.
+    /// Proof 3: no daemon will send the start, and the worker does not have it.
     fn on_absence_proven(&mut self, now: Instant, task: Task, started: &Started) {
         if started.is_confirmed {
             self.handle_lost_attempt(now, task);
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Returns whether nothing of `epoch` can still be sent.
+    /// Returns whether no former owner can still send a start of `epoch`.
     fn is_epoch_closed(&self, epoch: u64) -> bool {
         epoch == self.config.epoch || !self.state.open_epochs.contains_key(&epoch)
     }
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Returns the task whose attempt on record is `attempt`.
+    /// Returns the task whose current attempt is `attempt`.
     fn task_of_attempt(&self, attempt: AttemptId) -> Option<Task> {
         if attempt.shard != self.config.shard {
             return None;
@@ -265,7 +269,7 @@
         self.pending_effects.push(effect);
     }
 
-    /// Returns whether the log, as far as it is committed, is past `attempt`.
+    /// Returns whether `attempt` is over according to the state.
     fn is_past_attempt(&self, attempt: AttemptId) -> bool {
         if attempt.shard != self.config.shard {
             return false;
@@ -280,7 +284,7 @@
         }
     }
 
-    /// Lets a worker forget an attempt, not before all so far is on record.
+    /// Lets a worker forget an attempt once every pending record is committed.
     fn forget_when_committed(&mut self, effect: Effect) {
         let Effect::Forget(worker, attempt) = effect else {
             return;
@@ -308,7 +312,7 @@
         }
     }
 
-    /// Ends an attempt that may have run in part and will not go on.
+    /// Handles an attempt that may have run in part and no longer runs.
     pub(crate) fn handle_lost_attempt(&mut self, now: Instant, task: Task) {
         let workload = self.workloads.get(self.workload_of(task));
         if self.state.tasks[task].image.is_cancelled {
@@ -321,7 +325,7 @@
         }
     }
 
-    /// Lets a task wait again; its attempt is over.
+    /// Puts a task whose attempt is over back into its queue.
     pub(crate) fn requeue(&mut self, now: Instant, task: Task, is_failure: bool) {
         let Some(started) = self.state.tasks[task].started() else {
             return;
@@ -340,7 +344,7 @@
         self.workloads.enqueue(workload, id, task, now);
     }
 
-    /// Ends a task for good.
+    /// Ends a task; it won't run again.
     pub(crate) fn end_task(
         &mut self,
         now: Instant,
@@ -362,7 +366,7 @@
         });
     }
 
-    /// Proofs 4 and 5, for workers that have no open connection.
+    /// Applies proofs 4 and 5 to workers without an open connection.
     pub(crate) fn resolve_disconnected(&mut self, now: Instant) {
         let workers: Vec<Worker> = self.workers.keys().collect();
         for worker in workers {
@@ -376,7 +380,8 @@
         }
     }
 
-    /// Proof 5: the platform dropped the box, and no former owner can act.
+    /// Proof 5: the box left the box list and no former owner can act, both for at
+    /// least the quarantine.
     fn is_delisted(&self, now: Instant, worker: Worker) -> bool {
         let Listing::Dropped(since) = self.workers.get(worker).listing else {
             return false;
@@ -404,11 +409,13 @@
         }
     }
 
-    /// Proof 4: when the lease of a confirmed attempt on a silent worker is over.
+    /// Proof 4: returns when the lease of a confirmed attempt on a worker without
+    /// a connection has certainly expired.
     ///
-    /// An order may be held for long between its decision and its sending, but
-    /// not beyond the end of its connection. A former owner that has not closed its epoch may renew for the row's
-    /// hold after it was last confirmed, which was before the claim.
+    /// The daemon may hold an order for long before it sends it, but not beyond
+    /// the end of the connection. A former owner that has not closed its epoch
+    /// may renew leases for the row's hold after its ownership was last
+    /// confirmed, which was before this owner's claim.
     fn lease_expires_at(&self, worker: Worker, task: Task) -> Instant {
         let hold = self.workloads.get(self.workload_of(task)).hold;
         let others_until = self.sole_owner_since.unwrap_or(self.claimed_at + hold);
@@ -420,7 +427,7 @@
         renewed_until + self.config.max_lease_time()
     }
 
-    /// Stops attempts that run though the log is past them.
+    /// Stops reported attempts that are over according to the state.
     fn stop_stray_attempts(&mut self, worker: Worker, report: &Report, actions: &mut Vec<Action>) {
         for &attempt in &report.running {
             if self.task_of_attempt(attempt).is_none() && self.is_past_attempt(attempt) {
--- a/crates/shard/src/verifier.rs
+++ b/crates/shard/src/verifier.rs
@@ -1,4 +1,5 @@
-//! Checks every invariant of an owner's data and names the entity at fault.
+//! Checks the invariants of an owner's data; each error names the entity at
+//! fault.
 
 use crate::entity::{Task, Team, Worker, Workload};
 use crate::owner::Owner;
@@ -9,67 +10,67 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VerifierError {
-    /// A worker's recorded starts need more than it holds.
-    #[error("{worker}: used {used}, holds {capacity}")]
+    /// A worker's recorded starts need more than its capacity.
+    #[error("{worker}: usage {used} exceeds capacity {capacity}")]
     Overcommitted {
         /// The worker.
         worker: Worker,
         /// What its recorded starts need.
         used: Resources,
-        /// What it holds.
+        /// The worker's capacity.
         capacity: Resources,
     },
-    /// A worker's sum differs from its tasks.
-    #[error("{worker}: used {used}, its tasks need {sum}")]
+    /// A worker's usage differs from the sum of its tasks.
+    #[error("{worker}: usage is {used}, but its tasks need {sum}")]
     WorkerSum {
         /// The worker.
         worker: Worker,
-        /// The sum kept.
+        /// The usage that is kept for the worker.
         used: Resources,
         /// The sum of its tasks.
         sum: Resources,
     },
-    /// A workload's sum differs from its tasks.
-    #[error("{workload}: its sums differ from its tasks")]
+    /// A workload's usage differs from the sum of its tasks.
+    #[error("{workload}: usage differs from the sum of its tasks")]
     WorkloadSum {
         /// The workload.
         workload: Workload,
     },
-    /// A team's sum differs from its workloads.
-    #[error("{team}: its sums differ from its workloads")]
+    /// A team's usage differs from the sum of its workloads.
+    #[error("{team}: usage differs from the sum of its workloads")]
     TeamSum {
         /// The team.
         team: Team,
     },
-    /// A waiting task stands in no queue, or another task stands in one.
-    #[error("{task}: is_waiting is {is_waiting}, is queued {queued_count} times")]
+    /// A waiting task is not queued exactly once, or another task is queued.
+    #[error("{task}: is_waiting is {is_waiting}, but it is queued {queued_count} times")]
     Queued {
         /// The task.
         task: Task,
         /// Whether it waits.
         is_waiting: bool,
-        /// How often it stands in a queue.
+        /// How often it is queued.
         queued_count: usize,
     },
-    /// A started task is not among its worker's tasks, or another is.
-    #[error("{task}: does not stand with the worker of its start")]
+    /// A started task is not among its worker's tasks, or another task is.
+    #[error("{task}: the tasks of workers don't match its recorded start")]
     Misplaced {
         /// The task.
         task: Task,
     },
-    /// What is known of a start does not go with the log.
-    #[error("{task}: presence {presence:?} does not go with the log")]
+    /// The presence of a start contradicts the state.
+    #[error("{task}: presence {presence:?} contradicts the state")]
     Presence {
         /// The task.
         task: Task,
-        /// What is kept.
+        /// The presence.
         presence: Presence,
     },
-    /// The maps of the state don't lead back to the task.
-    #[error("{task}: is not found under its number or key")]
+    /// The state's maps don't contain the task.
+    #[error("{task}: not found by its id or key")]
     Unreachable {
         /// The task.
         task: Task,
@@ -80,7 +81,7 @@
 ///
 /// # Errors
 ///
-/// Returns all that does not hold.
+/// Returns every violated invariant.
 pub fn verify(owner: &Owner) -> Result<(), Vec<VerifierError>> {
     let mut errors = Vec::new();
     verify_workers(owner, &mut errors);
@@ -103,7 +104,7 @@
             let used = data.used;
             errors.push(VerifierError::WorkerSum { worker, used, sum });
         }
-        // A box whose facts are not known yet holds what the log says.
+        // A worker that no box list has named yet has an unknown capacity.
         let is_known = !data.capacity.is_zero();
         if is_known && !data.used.fits_in(&data.capacity) {
             errors.push(VerifierError::Overcommitted {
--- a/crates/shard/src/worker.rs
+++ b/crates/shard/src/worker.rs
@@ -1,4 +1,4 @@
-//! The shard's workers, what they hold and what they are given.
+//! The shard's workers: capacity, usage, connection and listing.
 
 use crate::entity::{Task, Worker};
 use crate::free_index::FreeIndex;
@@ -7,29 +7,29 @@
 use ospreywing_types::{AttemptId, BoxFacts, BoxState, Instant, Name, Resources};
 use std::collections::{BTreeSet, HashMap};
 
-/// An open connection to one run of a worker.
+/// An open connection to one incarnation of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Session {
     /// The connection's number.
     pub(crate) number: u64,
-    /// The run of the worker.
+    /// The worker's incarnation.
     pub(crate) incarnation: u64,
-    /// When it was last asked for a report.
+    /// When a report was last requested.
     pub(crate) asked_at: Instant,
     /// When leases were last renewed.
     pub(crate) renewed_at: Instant,
 }
 
-/// Where a worker stands in the platform's box list.
+/// The state of a worker in the platform's box list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Listing {
-    /// Not in any list that this owner has seen.
+    /// In no list that this owner has received.
     Unseen,
     /// In the list and in service.
     Live,
-    /// In the list and leaving.
+    /// In the list and about to leave the cell.
     Leaving,
-    /// In an earlier list, and not in the newest since the instant.
+    /// In an earlier list, and absent from every list since the instant.
     Dropped(Instant),
 }
 
@@ -40,12 +40,12 @@
     pub(crate) listing: Listing,
     pub(crate) capacity: Resources,
     pub(crate) used: Resources,
-    /// The tasks whose recorded start names this worker.
+    /// The tasks with a recorded start on this worker.
     pub(crate) tasks: BTreeSet<Task>,
     pub(crate) session: Option<Session>,
-    /// When the last connection closed; nothing was sent after that.
+    /// When the last connection closed; no order was sent after that.
     pub(crate) disconnected_since: Instant,
-    /// Ended attempts that are on record and may be forgotten.
+    /// Attempts whose end is recorded, which the worker may forget.
     pub(crate) forget: Vec<AttemptId>,
     is_indexed: bool,
 }
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Returns the room left.
+    /// Returns the free capacity.
     pub(crate) fn free(&self) -> Resources {
         self.capacity - self.used
     }
 
-    /// Returns whether the worker may be given new work.
+    /// Returns whether tasks may be placed on the worker.
     pub(crate) fn is_placeable(&self) -> bool {
         self.listing == Listing::Live && self.session.is_some()
     }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Every worker that the owner has heard of.
+/// Every known worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkerTable {
     workers: PrimaryMap<Worker, WorkerData>,
@@ -89,7 +89,7 @@
 }
 
 impl WorkerTable {
-    /// Returns the worker named `name`, adding it where it is new.
+    /// Returns the worker named `name`, adding it if it is new.
     pub(crate) fn intern(&mut self, name: &Name) -> Worker {
         if let Some(worker) = self.by_name.get(name) {
             return *worker;
@@ -99,7 +99,7 @@
         worker
     }
 
-    /// Returns the worker named `name`.
+    /// Returns the worker named `name`, if it is known.
     pub(crate) fn by_name(&self, name: &Name) -> Option<Worker> {
         self.by_name.get(name).copied()
     }
@@ -119,12 +119,12 @@
         self.workers.keys()
     }
 
-    /// Returns the number of workers that may be given work.
+    /// Returns the number of workers on which tasks may be placed.
     pub(crate) fn placeable_count(&self) -> usize {
         self.index.len()
     }
 
-    /// Changes a worker and keeps the index of free room in step.
+    /// Changes a worker and updates the index of free capacity.
     pub(crate) fn update<R>(
         &mut self,
         worker: Worker,
@@ -144,7 +144,7 @@
         result
     }
 
-    /// Takes in the box list: the workers of this shard, all of them.
+    /// Applies a new box list, which holds all workers of this shard.
     pub(crate) fn set_boxes(&mut self, boxes: &[BoxFacts], now: Instant) {
         let listed: BTreeSet<&Name> = boxes.iter().map(|facts| &facts.name).collect();
         let dropped = |data: &WorkerData| {
@@ -165,13 +165,13 @@
         }
     }
 
-    /// Returns the worker to give `need` to, where one has room.
+    /// Returns the worker on which to place `need`, if one has the free capacity.
     pub(crate) fn find(&self, need: &Resources, policy: Policy) -> Option<Worker> {
         let fits = |worker: Worker| need.fits_in(&self.workers[worker].free());
         self.index.find(need, policy, fits)
     }
 
-    /// Returns whether some listed worker could hold `need` when empty.
+    /// Returns whether `need` fits the total capacity of some worker.
     pub(crate) fn fits_any_worker(&self, need: &Resources) -> bool {
         self.workers
             .values()
--- a/crates/shard/src/workload.rs
+++ b/crates/shard/src/workload.rs
@@ -1,4 +1,4 @@
-//! Workloads and teams: what they may use, what they use, and who is next.
+//! Workloads and teams: caps, usage, queues and the scheduling order.
 
 use crate::entity::{Task, Team, Workload};
 use crate::queue::{Queue, Waiting};
@@ -7,7 +7,7 @@
 use ospreywing_types::{Duration, Instant, Name, Resources, TaskId};
 use std::collections::HashMap;
 
-/// What a workload or a team may use in this shard; zero stands for no limit.
+/// The limits of a workload or a team in this shard; zero means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Allowance {
     pub(crate) resources: Resources,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What a workload or a team uses in this shard.
+/// The usage of a workload or a team in this shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Usage {
     pub(crate) resources: Resources,
@@ -59,10 +59,10 @@
     pub(crate) usage: Usage,
 }
 
-/// A row of the table that tasks are submitted to.
+/// A workload: a batch row of the table, with its usage and its queue.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkloadData {
-    /// Whether the table in force has the row.
+    /// Whether the current table has the row.
     pub(crate) is_listed: bool,
     pub(crate) team: Option<Team>,
     pub(crate) allowance: Allowance,
@@ -85,7 +85,7 @@
             usage: Usage::default(),
             share: row.share,
             priority: row.priority,
-            // A row that is not in force may hold work that is unsafe to repeat.
+            // The work of a row that the table lacks may be unsafe to repeat.
             repeat: Repeat::AtMostOnce,
             retry_limit_count: row.retry_limit_count,
             hold: row.hold(),
@@ -94,7 +94,7 @@
     }
 }
 
-/// Every workload and team, and the order between them.
+/// Every workload and team, and the scheduling order of workloads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkloadTable {
     workloads: PrimaryMap<Workload, WorkloadData>,
@@ -105,19 +105,21 @@
     waiting_count: usize,
 }
 
-/// The place of a workload among those that could go next; greatest first.
+/// The rank of a workload in the scheduling order; the greatest goes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     priority: u64,
-    /// Share over use, so that the least served of a priority goes first.
+    /// The share divided by the usage of processors: among workloads of one
+    /// priority, the one with the least usage for its share goes first.
     credit: u64,
     age_ms: u64,
 }
 
+/// Scales credits, which are integers, to keep the fraction of the division.
 const CREDIT_SCALE: u64 = 1 << 32;
 
 impl WorkloadTable {
-    /// Returns the workload named `name`, adding it where it is new.
+    /// Returns the workload named `name`, adding it if it is new.
     pub(crate) fn intern(&mut self, name: &Name) -> Workload {
         if let Some(workload) = self.by_name.get(name) {
             return *workload;
@@ -127,7 +129,7 @@
         workload
     }
 
-    /// Returns the workload named `name`.
+    /// Returns the workload named `name`, if it is known.
     pub(crate) fn by_name(&self, name: &Name) -> Option<Workload> {
         self.by_name.get(name).copied()
     }
@@ -152,7 +154,7 @@
         self.waiting_count
     }
 
-    /// Takes in the table that is in force.
+    /// Applies a new table.
     pub(crate) fn set_table(&mut self, table: &Table, shard: u32, shards_count: u32) {
         self.policy = table.policy();
         for team in self.teams.values_mut() {
@@ -189,7 +191,7 @@
         team
     }
 
-    /// Moves a workload, with what it uses, to another team.
+    /// Moves a workload and its usage to another team.
     fn set_team(&mut self, workload: Workload, team: Option<Team>) {
         let data = &mut self.workloads[workload];
         if data.team == team {
@@ -209,7 +211,7 @@
         data.team = team;
     }
 
-    /// Notes that a task of the workload has a start on record.
+    /// Adds a recorded start to the usage of its workload and team.
     pub(crate) fn occupy(&mut self, workload: Workload, need: &Resources) {
         let data = &mut self.workloads[workload];
         data.usage.add(need);
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Notes that a start of the workload is over.
+    /// Removes a start from the usage of its workload and team.
     pub(crate) fn release(&mut self, workload: Workload, need: &Resources) {
         let data = &mut self.workloads[workload];
         data.usage.sub(need);
@@ -248,7 +250,10 @@
         data.is_listed && team_admits && data.allowance.admits(&data.usage, need)
     }
 
-    /// Returns the workload that goes next, leaving out those in `skipped`.
+    /// Returns the highest-ranked workload with a waiting task that is not in
+    /// `skipped`, and its first task.
+    ///
+    /// Waiting raises the priority by one every `ageing_step`.
     pub(crate) fn next(
         &self,
         skipped: &EntitySet<Workload>,
