--- a/crates/table/src/cap_parts.rs
+++ b/crates/table/src/cap_parts.rs
@@ -1,24 +1,24 @@
-//! How a cap is divided so that the parts add up to it exactly.
+//! Divides a cap between shards so that the parts add up to it exactly.
 
 use ospreywing_types::Resources;
 
 /// Returns part `index` of `whole` divided into `parts_count` parts.
 ///
-/// The parts differ by at most one and add up to `whole`. Zero stands for no
-/// cap and stays zero.
+/// The parts differ by at most one and add up to `whole`. Zero means no cap, so
+/// that each part is zero too.
 ///
 /// # Panics
 ///
-/// Panics where `parts_count` is zero.
+/// Panics if `parts_count` is zero.
 pub fn part_of(whole: u32, index: u32, parts_count: u32) -> u32 {
     whole / parts_count + u32::from(index < whole % parts_count)
 }
 
-/// Returns part `index` of each of `whole`'s resources.
+/// Returns part `index` of `whole`, with each resource divided by [`part_of`].
 ///
 /// # Panics
 ///
-/// Panics where `parts_count` is zero.
+/// Panics if `parts_count` is zero.
 pub fn part_of_resources(whole: Resources, index: u32, parts_count: u32) -> Resources {
     Resources::new(
         part_of(whole.cores_milli, index, parts_count),
--- a/crates/table/src/column.rs
+++ b/crates/table/src/column.rs
@@ -1,14 +1,16 @@
-//! The table's columns, each declared once.
+//! The columns of the table: the only declaration of each name, help text,
+//! text form and range.
 
 use crate::row::{Policy, Repeat, Row, RowKind};
 use crate::CellError;
 use ospreywing_types::Name;
 
-/// One column: its name, its meaning, the rows that have it, and its text form.
+/// A column: its name, its help text, the kinds of row that have it, and the
+/// conversion of its cells from and to text.
 pub struct Column {
-    /// The heading in the CSV.
+    /// The heading in the CSV form.
     pub name: &'static str,
-    /// One line for operators.
+    /// A help text of one line, for operators.
     pub help: &'static str,
     /// The kinds of row that have the column.
     pub kinds: &'static [RowKind],
@@ -24,7 +26,7 @@
         self.kinds.contains(&kind)
     }
 
-    /// Returns the column named `name`.
+    /// Returns the column named `name`, if there is one.
     pub fn named(name: &str) -> Option<&'static Self> {
         COLUMNS.iter().find(|column| column.name == name)
     }
@@ -100,7 +102,7 @@
     };
 }
 
-/// Every column, in the order of the CSV.
+/// Every column, in the order of the CSV form.
 pub static COLUMNS: &[Column] = &[
     Column {
         name: "row",
--- a/crates/table/src/csv_form.rs
+++ b/crates/table/src/csv_form.rs
@@ -1,15 +1,17 @@
-//! The table as CSV, as a spreadsheet reads and writes it.
+//! Converts the table from and to CSV, for editing in a spreadsheet.
 
 use crate::column::{Column, COLUMNS};
 use crate::row::{Row, RowKind};
 use crate::{CellError, Table, TableError};
 use ospreywing_types::Name;
 
-/// Prints the table with one heading line; cells a row does not have are empty.
+/// Returns the table as CSV with one heading line.
+///
+/// Cells are empty if rows of that kind don't have the column.
 pub fn to_csv(table: &Table) -> String {
     let mut writer = csv::Writer::from_writer(Vec::new());
     let headings = COLUMNS.iter().map(|column| column.name);
-    // Writing to memory does not fail.
+    // Writing to memory can't fail.
     let _ = writer.write_record(headings);
     for row in table.rows() {
         let cells = COLUMNS.iter().map(|column| cell_text(column, row));
@@ -27,33 +29,33 @@
     }
 }
 
-/// Reads a table; empty cells take the column's default.
+/// Parses a table from CSV; empty cells get the column's default value.
 ///
 /// # Errors
 ///
-/// Returns every fault found, each naming its row and column.
+/// Returns every error found; each names its row and column, or its line.
 pub fn from_csv(text: &str) -> Result<Table, Vec<TableError>> {
     let mut reader = csv::ReaderBuilder::new()
         .trim(csv::Trim::All)
         .from_reader(text.as_bytes());
-    let headings = reader.headers().map_err(|error| vec![csv_fault(&error)])?;
-    let columns = read_headings(headings).map_err(|fault| vec![fault])?;
+    let headings = reader.headers().map_err(|error| vec![csv_error(&error)])?;
+    let columns = read_headings(headings).map_err(|error| vec![error])?;
     let mut table = Table::new();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for record in reader.records() {
         match record {
-            Ok(record) => add_record(&record, &columns, &mut table, &mut faults),
-            Err(error) => faults.push(csv_fault(&error)),
+            Ok(record) => add_record(&record, &columns, &mut table, &mut errors),
+            Err(error) => errors.push(csv_error(&error)),
         }
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(table)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
-fn csv_fault(error: &csv::Error) -> TableError {
+fn csv_error(error: &csv::Error) -> TableError {
     TableError::Csv {
         line: error.position().map_or(0, csv::Position::line),
         reason: error.to_string(),
@@ -84,7 +86,7 @@
     record: &csv::StringRecord,
     columns: &[&'static Column],
     table: &mut Table,
-    faults: &mut Vec<TableError>,
+    errors: &mut Vec<TableError>,
 ) {
     let text_of = |name: &str| {
         let index = columns.iter().position(|column| column.name == name);
@@ -95,8 +97,8 @@
         return;
     };
     let mut row = Row::new(placeholder, RowKind::Batch);
-    let mut fault = |column: &'static str, source: CellError| {
-        faults.push(TableError::Cell {
+    let mut add_error = |column: &'static str, source: CellError| {
+        errors.push(TableError::Cell {
             row: label.clone(),
             column,
             source,
@@ -106,7 +108,7 @@
     let key_columns = COLUMNS.iter().take_while(|column| column.name != "team");
     for column in key_columns {
         if let Err(error) = (column.set)(&mut row, text_of(column.name)) {
-            fault(column.name, error);
+            add_error(column.name, error);
             is_valid = false;
         }
     }
@@ -116,12 +118,12 @@
     let cells = columns.iter().zip(record.iter());
     for (column, text) in cells.filter(|(_, text)| !text.is_empty()) {
         if let Err(error) = set_cell(column, &mut row, text) {
-            fault(column.name, error);
+            add_error(column.name, error);
             is_valid = false;
         }
     }
     if table.get(&row.name).is_some() {
-        faults.push(TableError::DuplicateRow { row: label });
+        errors.push(TableError::DuplicateRow { row: label });
     } else if is_valid {
         table.put(row);
     }
--- a/crates/table/src/difference.rs
+++ b/crates/table/src/difference.rs
@@ -1,4 +1,4 @@
-//! The difference between two tables, cell by cell.
+//! Compares two tables cell by cell.
 
 use crate::column::COLUMNS;
 use crate::row::Row;
@@ -6,16 +6,16 @@
 use core::fmt;
 use serde::{Deserialize, Serialize};
 
-/// One cell that differs.
+/// A cell that differs between two tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellChange {
     /// The row's name.
     pub row: String,
     /// The column's name.
     pub column: String,
-    /// The text before; `None` where the row is new.
+    /// The text in the first table; `None` if the row is new.
     pub before: Option<String>,
-    /// The text after; `None` where the row is gone.
+    /// The text in the second table; `None` if the row was removed.
     pub after: Option<String>,
 }
 
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors of the table, each naming the row and the column.
+//! Errors of the table; each names its row and column, or its line.
 
 use thiserror::Error;
 
-/// What is wrong with the text of one cell.
+/// An error in the text of one cell.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CellError {
     /// The text is not a whole number in the allowed range.
@@ -10,7 +10,7 @@
     Number {
         /// The text.
         text: String,
-        /// The least value allowed.
+        /// The smallest value allowed.
         min: u64,
         /// The greatest value allowed.
         max: u64,
@@ -28,10 +28,10 @@
     Name {
         /// The text.
         text: String,
-        /// What is wrong with it.
+        /// The reason why it is not a name.
         reason: String,
     },
-    /// The column has no meaning for a row of this kind.
+    /// Rows of this kind don't have the column.
     #[error("a row of kind {kind} has no such column")]
     NotForKind {
         /// The row's kind.
@@ -39,37 +39,37 @@
     },
 }
 
-/// What is wrong with a table.
+/// An error in a table.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// One cell is wrong.
+    /// A cell has an invalid text.
     #[error("row {row:?}, column {column}: {source}")]
     Cell {
         /// The row's name.
         row: String,
         /// The column's name.
         column: &'static str,
-        /// What is wrong.
+        /// The error in its text.
         source: CellError,
     },
-    /// A column of the CSV's heading is unknown.
+    /// The CSV's heading line has an unknown column.
     #[error("line 1: unknown column {column:?}")]
     UnknownColumn {
         /// The heading's text.
         column: String,
     },
-    /// A column stands twice, or one that every row needs is missing.
+    /// A column occurs twice, or a required column is missing.
     #[error("line 1: column {column} must stand exactly once")]
     ColumnCount {
         /// The column's name.
         column: &'static str,
     },
-    /// The CSV can't be read at all.
+    /// The text is not valid CSV.
     #[error("line {line}: {reason}")]
     Csv {
-        /// The line in the file, from one.
+        /// The line in the file, counted from 1.
         line: u64,
-        /// What the reader said.
+        /// The CSV parser's error message.
         reason: String,
     },
     /// Two rows have the same name.
@@ -78,7 +78,7 @@
         /// The row's name.
         row: String,
     },
-    /// A row names a team that has no row.
+    /// A row names a team that is not in the table.
     #[error("row {row:?}, column team: no row of kind team is named {team:?}")]
     UnknownTeam {
         /// The row's name.
@@ -86,7 +86,8 @@
         /// The team's name.
         team: String,
     },
-    /// A cap is too small to be divided between the shards.
+    /// A cap is smaller than the number of shards, so that some shard would get no
+    /// part of it.
     #[error(
         "row {row:?}, column {column}: {value} is less than the cell's {shards_count} shards; \
          give 0 for no cap or at least {shards_count}"
@@ -98,10 +99,10 @@
         column: &'static str,
         /// The cap.
         value: u64,
-        /// How many shards the cell has.
+        /// The number of shards in the cell.
         shards_count: u32,
     },
-    /// The row of the cell's policy has another name.
+    /// The row of kind cell is not named `cell`, or another row is.
     #[error("row {row:?}: the row of kind cell must be named \"cell\", and only that row")]
     CellRowName {
         /// The row's name.
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' table of weights and limits.
+//! The table in which operators set shares, priorities and limits.
 //!
-//! One row per workload, one per team with its quota, and one for the cell's
-//! policy. The crate parses, checks, compares and prints the table; it does no
-//! I/O. A table is edited as CSV in a spreadsheet and kept in the store as one
-//! JSON value per row.
+//! The table has one row per workload, one per team with its quota, and one for
+//! the cell's policy. It is edited as CSV in a spreadsheet and stored as one JSON
+//! value per row. The crate parses, checks, compares and formats tables; it does
+//! no I/O.
 
 mod cap_parts;
 mod column;
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -1,9 +1,9 @@
-//! One row of the table.
+//! The rows of the table.
 
 use ospreywing_types::{Duration, Name, Resources};
 use serde::{Deserialize, Serialize};
 
-/// What a row is about.
+/// The kind of a row: what it configures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RowKind {
@@ -11,9 +11,9 @@
     Cell,
     /// A team and its quota.
     Team,
-    /// A workload of requests that must be answered at once.
+    /// A workload of interactive requests, which are answered without queueing in a shard.
     Service,
-    /// A workload of tasks that may wait but must finish.
+    /// A workload of tasks that may wait but must be run to their end.
     Batch,
 }
 
@@ -29,14 +29,16 @@
     }
 }
 
-/// What the cell weighs most.
+/// The cell's placement policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Short waiting first: tasks are spread over the emptiest workers.
+    /// Favours short waiting times: tasks go to the workers with the most free
+    /// capacity.
     #[default]
     Waiting,
-    /// Packing and control cost first: tasks go to the fullest worker with room.
+    /// Favours dense packing and a low control cost: tasks go to the worker with
+    /// the least free capacity that fits them.
     Packing,
 }
 
@@ -50,13 +52,13 @@
     }
 }
 
-/// Whether work may be run again when its first run is in doubt.
+/// Whether work may be run again if the outcome of its first run is unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// A run in doubt is never repeated.
+    /// A run with an unknown outcome is never repeated.
     AtMostOnce,
-    /// A run in doubt is repeated.
+    /// A run with an unknown outcome is repeated.
     #[default]
     Repeatable,
 }
@@ -71,7 +73,7 @@
     }
 }
 
-/// Upper limits; zero stands for no limit.
+/// Upper limits; zero means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Caps {
@@ -85,7 +87,7 @@
     pub running_count: u32,
     /// Requests in flight at once.
     pub inflight_count: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: u32,
 }
 
@@ -96,42 +98,45 @@
     }
 }
 
-/// One row of the table.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
     /// The row's name.
     pub name: Name,
-    /// What the row is about.
+    /// The row's kind.
     pub kind: RowKind,
-    /// The team that a workload belongs to.
+    /// The team to which a workload belongs.
     #[serde(default)]
     pub team: Option<Name>,
     /// The cell's policy.
     #[serde(default)]
     pub policy: Policy,
-    /// The workload's weight against others of its priority.
+    /// The workload's weight relative to others of its priority.
     #[serde(default = "default_share")]
     pub share: u32,
-    /// Higher goes first.
+    /// The priority; workloads with a higher one go first.
     #[serde(default)]
     pub priority: u32,
-    /// Upper limits of a workload, or a team's quota.
+    /// The limits of a workload, or a team's quota.
     #[serde(default)]
     pub caps: Caps,
-    /// How long a request or task may take in all, in milliseconds; zero for none.
+    /// The longest total time for a request or task, in milliseconds; zero means
+    /// no deadline.
     #[serde(default)]
     pub deadline_ms: u64,
-    /// Whether a run in doubt may be repeated.
+    /// Whether a run with an unknown outcome may be repeated.
     #[serde(default)]
     pub repeat: Repeat,
-    /// How often a failed run is tried again.
+    /// The maximum number of retries of a failed run.
     #[serde(default = "default_retry_limit")]
     pub retry_limit_count: u32,
-    /// The part of requests or tasks to be done by their deadline, in thousandths.
+    /// The fraction of requests or tasks that should be done by their deadline, in
+    /// thousandths.
     #[serde(default = "default_objective")]
     pub objective_permille: u32,
-    /// How long a running task goes on while its owner can't reach the store.
+    /// How long a task keeps running while its owner can't reach the store, in
+    /// milliseconds.
     #[serde(default = "default_hold")]
     pub hold_ms: u64,
 }
@@ -139,7 +144,7 @@
 const DEFAULT_SHARE: u32 = 100;
 const DEFAULT_RETRY_LIMIT_COUNT: u32 = 2;
 const DEFAULT_OBJECTIVE_PERMILLE: u32 = 990;
-/// Two hours: longer than the hour for which a store or a region may be cut off.
+/// Two hours. A store or a region may be unreachable for an hour.
 const DEFAULT_HOLD_MS: u64 = 2 * 3600 * 1000;
 
 const fn default_share() -> u32 {
@@ -159,7 +164,7 @@
 }
 
 impl Row {
-    /// Creates a row with every other column at its default.
+    /// Creates a row with all other columns at their defaults.
     pub const fn new(name: Name, kind: RowKind) -> Self {
         Self {
             name,
@@ -184,12 +189,12 @@
         }
     }
 
-    /// Returns the deadline, or `None` where there is none.
+    /// Returns the deadline, or `None` if there is none.
     pub fn deadline(&self) -> Option<Duration> {
         (self.deadline_ms > 0).then(|| Duration::from_ms(self.deadline_ms))
     }
 
-    /// Returns how long a task goes on without the store.
+    /// Returns how long a task keeps running while its owner can't reach the store.
     pub const fn hold(&self) -> Duration {
         Duration::from_ms(self.hold_ms)
     }
--- a/crates/table/tests/csv.rs
+++ b/crates/table/tests/csv.rs
@@ -1,4 +1,4 @@
-//! The table as CSV: round trips, defaults, and faults named by row and column.
+//! CSV round trips, defaults, and errors that name the row and the column.
 
 use ospreywing_table::{from_csv, to_csv, Policy, TableError};
 use ospreywing_types::Name;
@@ -11,17 +11,17 @@
 #[rstest]
 #[case::swaramala(SWARAMALA, Policy::Packing)]
 #[case::gallery(GALLERY, Policy::Waiting)]
-fn from_csv_sample(#[case] text: &str, #[case] policy: Policy) {
-    let table = from_csv(text).expect("the sample is sound");
+fn from_csv_round_trips_samples(#[case] text: &str, #[case] policy: Policy) {
+    let table = from_csv(text).expect("the sample is valid");
     assert_eq!(table.check(SHARDS_COUNT), Ok(()));
     assert_eq!(table.policy(), policy);
     assert_eq!(from_csv(&to_csv(&table)).as_ref(), Ok(&table));
 }
 
 #[test]
-fn from_csv_empty_cells_take_defaults() {
-    let table = from_csv("row,kind,share\nplan,batch,\n").expect("sound");
-    let row = table.get(&Name::new("plan").expect("a name"));
+fn from_csv_empty_cells_get_defaults() {
+    let table = from_csv("row,kind,share\nplan,batch,\n").expect("the table is valid");
+    let row = table.get(&Name::new("plan").expect("the name is valid"));
     assert_eq!(row.map(|row| row.share), Some(100));
 }
 
@@ -39,8 +39,8 @@
 #[case::column("row,kind,shar\n", "line 1: unknown column \"shar\"")]
 #[case::no_kind("row\na\n", "line 1: column kind must stand exactly once")]
 #[case::short_line("row,kind,share\na,batch\n", "line")]
-fn from_csv_names_fault(#[case] text: &str, #[case] expected: &str) {
-    let faults = from_csv(text).expect_err("the text is wrong");
+fn from_csv_names_row_and_column(#[case] text: &str, #[case] expected: &str) {
+    let faults = from_csv(text).expect_err("the text is invalid");
     let printed: Vec<String> = faults.iter().map(TableError::to_string).collect();
     assert!(printed[0].contains(expected), "{printed:?}");
 }
@@ -52,8 +52,8 @@
     "column cap_running_count: 3"
 )]
 #[case::cell("row,kind\nmain,cell\n", "row \"main\": the row of kind cell")]
-fn check_names_fault(#[case] text: &str, #[case] expected: &str) {
-    let table = from_csv(text).expect("each cell is sound");
-    let faults = table.check(SHARDS_COUNT).expect_err("the table is not");
+fn check_names_row_and_column(#[case] text: &str, #[case] expected: &str) {
+    let table = from_csv(text).expect("each cell is valid");
+    let faults = table.check(SHARDS_COUNT).expect_err("the table is invalid");
     assert!(faults[0].to_string().contains(expected), "{faults:?}");
 }
