--- a/crates/shard/benches/decisions.rs
+++ b/crates/shard/benches/decisions.rs
@@ -1,6 +1,7 @@
-//! What a decision costs: starts placed on workers that are part full, with as
-//! many ended, at several sizes. Prints decisions a second on one core and the
-//! time of one decision, as the mean of its commit.
+//! Measures the time of a decision: places starts on partly used workers, after
+//! ending as many attempts, at several sizes. Prints the decisions per second on
+//! one core and quantiles of the time of one decision, taken as the mean over its
+//! commit.
 
 use hdrhistogram::Histogram;
 use ospreywing_shard::{Action, Event, Owner, OwnerConfig, Recovery, Token};
@@ -15,7 +16,7 @@
 const TEAMS_COUNT: usize = 100;
 const BATCH_COUNT: usize = 64;
 const ROUNDS_COUNT: usize = 300;
-/// Longer decisions count as this: a second.
+/// Longer decisions are recorded as one second.
 const LONGEST_NS: u64 = 1_000_000_000;
 const NEED: Resources = Resources::new(1000, 1024, 0);
 
@@ -68,7 +69,7 @@
         };
         let mut config = OwnerConfig::new(0, 1, 1, identity);
         config.waiting_limit_count = usize::MAX;
-        // Ended tasks are dropped soon, so that the state stays of one size.
+        // Ended tasks are removed soon, so that the state keeps its size.
         config.result_retention = Duration::from_ms(1);
         let mut harness = Self {
             owner: Recovery::new(config).finish(Instant::from_ms(1000)),
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Makes a commit and returns how long it took and how many starts it has.
+    /// Makes a commit and returns the time it took and its number of starts.
     fn commit(&mut self) -> (std::time::Duration, usize) {
         self.now = self.now + Duration::from_ms(10);
         let before = self.running.len();
@@ -158,7 +159,7 @@
         (elapsed, started.len())
     }
 
-    /// Ends the oldest of what runs.
+    /// Ends the `count` oldest running attempts.
     fn end(&mut self, count: usize) {
         for (worker, attempt) in self.running.drain(..count).collect::<Vec<_>>() {
             let end = TaskEnd::Finished(String::new());
--- a/crates/shard/tests/owner/main.rs
+++ b/crates/shard/tests/owner/main.rs
@@ -1,4 +1,5 @@
-//! Proofs of what an owner promises: searched interleavings and stated traces.
+//! Tests of an owner's invariants: a search of event interleavings, and traces
+//! with expected outcomes.
 
 mod search;
 mod support;
--- a/crates/shard/tests/owner/search.rs
+++ b/crates/shard/tests/owner/search.rs
@@ -1,6 +1,9 @@
-//! Searches the interleavings of daemons, workers and the store for one that
-//! breaks a promise: message delay, loss and reordering, pauses between a check
-//! and its send, deaths, takeovers, lost answers. Seeds are fixed.
+//! Searches interleavings of the events of daemons, workers and the store for one
+//! that violates an invariant.
+//!
+//! The scenarios include delayed, lost and reordered messages, pauses between a
+//! check and the send that depends on it, killed daemons, takeovers and lost
+//! answers of the store. The seed is fixed.
 
 use crate::support::simulation::{Broken, Op, Simulation, Tally, DAEMONS_COUNT, WORKERS_COUNT};
 use proptest::prelude::*;
--- a/crates/shard/tests/owner/support/box_fake.rs
+++ b/crates/shard/tests/owner/support/box_fake.rs
@@ -1,10 +1,10 @@
-//! A worker without guards, and its record of what really ran.
+//! A fake worker that runs every start it receives and records what ran.
 
 use ospreywing_types::worker::{Ended, Report};
 use ospreywing_types::{AttemptId, Instant, Resources, TaskEnd};
 use std::collections::BTreeMap;
 
-/// One attempt that runs.
+/// A running attempt.
 #[derive(Clone, Debug)]
 pub struct Running {
     pub attempt: AttemptId,
@@ -12,7 +12,7 @@
     pub lease_until: Instant,
 }
 
-/// A worker.
+/// A fake worker.
 pub struct BoxFake {
     pub incarnation: u64,
     pub capacity: Resources,
@@ -20,7 +20,7 @@
     pub ended: BTreeMap<AttemptId, TaskEnd>,
     pub is_frozen: bool,
     pub is_dead: bool,
-    /// Every attempt that ever began here.
+    /// Every attempt that was ever started on this worker.
     pub started: Vec<AttemptId>,
     pub finished: Vec<AttemptId>,
 }
@@ -43,13 +43,13 @@
         !self.is_frozen && !self.is_dead
     }
 
-    /// Does what it is told, whatever that is.
+    /// Starts an attempt without any check.
     pub fn start(&mut self, running: Running) {
         self.started.push(running.attempt);
         self.running.push(running);
     }
 
-    /// Ends what has expired; returns the ends.
+    /// Ends the attempts with an expired lease and returns them.
     pub fn expire_leases(&mut self, now: Instant) -> Vec<Ended> {
         let (expired, kept) = self
             .running
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Begins a new run with nothing of the old one.
+    /// Starts a new incarnation without any attempt of the old one.
     pub fn restart(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.running.clear();
@@ -116,7 +116,8 @@
         }
     }
 
-    /// What runs, at `now`: a expired attempt of a frozen box does not.
+    /// Iterates over the attempts that run at `now`; an attempt with an expired
+    /// lease does not count, even on a frozen box, which has not ended it yet.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = &Running> {
         let runs = self.running.iter().filter(|_| !self.is_dead);
         runs.filter(move |running| running.lease_until > now)
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Simulation {
-    /// Checks what must always hold, in the owners and in the simulation.
+    /// Checks the invariants of the owners and of the simulation after a step.
     pub(super) fn check(&mut self) -> Result<(), Broken> {
         for (daemon, state) in self.daemons.iter().enumerate() {
             let Some(owner) = &state.owner else { continue };
@@ -25,7 +25,7 @@
         self.check_unsafe()
     }
 
-    /// The one run of a request is granted to one claim.
+    /// Checks that each request key was granted to at most one claim.
     fn check_granted(&self) -> Result<(), Broken> {
         match self.granted.iter().find(|(_, nonces)| nonces.len() > 1) {
             Some((key, nonces)) => Err(Broken(format!("{key}: granted to {nonces:?}"))),
@@ -66,13 +66,13 @@
                 *started.entry(attempt.task).or_default() += 1;
             }
         }
-        // What a fenced owner has not committed is nothing.
+        // The uncommitted state of a fenced owner has no effect.
         let owners = self.daemons.iter().filter_map(|d| d.owner.as_ref());
         for owner in owners.filter(|owner| owner.config().epoch == self.store.epoch) {
             for (_, data) in owner.state().live_tasks() {
                 let is_unsafe = self.unsafe_keys.contains(&data.image.key);
                 let count = started.get(&data.image.id).copied().unwrap_or(0);
-                // A failed run is not repeated either.
+                // The limit holds for failed runs too.
                 if is_unsafe && count > 1 {
                     let id = data.image.id;
                     return Err(Broken(format!("{id}: unsafe to repeat, ran {count} times")));
@@ -82,7 +82,8 @@
         Ok(())
     }
 
-    /// What was refused is not on record: "not run" means that it will not run.
+    /// Checks that no rejected task is recorded: a rejection means that the task
+    /// won't run.
     fn check_refused(&self, recovered_owner: &Owner) -> Result<(), Broken> {
         let waiting_keys: BTreeSet<&Key> = self.tokens.values().collect();
         let mut refused = self.said.iter().filter(|(key, &word)| {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Every task that was acknowledged is in the log with an end.
+    /// Checks that the log holds every accepted task with its end.
     fn check_accepted(&mut self) -> Result<(), Broken> {
         let recovered_owner = recovered_owner(&self.store);
         self.check_refused(&recovered_owner)?;
@@ -117,7 +118,7 @@
         Ok(())
     }
 
-    /// Mends everything and lets the simulation run until all tasks have ended.
+    /// Repairs every fault and runs the simulation until all tasks have ended.
     pub fn heal(&mut self) -> Result<(), Broken> {
         for worker in 0..WORKERS_COUNT {
             self.step(&Op::Thaw { worker })?;
--- a/crates/shard/tests/owner/support/daemon_fake.rs
+++ b/crates/shard/tests/owner/support/daemon_fake.rs
@@ -1,10 +1,12 @@
-//! One daemon's shell around an owner: what it holds between check and send.
+//! A fake daemon around an owner, with the orders it holds between a decision and
+//! the send.
 
 use ospreywing_shard::{Closing, Commit, Event, Owner};
 use ospreywing_types::worker::Order;
 use std::collections::VecDeque;
 
-/// An order that was decided and not yet sent: a pause may lie in between.
+/// An order that the owner issued and the daemon has not sent yet; the daemon may
+/// pause in between.
 #[derive(Clone, Debug)]
 pub struct HeldOrder {
     pub worker: usize,
@@ -20,15 +22,15 @@
     pub incarnation: u64,
 }
 
-/// A daemon.
+/// A fake daemon.
 #[derive(Default)]
 pub struct DaemonFake {
     pub process: u64,
     pub owner: Option<Owner>,
     pub closing: Vec<Closing>,
-    /// A commit whose fate the daemon does not know.
+    /// A commit whose outcome the daemon does not know.
     pub commit: Option<Commit>,
-    /// Whether an answer to that commit was lost.
+    /// Whether the store's answer to that commit was lost.
     pub has_tried: bool,
     pub links: Vec<Link>,
     pub held: Vec<HeldOrder>,
--- a/crates/shard/tests/owner/support/mod.rs
+++ b/crates/shard/tests/owner/support/mod.rs
@@ -1,4 +1,5 @@
-//! Fakes at the interfaces of an owner: a store, workers, and what lies between.
+//! A simulated cell around an owner: fakes of the store, the daemons and the
+//! workers, and the messages between them.
 
 pub mod box_fake;
 mod checks;
--- a/crates/shard/tests/owner/support/script.rs
+++ b/crates/shard/tests/owner/support/script.rs
@@ -1,17 +1,18 @@
-//! Traces: text files of events with stated outcomes.
+//! Runs traces: text files of steps with expected outcomes.
 //!
-//! One step a line; `#` begins a comment. Times are as `90s` or `1500ms`.
+//! Each line holds one step; `#` begins a comment. Durations are written as `90s`
+//! or `1500ms`.
 //! Daemons are `d0` to `d2`, workers `w0` to `w2`, tasks `k0`, `k1` and so on
 //! in the order of their submission.
 
 use super::simulation::{Broken, Op, Simulation};
 use ospreywing_filetest::{index, ms};
 
-/// Plays a trace.
+/// Runs a trace.
 ///
 /// # Errors
 ///
-/// Returns what went wrong, with the line's number.
+/// Returns the first failed step or outcome, with its line number.
 pub fn run_trace(text: &str) -> Result<(), Broken> {
     let mut simulation = Simulation::new();
     ospreywing_filetest::play(text, |words| step(&mut simulation, words))
--- a/crates/shard/tests/owner/support/simulation.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -1,5 +1,5 @@
-//! Several daemons, workers and a store, and everything that may go wrong
-//! between them, step by step.
+//! Simulates several daemons, workers and a store, with the faults that may occur
+//! between them, one step at a time.
 
 use super::box_fake::{BoxFake, Running};
 use super::daemon_fake::{DaemonFake, HeldOrder, Link};
@@ -19,16 +19,16 @@
 pub const WORKERS_COUNT: usize = 3;
 const CAPACITY: Resources = Resources::new(4000, 4096, 0);
 const NEED: Resources = Resources::new(2000, 1024, 0);
-/// How often an order in a worker's buffer may be overtaken by later ones.
+/// How often later orders may overtake an order in a worker's buffer.
 const OVERTAKEN_LIMIT: u32 = 3;
-/// An awake worker reads what is in its buffers within this time.
+/// The time within which a running worker reads an order in its buffers.
 const READ_WITHIN_MS: u64 = 10_000;
-/// A box that the list has dropped goes off within this time.
+/// The time within which a box that left the box list is shut down.
 const SHUT_DOWN_WITHIN: Duration = Duration::from_s(60);
-/// The length of one step of a run without faults.
+/// The length of one step of [`Op::Run`].
 const RUN_STEP_MS: u64 = 4000;
 
-/// One step.
+/// A step of a scenario.
 #[derive(Clone, Debug)]
 pub enum Op {
     TakeKey {
@@ -135,7 +135,7 @@
     event: Event,
 }
 
-/// What was counted on the way.
+/// Counters of a scenario, printed by the search.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub steps_count: u64,
@@ -147,7 +147,7 @@
     pub interleavings_count: u64,
 }
 
-/// A promise that was broken, with the entity at fault.
+/// A violated invariant, with the entity at fault.
 pub use ospreywing_filetest::Broken;
 
 pub struct Simulation {
@@ -163,18 +163,18 @@
     pub(super) keys: Vec<Key>,
     pub(super) unsafe_keys: BTreeSet<Key>,
     pub(super) accepted: BTreeSet<Key>,
-    /// Keys of which a caller was told anything but a refusal, or nothing yet.
+    /// Keys for which a caller was told that the outcome is unknown.
     pub(super) unconfirmed_keys: BTreeSet<Key>,
-    /// The claims that got each request key.
+    /// The nonces of the claims that were granted each request key.
     pub(super) granted: BTreeMap<Key, BTreeSet<u64>>,
     pub(super) claims: BTreeMap<u64, u64>,
-    /// The last word to the callers of each key.
+    /// The latest reply to the callers of each key.
     pub(super) said: BTreeMap<Key, &'static str>,
     pub(super) tokens: BTreeMap<u64, Key>,
     pub(super) asked_at: BTreeMap<u64, Instant>,
     pub(super) next: u64,
     pub tally: Tally,
-    /// An attempt that began though the log did not have it as current.
+    /// A started attempt that was not the current one of its task in the log.
     pub(super) stray_start: Option<AttemptId>,
 }
 
@@ -196,7 +196,7 @@
     Arc::new(table)
 }
 
-/// Reads the log as one that takes over would.
+/// Returns the owner that a takeover would recover from the log.
 pub(super) fn recovered_owner(store: &StoreFake) -> Owner {
     let identity = DaemonIdentity {
         name: name("reader"),
@@ -210,7 +210,7 @@
     recovery.finish(Instant::default())
 }
 
-/// Returns whether the log has `attempt` as the current one of its task.
+/// Returns whether `attempt` is the current one of its task in the log.
 fn is_on_log(store: &StoreFake, attempt: AttemptId) -> bool {
     let recovered_owner = recovered_owner(store);
     let state = recovered_owner.state();
@@ -258,7 +258,7 @@
         self.next
     }
 
-    /// Takes one step and checks every promise.
+    /// Executes one step and checks every invariant.
     pub fn step(&mut self, op: &Op) -> Result<(), Broken> {
         self.tally.steps_count += 1;
         self.apply(op);
@@ -305,7 +305,7 @@
         }
     }
 
-    /// The daemon that believes to own the shard and is awake, if any.
+    /// Returns the running daemons that consider themselves owner of the shard.
     pub(super) fn owners(&self) -> Vec<usize> {
         let awake = |&daemon: &usize| {
             let daemon = &self.daemons[daemon];
@@ -348,7 +348,7 @@
         }
     }
 
-    /// A daemon claims the one run of a request that is unsafe to repeat.
+    /// A daemon claims the only run of a request that is unsafe to repeat.
     fn take_key(&mut self, daemon: usize, number: u64, nonce: u64) {
         let key = Key::new(&format!("r{number}")).expect("a key");
         let token = self.number();
@@ -358,7 +358,7 @@
         self.handle_event(daemon, Event::TakeKey { token, key, nonce });
     }
 
-    /// Lets time pass.
+    /// Advances the clock and sends ticks to the running daemons.
     fn pass(&mut self, ms: u64) {
         self.read_overdue(ms);
         self.now = self.now + Duration::from_ms(ms);
@@ -374,7 +374,8 @@
         }
     }
 
-    /// Awake workers read what would otherwise lie in their buffers too long.
+    /// Running workers read orders that would otherwise stay in their buffers for
+    /// too long.
     fn read_overdue(&mut self, ms: u64) {
         let mut index = 0;
         while index < self.buffers.len() {
@@ -390,7 +391,7 @@
         }
     }
 
-    /// Lets time pass with everything that is up at work.
+    /// Runs the simulation for `ms` with all messages delivered and no new faults.
     fn run(&mut self, ms: u64) {
         for _ in 0..ms / RUN_STEP_MS {
             self.pass(RUN_STEP_MS);
@@ -420,7 +421,8 @@
         }
     }
 
-    /// The worker tells every daemon that is connected to its present run.
+    /// The worker reports an end to every daemon connected to its current
+    /// incarnation.
     fn send_ended(&mut self, worker: usize, ended: &Ended) {
         for daemon in 0..DAEMONS_COUNT {
             let link = self.daemons[daemon].link(worker);
@@ -452,9 +454,9 @@
         }
     }
 
-    /// The store takes a daemon's commit; its answer arrives or is lost.
+    /// The store handles a daemon's commit; its answer arrives or is lost.
     ///
-    /// A paused daemon's call may be on its way too.
+    /// A paused daemon's call may be in flight too.
     fn commit(&mut self, daemon: usize, is_answered: bool) {
         if self.daemons[daemon].is_dead {
             return;
@@ -482,7 +484,7 @@
             let is_refused = !self.daemons[daemon].has_tried;
             self.close(daemon, is_refused);
         } else {
-            // It learns of it when it wakes and asks again.
+            // The daemon gets the answer when it resumes and retries the commit.
             self.daemons[daemon].commit = Some(commit);
         }
     }
@@ -506,7 +508,7 @@
         let closing = owner.close(is_refused, &mut actions);
         self.daemons[daemon].closing.push(closing);
         self.daemons[daemon].has_tried = false;
-        // The node passes over what is said of another epoch's commit.
+        // The node ignores answers to commits of another epoch.
         let inbox = &mut self.daemons[daemon].inbox;
         inbox.retain(|event| !matches!(event, Event::CommitDone));
         self.daemons[daemon].commit = None;
@@ -531,7 +533,7 @@
             rpc_addr: String::new(),
         };
         let mut config = OwnerConfig::new(0, 1, epoch, identity);
-        // What was acknowledged must be found at the end.
+        // Accepted tasks must still be found at the end of the scenario.
         config.result_retention = Duration::from_s(u64::MAX / 2000);
         config.key_retention = config.result_retention;
         let mut recovery = Recovery::new(config);
@@ -545,9 +547,9 @@
         self.reopen_links(daemon);
     }
 
-    /// Connections are opened anew after a claim.
+    /// Reopens the daemon's connections after a claim.
     ///
-    /// The node passes over what comes from those of an earlier epoch.
+    /// The node ignores events of connections from an earlier epoch.
     fn reopen_links(&mut self, daemon: usize) {
         let of_session = |event: &Event| {
             matches!(
@@ -578,7 +580,7 @@
         self.listed.iter().map(facts).collect()
     }
 
-    /// A daemon reads from the store who owns the shard.
+    /// A daemon reads the shard's owner from the store.
     fn poll(&mut self, daemon: usize) {
         let Some(epoch) = self.epoch_of(daemon) else {
             return;
@@ -594,7 +596,8 @@
         }
     }
 
-    /// The owner asks former owners; the dead are proved to be.
+    /// The owner asks former owners whether their epochs are closed; the epoch of
+    /// a daemon that is known to be dead counts as closed.
     fn ask_closed(&mut self, daemon: usize) {
         if !self.daemons[daemon].is_awake() {
             return;
@@ -654,7 +657,7 @@
         );
     }
 
-    /// The connection breaks: what was not sent never will be.
+    /// A connection breaks; orders that were not sent over it are dropped.
     fn cut(&mut self, daemon: usize, worker: usize) {
         let Some(link) = self.daemons[daemon].link(worker) else {
             return;
@@ -685,7 +688,7 @@
         for attempt in unconfirmed {
             self.queue(daemon, Event::StartUnconfirmed { attempt });
         }
-        // Answers that were on their way over it are lost.
+        // Answers in flight over the connection are lost.
         let lost_acks: Vec<AttemptId> = self
             .replies_in_flight
             .iter()
@@ -705,7 +708,7 @@
         self.queue(daemon, Event::SessionClosed { worker, session });
     }
 
-    /// An order leaves its daemon, or is still held.
+    /// A daemon sends a held order, or drops it if the connection has closed.
     fn send(&mut self, daemon: usize, index: usize) {
         if !self.daemons[daemon].is_awake() || self.daemons[daemon].held.is_empty() {
             return;
@@ -726,8 +729,8 @@
         });
     }
 
-    /// Returns the order that the worker reads when `index` is its turn: an
-    /// older one that was overtaken often enough goes first.
+    /// Returns the index of the order that the worker reads in place of `index`:
+    /// an older order that has reached the overtaking limit goes first.
     fn next_to_read(&mut self, index: usize) -> usize {
         let worker = self.buffers[index].link.worker;
         let older = |i: &usize| self.buffers[*i].link.worker == worker;
@@ -742,7 +745,8 @@
         index
     }
 
-    /// A worker reads an order from its buffers, in almost any order.
+    /// A worker reads and carries out a message from its buffers, in any sequence
+    /// within the overtaking limit.
     fn arrive(&mut self, index: usize) {
         if self.buffers.is_empty() {
             return;
@@ -809,7 +813,8 @@
         }
     }
 
-    /// A worker's word reaches its daemon, in any order, if still connected.
+    /// A worker's message reaches its daemon, in any order, if the connection is
+    /// still open.
     fn answer(&mut self, index: usize) {
         if self.replies_in_flight.is_empty() {
             return;
@@ -842,7 +847,7 @@
         self.daemons[daemon].is_paused = true;
     }
 
-    /// A daemon dies and another process takes its place.
+    /// A daemon is killed and a new process replaces it.
     fn kill(&mut self, daemon: usize) {
         self.tally.faults_count += 1;
         let process = self.number();
@@ -872,7 +877,7 @@
         self.buffers.retain(|b| b.link.worker != worker);
     }
 
-    /// The box list drops a box that is being turned off.
+    /// The box list drops a box that is about to be shut down.
     fn delist(&mut self, worker: usize) {
         self.tally.faults_count += 1;
         self.listed.remove(&worker);
@@ -932,7 +937,7 @@
         }
     }
 
-    /// What became of a start also settles an ownership that has ended.
+    /// Reports the outcome of a start to the daemon's ended ownerships too.
     fn resolve_closing(&mut self, daemon: usize, event: &Event) {
         let (Event::StartAcked { attempt }
         | Event::StartNotSent { attempt }
@@ -987,7 +992,7 @@
         }
     }
 
-    /// What the owner wants sent is held: a pause may come before the send.
+    /// Holds an order for a later step to send; the daemon may pause before that.
     fn hold(&mut self, daemon: usize, action: Action) {
         let Action::Order {
             worker: worker_name,
@@ -1023,13 +1028,13 @@
 }
 
 impl Simulation {
-    /// Returns the last word to the callers of a key.
+    /// Returns the latest reply to the callers of a key.
     pub fn said(&self, key: &str) -> &'static str {
         let key = Key::new(key).expect("a key");
         self.said.get(&key).copied().unwrap_or("nothing")
     }
 
-    /// Returns the phase of a task at the owner that the store names.
+    /// Returns the phase of a task according to the owner named in the store.
     pub fn phase(&self, key: &str) -> String {
         let key = Key::new(key).expect("a key");
         let owner = self.store.owner.map(|daemon| &self.daemons[daemon]);
@@ -1038,7 +1043,7 @@
         status.map_or("absent".to_owned(), |status| status.phase.to_string())
     }
 
-    /// Returns how often a task began to run.
+    /// Returns how often a task was started on a worker.
     pub fn runs_count(&self, key: &str) -> usize {
         let key = Key::new(key).expect("a key");
         let recovered_owner = recovered_owner(&self.store);
@@ -1048,19 +1053,19 @@
         started.filter(|attempt| Some(attempt.task) == id).count()
     }
 
-    /// Returns how many attempts run on a worker.
+    /// Returns the number of attempts that run on a worker.
     pub fn running_count(&self, worker: usize) -> usize {
         self.workers[worker].live(self.now).count()
     }
 
-    /// Returns how many starts a daemon holds between check and send.
+    /// Returns the number of starts that a daemon holds and has not sent.
     pub fn held_starts_count(&self, daemon: usize) -> usize {
         let held = self.daemons[daemon].held.iter();
         held.filter(|held| matches!(held.order, Order::Start { .. }))
             .count()
     }
 
-    /// Returns how many batches the log has.
+    /// Returns the number of batches in the log.
     pub fn batches_count(&self) -> usize {
         self.store.batches.len()
     }
--- a/crates/shard/tests/owner/traces.rs
+++ b/crates/shard/tests/owner/traces.rs
@@ -1,4 +1,4 @@
-//! Plays each trace of `tests/traces` against its stated outcomes.
+//! Runs each trace in `tests/traces` and checks its expected outcomes.
 
 use rstest::rstest;
 use std::path::PathBuf;
