--- a/crates/shard/benches/decisions.rs
+++ b/crates/shard/benches/decisions.rs
@@ -49,7 +49,7 @@
 ];
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("the name is valid")
 }
 
 struct Harness {
@@ -133,7 +133,7 @@
             let row = self.next_key as usize % TEAMS_COUNT;
             self.handle_event(Event::Submit {
                 token: Token(self.next_key),
-                key: Key::new(&format!("k{}", self.next_key)).expect("a key"),
+                key: Key::new(&format!("k{}", self.next_key)).expect("the key is valid"),
                 row: name(&format!("row{row}")),
                 spec: TaskSpec {
                     resources: NEED,
--- a/crates/shard/src/event.rs
+++ b/crates/shard/src/event.rs
@@ -11,7 +11,7 @@
 pub enum Event {
     /// The shard's workers in the newest box list.
     Boxes(Vec<BoxFacts>),
-    /// The table in force.
+    /// The current table.
     Table(Arc<Table>),
     /// A caller submits a task.
     Submit {
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -82,6 +82,7 @@
     pub(crate) inflight: Option<Inflight>,
     pub(crate) is_deciding: bool,
     pub(crate) is_handing_over: bool,
+    /// When the latest read that confirmed the ownership was sent.
     pub(crate) confirmed_at: Instant,
     /// When the shard was claimed; no former owner's ownership was confirmed later.
     pub(crate) claimed_at: Instant,
--- a/crates/shard/src/presence.rs
+++ b/crates/shard/src/presence.rs
@@ -32,7 +32,7 @@
 /// Until it is resolved, a start occupies capacity of its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Presence {
-    /// No start is on record.
+    /// No start is recorded.
     #[default]
     None,
     /// The record is not committed yet; the start was not sent.
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -1,4 +1,4 @@
-//! What must always hold in a simulation, and the way in_flight to health.
+//! The invariants of a simulation, and its repair at the end of a scenario.
 
 use super::simulation::{recovered_owner, Broken, Op, Simulation, DAEMONS_COUNT, WORKERS_COUNT};
 use ospreywing_shard::{verify, Owner, Position};
@@ -16,7 +16,7 @@
         }
         if let Some(attempt) = self.stray_start.take() {
             return Err(Broken(format!(
-                "{attempt}: began while the log was past it"
+                "{attempt}: started, but not current in the log"
             )));
         }
         self.check_granted()?;
@@ -53,7 +53,9 @@
             let needs = state.live(self.now).map(|running| running.resources);
             let used = needs.fold(Resources::ZERO, |sum, need| sum + need);
             if !used.fits_in(&state.capacity) {
-                return Err(Broken(format!("worker {worker}: runs {used}")));
+                return Err(Broken(format!(
+                    "worker {worker}: usage {used} exceeds capacity"
+                )));
             }
         }
         Ok(())
@@ -75,7 +77,9 @@
                 // The limit holds for failed runs too.
                 if is_unsafe && count > 1 {
                     let id = data.image.id;
-                    return Err(Broken(format!("{id}: unsafe to repeat, ran {count} times")));
+                    return Err(Broken(format!(
+                        "{id}: unsafe to repeat, but started {count} times"
+                    )));
                 }
             }
         }
@@ -91,7 +95,7 @@
             word == "refused" && is_settled && !waiting_keys.contains(key)
         });
         match refused.find(|(key, _)| recovered_owner.state().by_key(key).is_some()) {
-            Some((key, _)) => Err(Broken(format!("{key}: was refused and is on record"))),
+            Some((key, _)) => Err(Broken(format!("{key}: rejected, but recorded"))),
             None => Ok(()),
         }
     }
@@ -108,11 +112,11 @@
             .sum::<u64>();
         for key in &self.accepted {
             let Some(task) = recovered_owner.state().by_key(key) else {
-                return Err(Broken(format!("{key}: was acknowledged and is lost")));
+                return Err(Broken(format!("{key}: accepted, but not recorded")));
             };
             let position = &recovered_owner.state().tasks[task].image.position;
             if !matches!(position, Position::Ended { .. }) {
-                return Err(Broken(format!("{key}: has no end on record")));
+                return Err(Broken(format!("{key}: has no recorded end")));
             }
         }
         Ok(())
@@ -141,7 +145,7 @@
             let task = tasks.find(|(_, data)| !data.is_ended())?;
             Some(format!("{}: {:?}", task.1.image.id, task.1.image.position))
         });
-        Err(Broken(format!("stuck: {stuck:?}")))
+        Err(Broken(format!("a task did not end: {stuck:?}")))
     }
 
     fn heal_round(&mut self) -> Result<(), Broken> {
--- a/crates/shard/tests/owner/support/daemon_fake.rs
+++ b/crates/shard/tests/owner/support/daemon_fake.rs
@@ -36,7 +36,7 @@
     pub held: Vec<HeldOrder>,
     pub inbox: VecDeque<Event>,
     pub is_paused: bool,
-    /// Whether what has happened waiting_keys to be taken in.
+    /// Whether the daemon leaves events in its inbox.
     pub is_lagging: bool,
     pub is_dead: bool,
 }
--- a/crates/shard/tests/owner/support/script.rs
+++ b/crates/shard/tests/owner/support/script.rs
@@ -111,7 +111,7 @@
         ["take-key", daemon, key, nonce] => Op::TakeKey {
             daemon: index(daemon),
             number: index(key) as u64,
-            nonce: nonce.parse().expect("a nonce"),
+            nonce: nonce.parse().expect("the nonce is a number"),
         },
         _ => return Err(Broken("no such step".to_owned())),
     })
--- a/crates/shard/tests/owner/support/simulation.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -127,7 +127,7 @@
     awake_ms: u64,
 }
 
-/// A worker's word on its way reply.
+/// A worker's message to a daemon that has not arrived yet.
 pub(super) struct ReplyInFlight {
     daemon: usize,
     process: u64,
@@ -179,7 +179,7 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("the name is valid")
 }
 
 fn worker_name(worker: usize) -> Name {
@@ -205,7 +205,7 @@
     };
     let mut recovery = Recovery::new(OwnerConfig::new(0, 1, u64::MAX, identity));
     for (seq, value) in &store.batches {
-        recovery.read(*seq, value).expect("the log is sound");
+        recovery.read(*seq, value).expect("the log is valid");
     }
     recovery.finish(Instant::default())
 }
@@ -315,7 +315,7 @@
     }
 
     fn submit(&mut self, is_safe: bool) {
-        let key = Key::new(&format!("k{}", self.keys.len())).expect("a key");
+        let key = Key::new(&format!("k{}", self.keys.len())).expect("the key is valid");
         self.keys.push(key.clone());
         if !is_safe {
             self.unsafe_keys.insert(key.clone());
@@ -350,7 +350,7 @@
 
     /// A daemon claims the only run of a request that is unsafe to repeat.
     fn take_key(&mut self, daemon: usize, number: u64, nonce: u64) {
-        let key = Key::new(&format!("r{number}")).expect("a key");
+        let key = Key::new(&format!("r{number}")).expect("the key is valid");
         let token = self.number();
         self.tokens.insert(token, key.clone());
         self.claims.insert(token, nonce);
@@ -538,7 +538,7 @@
         config.key_retention = config.result_retention;
         let mut recovery = Recovery::new(config);
         for (seq, value) in &self.store.batches {
-            recovery.read(*seq, value).expect("the log is sound");
+            recovery.read(*seq, value).expect("the log is valid");
         }
         self.daemons[daemon].owner = Some(recovery.finish(self.now));
         self.handle_event(daemon, Event::Table(Arc::clone(&self.table)));
@@ -897,7 +897,7 @@
 
     fn relist(&mut self) {
         for worker in 0..WORKERS_COUNT {
-            // A box that was dropped comes reply only after it was off.
+            // A dropped box is listed again only after it was shut down.
             if let Some(at) = self.shut_down_at[worker] {
                 self.now = self.now.max(at);
                 self.shut_down_delisted();
@@ -1005,7 +1005,9 @@
             Order::Start { incarnation, .. } => Some(*incarnation),
             Order::Renew(_) | Order::Stop(_) | Order::Report => None,
         };
-        let worker = worker_name.as_str()[1..].parse().expect("a worker");
+        let worker = worker_name.as_str()[1..]
+            .parse()
+            .expect("the name holds a worker index");
         let link = self.daemons[daemon].link(worker);
         let link = link.filter(|link| incarnation.is_none_or(|i| i == link.incarnation));
         let Some(link) = link else {
@@ -1030,13 +1032,13 @@
 impl Simulation {
     /// Returns the latest reply to the callers of a key.
     pub fn said(&self, key: &str) -> &'static str {
-        let key = Key::new(key).expect("a key");
+        let key = Key::new(key).expect("the key is valid");
         self.said.get(&key).copied().unwrap_or("nothing")
     }
 
     /// Returns the phase of a task according to the owner named in the store.
     pub fn phase(&self, key: &str) -> String {
-        let key = Key::new(key).expect("a key");
+        let key = Key::new(key).expect("the key is valid");
         let owner = self.store.owner.map(|daemon| &self.daemons[daemon]);
         let owner = owner.and_then(|daemon| daemon.owner.as_ref());
         let status = owner.and_then(|owner| owner.status(&key));
@@ -1045,7 +1047,7 @@
 
     /// Returns how often a task was started on a worker.
     pub fn runs_count(&self, key: &str) -> usize {
-        let key = Key::new(key).expect("a key");
+        let key = Key::new(key).expect("the key is valid");
         let recovered_owner = recovered_owner(&self.store);
         let task = recovered_owner.state().by_key(&key);
         let id = task.map(|task| recovered_owner.state().tasks[task].image.id);
