--- a/crates/shard/benches/decisions.rs
+++ b/crates/shard/benches/decisions.rs
@@ -196,26 +196,26 @@
     println!("workers  running  decisions/s   p50 us   p99 us   resident MB");
     for size in &SIZES {
         let mut harness = Harness::new(size);
-        let each_ns = Histogram::new_with_max(LONGEST_NS, 3);
-        let mut each_ns: Histogram<u64> = each_ns.expect("the bounds are sound");
-        let mut deciding = std::time::Duration::ZERO;
+        let decision_ns = Histogram::new_with_max(LONGEST_NS, 3);
+        let mut decision_ns: Histogram<u64> = decision_ns.expect("the bounds are sound");
+        let mut deciding_time = std::time::Duration::ZERO;
         let mut starts_count = 0;
         for _ in 0..ROUNDS_COUNT {
             harness.end(BATCH_COUNT);
             harness.submit(BATCH_COUNT);
             let (elapsed, started_count) = harness.commit();
             assert_eq!(started_count, BATCH_COUNT, "there is room for all");
-            deciding += elapsed;
+            deciding_time += elapsed;
             starts_count += started_count;
-            each_ns.saturating_record(elapsed.as_nanos() as u64 / started_count as u64);
+            decision_ns.saturating_record(elapsed.as_nanos() as u64 / started_count as u64);
         }
         println!(
             "{:7}  {:7}  {:11.0}  {:7.1}  {:7.1}  {:12.1}",
             size.workers_count,
             size.running_count,
-            starts_count as f64 / deciding.as_secs_f64(),
-            each_ns.value_at_quantile(0.5) as f64 / 1000.0,
-            each_ns.value_at_quantile(0.99) as f64 / 1000.0,
+            starts_count as f64 / deciding_time.as_secs_f64(),
+            decision_ns.value_at_quantile(0.5) as f64 / 1000.0,
+            decision_ns.value_at_quantile(0.99) as f64 / 1000.0,
             resident_mb(),
         );
     }
--- a/crates/shard/src/commit.rs
+++ b/crates/shard/src/commit.rs
@@ -59,10 +59,10 @@
             let Some((workload, waiting)) = next else {
                 return;
             };
-            let need = self.state.tasks[waiting.task].resources();
-            let is_admitted = self.workloads.admits(workload, &need);
+            let demand = self.state.tasks[waiting.task].resources();
+            let is_admitted = self.workloads.admits(workload, &demand);
             let policy = self.workloads.policy;
-            let worker = self.workers.find(&need, policy).filter(|_| is_admitted);
+            let worker = self.workers.find(&demand, policy).filter(|_| is_admitted);
             match worker {
                 Some(worker) => self.record_start(waiting.task, worker),
                 None => {
--- a/crates/shard/src/free_index.rs
+++ b/crates/shard/src/free_index.rs
@@ -38,22 +38,22 @@
         self.plain.len() + self.accelerated.len()
     }
 
-    /// Returns the worker on which to place `need`, if one has the free capacity.
+    /// Returns the worker on which to place `demand`, if one has the free capacity.
     ///
-    /// `fits` returns whether a worker's free capacity covers all of `need`.
+    /// `fits` returns whether a worker's free capacity covers all of `demand`.
     pub(crate) fn find(
         &self,
-        need: &Resources,
+        demand: &Resources,
         policy: Policy,
         fits: impl Fn(Worker) -> bool,
     ) -> Option<Worker> {
-        if need.accelerators_count == 0 {
-            let plain = find_in(&self.plain, need, policy, &fits);
+        if demand.accelerators_count == 0 {
+            let plain = find_in(&self.plain, demand, policy, &fits);
             if plain.is_some() {
                 return plain;
             }
         }
-        find_in(&self.accelerated, need, policy, &fits)
+        find_in(&self.accelerated, demand, policy, &fits)
     }
 
     fn set_of(&mut self, is_accelerated: bool) -> &mut BTreeSet<Slot> {
@@ -74,12 +74,12 @@
 
 fn find_in(
     slots: &BTreeSet<Slot>,
-    need: &Resources,
+    demand: &Resources,
     policy: Policy,
     fits: &impl Fn(Worker) -> bool,
 ) -> Option<Worker> {
     let min_slot = Slot {
-        cores_milli: need.cores_milli,
+        cores_milli: demand.cores_milli,
         worker: Worker::from_u32(0),
     };
     let mut candidates = slots.range(min_slot..).map(|slot| slot.worker);
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -47,9 +47,9 @@
 /// When to retry a task rejected because too many tasks wait.
 const FULL_RETRY_AFTER: Duration = Duration::from_s(10);
 /// The reason for a rejection during a handover.
-const HAND_OVER_REASON: &str = "the shard is changing hands";
+const HANDOVER_REASON: &str = "the shard is changing hands";
 /// When to retry a request rejected during or after a handover.
-const HAND_OVER_RETRY_AFTER: Duration = Duration::from_s(1);
+const HANDOVER_RETRY_AFTER: Duration = Duration::from_s(1);
 
 fn rejected(reason: impl Into<String>, retry_after: Option<Duration>) -> Reply {
     Reply::Submit(SubmitReply::Refused {
@@ -117,7 +117,7 @@
     /// `None` if it can be.
     fn intake_obstacle(&self, now: Instant) -> Option<(&'static str, Duration)> {
         if self.is_handing_over {
-            return Some((HAND_OVER_REASON, HAND_OVER_RETRY_AFTER));
+            return Some((HANDOVER_REASON, HANDOVER_RETRY_AFTER));
         }
         let reason = "the platform's store does not answer";
         self.is_commit_overdue(now)
@@ -268,7 +268,7 @@
     /// `is_refused` means that the store refused the commit in flight, so that it
     /// had no effect; otherwise its outcome is unknown.
     pub(crate) fn reject_all(&mut self, is_refused: bool, actions: &mut Vec<Action>) {
-        self.reject_intake(HAND_OVER_REASON, HAND_OVER_RETRY_AFTER, actions);
+        self.reject_intake(HANDOVER_REASON, HANDOVER_RETRY_AFTER, actions);
         if is_refused {
             self.answer_inflight(not_run_reply, actions);
         } else {
@@ -348,7 +348,7 @@
 /// Returns the reply that replaces `reply` if the commit had no effect.
 fn not_run_reply(reply: &Reply) -> Reply {
     match reply {
-        Reply::Submit(_) => rejected("the shard has another owner", Some(HAND_OVER_RETRY_AFTER)),
-        Reply::TakeKey(_) => rejected_key(HAND_OVER_RETRY_AFTER),
+        Reply::Submit(_) => rejected("the shard has another owner", Some(HANDOVER_RETRY_AFTER)),
+        Reply::TakeKey(_) => rejected_key(HANDOVER_RETRY_AFTER),
     }
 }
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -77,9 +77,12 @@
     pub(crate) presence: SecondaryMap<Task, Presence>,
     pub(crate) waiting_since: SecondaryMap<Task, Instant>,
     pub(crate) intake: Intake,
+    /// The records of the next commit, already applied to the state.
     pub(crate) pending: Vec<Record>,
+    /// The effects of the next commit.
     pub(crate) pending_effects: Vec<Effect>,
     pub(crate) inflight: Option<Inflight>,
+    /// Whether tasks may be placed: the daemon's table is known to be current.
     pub(crate) is_deciding: bool,
     pub(crate) is_handing_over: bool,
     /// When the latest read that confirmed the ownership was sent.
@@ -88,8 +91,11 @@
     pub(crate) claimed_at: Instant,
     /// Since when no former owner can send orders; `None` while one may.
     pub(crate) sole_owner_since: Option<Instant>,
+    /// Ended tasks, by the end of their retention.
     pub(crate) ended: VecDeque<Retained<Task>>,
+    /// Granted request keys, by the end of their retention.
     pub(crate) keys: VecDeque<Retained<Key>>,
+    /// Workloads whose first task could not be placed in the current commit.
     pub(crate) skipped: EntitySet<Workload>,
     /// Whether an event since tasks were last placed may allow further placements.
     pub(crate) may_place: bool,
@@ -340,19 +346,19 @@
 
     /// Adds a recorded start to the usage of its worker and its workload.
     pub(crate) fn occupy(&mut self, task: Task, worker: Worker) {
-        let need = self.state.tasks[task].resources();
+        let demand = self.state.tasks[task].resources();
         let workload = self.workload_of(task);
         self.workers.update(worker, |data| {
-            data.used += need;
+            data.used += demand;
             data.tasks.insert(task);
         });
-        self.workloads.occupy(workload, &need);
+        self.workloads.occupy(workload, &demand);
     }
 
     /// Reverts [`Self::occupy`]; to be called before the state drops the start.
     pub(crate) fn release(&mut self, task: Task) {
         let data = &self.state.tasks[task];
-        let need = data.resources();
+        let demand = data.resources();
         let Some(started) = data.started() else {
             return;
         };
@@ -361,10 +367,10 @@
         };
         let workload = self.workload_of(task);
         self.workers.update(worker, |data| {
-            data.used -= need;
+            data.used -= demand;
             data.tasks.remove(&task);
         });
-        self.workloads.release(workload, &need);
+        self.workloads.release(workload, &demand);
         self.presence[task] = Presence::None;
     }
 
--- a/crates/shard/src/resolve.rs
+++ b/crates/shard/src/resolve.rs
@@ -128,12 +128,12 @@
     /// A start that is not sent yet is not sent any more: [`Self::send_start`]
     /// checks the incarnation.
     fn on_other_incarnation(&mut self, now: Instant, task: Task, started: &Started) {
-        let is_mine = started.epoch == self.config.epoch;
+        let is_own = started.epoch == self.config.epoch;
         match self.presence[task] {
             Presence::Recording => {}
             // The connection to the former incarnation breaks, and the daemon
             // then reports the start as unconfirmed.
-            Presence::Sent if is_mine => {}
+            Presence::Sent if is_own => {}
             _ => self.handle_lost_attempt(now, task),
         }
     }
--- a/crates/shard/src/verifier.rs
+++ b/crates/shard/src/verifier.rs
@@ -96,10 +96,10 @@
 
 fn verify_workers(owner: &Owner, errors: &mut Vec<VerifierError>) {
     for (worker, data) in owner.workers.iter() {
-        let needs = data.tasks.iter();
-        let sum = needs
+        let demands = data.tasks.iter();
+        let sum = demands
             .map(|&task| owner.state.tasks[task].resources())
-            .fold(Resources::ZERO, |sum, need| sum + need);
+            .fold(Resources::ZERO, |sum, demand| sum + demand);
         if sum != data.used {
             let used = data.used;
             errors.push(VerifierError::WorkerSum { worker, used, sum });
--- a/crates/shard/src/worker.rs
+++ b/crates/shard/src/worker.rs
@@ -165,17 +165,17 @@
         }
     }
 
-    /// Returns the worker on which to place `need`, if one has the free capacity.
-    pub(crate) fn find(&self, need: &Resources, policy: Policy) -> Option<Worker> {
-        let fits = |worker: Worker| need.fits_in(&self.workers[worker].free());
-        self.index.find(need, policy, fits)
+    /// Returns the worker on which to place `demand`, if one has the free capacity.
+    pub(crate) fn find(&self, demand: &Resources, policy: Policy) -> Option<Worker> {
+        let fits = |worker: Worker| demand.fits_in(&self.workers[worker].free());
+        self.index.find(demand, policy, fits)
     }
 
-    /// Returns whether `need` fits the total capacity of some worker.
-    pub(crate) fn fits_any_worker(&self, need: &Resources) -> bool {
+    /// Returns whether `demand` fits the total capacity of some worker.
+    pub(crate) fn fits_any_worker(&self, demand: &Resources) -> bool {
         self.workers
             .values()
-            .any(|data| need.fits_in(&data.capacity))
+            .any(|data| demand.fits_in(&data.capacity))
     }
 }
 
--- a/crates/shard/src/workload.rs
+++ b/crates/shard/src/workload.rs
@@ -22,8 +22,8 @@
         }
     }
 
-    fn admits(&self, usage: &Usage, need: &Resources) -> bool {
-        let after = usage.resources + *need;
+    fn admits(&self, usage: &Usage, demand: &Resources) -> bool {
+        let after = usage.resources + *demand;
         let limit = &self.resources;
         let is_under = |limit: u32, value: u32| limit == 0 || value <= limit;
         is_under(limit.cores_milli, after.cores_milli)
@@ -41,13 +41,13 @@
 }
 
 impl Usage {
-    fn add(&mut self, need: &Resources) {
-        self.resources += *need;
+    fn add(&mut self, demand: &Resources) {
+        self.resources += *demand;
         self.running_count += 1;
     }
 
-    fn sub(&mut self, need: &Resources) {
-        self.resources -= *need;
+    fn sub(&mut self, demand: &Resources) {
+        self.resources -= *demand;
         self.running_count = self.running_count.saturating_sub(1);
     }
 }
@@ -71,6 +71,7 @@
     pub(crate) priority: u32,
     pub(crate) repeat: Repeat,
     pub(crate) retry_limit_count: u32,
+    /// How long leases are renewed while the ownership can't be confirmed.
     pub(crate) hold: Duration,
     pub(crate) queue: Queue,
 }
@@ -212,20 +213,20 @@
     }
 
     /// Adds a recorded start to the usage of its workload and team.
-    pub(crate) fn occupy(&mut self, workload: Workload, need: &Resources) {
+    pub(crate) fn occupy(&mut self, workload: Workload, demand: &Resources) {
         let data = &mut self.workloads[workload];
-        data.usage.add(need);
+        data.usage.add(demand);
         if let Some(team) = data.team {
-            self.teams[team].usage.add(need);
+            self.teams[team].usage.add(demand);
         }
     }
 
     /// Removes a start from the usage of its workload and team.
-    pub(crate) fn release(&mut self, workload: Workload, need: &Resources) {
+    pub(crate) fn release(&mut self, workload: Workload, demand: &Resources) {
         let data = &mut self.workloads[workload];
-        data.usage.sub(need);
+        data.usage.sub(demand);
         if let Some(team) = data.team {
-            self.teams[team].usage.sub(need);
+            self.teams[team].usage.sub(demand);
         }
     }
 
@@ -243,11 +244,11 @@
     }
 
     /// Returns whether the caps of a workload and its team admit one more task.
-    pub(crate) fn admits(&self, workload: Workload, need: &Resources) -> bool {
+    pub(crate) fn admits(&self, workload: Workload, demand: &Resources) -> bool {
         let data = &self.workloads[workload];
         let team = data.team.map(|team| &self.teams[team]);
-        let team_admits = team.is_none_or(|team| team.allowance.admits(&team.usage, need));
-        data.is_listed && team_admits && data.allowance.admits(&data.usage, need)
+        let team_admits = team.is_none_or(|team| team.allowance.admits(&team.usage, demand));
+        data.is_listed && team_admits && data.allowance.admits(&data.usage, demand)
     }
 
     /// Returns the highest-ranked workload with a waiting task that is not in
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -90,9 +90,9 @@
     /// won't run.
     fn check_refused(&self, recovered_owner: &Owner) -> Result<(), Broken> {
         let waiting_keys: BTreeSet<&Key> = self.tokens.values().collect();
-        let mut refused = self.said.iter().filter(|(key, &word)| {
+        let mut refused = self.last_replies.iter().filter(|(key, &outcome)| {
             let is_settled = !self.unconfirmed_keys.contains(key) && !self.accepted.contains(key);
-            word == "refused" && is_settled && !waiting_keys.contains(key)
+            outcome == "refused" && is_settled && !waiting_keys.contains(key)
         });
         match refused.find(|(key, _)| recovered_owner.state().by_key(key).is_some()) {
             Some((key, _)) => Err(Broken(format!("{key}: rejected, but recorded"))),
@@ -162,7 +162,7 @@
         for _ in 0..self.replies_in_flight.len() {
             self.step(&Op::Answer { index: 0 })?;
         }
-        let owner = self.owners().first().copied();
+        let owner = self.running_owners().first().copied();
         match owner {
             Some(daemon) if self.store.owner == Some(daemon) => {
                 self.step(&Op::AskClosed { daemon })?;
@@ -183,7 +183,7 @@
     }
 
     fn is_done(&self) -> bool {
-        let Some(daemon) = self.owners().first().copied() else {
+        let Some(daemon) = self.running_owners().first().copied() else {
             return self.keys.is_empty();
         };
         let Some(owner) = &self.daemons[daemon].owner else {
--- a/crates/shard/tests/owner/support/script.rs
+++ b/crates/shard/tests/owner/support/script.rs
@@ -119,7 +119,7 @@
 
 fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), Broken> {
     let (found, wanted) = match *words {
-        ["said", key, wanted] => (simulation.said(key).to_owned(), wanted),
+        ["said", key, wanted] => (simulation.last_reply(key).to_owned(), wanted),
         ["phase", key, wanted] => (simulation.phase(key), wanted),
         ["runs", key, wanted] => (simulation.runs_count(key).to_string(), wanted),
         ["running", worker, wanted] => {
--- a/crates/shard/tests/owner/support/simulation.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -169,10 +169,10 @@
     pub(super) granted: BTreeMap<Key, BTreeSet<u64>>,
     pub(super) claims: BTreeMap<u64, u64>,
     /// The latest reply to the callers of each key.
-    pub(super) said: BTreeMap<Key, &'static str>,
+    pub(super) last_replies: BTreeMap<Key, &'static str>,
     pub(super) tokens: BTreeMap<u64, Key>,
     pub(super) asked_at: BTreeMap<u64, Instant>,
-    pub(super) next: u64,
+    pub(super) next_number: u64,
     pub tally: Tally,
     /// A started attempt that was not the current one of its task in the log.
     pub(super) stray_start: Option<AttemptId>,
@@ -236,10 +236,10 @@
             unconfirmed_keys: BTreeSet::new(),
             granted: BTreeMap::new(),
             claims: BTreeMap::new(),
-            said: BTreeMap::new(),
+            last_replies: BTreeMap::new(),
             tokens: BTreeMap::new(),
             asked_at: BTreeMap::new(),
-            next: 0,
+            next_number: 0,
             tally: Tally::default(),
             stray_start: None,
         };
@@ -254,8 +254,8 @@
     }
 
     fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.next_number += 1;
+        self.next_number
     }
 
     /// Executes one step and checks every invariant.
@@ -306,7 +306,7 @@
     }
 
     /// Returns the running daemons that consider themselves owner of the shard.
-    pub(super) fn owners(&self) -> Vec<usize> {
+    pub(super) fn running_owners(&self) -> Vec<usize> {
         let awake = |&daemon: &usize| {
             let daemon = &self.daemons[daemon];
             daemon.is_awake() && daemon.owner.is_some()
@@ -320,7 +320,7 @@
         if !is_safe {
             self.unsafe_keys.insert(key.clone());
         }
-        for daemon in self.owners() {
+        for daemon in self.running_owners() {
             let token = self.number();
             self.tokens.insert(token, key.clone());
             let event = Event::Submit {
@@ -341,7 +341,7 @@
             return;
         }
         let key = self.keys[index % self.keys.len()].clone();
-        for daemon in self.owners() {
+        for daemon in self.running_owners() {
             let token = Token(self.number());
             let key = key.clone();
             self.handle_event(daemon, Event::Cancel { token, key });
@@ -958,7 +958,7 @@
         }
         self.record_replies(&actions);
         for action in actions {
-            self.hold(daemon, action);
+            self.hold_order(daemon, action);
         }
     }
 
@@ -970,7 +970,7 @@
             let Some(key) = self.tokens.remove(&token.0) else {
                 continue;
             };
-            let word = match reply {
+            let outcome = match reply {
                 Reply::Submit(SubmitReply::Accepted(_)) => {
                     self.accepted.insert(key.clone());
                     "accepted"
@@ -988,12 +988,12 @@
                 Reply::TakeKey(TakeKeyReply::Taken) => "taken",
                 Reply::TakeKey(TakeKeyReply::Refused { .. }) => "refused",
             };
-            self.said.insert(key, word);
+            self.last_replies.insert(key, outcome);
         }
     }
 
     /// Holds an order for a later step to send; the daemon may pause before that.
-    fn hold(&mut self, daemon: usize, action: Action) {
+    fn hold_order(&mut self, daemon: usize, action: Action) {
         let Action::Order {
             worker: worker_name,
             order,
@@ -1031,9 +1031,9 @@
 
 impl Simulation {
     /// Returns the latest reply to the callers of a key.
-    pub fn said(&self, key: &str) -> &'static str {
+    pub fn last_reply(&self, key: &str) -> &'static str {
         let key = Key::new(key).expect("the key is valid");
-        self.said.get(&key).copied().unwrap_or("nothing")
+        self.last_replies.get(&key).copied().unwrap_or("nothing")
     }
 
     /// Returns the phase of a task according to the owner named in the store.
