--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -7,7 +7,7 @@
 use crate::action::{Action, Reply, Token};
 use crate::owner::{Effect, Owner, Retained};
 use crate::record::Record;
-use crate::state::Position;
+use crate::state::TaskState;
 use ospreywing_types::peer::{SubmitReply, TakeKeyReply};
 use ospreywing_types::{Duration, Instant, Key, Name, TaskId, TaskPhase, TaskSpec};
 use std::collections::HashMap;
@@ -158,15 +158,15 @@
             return;
         };
         let id = self.state.tasks[task].image.id;
-        match &self.state.tasks[task].image.position {
-            Position::Waiting => {
+        match &self.state.tasks[task].image.state {
+            TaskState::Waiting => {
                 self.end_task(now, task, TaskPhase::Cancelled, None);
             }
-            Position::Started(_) => {
+            TaskState::Started(_) => {
                 self.append(Record::Cancel { id });
                 self.pending_effects.push(Effect::Stop(task));
             }
-            Position::Ended { .. } => {}
+            TaskState::Ended { .. } => {}
         }
         self.reply_when_committed(token, task, actions);
     }
--- a/crates/shard/src/lib.rs
+++ b/crates/shard/src/lib.rs
@@ -43,5 +43,5 @@
 pub use presence::{Absence, Presence};
 pub use record::{Batch, Record, TaskImage};
 pub use recovery::Recovery;
-pub use state::{Epoch, Position, Started, State, TaskData};
+pub use state::{Epoch, Started, State, TaskData, TaskState};
 pub use verifier::{verify, VerifierError};
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -9,7 +9,7 @@
 use crate::log::Log;
 use crate::presence::Presence;
 use crate::record::Record;
-use crate::state::{Position, State};
+use crate::state::{State, TaskState};
 use crate::worker::WorkerTable;
 use crate::workload::WorkloadTable;
 use cranelift_entity::{EntitySet, SecondaryMap};
@@ -143,17 +143,17 @@
         for task in tasks {
             let image = self.state.tasks[task].image.clone();
             let workload = self.workloads.intern(&image.row);
-            match &image.position {
-                Position::Waiting => {
+            match &image.state {
+                TaskState::Waiting => {
                     self.waiting_since[task] = now;
                     self.workloads.enqueue(workload, image.id, task, now);
                 }
-                Position::Started(started) => {
+                TaskState::Started(started) => {
                     let worker = self.workers.intern(&started.worker);
                     self.occupy(task, worker);
                     self.presence[task] = Presence::UNCONFIRMED;
                 }
-                Position::Ended { .. } => self.ended.push_back(Retained {
+                TaskState::Ended { .. } => self.ended.push_back(Retained {
                     since: now,
                     item: task,
                 }),
@@ -395,9 +395,9 @@
 
     pub(crate) fn status_of(&self, task: Task) -> TaskStatus {
         let image = &self.state.tasks[task].image;
-        let (phase, worker, result) = match &image.position {
-            Position::Waiting => (TaskPhase::Waiting, None, None),
-            Position::Started(started) => {
+        let (phase, worker, result) = match &image.state {
+            TaskState::Waiting => (TaskPhase::Waiting, None, None),
+            TaskState::Started(started) => {
                 let is_confirmed = self.presence[task].is_confirmed();
                 let phase = if is_confirmed {
                     TaskPhase::Running
@@ -406,7 +406,7 @@
                 };
                 (phase, Some(started.worker.clone()), None)
             }
-            Position::Ended { phase, result } => (*phase, None, result.clone()),
+            TaskState::Ended { phase, result } => (*phase, None, result.clone()),
         };
         TaskStatus {
             key: image.key.clone(),
--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -1,6 +1,6 @@
 //! The records of a shard's log and their encoding.
 
-use crate::state::Position;
+use crate::state::TaskState;
 use crate::LogError;
 use ospreywing_types::{DaemonIdentity, Key, Name, TaskId, TaskPhase, TaskSpec};
 use serde::{Deserialize, Serialize};
@@ -130,7 +130,8 @@
     /// Whether a caller cancelled it.
     pub is_cancelled: bool,
     /// Its state.
-    pub position: Position,
+    #[serde(rename = "position")]
+    pub state: TaskState,
 }
 
 /// A batch of records, stored as the value of one key of the log.
--- a/crates/shard/src/state.rs
+++ b/crates/shard/src/state.rs
@@ -26,7 +26,7 @@
 
 /// The recorded state of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Position {
+pub enum TaskState {
     /// Waiting to be placed on a worker.
     Waiting,
     /// A start is recorded and its attempt is not over.
@@ -52,20 +52,20 @@
 impl TaskData {
     /// Returns the current attempt, if a start is recorded.
     pub const fn started(&self) -> Option<&Started> {
-        match &self.image.position {
-            Position::Started(started) => Some(started),
-            Position::Waiting | Position::Ended { .. } => None,
+        match &self.image.state {
+            TaskState::Started(started) => Some(started),
+            TaskState::Waiting | TaskState::Ended { .. } => None,
         }
     }
 
     /// Returns whether the task waits to be placed.
     pub const fn is_waiting(&self) -> bool {
-        matches!(self.image.position, Position::Waiting) && !self.is_vacant
+        matches!(self.image.state, TaskState::Waiting) && !self.is_vacant
     }
 
     /// Returns whether the task will never run again.
     pub const fn is_ended(&self) -> bool {
-        matches!(self.image.position, Position::Ended { .. })
+        matches!(self.image.state, TaskState::Ended { .. })
     }
 
     /// Returns what the task needs while it runs.
@@ -181,7 +181,7 @@
                 ..
             } => {
                 image.attempts_count = *number;
-                image.position = Position::Started(Started {
+                image.state = TaskState::Started(Started {
                     worker: worker.clone(),
                     incarnation: *incarnation,
                     epoch: *epoch,
@@ -190,18 +190,18 @@
                 });
             }
             Record::Confirm { number, .. } => {
-                if let Position::Started(started) = &mut image.position {
+                if let TaskState::Started(started) = &mut image.state {
                     started.is_confirmed |= started.number == *number;
                 }
             }
             Record::Requeue { is_failure, .. } => {
                 image.failures_count += u32::from(*is_failure);
-                image.position = Position::Waiting;
+                image.state = TaskState::Waiting;
             }
             Record::Cancel { .. } => image.is_cancelled = true,
             Record::End { phase, result, .. } => {
                 image.spec = None;
-                image.position = Position::Ended {
+                image.state = TaskState::Ended {
                     phase: *phase,
                     result: result.clone(),
                 };
@@ -252,6 +252,6 @@
         attempts_count: 0,
         failures_count: 0,
         is_cancelled: false,
-        position: Position::Waiting,
+        state: TaskState::Waiting,
     }
 }
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -1,7 +1,7 @@
 //! The invariants of a simulation, and its repair at the end of a scenario.
 
 use super::simulation::{recovered_owner, Broken, Op, Simulation, DAEMONS_COUNT, WORKERS_COUNT};
-use ospreywing_shard::{verify, Owner, Position};
+use ospreywing_shard::{verify, Owner, TaskState};
 use ospreywing_types::{Key, Resources, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -50,8 +50,8 @@
 
     fn check_capacity(&self) -> Result<(), Broken> {
         for (worker, state) in self.workers.iter().enumerate() {
-            let needs = state.live(self.now).map(|running| running.resources);
-            let used = needs.fold(Resources::ZERO, |sum, need| sum + need);
+            let demands = state.live(self.now).map(|running| running.resources);
+            let used = demands.fold(Resources::ZERO, |sum, demand| sum + demand);
             if !used.fits_in(&state.capacity) {
                 return Err(Broken(format!(
                     "worker {worker}: usage {used} exceeds capacity"
@@ -88,13 +88,13 @@
 
     /// Checks that no rejected task is recorded: a rejection means that the task
     /// won't run.
-    fn check_refused(&self, recovered_owner: &Owner) -> Result<(), Broken> {
+    fn check_rejected(&self, recovered_owner: &Owner) -> Result<(), Broken> {
         let waiting_keys: BTreeSet<&Key> = self.tokens.values().collect();
-        let mut refused = self.last_replies.iter().filter(|(key, &outcome)| {
+        let mut rejected = self.last_replies.iter().filter(|(key, &outcome)| {
             let is_settled = !self.unconfirmed_keys.contains(key) && !self.accepted.contains(key);
             outcome == "refused" && is_settled && !waiting_keys.contains(key)
         });
-        match refused.find(|(key, _)| recovered_owner.state().by_key(key).is_some()) {
+        match rejected.find(|(key, _)| recovered_owner.state().by_key(key).is_some()) {
             Some((key, _)) => Err(Broken(format!("{key}: rejected, but recorded"))),
             None => Ok(()),
         }
@@ -103,7 +103,7 @@
     /// Checks that the log holds every accepted task with its end.
     fn check_accepted(&mut self) -> Result<(), Broken> {
         let recovered_owner = recovered_owner(&self.store);
-        self.check_refused(&recovered_owner)?;
+        self.check_rejected(&recovered_owner)?;
         self.tally.requeues_count += self
             .daemons
             .iter()
@@ -114,8 +114,8 @@
             let Some(task) = recovered_owner.state().by_key(key) else {
                 return Err(Broken(format!("{key}: accepted, but not recorded")));
             };
-            let position = &recovered_owner.state().tasks[task].image.position;
-            if !matches!(position, Position::Ended { .. }) {
+            let state = &recovered_owner.state().tasks[task].image.state;
+            if !matches!(state, TaskState::Ended { .. }) {
                 return Err(Broken(format!("{key}: has no recorded end")));
             }
         }
@@ -143,7 +143,7 @@
         let stuck = owner.and_then(|owner| {
             let mut tasks = owner.state().live_tasks();
             let task = tasks.find(|(_, data)| !data.is_ended())?;
-            Some(format!("{}: {:?}", task.1.image.id, task.1.image.position))
+            Some(format!("{}: {:?}", task.1.image.id, task.1.image.state))
         });
         Err(Broken(format!("a task did not end: {stuck:?}")))
     }
@@ -159,7 +159,7 @@
         for _ in 0..self.buffers.len() {
             self.step(&Op::Arrive { index: 0 })?;
         }
-        for _ in 0..self.replies_in_flight.len() {
+        for _ in 0..self.worker_messages.len() {
             self.step(&Op::Answer { index: 0 })?;
         }
         let owner = self.running_owners().first().copied();
--- a/crates/shard/tests/owner/support/simulation.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -124,11 +124,12 @@
     link: Link,
     order: Order,
     overtaken_count: u32,
+    /// How long the worker has been running since the order arrived in its buffer.
     awake_ms: u64,
 }
 
 /// A worker's message to a daemon that has not arrived yet.
-pub(super) struct ReplyInFlight {
+pub(super) struct WorkerMessage {
     daemon: usize,
     process: u64,
     session: u64,
@@ -150,14 +151,16 @@
 /// A violated invariant, with the entity at fault.
 pub use ospreywing_filetest::Broken;
 
+/// A cell of several daemons and workers with one shard and a store.
 pub struct Simulation {
     pub now: Instant,
     pub(super) store: StoreFake,
     pub(super) daemons: Vec<DaemonFake>,
     pub(super) workers: Vec<BoxFake>,
     pub(super) buffers: Vec<BufferedOrder>,
-    pub(super) replies_in_flight: Vec<ReplyInFlight>,
+    pub(super) worker_messages: Vec<WorkerMessage>,
     pub(super) table: Arc<Table>,
+    /// The workers in the box list.
     pub(super) listed: BTreeSet<usize>,
     pub(super) shut_down_at: [Option<Instant>; WORKERS_COUNT],
     pub(super) keys: Vec<Key>,
@@ -167,10 +170,13 @@
     pub(super) unconfirmed_keys: BTreeSet<Key>,
     /// The nonces of the claims that were granted each request key.
     pub(super) granted: BTreeMap<Key, BTreeSet<u64>>,
+    /// The nonce of the claim of each token.
     pub(super) claims: BTreeMap<u64, u64>,
     /// The latest reply to the callers of each key.
     pub(super) last_replies: BTreeMap<Key, &'static str>,
+    /// The key of each token whose caller waits for a reply.
     pub(super) tokens: BTreeMap<u64, Key>,
+    /// When a report was last requested over each session.
     pub(super) asked_at: BTreeMap<u64, Instant>,
     pub(super) next_number: u64,
     pub tally: Tally,
@@ -226,7 +232,7 @@
             daemons: (0..DAEMONS_COUNT).map(|_| DaemonFake::default()).collect(),
             workers: Vec::new(),
             buffers: Vec::new(),
-            replies_in_flight: Vec::new(),
+            worker_messages: Vec::new(),
             table: table(),
             listed: (0..WORKERS_COUNT).collect(),
             shut_down_at: [None; WORKERS_COUNT],
@@ -405,7 +411,7 @@
             for index in (0..self.buffers.len()).rev() {
                 self.arrive(index);
             }
-            for _ in 0..self.replies_in_flight.len() {
+            for _ in 0..self.worker_messages.len() {
                 self.answer(0);
             }
             self.process_inboxes();
@@ -428,7 +434,7 @@
             let link = self.daemons[daemon].link(worker);
             let Some(link) = link else { continue };
             if link.incarnation == self.workers[worker].incarnation {
-                self.replies_in_flight.push(ReplyInFlight {
+                self.worker_messages.push(WorkerMessage {
                     daemon,
                     process: self.daemons[daemon].process,
                     session: link.session,
@@ -690,7 +696,7 @@
         }
         // Answers in flight over the connection are lost.
         let lost_acks: Vec<AttemptId> = self
-            .replies_in_flight
+            .worker_messages
             .iter()
             .filter(|b| b.daemon == daemon && b.session == link.session)
             .filter_map(|b| match b.event {
@@ -701,7 +707,7 @@
         for attempt in lost_acks {
             self.queue(daemon, Event::StartUnconfirmed { attempt });
         }
-        self.replies_in_flight
+        self.worker_messages
             .retain(|b| b.daemon != daemon || b.session != link.session);
         let worker = worker_name(worker);
         let session = link.session;
@@ -804,7 +810,7 @@
             }
         };
         if let Some(event) = event {
-            self.replies_in_flight.push(ReplyInFlight {
+            self.worker_messages.push(WorkerMessage {
                 daemon: buffered.daemon,
                 process: buffered.process,
                 session: buffered.link.session,
@@ -816,20 +822,20 @@
     /// A worker's message reaches its daemon, in any order, if the connection is
     /// still open.
     fn answer(&mut self, index: usize) {
-        if self.replies_in_flight.is_empty() {
+        if self.worker_messages.is_empty() {
             return;
         }
-        let index = index % self.replies_in_flight.len();
-        let reply = self.replies_in_flight.remove(index);
-        let daemon = &self.daemons[reply.daemon];
+        let index = index % self.worker_messages.len();
+        let message = self.worker_messages.remove(index);
+        let daemon = &self.daemons[message.daemon];
         let is_linked = daemon
             .links
             .iter()
-            .any(|link| link.session == reply.session);
-        if daemon.process != reply.process || !is_linked {
+            .any(|link| link.session == message.session);
+        if daemon.process != message.process || !is_linked {
             return;
         }
-        self.queue(reply.daemon, reply.event);
+        self.queue(message.daemon, message.event);
     }
 
     fn finish(&mut self, worker: usize, index: usize, is_good: bool) {
