--- a/crates/shard/src/config.rs
+++ b/crates/shard/src/config.rs
@@ -25,7 +25,8 @@
     /// The longest time for which a running worker may leave a message unread in
     /// its buffers.
     pub settling_time: Duration,
-    /// The time after a box has left the box list from which nothing runs on it.
+    /// The time after which nothing runs any more on a box that has left the box
+    /// list.
     pub unlisted_quarantine: Duration,
     /// The time after which an unanswered commit causes new work to be rejected.
     pub commit_timeout: Duration,
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -304,8 +304,11 @@
     /// that they would have got.
     fn answer_inflight(&mut self, replacement: fn(&Reply) -> Reply, actions: &mut Vec<Action>) {
         let inflight = self.inflight.as_mut();
-        let in_flight = inflight.map(|inflight| &mut inflight.effects);
-        for effects in in_flight.into_iter().chain([&mut self.pending_effects]) {
+        let inflight_effects = inflight.map(|inflight| &mut inflight.effects);
+        for effects in inflight_effects
+            .into_iter()
+            .chain([&mut self.pending_effects])
+        {
             effects.retain(|effect| {
                 let Effect::Reply(token, reply) = effect else {
                     return true;
--- a/crates/shard/src/log.rs
+++ b/crates/shard/src/log.rs
@@ -61,7 +61,7 @@
 const CLEAN_BATCHES_COUNT: usize = 4;
 /// The number of cleaned bytes after which a commit cleans no further batch;
 /// keeps batches well under the store's limit of 1 MB.
-const BATCH_LIMIT_BYTES: usize = 256 * 1024;
+const CLEAN_LIMIT_BYTES: usize = 256 * 1024;
 
 impl Log {
     /// Adds a batch read from the store.
@@ -119,7 +119,7 @@
         let mut written_bytes = 0;
         let mut seen = HashSet::new();
         for _ in 0..CLEAN_BATCHES_COUNT {
-            if !self.is_cleaning_due(state) || written_bytes > BATCH_LIMIT_BYTES {
+            if !self.is_cleaning_due(state) || written_bytes > CLEAN_LIMIT_BYTES {
                 return;
             }
             let Some(oldest) = self.batches.pop_front() else {
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -213,7 +213,7 @@
             }
             Event::StartAcked { attempt } => self.on_start_acked(now, attempt),
             Event::StartNotSent { attempt } => self.on_start_not_sent(now, attempt),
-            Event::StartUnconfirmed { attempt } => self.on_start_in_doubt(attempt),
+            Event::StartUnconfirmed { attempt } => self.on_start_unconfirmed(attempt),
             Event::Ended { worker, ended } => {
                 let worker = self.workers.intern(&worker);
                 self.on_ended(now, worker, &ended);
--- a/crates/shard/src/resolve.rs
+++ b/crates/shard/src/resolve.rs
@@ -218,8 +218,8 @@
             return None;
         }
         let task = self.state.by_id(attempt.task)?;
-        let on_record = self.state.attempt(self.config.shard, task)?;
-        (on_record == attempt).then_some(task)
+        let current = self.state.attempt(self.config.shard, task)?;
+        (current == attempt).then_some(task)
     }
 
     pub(crate) fn on_start_acked(&mut self, now: Instant, attempt: AttemptId) {
@@ -237,7 +237,7 @@
         }
     }
 
-    pub(crate) fn on_start_in_doubt(&mut self, attempt: AttemptId) {
+    pub(crate) fn on_start_unconfirmed(&mut self, attempt: AttemptId) {
         let Some(task) = self.task_of_attempt(attempt) else {
             return;
         };
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -11,9 +11,9 @@
     Cell,
     /// A team and its quota.
     Team,
-    /// A workload of interactive requests, which are answered without queueing in a shard.
+    /// A workload of requests that must be answered immediately.
     Service,
-    /// A workload of tasks that may wait but must be run to their end.
+    /// A workload of tasks that may wait but must be completed.
     Batch,
 }
 
