--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -295,9 +295,9 @@
     fn request_report(&mut self, now: Instant, worker: Worker, actions: &mut Vec<Action>) {
         let data = self.workers.get(worker);
         let Some(session) = &data.session else { return };
-        let is_in_doubt =
+        let is_unconfirmed =
             |task: &Task| matches!(self.presence[*task], Presence::Unconfirmed { .. });
-        let every = if data.tasks.iter().any(is_in_doubt) {
+        let every = if data.tasks.iter().any(is_unconfirmed) {
             self.config.unconfirmed_report_every
         } else {
             self.config.report_every
--- a/crates/shard/tests/owner/search.rs
+++ b/crates/shard/tests/owner/search.rs
@@ -27,7 +27,7 @@
 
 fn ordinary() -> impl Strategy<Value = Op> {
     prop_oneof![
-        4 => any::<bool>().prop_map(|row| Op::Submit { row }),
+        4 => any::<bool>().prop_map(|is_safe| Op::Submit { is_safe }),
         8 => (10u64..6000).prop_map(|ms| Op::Pass { ms }),
         2 => (4000u64..200_000).prop_map(|ms| Op::Run { ms }),
         8 => daemon().prop_map(|daemon| Op::Commit { daemon }),
--- a/crates/shard/tests/owner/support/script.rs
+++ b/crates/shard/tests/owner/support/script.rs
@@ -32,8 +32,8 @@
 
 fn op(words: &[&str]) -> Result<Op, Broken> {
     Ok(match *words {
-        ["submit", "safe"] => Op::Submit { row: true },
-        ["submit", "unsafe"] => Op::Submit { row: false },
+        ["submit", "safe"] => Op::Submit { is_safe: true },
+        ["submit", "unsafe"] => Op::Submit { is_safe: false },
         ["cancel", key] => Op::Cancel { index: index(key) },
         ["pass", length] => Op::Pass { ms: ms(length) },
         ["commit", daemon] => Op::Commit {
--- a/crates/shard/tests/owner/support/simulation.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -37,7 +37,7 @@
         nonce: u64,
     },
     Submit {
-        row: bool,
+        is_safe: bool,
     },
     Pass {
         ms: u64,
@@ -250,16 +250,16 @@
             stray_start: None,
         };
         for _ in 0..WORKERS_COUNT {
-            let incarnation = simulation.number();
+            let incarnation = simulation.next_number();
             simulation.workers.push(BoxFake::new(incarnation, CAPACITY));
         }
         for daemon in 0..DAEMONS_COUNT {
-            simulation.daemons[daemon].process = simulation.number();
+            simulation.daemons[daemon].process = simulation.next_number();
         }
         simulation
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
@@ -274,7 +274,7 @@
 
     fn apply(&mut self, op: &Op) {
         match *op {
-            Op::Submit { row } => self.submit(row),
+            Op::Submit { is_safe } => self.submit(is_safe),
             Op::Pass { ms } => self.pass(ms),
             Op::Run { ms } => self.run(ms),
             Op::Lag { daemon, is_on } => self.daemons[daemon].is_lagging = is_on,
@@ -327,7 +327,7 @@
             self.unsafe_keys.insert(key.clone());
         }
         for daemon in self.running_owners() {
-            let token = self.number();
+            let token = self.next_number();
             self.tokens.insert(token, key.clone());
             let event = Event::Submit {
                 token: Token(token),
@@ -348,7 +348,7 @@
         }
         let key = self.keys[index % self.keys.len()].clone();
         for daemon in self.running_owners() {
-            let token = Token(self.number());
+            let token = Token(self.next_number());
             let key = key.clone();
             self.handle_event(daemon, Event::Cancel { token, key });
         }
@@ -357,7 +357,7 @@
     /// A daemon claims the only run of a request that is unsafe to repeat.
     fn take_key(&mut self, daemon: usize, number: u64, nonce: u64) {
         let key = Key::new(&format!("r{number}")).expect("the key is valid");
-        let token = self.number();
+        let token = self.next_number();
         self.tokens.insert(token, key.clone());
         self.claims.insert(token, nonce);
         let token = Token(token);
@@ -644,7 +644,7 @@
         if self.daemons[daemon].link(worker).is_some() {
             return;
         }
-        let session = self.number();
+        let session = self.next_number();
         let link = Link {
             worker,
             session,
@@ -856,7 +856,7 @@
     /// A daemon is killed and a new process replaces it.
     fn kill(&mut self, daemon: usize) {
         self.tally.faults_count += 1;
-        let process = self.number();
+        let process = self.next_number();
         self.daemons[daemon] = DaemonFake {
             process,
             ..DaemonFake::default()
@@ -875,7 +875,7 @@
 
     fn restart_worker(&mut self, worker: usize) {
         self.tally.faults_count += 1;
-        let incarnation = self.number();
+        let incarnation = self.next_number();
         self.workers[worker].restart(incarnation);
         for daemon in 0..DAEMONS_COUNT {
             self.cut(daemon, worker);
@@ -909,7 +909,7 @@
                 self.shut_down_delisted();
             }
             if self.workers[worker].is_dead {
-                let incarnation = self.number();
+                let incarnation = self.next_number();
                 self.workers[worker].restart(incarnation);
                 self.workers[worker].is_dead = false;
             }
