--- a/crates/shard/src/closing.rs
+++ b/crates/shard/src/closing.rs
@@ -1,34 +1,34 @@
-//! An ownership that has ended, until nothing of it is on its way.
+//! An ownership that has ended, kept until none of its starts is in flight.
 
 use ospreywing_types::AttemptId;
 use std::collections::BTreeSet;
 
-/// A former owner with the starts it has sent and not heard of.
+/// An ended ownership and its starts that were sent and not yet resolved.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Closing {
     shard: u32,
     epoch: u64,
-    on_their_way: BTreeSet<AttemptId>,
+    starts_in_flight: BTreeSet<AttemptId>,
 }
 
 impl Closing {
-    /// Creates the closing of an epoch with `attempts` on their way.
+    /// Creates the closing state of an epoch with the starts of `attempts` in flight.
     pub fn new(shard: u32, epoch: u64, attempts: Vec<AttemptId>) -> Self {
         Self {
             shard,
             epoch,
-            on_their_way: attempts.into_iter().collect(),
+            starts_in_flight: attempts.into_iter().collect(),
         }
     }
 
-    /// Notes that a start was taken, not sent, or lost with its connection.
+    /// Records that a start was acknowledged, not sent, or lost with its connection.
     pub fn resolve(&mut self, attempt: AttemptId) {
-        self.on_their_way.remove(&attempt);
+        self.starts_in_flight.remove(&attempt);
     }
 
-    /// Returns whether no start of the epoch is on its way.
+    /// Returns whether no start of the epoch is in flight.
     pub fn is_closed(&self) -> bool {
-        self.on_their_way.is_empty()
+        self.starts_in_flight.is_empty()
     }
 
     /// Returns the shard.
--- a/crates/shard/src/free_index.rs
+++ b/crates/shard/src/free_index.rs
@@ -1,19 +1,21 @@
-//! Workers in the order of their free processors.
+//! An index of workers by their free processors.
 
 use crate::entity::Worker;
 use ospreywing_table::Policy;
 use ospreywing_types::Resources;
 use std::collections::BTreeSet;
 
-/// A worker with its free processors, the order of the index.
+/// An entry of the index, ordered by free processors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Slot {
     cores_milli: u32,
     worker: Worker,
 }
 
-/// The workers that may be given work, plain ones apart from those with
-/// accelerators, so that plain tasks leave accelerators free where they can.
+/// The workers on which tasks may be placed.
+///
+/// Workers with accelerators are kept in a set of their own, so that tasks
+/// without accelerators are placed there only when no other worker fits.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FreeIndex {
     plain: BTreeSet<Slot>,
@@ -21,14 +23,14 @@
 }
 
 impl FreeIndex {
-    /// Adds a worker with `free` room.
+    /// Adds a worker with the free capacity `free`.
     pub(crate) fn insert(&mut self, worker: Worker, free: &Resources, is_accelerated: bool) {
-        self.part(is_accelerated).insert(slot(worker, free));
+        self.set_of(is_accelerated).insert(slot(worker, free));
     }
 
-    /// Removes a worker that was added with `free` room.
+    /// Removes a worker that was added with the free capacity `free`.
     pub(crate) fn remove(&mut self, worker: Worker, free: &Resources, is_accelerated: bool) {
-        self.part(is_accelerated).remove(&slot(worker, free));
+        self.set_of(is_accelerated).remove(&slot(worker, free));
     }
 
     /// Returns the number of workers in the index.
@@ -36,25 +38,25 @@
         self.plain.len() + self.accelerated.len()
     }
 
-    /// Returns the worker to give `need` to, where one has room.
+    /// Returns the worker on which to place `demand`, if one has the free capacity.
     ///
-    /// `fits` says whether a worker has room for the whole need.
+    /// `fits` returns whether a worker's free capacity covers all of `demand`.
     pub(crate) fn find(
         &self,
-        need: &Resources,
+        demand: &Resources,
         policy: Policy,
         fits: impl Fn(Worker) -> bool,
     ) -> Option<Worker> {
-        if need.accelerators_count == 0 {
-            let plain = find_in(&self.plain, need, policy, &fits);
+        if demand.accelerators_count == 0 {
+            let plain = find_in(&self.plain, demand, policy, &fits);
             if plain.is_some() {
                 return plain;
             }
         }
-        find_in(&self.accelerated, need, policy, &fits)
+        find_in(&self.accelerated, demand, policy, &fits)
     }
 
-    fn part(&mut self, is_accelerated: bool) -> &mut BTreeSet<Slot> {
+    fn set_of(&mut self, is_accelerated: bool) -> &mut BTreeSet<Slot> {
         if is_accelerated {
             &mut self.accelerated
         } else {
@@ -72,17 +74,17 @@
 
 fn find_in(
     slots: &BTreeSet<Slot>,
-    need: &Resources,
+    demand: &Resources,
     policy: Policy,
     fits: &impl Fn(Worker) -> bool,
 ) -> Option<Worker> {
-    let least = Slot {
-        cores_milli: need.cores_milli,
+    let min_slot = Slot {
+        cores_milli: demand.cores_milli,
         worker: Worker::from_u32(0),
     };
-    let mut roomy = slots.range(least..).map(|slot| slot.worker);
+    let mut candidates = slots.range(min_slot..).map(|slot| slot.worker);
     match policy {
-        Policy::Packing => roomy.find(|&worker| fits(worker)),
-        Policy::Waiting => roomy.rfind(|&worker| fits(worker)),
+        Policy::Packing => candidates.find(|&worker| fits(worker)),
+        Policy::Waiting => candidates.rfind(|&worker| fits(worker)),
     }
 }
--- a/crates/shard/tests/owner/search.rs
+++ b/crates/shard/tests/owner/search.rs
@@ -1,8 +1,11 @@
-//! Searches the interleavings of daemons, workers and the store for one that
-//! breaks a promise: message delay, loss and reordering, pauses between a check
-//! and its send, deaths, takeovers, lost answers. Seeds are fixed.
+//! Searches interleavings of the events of daemons, workers and the store for one
+//! that violates an invariant.
+//!
+//! The scenarios include delayed, lost and reordered messages, pauses between a
+//! check and the send that depends on it, killed daemons, takeovers and lost
+//! answers of the store. The seed is fixed.
 
-use crate::support::world::{Broken, Op, Tally, World, DAEMONS_COUNT, WORKERS_COUNT};
+use crate::support::simulation::{Broken, Op, Simulation, Tally, DAEMONS_COUNT, WORKERS_COUNT};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use std::sync::Mutex;
@@ -24,7 +27,7 @@
 
 fn ordinary() -> impl Strategy<Value = Op> {
     prop_oneof![
-        4 => any::<bool>().prop_map(|row| Op::Submit { row }),
+        4 => any::<bool>().prop_map(|is_safe| Op::Submit { is_safe }),
         8 => (10u64..6000).prop_map(|ms| Op::Pass { ms }),
         2 => (4000u64..200_000).prop_map(|ms| Op::Run { ms }),
         8 => daemon().prop_map(|daemon| Op::Commit { daemon }),
@@ -69,26 +72,26 @@
     proptest::collection::vec(step, 1..STEPS_COUNT)
 }
 
-fn play(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
-    let mut world = World::new();
-    world.step(&Op::Claim { daemon: 0 })?;
+fn run_scenario(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
+    let mut simulation = Simulation::new();
+    simulation.step(&Op::Claim { daemon: 0 })?;
     for op in ops {
-        world.step(op)?;
+        simulation.step(op)?;
     }
-    world.heal()?;
+    simulation.heal()?;
     let mut sum = tally.lock().unwrap_or_else(|e| e.into_inner());
     sum.interleavings_count += 1;
-    sum.steps_count += world.tally.steps_count;
-    sum.faults_count += world.tally.faults_count;
-    sum.runs_count += world.tally.runs_count;
-    sum.finished_count += world.tally.finished_count;
-    sum.claims_count += world.tally.claims_count;
-    sum.requeues_count += world.tally.requeues_count;
+    sum.steps_count += simulation.tally.steps_count;
+    sum.faults_count += simulation.tally.faults_count;
+    sum.runs_count += simulation.tally.runs_count;
+    sum.finished_count += simulation.tally.finished_count;
+    sum.claims_count += simulation.tally.claims_count;
+    sum.requeues_count += simulation.tally.requeues_count;
     Ok(())
 }
 
 #[test]
-fn owner_keeps_its_promises_in_every_interleaving() {
+fn owner_handle_interleavings_keep_invariants() {
     let config = Config {
         cases: CASES_COUNT,
         failure_persistence: None,
@@ -99,7 +102,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let tally = Mutex::new(Tally::default());
     let found = runner.run(&steps(), |ops| {
-        play(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
+        run_scenario(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
     });
     println!("{:?}", tally.lock().unwrap_or_else(|e| e.into_inner()));
     if let Err(error) = found {
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -1,12 +1,12 @@
-//! What must always hold in a world, and the way back to health.
+//! The invariants of a simulation, and its repair at the end of a scenario.
 
-use super::world::{reader, Broken, Op, World, DAEMONS_COUNT, WORKERS_COUNT};
-use ospreywing_shard::{verify, Owner, Position};
+use super::simulation::{recovered_owner, Broken, Op, Simulation, DAEMONS_COUNT, WORKERS_COUNT};
+use ospreywing_shard::{verify, Owner, TaskState};
 use ospreywing_types::{Key, Resources, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-impl World {
-    /// Checks what must always hold, in the owners and in the world.
+impl Simulation {
+    /// Checks the invariants of the owners and of the simulation after a step.
     pub(super) fn check(&mut self) -> Result<(), Broken> {
         for (daemon, state) in self.daemons.iter().enumerate() {
             let Some(owner) = &state.owner else { continue };
@@ -14,9 +14,9 @@
                 return Err(Broken(format!("daemon {daemon}: {}", errors[0])));
             }
         }
-        if let Some(attempt) = self.off_log.take() {
+        if let Some(attempt) = self.stray_start.take() {
             return Err(Broken(format!(
-                "{attempt}: began while the log was past it"
+                "{attempt}: started, but not current in the log"
             )));
         }
         self.check_granted()?;
@@ -25,7 +25,7 @@
         self.check_unsafe()
     }
 
-    /// The one run of a request is granted to one claim.
+    /// Checks that each request key was granted to at most one claim.
     fn check_granted(&self) -> Result<(), Broken> {
         match self.granted.iter().find(|(_, nonces)| nonces.len() > 1) {
             Some((key, nonces)) => Err(Broken(format!("{key}: granted to {nonces:?}"))),
@@ -34,11 +34,11 @@
     }
 
     fn check_runs(&self) -> Result<(), Broken> {
-        let mut places: BTreeMap<TaskId, usize> = BTreeMap::new();
+        let mut worker_of_task: BTreeMap<TaskId, usize> = BTreeMap::new();
         for (worker, state) in self.workers.iter().enumerate() {
             for running in state.live(self.now) {
                 let task = running.attempt.task;
-                if let Some(other) = places.insert(task, worker) {
+                if let Some(other) = worker_of_task.insert(task, worker) {
                     return Err(Broken(format!(
                         "{task}: runs on worker {other} and on worker {worker}"
                     )));
@@ -50,55 +50,60 @@
 
     fn check_capacity(&self) -> Result<(), Broken> {
         for (worker, state) in self.workers.iter().enumerate() {
-            let needs = state.live(self.now).map(|running| running.resources);
-            let used = needs.fold(Resources::ZERO, |sum, need| sum + need);
+            let demands = state.live(self.now).map(|running| running.resources);
+            let used = demands.fold(Resources::ZERO, |sum, demand| sum + demand);
             if !used.fits_in(&state.capacity) {
-                return Err(Broken(format!("worker {worker}: runs {used}")));
+                return Err(Broken(format!(
+                    "worker {worker}: usage {used} exceeds capacity"
+                )));
             }
         }
         Ok(())
     }
 
     fn check_unsafe(&self) -> Result<(), Broken> {
-        let mut begun: BTreeMap<TaskId, u32> = BTreeMap::new();
+        let mut started: BTreeMap<TaskId, u32> = BTreeMap::new();
         for state in &self.workers {
-            for attempt in &state.begun {
-                *begun.entry(attempt.task).or_default() += 1;
+            for attempt in &state.started {
+                *started.entry(attempt.task).or_default() += 1;
             }
         }
-        // What a fenced owner has not committed is nothing.
+        // The uncommitted state of a fenced owner has no effect.
         let owners = self.daemons.iter().filter_map(|d| d.owner.as_ref());
         for owner in owners.filter(|owner| owner.config().epoch == self.store.epoch) {
             for (_, data) in owner.state().live_tasks() {
                 let is_unsafe = self.unsafe_keys.contains(&data.image.key);
-                let count = begun.get(&data.image.id).copied().unwrap_or(0);
-                // A failed run is not repeated either.
+                let count = started.get(&data.image.id).copied().unwrap_or(0);
+                // The limit holds for failed runs too.
                 if is_unsafe && count > 1 {
                     let id = data.image.id;
-                    return Err(Broken(format!("{id}: unsafe to repeat, ran {count} times")));
+                    return Err(Broken(format!(
+                        "{id}: unsafe to repeat, but started {count} times"
+                    )));
                 }
             }
         }
         Ok(())
     }
 
-    /// What was refused is not on record: "not run" means that it will not run.
-    fn check_refused(&self, reader: &Owner) -> Result<(), Broken> {
-        let waits: BTreeSet<&Key> = self.tokens.values().collect();
-        let mut refused = self.said.iter().filter(|(key, &word)| {
-            let is_settled = !self.doubtful.contains(key) && !self.accepted.contains(key);
-            word == "refused" && is_settled && !waits.contains(key)
+    /// Checks that no rejected task is recorded: a rejection means that the task
+    /// won't run.
+    fn check_rejected(&self, recovered_owner: &Owner) -> Result<(), Broken> {
+        let waiting_keys: BTreeSet<&Key> = self.tokens.values().collect();
+        let mut rejected = self.last_replies.iter().filter(|(key, &outcome)| {
+            let is_settled = !self.unconfirmed_keys.contains(key) && !self.accepted.contains(key);
+            outcome == "refused" && is_settled && !waiting_keys.contains(key)
         });
-        match refused.find(|(key, _)| reader.state().by_key(key).is_some()) {
-            Some((key, _)) => Err(Broken(format!("{key}: was refused and is on record"))),
+        match rejected.find(|(key, _)| recovered_owner.state().by_key(key).is_some()) {
+            Some((key, _)) => Err(Broken(format!("{key}: rejected, but recorded"))),
             None => Ok(()),
         }
     }
 
-    /// Every task that was acknowledged is in the log with an end.
+    /// Checks that the log holds every accepted task with its end.
     fn check_accepted(&mut self) -> Result<(), Broken> {
-        let reader = reader(&self.store);
-        self.check_refused(&reader)?;
+        let recovered_owner = recovered_owner(&self.store);
+        self.check_rejected(&recovered_owner)?;
         self.tally.requeues_count += self
             .daemons
             .iter()
@@ -106,18 +111,18 @@
             .map(|owner| owner.counts().requeued_count)
             .sum::<u64>();
         for key in &self.accepted {
-            let Some(task) = reader.state().by_key(key) else {
-                return Err(Broken(format!("{key}: was acknowledged and is lost")));
+            let Some(task) = recovered_owner.state().by_key(key) else {
+                return Err(Broken(format!("{key}: accepted, but not recorded")));
             };
-            let position = &reader.state().tasks[task].image.position;
-            if !matches!(position, Position::Ended { .. }) {
-                return Err(Broken(format!("{key}: has no end on record")));
+            let state = &recovered_owner.state().tasks[task].image.state;
+            if !matches!(state, TaskState::Ended { .. }) {
+                return Err(Broken(format!("{key}: has no recorded end")));
             }
         }
         Ok(())
     }
 
-    /// Mends everything and lets the world run until all tasks have ended.
+    /// Repairs every fault and runs the simulation until all tasks have ended.
     pub fn heal(&mut self) -> Result<(), Broken> {
         for worker in 0..WORKERS_COUNT {
             self.step(&Op::Thaw { worker })?;
@@ -138,9 +143,9 @@
         let stuck = owner.and_then(|owner| {
             let mut tasks = owner.state().live_tasks();
             let task = tasks.find(|(_, data)| !data.is_ended())?;
-            Some(format!("{}: {:?}", task.1.image.id, task.1.image.position))
+            Some(format!("{}: {:?}", task.1.image.id, task.1.image.state))
         });
-        Err(Broken(format!("stuck: {stuck:?}")))
+        Err(Broken(format!("a task did not end: {stuck:?}")))
     }
 
     fn heal_round(&mut self) -> Result<(), Broken> {
@@ -154,10 +159,10 @@
         for _ in 0..self.buffers.len() {
             self.step(&Op::Arrive { index: 0 })?;
         }
-        for _ in 0..self.backs.len() {
+        for _ in 0..self.worker_messages.len() {
             self.step(&Op::Answer { index: 0 })?;
         }
-        let owner = self.owners().first().copied();
+        let owner = self.running_owners().first().copied();
         match owner {
             Some(daemon) if self.store.owner == Some(daemon) => {
                 self.step(&Op::AskClosed { daemon })?;
@@ -178,13 +183,13 @@
     }
 
     fn is_done(&self) -> bool {
-        let Some(daemon) = self.owners().first().copied() else {
+        let Some(daemon) = self.running_owners().first().copied() else {
             return self.keys.is_empty();
         };
         let Some(owner) = &self.daemons[daemon].owner else {
             return false;
         };
-        let is_committed = self.daemons[daemon].commit.is_none() && !owner.wants_commit();
+        let is_committed = self.daemons[daemon].commit.is_none() && !owner.needs_commit();
         let is_owner = self.store.owner == Some(daemon) && is_committed;
         let mut tasks = owner.state().live_tasks();
         is_owner && tasks.all(|(_, data)| data.is_ended())
