--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -182,7 +182,7 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if let Some(token) = self.token {
-            self.engine.try_tell(Event::CallerLeft { token });
+            self.engine.try_tell(Event::CallerDisconnected { token });
         }
     }
 }
@@ -260,7 +260,7 @@
             }
             if let Some(since) = leaving_since {
                 let is_overdue = clock::now().since(since) >= drain_limit;
-                if self.node.has_left() || is_overdue {
+                if self.node.is_shutdown_complete() || is_overdue {
                     info!(self.log, "left"; "is_overdue" => is_overdue);
                     return;
                 }
@@ -321,7 +321,7 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Event::CallerLeft { token } = &event {
+        if let Event::CallerDisconnected { token } = &event {
             self.requests.remove(token);
         }
         let mut actions = core::mem::take(&mut self.actions);
@@ -362,8 +362,8 @@
                 request,
                 token,
                 addr,
-                time_limit,
-            } => self.send_request(request, token, addr, time_limit),
+                timeout,
+            } => self.send_request(request, token, addr, timeout),
             other => self.hands.sessions.carry_out(other),
         }
     }
@@ -409,7 +409,7 @@
         }
     }
 
-    fn send_request(&mut self, request: Request, token: u64, addr: String, time_limit: Duration) {
+    fn send_request(&mut self, request: Request, token: u64, addr: String, timeout: Duration) {
         let Some(open) = self.requests.get(&token) else {
             // The caller left in this very moment.
             self.hands.minions.not_sent(request);
@@ -419,7 +419,7 @@
         let (row, key) = (open.row.clone(), open.key.clone());
         self.hands
             .minions
-            .send(request, token, addr, row, key, body, time_limit);
+            .send(request, token, addr, row, key, body, timeout);
     }
 
     /// Logs what changed, and nothing else.
--- a/crates/daemon/src/minions.rs
+++ b/crates/daemon/src/minions.rs
@@ -79,7 +79,7 @@
                 Err(error) if error.is_not_sent() => {
                     this.engine.tell(Event::RequestNotSent(request)).await;
                 }
-                Err(_) => this.engine.tell(Event::RequestBroken(request)).await,
+                Err(_) => this.engine.tell(Event::RequestInterrupted(request)).await,
             }
         });
     }
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -94,7 +94,9 @@
             self.gone(to).await;
         } else {
             let incarnation = to.incarnation;
-            self.engine.tell(Event::PeerRefused { incarnation }).await;
+            self.engine
+                .tell(Event::PeerConnectionRefused { incarnation })
+                .await;
         }
     }
 
@@ -125,7 +127,7 @@
                 Err(_) => return,
             };
             this.engine
-                .tell(Event::EpochAnswered {
+                .tell(Event::CloseEpochAnswered {
                     shard,
                     epoch,
                     reply,
--- a/crates/daemon/src/store_poll.rs
+++ b/crates/daemon/src/store_poll.rs
@@ -80,11 +80,11 @@
         let changed = page.key_values.iter().map(|found| found.key.clone());
         let mut known = self.known.clone();
         known.extend(changed);
-        let is_whole = self.revision == 0;
+        let is_snapshot = self.revision == 0;
         let fits = known.len() as u64 == page.count && !page.has_more;
         if fits {
             self.known = known;
-            self.tell(asked_at, &page, is_whole).await;
+            self.tell(asked_at, &page, is_snapshot).await;
             return Ok(());
         }
         let asked_at = clock::now();
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    async fn tell(&mut self, asked_at: ospreywing_types::Instant, page: &Page, is_whole: bool) {
+    async fn tell(&mut self, asked_at: ospreywing_types::Instant, page: &Page, is_snapshot: bool) {
         self.revision = page.revision;
         let is_entered = self.known.contains(&self.member_key);
         self.is_entered.store(is_entered, Ordering::Relaxed);
@@ -106,7 +106,7 @@
             changes: found
                 .filter_map(|found| self.layout.change(found))
                 .collect(),
-            is_whole,
+            is_snapshot,
         };
         self.engine.tell(Event::Polled(poll)).await;
     }
--- a/crates/daemon/src/table_edit.rs
+++ b/crates/daemon/src/table_edit.rs
@@ -222,7 +222,7 @@
         loop {
             let checked = self.engine.ask(|node, now| node.check_edit(now)).await;
             match checked {
-                Ok(Err(blocked)) if blocked.may_pass() => {}
+                Ok(Err(blocked)) if blocked.is_transient() => {}
                 _ => return,
             }
             tokio::time::sleep(SETTLE_CHECK_EVERY).await;
--- a/crates/membership/src/freshness.rs
+++ b/crates/membership/src/freshness.rs
@@ -28,19 +28,20 @@
 impl Freshness {
     /// Returns what the knowledge rests on at `now`.
     ///
-    /// `heard_at` is when the last call that the store answered was begun.
-    pub fn new(now: Instant, heard_at: Option<Instant>, peers: &Peers) -> Self {
+    /// `store_contact_at` is when the last call that the store answered was begun.
+    pub fn new(now: Instant, store_contact_at: Option<Instant>, peers: &Peers) -> Self {
         let is_recent = |at: Instant| now.since(at) < FRESH_FOR;
-        if heard_at.is_some_and(is_recent) {
+        if store_contact_at.is_some_and(is_recent) {
             return Self::Store;
         }
-        let heard_by = |peer: &crate::Peer| peer.store_heard_at.is_some_and(is_recent);
-        if peers.iter().any(heard_by) {
+        let contacted_store = |peer: &crate::Peer| peer.store_contact_at.is_some_and(is_recent);
+        if peers.iter().any(contacted_store) {
             return Self::Peer;
         }
         // Without ever having heard of the store there is no table to go by.
-        let ever_heard = heard_at.is_some() || peers.iter().any(|p| p.store_heard_at.is_some());
-        if ever_heard && has_majority(now, peers) {
+        let was_ever_contacted =
+            store_contact_at.is_some() || peers.iter().any(|p| p.store_contact_at.is_some());
+        if was_ever_contacted && has_majority(now, peers) {
             return Self::StoreDown;
         }
         Self::Unknown
@@ -67,18 +68,18 @@
 pub enum EditBlocked {
     /// The store was not heard from lately.
     #[error("the store last answered a call begun {age_ms} ms ago")]
-    StoreSilent {
+    StoreUnresponsive {
         /// How long ago that call was begun.
         age_ms: u64,
     },
     /// The store was never heard from.
     #[error("the store has not answered yet")]
-    StoreUnheard,
+    StoreNeverContacted,
     /// Too few of the daemons were heard from lately.
-    #[error("{heard_count} of {all_count} daemons were heard from lately")]
+    #[error("{responsive_count} of {all_count} daemons were heard from lately")]
     NoMajority {
         /// The daemons heard from, this one included.
-        heard_count: usize,
+        responsive_count: usize,
         /// The daemons met a short while ago that have not answered yet.
         new_count: usize,
         /// All daemons that may be there.
@@ -89,19 +90,19 @@
 impl EditBlocked {
     /// Returns what keeps a daemon from accepting an edit at `now`, if anything does.
     ///
-    /// `heard_at` is when the last call that the store answered was begun.
-    pub fn find(now: Instant, heard_at: Option<Instant>, peers: &Peers) -> Option<Self> {
-        let Some(heard_at) = heard_at else {
-            return Some(Self::StoreUnheard);
+    /// `store_contact_at` is when the last call that the store answered was begun.
+    pub fn find(now: Instant, store_contact_at: Option<Instant>, peers: &Peers) -> Option<Self> {
+        let Some(store_contact_at) = store_contact_at else {
+            return Some(Self::StoreNeverContacted);
         };
-        let age = now.since(heard_at);
+        let age = now.since(store_contact_at);
         if age >= FRESH_FOR {
             let age_ms = age.as_ms();
-            return Some(Self::StoreSilent { age_ms });
+            return Some(Self::StoreUnresponsive { age_ms });
         }
-        let count = HeardCount::new(now, peers);
+        let count = ResponsiveCount::new(now, peers);
         (!count.is_majority()).then_some(Self::NoMajority {
-            heard_count: count.heard,
+            responsive_count: count.heard,
             new_count: count.new,
             all_count: count.all,
         })
@@ -109,28 +110,28 @@
 
     /// Returns whether it passes once what was just asked is answered: the daemon has just
     /// started, or others have.
-    pub const fn may_pass(self) -> bool {
+    pub const fn is_transient(self) -> bool {
         match self {
-            Self::StoreSilent { .. } => false,
-            Self::StoreUnheard => true,
+            Self::StoreUnresponsive { .. } => false,
+            Self::StoreNeverContacted => true,
             Self::NoMajority {
-                heard_count,
+                responsive_count,
                 new_count,
                 all_count,
-            } => (heard_count + new_count) * 2 > all_count,
+            } => (responsive_count + new_count) * 2 > all_count,
         }
     }
 }
 
 /// How many of the daemons were heard from lately, this one included. Those proved gone
 /// don't count.
-struct HeardCount {
+struct ResponsiveCount {
     heard: usize,
     new: usize,
     all: usize,
 }
 
-impl HeardCount {
+impl ResponsiveCount {
     fn new(now: Instant, peers: &Peers) -> Self {
         let mut count = Self {
             heard: 1,
@@ -142,7 +143,7 @@
             let is_recent = |at: Instant| now.since(at) < FRESH_FOR;
             match peer.answered_at {
                 Some(at) => count.heard += usize::from(is_recent(at)),
-                None => count.new += usize::from(is_recent(peer.met_at)),
+                None => count.new += usize::from(is_recent(peer.first_seen_at)),
             }
         }
         count
@@ -155,5 +156,5 @@
 
 /// Returns whether more than half of the daemons were heard from lately.
 fn has_majority(now: Instant, peers: &Peers) -> bool {
-    HeardCount::new(now, peers).is_majority()
+    ResponsiveCount::new(now, peers).is_majority()
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -13,14 +13,14 @@
 mod control;
 mod freshness;
 mod membership;
-mod pace;
 mod peer;
+mod rate_limiter;
 mod seat;
 
 pub use assignment::assign;
 pub use control::{Control, ControlChange, ControlKey, Member, Versioned, SEATS_COUNT};
 pub use freshness::{EditBlocked, Freshness, FRESH_FOR};
 pub use membership::{Membership, MembershipAction, MembershipConfig};
-pub use pace::Pace;
 pub use peer::{Peer, PeerState, Peers};
+pub use rate_limiter::RateLimiter;
 pub use seat::{seat_target_count, SeatSet};
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -19,12 +19,12 @@
     /// How often each peer is pinged.
     pub ping_every: Duration,
     /// How long without an answer until a peer counts as silent.
-    pub silent_after: Duration,
+    pub unresponsive_after: Duration,
     /// How long each daemon lets the one before it in line claim a shard; longer
     /// than it takes the other to read that the shard is free.
     pub claim_stagger: Duration,
     /// How long a view must stand before a shard changes hands by plan.
-    pub steady_for: Duration,
+    pub stable_for: Duration,
     /// How long after its holder's end a seat's requests may still run.
     pub seat_quarantine: Duration,
     /// How long after an entry box left the box list its process is over.
@@ -38,9 +38,9 @@
             me,
             shards_count,
             ping_every: Duration::from_ms(500),
-            silent_after: Duration::from_ms(2000),
+            unresponsive_after: Duration::from_ms(2000),
             claim_stagger: Duration::from_ms(1000),
-            steady_for: Duration::from_s(5),
+            stable_for: Duration::from_s(5),
             seat_quarantine: Duration::from_s(10),
             unlisted_quarantine: Duration::from_s(120),
         }
@@ -79,14 +79,14 @@
     control: Control,
     peers: Peers,
     /// When the last call that the store answered was begun.
-    heard_at: Option<Instant>,
-    listed: BTreeSet<Name>,
-    dropped: BTreeMap<Name, Instant>,
-    orphan_since: BTreeMap<u32, Instant>,
+    store_contact_at: Option<Instant>,
+    listed_boxes: BTreeSet<Name>,
+    unlisted_since: BTreeMap<Name, Instant>,
+    unowned_since: BTreeMap<u32, Instant>,
     /// When this daemon last gave a shard up by plan.
-    given_up_at: BTreeMap<u32, Instant>,
-    members_since: Instant,
-    members_seen: Vec<Name>,
+    handed_over_at: BTreeMap<u32, Instant>,
+    members_changed_at: Instant,
+    last_members: Vec<Name>,
     is_leaving: bool,
 }
 
@@ -97,19 +97,19 @@
             config,
             control: Control::default(),
             peers: Peers::default(),
-            heard_at: None,
-            listed: BTreeSet::new(),
-            dropped: BTreeMap::new(),
-            orphan_since: BTreeMap::new(),
-            given_up_at: BTreeMap::new(),
-            members_since: Instant::default(),
-            members_seen: Vec::new(),
+            store_contact_at: None,
+            listed_boxes: BTreeSet::new(),
+            unlisted_since: BTreeMap::new(),
+            unowned_since: BTreeMap::new(),
+            handed_over_at: BTreeMap::new(),
+            members_changed_at: Instant::default(),
+            last_members: Vec::new(),
             is_leaving: false,
         }
     }
 
     /// Forgets the control part; what is there comes next.
-    pub fn forget_control(&mut self) {
+    pub fn clear_control(&mut self) {
         self.control = Control::default();
     }
 
@@ -120,10 +120,10 @@
         }
         for identity in self.control.identities() {
             if identity.incarnation != self.me().incarnation {
-                self.peers.meet(now, &identity);
+                self.peers.insert_if_new(now, &identity);
             }
         }
-        self.note_replaced(now);
+        self.mark_replaced(now);
         let named: BTreeSet<u64> = self
             .control
             .identities()
@@ -135,7 +135,7 @@
     }
 
     /// A process that listens on another's address shows that the other ended.
-    fn note_replaced(&mut self, now: Instant) {
+    fn mark_replaced(&mut self, now: Instant) {
         let members: Vec<DaemonIdentity> = self
             .control
             .members
@@ -164,14 +164,14 @@
 
     /// Notes that the store answered a call that was begun at `asked_at`.
     pub fn on_store_answer(&mut self, asked_at: Instant) {
-        self.heard_at = self.heard_at.max(Some(asked_at));
+        self.store_contact_at = self.store_contact_at.max(Some(asked_at));
     }
 
     /// Takes in that a process pinged this one, which may not know it from the
     /// store: it must then be asked in return for what it has heard.
     pub fn on_ping(&mut self, now: Instant, from: &DaemonIdentity) {
         if from.incarnation != self.me().incarnation {
-            self.peers.meet(now, from);
+            self.peers.insert_if_new(now, from);
         }
     }
 
@@ -181,8 +181,8 @@
             return;
         };
         peer.answered_at = peer.answered_at.max(Some(asked_at));
-        let heard_at = asked_at - Duration::from_ms(pong.store_age_ms);
-        peer.store_heard_at = peer.store_heard_at.max(Some(heard_at));
+        let store_contact_at = asked_at - Duration::from_ms(pong.store_age_ms);
+        peer.store_contact_at = peer.store_contact_at.max(Some(store_contact_at));
         peer.is_leaving = pong.is_leaving;
         peer.is_suspect = false;
     }
@@ -191,7 +191,7 @@
     ///
     /// That is reason enough to claim its shards, which is safe from a live
     /// owner too, and no proof that it has ended.
-    pub fn on_refused(&mut self, incarnation: u64) {
+    pub fn on_connection_refused(&mut self, incarnation: u64) {
         if let Some(peer) = self.peers.get_mut(incarnation) {
             peer.is_suspect = true;
         }
@@ -205,12 +205,13 @@
     /// Takes in the platform's box list.
     pub fn on_boxes(&mut self, now: Instant, boxes: &[BoxFacts]) {
         let entry = boxes.iter().filter(|facts| facts.kind == BoxKind::Entry);
-        let listed: BTreeSet<Name> = entry.map(|facts| facts.name.clone()).collect();
-        for name in self.listed.difference(&listed) {
-            self.dropped.insert(name.clone(), now);
+        let listed_boxes: BTreeSet<Name> = entry.map(|facts| facts.name.clone()).collect();
+        for name in self.listed_boxes.difference(&listed_boxes) {
+            self.unlisted_since.insert(name.clone(), now);
         }
-        self.dropped.retain(|name, _| !listed.contains(name));
-        self.listed = listed;
+        self.unlisted_since
+            .retain(|name, _| !listed_boxes.contains(name));
+        self.listed_boxes = listed_boxes;
     }
 
     /// Notes that this daemon is stopping.
@@ -234,13 +235,13 @@
     }
 
     /// Returns when the last call that the store answered was begun.
-    pub const fn heard_at(&self) -> Option<Instant> {
-        self.heard_at
+    pub const fn store_contact_at(&self) -> Option<Instant> {
+        self.store_contact_at
     }
 
     /// Returns what the knowledge of the table rests on.
     pub fn freshness(&self, now: Instant) -> Freshness {
-        Freshness::new(now, self.heard_at, &self.peers)
+        Freshness::new(now, self.store_contact_at, &self.peers)
     }
 
     /// Checks that an edit of the table may be accepted: see [`Freshness::StoreDown`].
@@ -249,19 +250,20 @@
     ///
     /// Returns what keeps this daemon from accepting it.
     pub fn check_edit(&self, now: Instant) -> Result<(), EditBlocked> {
-        EditBlocked::find(now, self.heard_at, &self.peers).map_or(Ok(()), Err)
+        EditBlocked::find(now, self.store_contact_at, &self.peers).map_or(Ok(()), Err)
     }
 
     /// Returns since when nothing newer is known to be in the store, by this
     /// daemon's own calls or through its peers.
     pub fn known_as_of(&self) -> Option<Instant> {
-        let by_peers = self.peers.iter().filter_map(|peer| peer.store_heard_at);
-        by_peers.chain(self.heard_at).max()
+        let by_peers = self.peers.iter().filter_map(|peer| peer.store_contact_at);
+        by_peers.chain(self.store_contact_at).max()
     }
 
     /// Returns what is known of a process.
     pub fn peer_state(&self, now: Instant, incarnation: u64) -> PeerState {
-        self.peers.state(now, incarnation, self.config.silent_after)
+        self.peers
+            .state(now, incarnation, self.config.unresponsive_after)
     }
 
     /// Returns whether a process has certainly ended.
@@ -313,20 +315,20 @@
 
     /// Decides what to do now.
     pub fn decide(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
-        self.note_dropped(now);
+        self.mark_unlisted(now);
         self.ping(now, actions);
         let serving = self.serving(now);
-        self.note_members(now, &serving);
+        self.update_members(now, &serving);
         self.decide_shards(now, &serving, actions);
         self.decide_seats(now, &serving, actions);
     }
 
-    fn note_dropped(&mut self, now: Instant) {
+    fn mark_unlisted(&mut self, now: Instant) {
         let quarantine = self.config.unlisted_quarantine;
         let mut gone = Vec::new();
         for member in self.control.members.values() {
-            let dropped = self.dropped.get(&member.box_name);
-            if dropped.is_some_and(|&since| now >= since + quarantine) {
+            let unlisted_since = self.unlisted_since.get(&member.box_name);
+            if unlisted_since.is_some_and(|&since| now >= since + quarantine) {
                 gone.push(member.identity.incarnation);
             }
         }
@@ -346,12 +348,12 @@
         }
     }
 
-    fn note_members(&mut self, now: Instant, serving: &[Member]) {
+    fn update_members(&mut self, now: Instant, serving: &[Member]) {
         let names = serving.iter().map(|member| member.identity.name.clone());
         let names: Vec<Name> = names.collect();
-        if names != self.members_seen {
-            self.members_seen = names;
-            self.members_since = now;
+        if names != self.last_members {
+            self.last_members = names;
+            self.members_changed_at = now;
         }
     }
 
@@ -361,7 +363,7 @@
         serving: &[Member],
         actions: &mut Vec<MembershipAction>,
     ) {
-        let names: Vec<Name> = self.members_seen.clone();
+        let names: Vec<Name> = self.last_members.clone();
         let assigned = assign(&names, self.config.shards_count);
         let mut is_handing_over = false;
         for shard in 0..self.config.shards_count {
@@ -375,13 +377,13 @@
                 let should_move = self.should_hand_over(now, preferred) && !is_handing_over;
                 if should_move {
                     is_handing_over = true;
-                    self.given_up_at.insert(shard, now);
+                    self.handed_over_at.insert(shard, now);
                     actions.push(MembershipAction::HandOverShard(shard));
                 }
-            } else if self.is_orphan(now, &owner) && !self.is_leaving {
+            } else if self.is_unowned(now, &owner) && !self.is_leaving {
                 self.claim_in_turn(now, shard, owner.revision, preferred, actions);
             } else {
-                self.orphan_since.remove(&shard);
+                self.unowned_since.remove(&shard);
             }
         }
     }
@@ -392,13 +394,13 @@
         if self.is_leaving {
             return true;
         }
-        let is_steady = now.since(self.members_since) >= self.config.steady_for;
+        let is_steady = now.since(self.members_changed_at) >= self.config.stable_for;
         let is_other =
             preferred.is_some_and(|member| member.identity.incarnation != self.me().incarnation);
         is_steady && is_other
     }
 
-    fn is_orphan(&self, now: Instant, owner: &Versioned<Option<DaemonIdentity>>) -> bool {
+    fn is_unowned(&self, now: Instant, owner: &Versioned<Option<DaemonIdentity>>) -> bool {
         match &owner.value {
             None => true,
             Some(owner) => self.peer_state(now, owner.incarnation) != PeerState::Live,
@@ -415,16 +417,16 @@
         preferred: Option<&Member>,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let since = *self.orphan_since.entry(shard).or_insert(now);
-        let given_up_at = self.given_up_at.get(&shard);
-        if given_up_at.is_some_and(|&at| now < at + self.config.steady_for) {
+        let since = *self.unowned_since.entry(shard).or_insert(now);
+        let handed_over_at = self.handed_over_at.get(&shard);
+        if handed_over_at.is_some_and(|&at| now < at + self.config.stable_for) {
             // It was given up for another; that one comes first.
             return;
         }
-        let names = &self.members_seen;
-        let place_of = |name: &Name| names.iter().position(|n| n == name).unwrap_or(0);
-        let mine = place_of(&self.me().name);
-        let first = preferred.map_or(0, |member| place_of(&member.identity.name));
+        let names = &self.last_members;
+        let position_of = |name: &Name| names.iter().position(|n| n == name).unwrap_or(0);
+        let mine = position_of(&self.me().name);
+        let first = preferred.map_or(0, |member| position_of(&member.identity.name));
         let turn = (mine + names.len() - first) % names.len().max(1);
         if now >= since + self.config.claim_stagger.times(turn as u64) {
             actions.push(MembershipAction::ClaimShard { shard, revision });
@@ -448,13 +450,13 @@
             .collect();
         if mine.len() < target && !free.is_empty() {
             // Daemons that start together reach for different seats.
-            let names = &self.members_seen;
-            let place = names.iter().position(|name| *name == self.me().name);
-            let seat = free[place.unwrap_or(0) % free.len()];
+            let names = &self.last_members;
+            let position = names.iter().position(|name| *name == self.me().name);
+            let seat = free[position.unwrap_or(0) % free.len()];
             let revision = self.control.seat(seat).revision;
             actions.push(MembershipAction::ClaimSeat { seat, revision });
         }
-        if mine.len() > target && free.is_empty() && self.is_someone_short(serving, target) {
+        if mine.len() > target && free.is_empty() && self.is_any_below_target(serving, target) {
             actions.extend(mine.iter().last().map(MembershipAction::DrainSeat));
         }
     }
@@ -465,11 +467,11 @@
         };
         match self.peer_state(now, holder.incarnation) {
             PeerState::Gone(at) => now >= at + self.config.seat_quarantine,
-            PeerState::Live | PeerState::Silent => false,
+            PeerState::Live | PeerState::Unresponsive => false,
         }
     }
 
-    fn is_someone_short(&self, serving: &[Member], target: u32) -> bool {
+    fn is_any_below_target(&self, serving: &[Member], target: u32) -> bool {
         serving.iter().any(|member| {
             let held = self.control.seats.values().filter(|holder| {
                 let holder = holder.value.as_ref();
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -9,7 +9,7 @@
     /// It answered lately, or is too new to judge.
     Live,
     /// It has not answered for some time; it may be alive, paused or cut off.
-    Silent,
+    Unresponsive,
     /// The process has certainly ended, by the instant.
     Gone(Instant),
 }
@@ -20,11 +20,11 @@
     /// Which process.
     pub identity: DaemonIdentity,
     /// When it was first heard of.
-    pub met_at: Instant,
+    pub first_seen_at: Instant,
     /// When the last ping that it answered was sent.
     pub answered_at: Option<Instant>,
     /// How old its last word from the store was, by the instant of its answer.
-    pub store_heard_at: Option<Instant>,
+    pub store_contact_at: Option<Instant>,
     /// Whether it said that it is stopping.
     pub is_leaving: bool,
     /// Whether its address last refused a connection; it need not have ended.
@@ -37,9 +37,9 @@
 
 impl Peer {
     /// Returns when it last answered, or was first heard of.
-    pub fn seen_at(&self) -> Instant {
+    pub fn last_seen_at(&self) -> Instant {
         self.answered_at
-            .map_or(self.met_at, |at| at.max(self.met_at))
+            .map_or(self.first_seen_at, |at| at.max(self.first_seen_at))
     }
 }
 
@@ -51,14 +51,14 @@
 
 impl Peers {
     /// Adds a process where it is new.
-    pub fn meet(&mut self, now: Instant, identity: &DaemonIdentity) {
+    pub fn insert_if_new(&mut self, now: Instant, identity: &DaemonIdentity) {
         self.peers
             .entry(identity.incarnation)
             .or_insert_with(|| Peer {
                 identity: identity.clone(),
-                met_at: now,
+                first_seen_at: now,
                 answered_at: None,
-                store_heard_at: None,
+                store_contact_at: None,
                 is_leaving: false,
                 is_suspect: false,
                 gone_at: None,
@@ -94,14 +94,14 @@
     }
 
     /// Returns whether a process is there; one never heard of is live.
-    pub fn state(&self, now: Instant, incarnation: u64, silent_after: Duration) -> PeerState {
+    pub fn state(&self, now: Instant, incarnation: u64, unresponsive_after: Duration) -> PeerState {
         let Some(peer) = self.peers.get(&incarnation) else {
             return PeerState::Live;
         };
         match peer.gone_at {
             Some(at) => PeerState::Gone(at),
-            None if peer.is_suspect => PeerState::Silent,
-            None if now.since(peer.seen_at()) >= silent_after => PeerState::Silent,
+            None if peer.is_suspect => PeerState::Unresponsive,
+            None if now.since(peer.last_seen_at()) >= unresponsive_after => PeerState::Unresponsive,
             None => PeerState::Live,
         }
     }
--- a/crates/membership/src/pace.rs
+++ b/crates/membership/src/rate_limiter.rs
@@ -4,7 +4,7 @@
 
 /// A token bucket over an even part of a rate that all daemons share.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct RateLimiter {
     rate_per_s: u32,
     burst_count: u32,
     sharers_count: u32,
@@ -15,7 +15,7 @@
 
 const MILLI: u64 = 1000;
 
-impl Pace {
+impl RateLimiter {
     /// Creates a full bucket over the whole of `rate_per_s`.
     pub const fn new(rate_per_s: u32, burst_count: u32) -> Self {
         Self {
@@ -33,7 +33,7 @@
     }
 
     /// Takes a token, if one is there.
-    pub fn take(&mut self, now: Instant) -> bool {
+    pub fn try_acquire(&mut self, now: Instant) -> bool {
         let elapsed_ms = now.since(self.filled_at).as_ms();
         // A rate per second is the same number of thousandths per millisecond.
         let gained_milli = elapsed_ms * u64::from(self.rate_per_s) / u64::from(self.sharers_count);
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use ospreywing_membership::{
     assign, seat_target_count, Control, ControlChange, EditBlocked, Member, Membership,
-    MembershipAction, MembershipConfig, Pace, SeatSet, Versioned, FRESH_FOR, SEATS_COUNT,
+    MembershipAction, MembershipConfig, RateLimiter, SeatSet, Versioned, FRESH_FOR, SEATS_COUNT,
 };
 use ospreywing_types::{DaemonIdentity, Duration, Instant, Name};
 use rstest::rstest;
@@ -85,11 +85,11 @@
 
 #[test]
 fn pace_shares_a_rate() {
-    let mut pace = Pace::new(60, 4);
-    pace.set_sharers(3);
+    let mut rate_limiter = RateLimiter::new(60, 4);
+    rate_limiter.set_sharers(3);
     let mut taken = 0;
     for ms in 0..10_000 {
-        taken += u32::from(pace.take(Instant::from_ms(ms)));
+        taken += u32::from(rate_limiter.try_acquire(Instant::from_ms(ms)));
     }
     // Twenty a second and the burst.
     assert!((200..=204).contains(&taken), "{taken}");
@@ -169,31 +169,31 @@
 #[test]
 fn check_edit_others_just_met() {
     let mut membership = view(0);
-    let met_at = Instant::from_ms(1_000);
-    membership.on_store_answer(met_at);
-    let settling = membership.check_edit(met_at);
+    let first_seen_at = Instant::from_ms(1_000);
+    membership.on_store_answer(first_seen_at);
+    let settling = membership.check_edit(first_seen_at);
     assert_eq!(
         settling,
         Err(EditBlocked::NoMajority {
-            heard_count: 1,
+            responsive_count: 1,
             new_count: 2,
             all_count: 3,
         })
     );
-    assert!(settling.is_err_and(EditBlocked::may_pass));
-    let later = met_at + FRESH_FOR;
+    assert!(settling.is_err_and(EditBlocked::is_transient));
+    let later = first_seen_at + FRESH_FOR;
     membership.on_store_answer(later);
     let silent = membership.check_edit(later);
-    assert!(silent.is_err_and(|blocked| !blocked.may_pass()));
+    assert!(silent.is_err_and(|blocked| !blocked.is_transient()));
 }
 
 #[test]
 fn check_edit_store_silent() {
     let mut membership = Membership::new(MembershipConfig::new(member(0, 0), 4));
     let unheard = membership.check_edit(Instant::from_ms(1_000));
-    assert_eq!(unheard, Err(EditBlocked::StoreUnheard));
+    assert_eq!(unheard, Err(EditBlocked::StoreNeverContacted));
     membership.on_store_answer(Instant::from_ms(1_000));
     assert_eq!(membership.check_edit(Instant::from_ms(1_000)), Ok(()));
     let silent = membership.check_edit(Instant::from_ms(1_000) + FRESH_FOR);
-    assert!(silent.is_err_and(|blocked| !blocked.may_pass()));
+    assert!(silent.is_err_and(|blocked| !blocked.is_transient()));
 }
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -156,6 +156,6 @@
         /// `IP:port` of the minion.
         addr: String,
         /// When to break it off.
-        time_limit: Duration,
+        timeout: Duration,
     },
 }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -31,7 +31,7 @@
     /// The changes since the poll before, or all there is.
     pub changes: Vec<Change>,
     /// Whether the changes are all there is.
-    pub is_whole: bool,
+    pub is_snapshot: bool,
 }
 
 /// A shard's log, read after its claim.
@@ -91,7 +91,7 @@
         pong: Pong,
     },
     /// A process's address refused a connection.
-    PeerRefused {
+    PeerConnectionRefused {
         /// The process.
         incarnation: u64,
     },
@@ -101,7 +101,7 @@
         incarnation: u64,
     },
     /// A former owner answered.
-    EpochAnswered {
+    CloseEpochAnswered {
         /// The shard.
         shard: u32,
         /// The epoch asked about.
@@ -219,7 +219,7 @@
     /// A caller sent a request.
     Arrived(Arrival),
     /// A caller has gone away.
-    CallerLeft {
+    CallerDisconnected {
         /// The caller.
         token: u64,
     },
@@ -242,7 +242,7 @@
     /// Certainly nothing of the request left this daemon, or will.
     RequestNotSent(Request),
     /// The connection broke, or the time was up, after sending had begun.
-    RequestBroken(Request),
+    RequestInterrupted(Request),
     /// The daemon was asked to stop.
     Leave,
     /// Time has passed.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -6,7 +6,7 @@
 use crate::shard_slot::ShardSlot;
 use crate::table_view::TableView;
 use ospreywing_membership::{
-    EditBlocked, Freshness, Membership, MembershipAction, MembershipConfig, Pace, SeatSet,
+    EditBlocked, Freshness, Membership, MembershipAction, MembershipConfig, RateLimiter, SeatSet,
 };
 use ospreywing_routing as routing;
 use ospreywing_shard as shard;
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
     /// A caller or a peer.
-    Outside(u64),
+    External(u64),
     /// The router, for a request's key.
     Router(routing::Request),
 }
@@ -34,7 +34,7 @@
 
 /// How a connection to a worker was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Connected {
+pub(crate) struct ConnectionTarget {
     pub(crate) addr: String,
     pub(crate) epoch: u64,
 }
@@ -48,13 +48,13 @@
     pub(crate) shards: Vec<ShardSlot>,
     pub(crate) workers: BTreeMap<Name, BoxFacts>,
     /// Workers that a connection is kept to.
-    pub(crate) connected: BTreeMap<Name, Connected>,
-    pub(crate) pace: Pace,
+    pub(crate) connection_targets: BTreeMap<Name, ConnectionTarget>,
+    pub(crate) commit_limiter: RateLimiter,
     pub(crate) waiters: HashMap<u64, Waiter>,
     pub(crate) next_token: u64,
     pub(crate) next_nonce: u64,
     pub(crate) draining: SeatSet,
-    pub(crate) closing_asked_at: Instant,
+    pub(crate) close_requested_at: Instant,
     /// The table that each peer last said it has, by incarnation.
     pub(crate) peer_tables: BTreeMap<u64, PeerTable>,
     freshness: Freshness,
@@ -79,13 +79,13 @@
             table: TableView::default(),
             shards: (0..shards_count).map(|_| ShardSlot::Idle).collect(),
             workers: BTreeMap::new(),
-            connected: BTreeMap::new(),
-            pace: Pace::new(config.commit_rate_per_s, COMMIT_BURST_COUNT),
+            connection_targets: BTreeMap::new(),
+            commit_limiter: RateLimiter::new(config.commit_rate_per_s, COMMIT_BURST_COUNT),
             waiters: HashMap::new(),
             next_token: 0,
             next_nonce: 0,
             draining: SeatSet::EMPTY,
-            closing_asked_at: Instant::default(),
+            close_requested_at: Instant::default(),
             peer_tables: BTreeMap::new(),
             freshness: Freshness::Unknown,
             seats_in_use: SeatSet::EMPTY,
@@ -100,17 +100,19 @@
     /// Takes in one event and appends what is to be done.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         // A daemon that was paused must not act on what it knew before.
-        self.set_freshness(now, actions);
+        self.update_freshness(now, actions);
         match event {
             Event::Polled(poll) => self.on_polled(now, poll, actions),
             Event::RowWritten { name, row } => {
                 if self.table.apply(vec![(name, row)]) {
-                    self.set_table(now, actions);
+                    self.publish_table(now, actions);
                 }
             }
             Event::Boxes(boxes) => self.on_boxes(now, boxes, actions),
             Event::Ponged { asked_at, pong } => self.on_ponged(now, asked_at, &pong, actions),
-            Event::PeerRefused { incarnation } => self.membership.on_refused(incarnation),
+            Event::PeerConnectionRefused { incarnation } => {
+                self.membership.on_connection_refused(incarnation)
+            }
             Event::ProcessGone { incarnation } => self.membership.on_gone(now, incarnation),
             Event::Pinged { token, ping } => {
                 self.membership.on_ping(now, &ping.from);
@@ -120,8 +122,8 @@
             Event::Arrived(arrival) => {
                 self.route(now, routing::Event::Arrived(arrival), actions);
             }
-            Event::CallerLeft { token } => {
-                self.route(now, routing::Event::CallerLeft { token }, actions);
+            Event::CallerDisconnected { token } => {
+                self.route(now, routing::Event::CallerDisconnected { token }, actions);
             }
             Event::RequestAnswered(request) => {
                 self.route(now, routing::Event::Answered(request), actions);
@@ -129,8 +131,8 @@
             Event::RequestNotSent(request) => {
                 self.route(now, routing::Event::NotSent(request), actions);
             }
-            Event::RequestBroken(request) => {
-                self.route(now, routing::Event::Broken(request), actions);
+            Event::RequestInterrupted(request) => {
+                self.route(now, routing::Event::Interrupted(request), actions);
             }
             Event::Leave => self.membership.leave(),
             Event::Tick => self.on_tick(now, actions),
@@ -142,7 +144,7 @@
             | Event::KeyAnswered { .. } => self.on_request(now, event, actions),
             _ => self.on_shard_event(now, event, actions),
         }
-        self.pump(now, actions);
+        self.issue_commits(now, actions);
     }
 
     fn on_polled(&mut self, now: Instant, poll: Poll, actions: &mut Vec<Action>) {
@@ -154,17 +156,17 @@
                 Change::Row { name, row } => rows.push((name, row)),
             }
         }
-        if poll.is_whole {
-            self.membership.forget_control();
+        if poll.is_snapshot {
+            self.membership.clear_control();
         }
         self.membership.on_control(now, control);
         self.membership.on_store_answer(poll.asked_at);
         if self.table.apply(rows) {
-            self.set_table(now, actions);
+            self.publish_table(now, actions);
         }
         self.check_ownership(now, poll.asked_at, actions);
-        self.set_seats(now, actions);
-        self.set_freshness(now, actions);
+        self.update_seats(now, actions);
+        self.update_freshness(now, actions);
     }
 
     fn on_boxes(&mut self, now: Instant, boxes: Vec<BoxFacts>, actions: &mut Vec<Action>) {
@@ -178,7 +180,7 @@
         let workers = of_kind(BoxKind::Worker).into_iter();
         self.workers = workers.map(|facts| (facts.name.clone(), facts)).collect();
         for shard in 0..self.shards_count() {
-            self.give_boxes(now, shard, actions);
+            self.dispatch_boxes(now, shard, actions);
         }
         self.connect_workers(actions);
     }
@@ -192,19 +194,19 @@
     ) {
         if let Some(json) = &pong.table_json {
             match self.table.merge_json(json) {
-                Some(true) => self.set_table(now, actions),
+                Some(true) => self.publish_table(now, actions),
                 Some(false) => {}
                 // The answer proves nothing of a table that can't be read.
                 None => return,
             }
         }
-        let tables = PeerTable {
+        let peer_table = PeerTable {
             digest: pong.table_digest,
             revision: pong.table_revision,
         };
-        self.peer_tables.insert(pong.from.incarnation, tables);
+        self.peer_tables.insert(pong.from.incarnation, peer_table);
         self.membership.on_pong(asked_at, pong);
-        self.set_freshness(now, actions);
+        self.update_freshness(now, actions);
     }
 
     fn pong(&self, now: Instant, ping: &Ping) -> Pong {
@@ -220,16 +222,16 @@
         }
     }
 
-    fn set_table(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn publish_table(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let table = self.table.table();
         self.route(now, routing::Event::Table(Arc::clone(&table)), actions);
         for shard in 0..self.shards_count() {
             let event = shard::Event::Table(Arc::clone(&table));
-            self.tell_owner(now, shard, event, actions);
+            self.dispatch_to_owner(now, shard, event, actions);
         }
     }
 
-    fn set_freshness(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn update_freshness(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let freshness = self.membership.freshness(now);
         let is_deciding = freshness.may_decide();
         let changed = is_deciding != self.freshness.may_decide();
@@ -240,12 +242,12 @@
         self.route(now, routing::Event::Deciding(is_deciding), actions);
         for shard in 0..self.shards_count() {
             let event = shard::Event::Deciding(is_deciding);
-            self.tell_owner(now, shard, event, actions);
+            self.dispatch_to_owner(now, shard, event, actions);
         }
     }
 
     /// Lets the router use the seats held, less those to be given up.
-    fn set_seats(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn update_seats(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let held = self.membership.seats();
         let draining = self.draining.iter().filter(|&seat| held.contains(seat));
         self.draining = draining.collect();
@@ -273,17 +275,17 @@
         self.membership_actions = decided;
         self.release_idle_seats(actions);
         for shard in 0..self.shards_count() {
-            self.tell_owner(now, shard, shard::Event::Tick, actions);
+            self.dispatch_to_owner(now, shard, shard::Event::Tick, actions);
         }
-        self.ask_to_close(now, actions);
-        self.advance_hand_overs(now, actions);
+        self.request_epoch_closes(now, actions);
+        self.advance_handovers(now, actions);
         let owners = self.membership.control().owners.values();
         let mut owners: Vec<u64> = owners
             .filter_map(|owner| Some(owner.value.as_ref()?.incarnation))
             .collect();
         owners.sort_unstable();
         owners.dedup();
-        self.pace.set_sharers(owners.len());
+        self.commit_limiter.set_sharers(owners.len());
     }
 
     fn on_membership_action(
@@ -303,7 +305,7 @@
             }
             MembershipAction::DrainSeat(seat) => {
                 self.draining.insert(seat);
-                self.set_seats(now, actions);
+                self.update_seats(now, actions);
             }
         }
     }
@@ -332,13 +334,13 @@
                     request,
                     token,
                     addr,
-                    time_limit,
+                    timeout,
                     ..
                 } => actions.push(Action::SendRequest {
                     request,
                     token,
                     addr,
-                    time_limit,
+                    timeout,
                 }),
                 routing::Action::Deliver { token } => actions.push(Action::Answer {
                     token,
@@ -404,7 +406,7 @@
     }
 
     /// Returns whether nothing is left to do before the process may end.
-    pub fn has_left(&self) -> bool {
+    pub fn is_shutdown_complete(&self) -> bool {
         let is_idle = |slot: &ShardSlot| matches!(slot, ShardSlot::Idle);
         self.membership.is_leaving()
             && self.shards.iter().all(is_idle)
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -122,16 +122,16 @@
             MemberReport {
                 name: member.identity.name.to_string(),
                 http_addr: member.http_addr.clone(),
-                state: self.state_word(now, incarnation).to_owned(),
+                state: self.state_name(now, incarnation).to_owned(),
                 seats: seats.map(|(&seat, _)| seat).collect(),
                 shards: shards.map(|(&shard, _)| shard).collect(),
-                table_revision: self.table_of(incarnation),
+                table_revision: self.table_revision_of(incarnation),
             }
         };
         members.map(report).collect()
     }
 
-    fn table_of(&self, incarnation: u64) -> u64 {
+    fn table_revision_of(&self, incarnation: u64) -> u64 {
         if incarnation == self.membership.me().incarnation {
             return self.table().revision;
         }
@@ -139,13 +139,13 @@
         table.map_or(0, |table| table.revision)
     }
 
-    fn state_word(&self, now: Instant, incarnation: u64) -> &'static str {
+    fn state_name(&self, now: Instant, incarnation: u64) -> &'static str {
         if incarnation == self.membership.me().incarnation {
             return "me";
         }
         match self.membership.peer_state(now, incarnation) {
             PeerState::Live => "live",
-            PeerState::Silent => "silent",
+            PeerState::Unresponsive => "silent",
             PeerState::Gone(_) => "gone",
         }
     }
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -10,10 +10,10 @@
 use ospreywing_types::{stable_hash, DaemonIdentity, Instant, Key};
 
 /// Where a request is to be handled.
-enum Place {
-    Here,
-    There(DaemonIdentity),
-    Nowhere,
+enum Route {
+    Local,
+    Remote(DaemonIdentity),
+    NoOwner,
 }
 
 impl Node {
@@ -46,14 +46,14 @@
         }
     }
 
-    fn place_of(&self, shard: u32, is_forwarded: bool) -> Place {
+    fn route_of(&self, shard: u32, is_forwarded: bool) -> Route {
         if self.shards[shard as usize].owner().is_some() {
-            return Place::Here;
+            return Route::Local;
         }
         let me = self.membership.me().incarnation;
         match self.owner_of(shard) {
-            Some(owner) if owner.incarnation != me && !is_forwarded => Place::There(owner),
-            _ => Place::Nowhere,
+            Some(owner) if owner.incarnation != me && !is_forwarded => Route::Remote(owner),
+            _ => Route::NoOwner,
         }
     }
 
@@ -66,21 +66,21 @@
         actions: &mut Vec<Action>,
     ) {
         let shard = self.shard_of_key(&submit.key);
-        match self.place_of(shard, is_forwarded) {
-            Place::Here => {
+        match self.route_of(shard, is_forwarded) {
+            Route::Local => {
                 let event = shard::Event::Submit {
-                    token: self.wait(Waiter::Outside(token)),
+                    token: self.register_waiter(Waiter::External(token)),
                     key: submit.key,
                     row: submit.row,
                     spec: submit.spec,
                 };
-                self.tell_owner(now, shard, event, actions);
+                self.dispatch_to_owner(now, shard, event, actions);
             }
-            Place::There(to) => {
+            Route::Remote(to) => {
                 let message = Forward::Submit { token, submit };
                 actions.push(Action::Forward { to, message });
             }
-            Place::Nowhere => {
+            Route::NoOwner => {
                 let answer = Answer::Submit(Self::no_owner(shard));
                 actions.push(Action::Answer { token, answer });
             }
@@ -96,19 +96,19 @@
         actions: &mut Vec<Action>,
     ) {
         let shard = self.shard_of_key(&query.key);
-        match self.place_of(shard, is_forwarded) {
-            Place::Here => {
+        match self.route_of(shard, is_forwarded) {
+            Route::Local => {
                 let event = shard::Event::Cancel {
-                    token: self.wait(Waiter::Outside(token)),
+                    token: self.register_waiter(Waiter::External(token)),
                     key: query.key,
                 };
-                self.tell_owner(now, shard, event, actions);
+                self.dispatch_to_owner(now, shard, event, actions);
             }
-            Place::There(to) => {
+            Route::Remote(to) => {
                 let message = Forward::Cancel { token, query };
                 actions.push(Action::Forward { to, message });
             }
-            Place::Nowhere => {
+            Route::NoOwner => {
                 let answer = Answer::Submit(Self::no_owner(shard));
                 actions.push(Action::Answer { token, answer });
             }
@@ -123,18 +123,18 @@
         actions: &mut Vec<Action>,
     ) {
         let shard = self.shard_of_key(&query.key);
-        let reply = match self.place_of(shard, is_forwarded) {
-            Place::Here => {
+        let reply = match self.route_of(shard, is_forwarded) {
+            Route::Local => {
                 let owner = self.shards[shard as usize].owner();
                 let status = owner.and_then(|owner| owner.status(&query.key));
                 status.map_or(QueryReply::Absent, QueryReply::Found)
             }
-            Place::There(to) => {
+            Route::Remote(to) => {
                 let message = Forward::Query { token, query };
                 actions.push(Action::Forward { to, message });
                 return;
             }
-            Place::Nowhere => QueryReply::NotOwner,
+            Route::NoOwner => QueryReply::NotOwner,
         };
         let answer = Answer::Query(reply);
         actions.push(Action::Answer { token, answer });
@@ -149,11 +149,11 @@
             return;
         }
         let event = shard::Event::TakeKey {
-            token: self.wait(Waiter::Outside(token)),
+            token: self.register_waiter(Waiter::External(token)),
             key: claim.key,
             nonce: claim.nonce,
         };
-        self.tell_owner(now, shard, event, actions);
+        self.dispatch_to_owner(now, shard, event, actions);
     }
 
     /// This node's router claims a key.
@@ -166,21 +166,21 @@
     ) {
         let shard = self.shard_of_key(&key);
         let nonce = self.nonce();
-        match self.place_of(shard, false) {
-            Place::Here => {
+        match self.route_of(shard, false) {
+            Route::Local => {
                 let event = shard::Event::TakeKey {
-                    token: self.wait(Waiter::Router(request)),
+                    token: self.register_waiter(Waiter::Router(request)),
                     key,
                     nonce,
                 };
-                self.tell_owner(now, shard, event, actions);
+                self.dispatch_to_owner(now, shard, event, actions);
             }
-            Place::There(to) => {
+            Route::Remote(to) => {
                 let claim = TakeKey { key, nonce };
                 let message = Forward::TakeKey { request, claim };
                 actions.push(Action::Forward { to, message });
             }
-            Place::Nowhere => self.on_key_answered(now, request, &no_owner_of_key(), actions),
+            Route::NoOwner => self.on_key_answered(now, request, &no_owner_of_key(), actions),
         }
     }
 
@@ -191,7 +191,7 @@
         stable_hash(&format!("{incarnation}/{}", self.next_nonce))
     }
 
-    fn wait(&mut self, waiter: Waiter) -> shard::Token {
+    fn register_waiter(&mut self, waiter: Waiter) -> shard::Token {
         self.next_token += 1;
         self.waiters.insert(self.next_token, waiter);
         shard::Token(self.next_token)
--- a/crates/node/src/shards.rs
+++ b/crates/node/src/shards.rs
@@ -10,11 +10,11 @@
 use ospreywing_types::{Duration, Instant};
 
 /// How often a former owner is asked to close its epoch.
-const ASK_TO_CLOSE_EVERY: Duration = Duration::from_ms(500);
+const CLOSE_REQUEST_INTERVAL: Duration = Duration::from_ms(500);
 /// A hand-over that has not settled by then goes on without settling.
-const HAND_OVER_LIMIT: Duration = Duration::from_s(5);
+const HANDOVER_TIMEOUT: Duration = Duration::from_s(5);
 /// How often a key that should be vacant is vacated again.
-const VACATE_AGAIN_EVERY: Duration = Duration::from_s(1);
+const VACATE_RETRY_INTERVAL: Duration = Duration::from_s(1);
 
 impl Node {
     pub(crate) fn on_shard_event(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
@@ -26,7 +26,7 @@
                 }
             }
             Event::CommitDone { shard, epoch } => {
-                self.tell_owner_of(now, shard, epoch, shard::Event::CommitDone, actions);
+                self.dispatch_to_epoch(now, shard, epoch, shard::Event::CommitDone, actions);
             }
             Event::CommitFenced {
                 shard,
@@ -37,7 +37,7 @@
                     self.close_shard(now, shard, is_refused, actions);
                 }
             }
-            Event::EpochAnswered {
+            Event::CloseEpochAnswered {
                 shard,
                 epoch,
                 reply,
@@ -86,13 +86,13 @@
         let owner = recovery.finish(now);
         self.shards[log.shard as usize] = ShardSlot::Owned(Box::new(owner));
         let table = shard::Event::Table(self.table.table());
-        self.tell_owner(now, log.shard, table, actions);
+        self.dispatch_to_owner(now, log.shard, table, actions);
         let is_deciding = self.freshness().may_decide();
         let deciding = shard::Event::Deciding(is_deciding);
-        self.tell_owner(now, log.shard, deciding, actions);
-        self.give_boxes(now, log.shard, actions);
+        self.dispatch_to_owner(now, log.shard, deciding, actions);
+        self.dispatch_boxes(now, log.shard, actions);
         self.connect_workers(actions);
-        self.closing_asked_at = Instant::default();
+        self.close_requested_at = Instant::default();
     }
 
     /// Compares what the store says with what this node believes to own.
@@ -115,7 +115,7 @@
                         self.close_shard(now, shard, false, actions);
                     } else if revision == epoch {
                         let event = shard::Event::OwnershipConfirmed { asked_at };
-                        self.tell_owner(now, shard, event, actions);
+                        self.dispatch_to_owner(now, shard, event, actions);
                     }
                 }
                 ShardSlot::Vacating { epoch, .. } if revision > *epoch => {
@@ -146,10 +146,10 @@
                 return;
             }
         };
-        let mut said = core::mem::take(&mut self.shard_actions);
-        let closing = owner.close(is_refused, &mut said);
-        self.carry_out(now, &mut said, actions);
-        self.shard_actions = said;
+        let mut owner_actions = core::mem::take(&mut self.shard_actions);
+        let closing = owner.close(is_refused, &mut owner_actions);
+        self.apply_owner_actions(now, &mut owner_actions, actions);
+        self.shard_actions = owner_actions;
         if !closing.is_closed() {
             self.shards[shard as usize] = ShardSlot::Closing(closing);
         }
@@ -189,16 +189,16 @@
     ) {
         if reply != CloseEpochReply::Busy {
             let event = shard::Event::EpochClosed { epoch };
-            self.tell_owner(now, shard, event, actions);
+            self.dispatch_to_owner(now, shard, event, actions);
         }
     }
 
     /// Asks former owners to close their epochs; those proved gone have.
-    pub(crate) fn ask_to_close(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if now.since(self.closing_asked_at) < ASK_TO_CLOSE_EVERY {
+    pub(crate) fn request_epoch_closes(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        if now.since(self.close_requested_at) < CLOSE_REQUEST_INTERVAL {
             return;
         }
-        self.closing_asked_at = now;
+        self.close_requested_at = now;
         for shard in 0..self.shards_count() {
             let Some(owner) = self.shards[shard as usize].owner() else {
                 continue;
@@ -209,7 +209,7 @@
                 if is_mine || self.membership.is_gone(now, incarnation) {
                     let epoch = former.epoch;
                     let event = shard::Event::EpochClosed { epoch };
-                    self.tell_owner(now, shard, event, actions);
+                    self.dispatch_to_owner(now, shard, event, actions);
                 } else {
                     actions.push(Action::CloseEpoch {
                         shard,
@@ -237,10 +237,10 @@
     }
 
     /// Moves each hand-over on: settle, put the end on record, vacate the key.
-    pub(crate) fn advance_hand_overs(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(crate) fn advance_handovers(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for shard in 0..self.shards_count() {
             if let ShardSlot::Vacating { epoch, asked_at } = self.shards[shard as usize] {
-                if now.since(asked_at) >= VACATE_AGAIN_EVERY {
+                if now.since(asked_at) >= VACATE_RETRY_INTERVAL {
                     self.vacate_shard(now, shard, epoch, actions);
                 }
             }
@@ -252,7 +252,7 @@
             else {
                 continue;
             };
-            let is_overdue = now.since(*since) >= HAND_OVER_LIMIT;
+            let is_overdue = now.since(*since) >= HANDOVER_TIMEOUT;
             if *is_finishing && owner.is_settled() && !owner.wants_commit() || is_overdue {
                 let epoch = owner.config().epoch;
                 self.close_shard(now, shard, false, actions);
@@ -278,12 +278,12 @@
     }
 
     /// Makes the commits that are due, as far as the pace allows.
-    pub(crate) fn pump(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(crate) fn issue_commits(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for shard in 0..self.shards_count() {
             let Some(owner) = self.shards[shard as usize].owner_mut() else {
                 continue;
             };
-            if !owner.wants_commit() || !self.pace.take(now) {
+            if !owner.wants_commit() || !self.commit_limiter.try_acquire(now) {
                 continue;
             }
             let epoch = owner.config().epoch;
@@ -299,7 +299,7 @@
 
     /// Hands an event to the owner of a shard, where this node is that under
     /// `epoch`. What a worker said before a shard was claimed may be out of date.
-    pub(crate) fn tell_owner_of(
+    pub(crate) fn dispatch_to_epoch(
         &mut self,
         now: Instant,
         shard: u32,
@@ -308,12 +308,12 @@
         actions: &mut Vec<Action>,
     ) {
         if self.owns(shard, epoch) {
-            self.tell_owner(now, shard, event, actions);
+            self.dispatch_to_owner(now, shard, event, actions);
         }
     }
 
     /// Hands an event to the owner of a shard, where this node is that.
-    pub(crate) fn tell_owner(
+    pub(crate) fn dispatch_to_owner(
         &mut self,
         now: Instant,
         shard: u32,
@@ -324,20 +324,20 @@
         let Some(owner) = slot.and_then(ShardSlot::owner_mut) else {
             return;
         };
-        let mut said = core::mem::take(&mut self.shard_actions);
-        owner.handle(now, event, &mut said);
-        self.carry_out(now, &mut said, actions);
-        self.shard_actions = said;
+        let mut owner_actions = core::mem::take(&mut self.shard_actions);
+        owner.handle(now, event, &mut owner_actions);
+        self.apply_owner_actions(now, &mut owner_actions, actions);
+        self.shard_actions = owner_actions;
     }
 
     /// Turns an owner's actions into the node's.
-    fn carry_out(
+    fn apply_owner_actions(
         &mut self,
         now: Instant,
-        said: &mut Vec<shard::Action>,
+        owner_actions: &mut Vec<shard::Action>,
         actions: &mut Vec<Action>,
     ) {
-        for action in said.drain(..) {
+        for action in owner_actions.drain(..) {
             match action {
                 shard::Action::Reply { token, reply } => {
                     self.on_owner_reply(now, token, reply, actions);
@@ -357,11 +357,11 @@
         actions: &mut Vec<Action>,
     ) {
         match (self.waiters.remove(&token.0), reply) {
-            (Some(Waiter::Outside(token)), shard::Reply::Submit(reply)) => {
+            (Some(Waiter::External(token)), shard::Reply::Submit(reply)) => {
                 let answer = Answer::Submit(reply);
                 actions.push(Action::Answer { token, answer });
             }
-            (Some(Waiter::Outside(token)), shard::Reply::TakeKey(reply)) => {
+            (Some(Waiter::External(token)), shard::Reply::TakeKey(reply)) => {
                 let answer = Answer::TakeKey(reply);
                 actions.push(Action::Answer { token, answer });
             }
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::action::Action;
 use crate::event::Event;
-use crate::node::{Connected, Node};
+use crate::node::{ConnectionTarget, Node};
 use crate::shard_slot::ShardSlot;
 use ospreywing_shard as shard;
 use ospreywing_types::{AttemptId, BoxFacts, Instant, Name};
@@ -28,7 +28,7 @@
                     session,
                     report,
                 };
-                self.tell_owner_of(now, shard, epoch, event, actions);
+                self.dispatch_to_epoch(now, shard, epoch, event, actions);
             }
             Event::Reported {
                 worker,
@@ -44,7 +44,7 @@
                     asked_at,
                     report,
                 };
-                self.tell_owner_of(now, shard, epoch, event, actions);
+                self.dispatch_to_epoch(now, shard, epoch, event, actions);
             }
             Event::SessionClosed {
                 worker,
@@ -53,7 +53,7 @@
             } => {
                 let shard = self.shard_of_worker(&worker);
                 let event = shard::Event::SessionClosed { worker, session };
-                self.tell_owner_of(now, shard, epoch, event, actions);
+                self.dispatch_to_epoch(now, shard, epoch, event, actions);
             }
             Event::StartAcked { attempt } => {
                 self.on_start_resolved(now, attempt, shard::Event::StartAcked { attempt }, actions);
@@ -69,7 +69,7 @@
             Event::Ended { worker, ended } => {
                 let shard = self.shard_of_worker(&worker);
                 let event = shard::Event::Ended { worker, ended };
-                self.tell_owner(now, shard, event, actions);
+                self.dispatch_to_owner(now, shard, event, actions);
             }
             _ => {}
         }
@@ -91,11 +91,11 @@
             }
             return;
         }
-        self.tell_owner(now, attempt.shard, event, actions);
+        self.dispatch_to_owner(now, attempt.shard, event, actions);
     }
 
     /// Gives an owner the workers of its shard.
-    pub(crate) fn give_boxes(&mut self, now: Instant, shard: u32, actions: &mut Vec<Action>) {
+    pub(crate) fn dispatch_boxes(&mut self, now: Instant, shard: u32, actions: &mut Vec<Action>) {
         if self.shards[shard as usize].owner().is_none() {
             return;
         }
@@ -104,35 +104,40 @@
             .filter(|facts| self.shard_of_worker(&facts.name) == shard)
             .cloned()
             .collect();
-        self.tell_owner(now, shard, shard::Event::Boxes(boxes), actions);
+        self.dispatch_to_owner(now, shard, shard::Event::Boxes(boxes), actions);
     }
 
     /// Keeps connections to the workers of owned shards, and to no others.
     pub(crate) fn connect_workers(&mut self, actions: &mut Vec<Action>) {
-        let wanted: BTreeMap<Name, Connected> = self
+        let wanted: BTreeMap<Name, ConnectionTarget> = self
             .workers
             .values()
             .filter_map(|facts| {
                 let slot = &self.shards[self.shard_of_worker(&facts.name) as usize];
                 let epoch = slot.epoch()?;
                 let addr = facts.addr.clone();
-                Some((facts.name.clone(), Connected { addr, epoch }))
+                Some((facts.name.clone(), ConnectionTarget { addr, epoch }))
             })
             .collect();
-        let is_gone = |name: &&Name| wanted.get(*name) != self.connected.get(*name);
-        let gone: Vec<Name> = self.connected.keys().filter(is_gone).cloned().collect();
+        let is_changed = |name: &&Name| wanted.get(*name) != self.connection_targets.get(*name);
+        let gone: Vec<Name> = self
+            .connection_targets
+            .keys()
+            .filter(is_changed)
+            .cloned()
+            .collect();
         for worker in gone {
             actions.push(Action::Disconnect { worker });
         }
-        for (worker, connected) in &wanted {
-            if self.connected.get(worker) != Some(connected) {
+        for (worker, target) in &wanted {
+            if self.connection_targets.get(worker) != Some(target) {
                 actions.push(Action::Connect {
                     worker: worker.clone(),
-                    addr: connected.addr.clone(),
-                    epoch: connected.epoch,
+                    addr: target.addr.clone(),
+                    epoch: target.epoch,
                 });
             }
         }
-        self.connected = wanted;
+        self.connection_targets = wanted;
     }
 }
--- a/crates/node/tests/cell/store_fake.rs
+++ b/crates/node/tests/cell/store_fake.rs
@@ -6,21 +6,21 @@
 use ospreywing_types::{DaemonIdentity, Name};
 use std::collections::BTreeMap;
 
-type Held = Versioned<Option<DaemonIdentity>>;
+type HolderVersion = Versioned<Option<DaemonIdentity>>;
 
 #[derive(Default)]
 pub struct StoreFake {
     pub revision: u64,
     pub members: BTreeMap<Name, Member>,
-    pub owners: BTreeMap<u32, Held>,
-    pub seats: BTreeMap<u32, Held>,
+    pub owners: BTreeMap<u32, HolderVersion>,
+    pub seats: BTreeMap<u32, HolderVersion>,
     pub rows: BTreeMap<Name, Versioned<Option<Row>>>,
     pub logs: BTreeMap<u32, BTreeMap<u64, Vec<u8>>>,
 }
 
 /// Puts `value` where the key has `revision`; returns the new revision.
 fn swap(
-    map: &mut BTreeMap<u32, Held>,
+    map: &mut BTreeMap<u32, HolderVersion>,
     newest: &mut u64,
     key: u32,
     revision: u64,
--- a/crates/node/tests/cell/traces.rs
+++ b/crates/node/tests/cell/traces.rs
@@ -88,7 +88,10 @@
         ["shards", daemon, wanted] => (world.shards_count(index(daemon)).to_string(), wanted),
         ["current", daemon, wanted] => (world.is_current(index(daemon)).to_string(), wanted),
         ["working", wanted] => (world.working_count().to_string(), wanted),
-        ["left", daemon, wanted] => (world.has_left(index(daemon)).to_string(), wanted),
+        ["left", daemon, wanted] => (
+            world.is_shutdown_complete(index(daemon)).to_string(),
+            wanted,
+        ),
         _ => return Err(Broken("no such outcome".to_owned())),
     };
     ospreywing_filetest::expect(&found, wanted)
--- a/crates/node/tests/cell/world.rs
+++ b/crates/node/tests/cell/world.rs
@@ -423,7 +423,7 @@
         let poll = Poll {
             asked_at: self.now,
             changes: self.store.whole(),
-            is_whole: true,
+            is_snapshot: true,
         };
         self.tell(daemon, Event::Polled(poll));
     }
@@ -500,7 +500,7 @@
         if !work.is_heard {
             work.is_heard = true;
             let (daemon, process, request) = (work.daemon, work.process, work.request);
-            self.post_back(daemon, process, Event::RequestBroken(request));
+            self.post_back(daemon, process, Event::RequestInterrupted(request));
         }
     }
 
@@ -829,7 +829,7 @@
             epoch,
         }) = self.asked.remove(&token)
         {
-            let event = Event::EpochAnswered {
+            let event = Event::CloseEpochAnswered {
                 shard,
                 epoch,
                 reply,
@@ -920,7 +920,7 @@
         // Those that were leaving are replaced.
         self.step(&Op::Run { steps: 150 })?;
         for daemon in 0..DAEMONS_COUNT {
-            if self.daemons[daemon].node.has_left() {
+            if self.daemons[daemon].node.is_shutdown_complete() {
                 self.step(&Op::Kill { daemon })?;
             }
         }
@@ -983,7 +983,7 @@
         self.work.len()
     }
 
-    pub fn has_left(&self, daemon: usize) -> bool {
-        self.daemons[daemon].node.has_left()
+    pub fn is_shutdown_complete(&self, daemon: usize) -> bool {
+        self.daemons[daemon].node.is_shutdown_complete()
     }
 }
--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -35,7 +35,7 @@
         /// `IP:port` of the minion.
         addr: String,
         /// When to break it off.
-        time_limit: Duration,
+        timeout: Duration,
     },
     /// Pass the minion's answer on to the caller.
     Deliver {
--- a/crates/routing/src/burn.rs
+++ b/crates/routing/src/burn.rs
@@ -68,7 +68,7 @@
 
 impl Burn {
     /// Notes a request that ended at `now`.
-    pub fn note(&mut self, now: Instant, is_good: bool) {
+    pub fn record(&mut self, now: Instant, is_good: bool) {
         self.advance(now);
         let bucket = &mut self.buckets[self.newest as usize % LONG_BUCKETS_COUNT];
         bucket.total_count += 1;
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -31,7 +31,7 @@
     /// A caller sent a request.
     Arrived(Arrival),
     /// A caller has gone away.
-    CallerLeft {
+    CallerDisconnected {
         /// The caller.
         token: u64,
     },
@@ -51,7 +51,7 @@
     /// Certainly nothing of the request left this daemon, or will.
     NotSent(Request),
     /// The connection broke, or the time was up, after sending had begun.
-    Broken(Request),
+    Interrupted(Request),
     /// Time has passed.
     Tick,
 }
--- a/crates/routing/src/minion.rs
+++ b/crates/routing/src/minion.rs
@@ -128,7 +128,7 @@
     }
 
     /// Notes that a minion answered.
-    pub(crate) fn note_success(&mut self, minion: Minion) {
+    pub(crate) fn record_success(&mut self, minion: Minion) {
         let data = &mut self.minions[minion];
         data.failures_count = 0;
         data.ejections_count = 0;
@@ -138,7 +138,7 @@
     ///
     /// No more than `limit_percent` of the live minions are ejected at once:
     /// when most fail, the fault is not theirs.
-    pub(crate) fn note_failure(
+    pub(crate) fn record_failure(
         &mut self,
         now: Instant,
         minion: Minion,
@@ -149,10 +149,10 @@
         let live = self.minions.values().filter(|data| data.is_live);
         let live_count = live.clone().count();
         let ejected_count = live.filter(|data| data.is_ejected(now)).count();
-        let has_room = (ejected_count + 1) * 100 <= live_count * limit_percent as usize;
+        let is_below_limit = (ejected_count + 1) * 100 <= live_count * limit_percent as usize;
         let data = &mut self.minions[minion];
         data.failures_count += 1;
-        if data.failures_count >= eject_after_count && has_room {
+        if data.failures_count >= eject_after_count && is_below_limit {
             data.failures_count = 0;
             data.ejections_count = (data.ejections_count + 1).min(EJECTIONS_LIMIT);
             let length = eject_for.times(u64::from(data.ejections_count));
--- a/crates/routing/src/rate.rs
+++ b/crates/routing/src/rate.rs
@@ -22,7 +22,7 @@
     }
 
     /// Takes a token, if one is there or there is no limit.
-    pub(crate) fn take(&mut self, now: Instant) -> bool {
+    pub(crate) fn try_acquire(&mut self, now: Instant) -> bool {
         if self.rate_per_s == 0 {
             return true;
         }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -7,7 +7,7 @@
 
 /// The slot that a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct SlotRef {
     pub(crate) minion: Minion,
     pub(crate) seat: u32,
 }
@@ -20,9 +20,9 @@
     /// It waits for a slot.
     Queued,
     /// It has a slot and waits for the grant of its one run.
-    TakingKey(Place),
+    AwaitingKey(SlotRef),
     /// It was sent.
-    Sent(Place),
+    Sent(SlotRef),
 }
 
 /// One request.
@@ -35,7 +35,7 @@
     pub(crate) retries_count: u32,
     pub(crate) stage: Stage,
     /// Whether its one run was granted.
-    pub(crate) has_key: bool,
+    pub(crate) key_granted: bool,
     /// The caller, until it has its final answer.
     pub(crate) token: Option<u64>,
 }
@@ -44,15 +44,15 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestTable {
     requests: PrimaryMap<Request, RequestData>,
-    vacant: Vec<Request>,
-    by_token: HashMap<u64, Request>,
+    free_entries: Vec<Request>,
+    request_of_caller: HashMap<u64, Request>,
 }
 
 impl RequestTable {
     /// Adds a request.
     pub(crate) fn insert(&mut self, data: RequestData) -> Request {
         let token = data.token;
-        let request = match self.vacant.pop() {
+        let request = match self.free_entries.pop() {
             Some(request) => {
                 self.requests[request] = data;
                 request
@@ -60,28 +60,28 @@
             None => self.requests.push(data),
         };
         if let Some(token) = token {
-            self.by_token.insert(token, request);
+            self.request_of_caller.insert(token, request);
         }
         request
     }
 
     /// Frees a request's entry.
     pub(crate) fn remove(&mut self, request: Request) {
-        self.take_token(request);
+        self.detach_caller(request);
         self.requests[request].stage = Stage::Vacant;
-        self.vacant.push(request);
+        self.free_entries.push(request);
     }
 
     /// Takes the caller, who now gets its final answer.
-    pub(crate) fn take_token(&mut self, request: Request) -> Option<u64> {
+    pub(crate) fn detach_caller(&mut self, request: Request) -> Option<u64> {
         let token = self.requests[request].token.take()?;
-        self.by_token.remove(&token);
+        self.request_of_caller.remove(&token);
         Some(token)
     }
 
     /// Returns the request of a caller.
-    pub(crate) fn by_token(&self, token: u64) -> Option<Request> {
-        self.by_token.get(&token).copied()
+    pub(crate) fn request_of_caller(&self, token: u64) -> Option<Request> {
+        self.request_of_caller.get(&token).copied()
     }
 
     /// Returns a request's data.
@@ -102,6 +102,6 @@
 
     /// Returns the number of requests that exist.
     pub(crate) fn len(&self) -> usize {
-        self.requests.len() - self.vacant.len()
+        self.requests.len() - self.free_entries.len()
     }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -6,7 +6,7 @@
 use crate::entity::{Minion, Request, Service};
 use crate::event::{Arrival, Event};
 use crate::minion::{MinionTable, Slot};
-use crate::request::{Place, RequestData, RequestTable, Stage};
+use crate::request::{RequestData, RequestTable, SlotRef, Stage};
 use crate::service::ServiceTable;
 use ospreywing_membership::SeatSet;
 use ospreywing_table::Repeat;
@@ -76,7 +76,7 @@
             }
             Event::Deciding(is_deciding) => self.set_deciding(now, is_deciding, actions),
             Event::Arrived(arrival) => self.on_arrived(now, arrival, actions),
-            Event::CallerLeft { token } => self.on_caller_left(token),
+            Event::CallerDisconnected { token } => self.on_caller_left(token),
             Event::KeyGranted(request) => self.on_key_granted(now, request, actions),
             Event::KeyTaken(request) => self.on_key_taken(now, request, actions),
             Event::KeyRefused {
@@ -85,7 +85,7 @@
             } => self.on_key_refused(now, request, retry_after, actions),
             Event::Answered(request) => self.on_answered(now, request, actions),
             Event::NotSent(request) => self.on_not_sent(now, request, actions),
-            Event::Broken(request) => self.on_broken(now, request, actions),
+            Event::Interrupted(request) => self.on_interrupted(now, request, actions),
             Event::Tick => self.on_tick(now, actions),
         }
         self.dispatch(now, actions);
@@ -100,7 +100,7 @@
         for request in self.requests_where(queued) {
             let reason = "this daemon does not know whether its table is current";
             let give_up = not_run(reason, STALE_RETRY_AFTER);
-            self.drop_queued(request);
+            self.remove_from_queue(request);
             self.give_up(now, request, give_up, actions);
             self.requests.remove(request);
         }
@@ -121,7 +121,7 @@
             Ok(service) => service,
             Err(give_up) => {
                 if let Some(service) = self.services.listed(&arrival.row) {
-                    self.services.get_mut(service).burn.note(now, false);
+                    self.services.get_mut(service).burn.record(now, false);
                 }
                 self.counts.not_run_count += 1;
                 actions.push(Action::GiveUp { token, give_up });
@@ -140,7 +140,7 @@
             expires_at: now + deadline,
             retries_count: 0,
             stage: Stage::Queued,
-            has_key: false,
+            key_granted: false,
             token: Some(token),
         });
         self.enqueue(request);
@@ -185,7 +185,7 @@
             let reason = "the queue is longer than the row's deadline allows";
             return Err(not_run(reason, expected_wait));
         }
-        if !self.services.get_mut(service).rate.take(now) {
+        if !self.services.get_mut(service).rate.try_acquire(now) {
             return Err(not_run("cap_rate_per_s: reached", RETRY_AFTER));
         }
         Ok(service)
@@ -209,22 +209,22 @@
         if self.queued_count == 0 || !self.is_deciding || self.seats.is_empty() {
             return;
         }
-        let mut passed: Vec<Service> = Vec::new();
-        while let Some(service) = self.next_service(&passed) {
+        let mut skipped: Vec<Service> = Vec::new();
+        while let Some(service) = self.next_service(&skipped) {
             let request = self.services.get(service).queue[0];
             match self.choose_minion(now, service) {
-                Some(place) => {
-                    self.drop_queued(request);
-                    self.begin(now, request, place, actions);
+                Some(slot_ref) => {
+                    self.remove_from_queue(request);
+                    self.begin(now, request, slot_ref, actions);
                 }
-                None => passed.push(service),
+                None => skipped.push(service),
             }
         }
     }
 
-    fn next_service(&self, passed: &[Service]) -> Option<Service> {
+    fn next_service(&self, skipped: &[Service]) -> Option<Service> {
         let open = self.services.iter().filter(|(service, data)| {
-            !data.queue.is_empty() && data.has_inflight_room() && !passed.contains(service)
+            !data.queue.is_empty() && data.has_inflight_capacity() && !skipped.contains(service)
         });
         let best = open.max_by_key(|(_, data)| {
             let credit = u64::from(data.share) * 1000 / (u64::from(data.inflight_count) + 1);
@@ -235,19 +235,19 @@
 
     /// Returns the less busy of two minions drawn at random, or the next that
     /// has a free slot where neither has.
-    fn choose_minion(&mut self, now: Instant, service: Service) -> Option<Place> {
+    fn choose_minion(&mut self, now: Instant, service: Service) -> Option<SlotRef> {
         let name = &self.services.get(service).name;
         let is_open = |data: &crate::minion::MinionData| {
             data.is_live && !data.is_ejected(now) && data.serves.contains(name)
         };
         let seats = self.seats;
-        let open: Vec<Place> = self
+        let open: Vec<SlotRef> = self
             .minions
             .iter()
             .filter(|(_, data)| is_open(data))
             .filter_map(|(minion, data)| {
                 let seat = data.free_slot(seats)?;
-                Some(Place { minion, seat })
+                Some(SlotRef { minion, seat })
             })
             .collect();
         if open.is_empty() {
@@ -255,7 +255,7 @@
         }
         let first = open[self.rng.random_range(0..open.len())];
         let second = open[self.rng.random_range(0..open.len())];
-        let busy_count = |place: &Place| self.minions.get(place.minion).busy_count();
+        let busy_count = |slot_ref: &SlotRef| self.minions.get(slot_ref.minion).busy_count();
         if busy_count(&second) < busy_count(&first) {
             Some(second)
         } else {
@@ -263,58 +263,70 @@
         }
     }
 
-    fn begin(&mut self, now: Instant, request: Request, place: Place, actions: &mut Vec<Action>) {
+    fn begin(
+        &mut self,
+        now: Instant,
+        request: Request,
+        slot_ref: SlotRef,
+        actions: &mut Vec<Action>,
+    ) {
         self.minions
-            .set_slot(place.minion, place.seat, Slot::Busy(request));
+            .set_slot(slot_ref.minion, slot_ref.seat, Slot::Busy(request));
         let data = self.requests.get(request);
         self.services.get_mut(data.service).inflight_count += 1;
         match &data.key {
-            Some(key) if !data.has_key => {
+            Some(key) if !data.key_granted => {
                 let key = key.clone();
-                self.requests.get_mut(request).stage = Stage::TakingKey(place);
+                self.requests.get_mut(request).stage = Stage::AwaitingKey(slot_ref);
                 actions.push(Action::TakeKey { request, key });
             }
-            _ => self.send(now, request, place, actions),
+            _ => self.send(now, request, slot_ref, actions),
         }
     }
 
-    fn send(&mut self, now: Instant, request: Request, place: Place, actions: &mut Vec<Action>) {
+    fn send(
+        &mut self,
+        now: Instant,
+        request: Request,
+        slot_ref: SlotRef,
+        actions: &mut Vec<Action>,
+    ) {
         let data = self.requests.get_mut(request);
         let Some(token) = data.token else { return };
-        data.stage = Stage::Sent(place);
+        data.stage = Stage::Sent(slot_ref);
         data.sent_at = now;
-        let time_limit = data.expires_at.since(now);
-        let minion = self.minions.get(place.minion);
+        let timeout = data.expires_at.since(now);
+        let minion = self.minions.get(slot_ref.minion);
         actions.push(Action::Send {
             request,
             token,
             minion: minion.name.clone(),
             addr: minion.addr.clone(),
-            time_limit,
+            timeout,
         });
     }
 
     fn on_key_granted(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
         let data = self.requests.get_mut(request);
-        let Stage::TakingKey(place) = data.stage else {
+        let Stage::AwaitingKey(slot_ref) = data.stage else {
             return;
         };
-        data.has_key = true;
+        data.key_granted = true;
         if data.token.is_none() || now >= data.expires_at {
             // Granted too late: nothing is sent, and the caller knows or learns it.
-            self.free_slot(request, place, Slot::Free);
-            self.give_up(now, request, too_late(), actions);
+            self.free_slot(request, slot_ref, Slot::Free);
+            self.give_up(now, request, deadline_passed(), actions);
             self.requests.remove(request);
             return;
         }
-        self.send(now, request, place, actions);
+        self.send(now, request, slot_ref, actions);
     }
 
     fn on_key_taken(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
-        let Stage::TakingKey(place) = self.requests.get(request).stage else {
+        let Stage::AwaitingKey(slot_ref) = self.requests.get(request).stage else {
             return;
         };
-        self.free_slot(request, place, Slot::Free);
+        self.free_slot(request, slot_ref, Slot::Free);
         let give_up = GiveUp {
             outcome: Outcome::Unknown,
             reason: "request-key: was asked before; that request may have run".to_owned(),
@@ -331,10 +343,10 @@
         retry_after: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let Stage::TakingKey(place) = self.requests.get(request).stage else {
+        let Stage::AwaitingKey(slot_ref) = self.requests.get(request).stage else {
             return;
         };
-        self.free_slot(request, place, Slot::Free);
+        self.free_slot(request, slot_ref, Slot::Free);
         let give_up = not_run("the request's key can't be put on record now", retry_after);
         self.give_up(now, request, give_up, actions);
         self.requests.remove(request);
@@ -342,17 +354,17 @@
 
     fn on_answered(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
         let data = self.requests.get(request);
-        let Stage::Sent(place) = data.stage else {
+        let Stage::Sent(slot_ref) = data.stage else {
             return;
         };
         let (service, took) = (data.service, now.since(data.sent_at));
         let is_good = now <= data.expires_at;
-        self.free_slot(request, place, Slot::Free);
-        self.minions.note_success(place.minion);
-        self.services.get_mut(service).note_service_time(took);
-        if let Some(token) = self.requests.take_token(request) {
+        self.free_slot(request, slot_ref, Slot::Free);
+        self.minions.record_success(slot_ref.minion);
+        self.services.get_mut(service).record_service_time(took);
+        if let Some(token) = self.requests.detach_caller(request) {
             self.counts.done_count += 1;
-            self.services.get_mut(service).burn.note(now, is_good);
+            self.services.get_mut(service).burn.record(now, is_good);
             actions.push(Action::Deliver { token });
         }
         self.requests.remove(request);
@@ -360,11 +372,11 @@
 
     /// Nothing was sent, so even a request that is unsafe to repeat may go elsewhere.
     fn on_not_sent(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
-        let Stage::Sent(place) = self.requests.get(request).stage else {
+        let Stage::Sent(slot_ref) = self.requests.get(request).stage else {
             return;
         };
-        self.free_slot(request, place, Slot::Free);
-        self.note_failure(now, place.minion);
+        self.free_slot(request, slot_ref, Slot::Free);
+        self.record_failure(now, slot_ref.minion);
         if self.may_retry(now, request) {
             self.retry(request);
             return;
@@ -374,13 +386,13 @@
         self.requests.remove(request);
     }
 
-    fn on_broken(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
-        let Stage::Sent(place) = self.requests.get(request).stage else {
+    fn on_interrupted(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
+        let Stage::Sent(slot_ref) = self.requests.get(request).stage else {
             return;
         };
         let until = now + self.config.slot_quarantine;
-        self.free_slot(request, place, Slot::Quarantined(until));
-        self.note_failure(now, place.minion);
+        self.free_slot(request, slot_ref, Slot::Quarantined(until));
+        self.record_failure(now, slot_ref.minion);
         let data = self.requests.get(request);
         let is_repeatable = self.services.get(data.service).repeat == Repeat::Repeatable;
         if is_repeatable && self.may_retry(now, request) {
@@ -415,9 +427,9 @@
         self.queued_count += 1;
     }
 
-    fn note_failure(&mut self, now: Instant, minion: Minion) {
+    fn record_failure(&mut self, now: Instant, minion: Minion) {
         let config = &self.config;
-        self.minions.note_failure(
+        self.minions.record_failure(
             now,
             minion,
             config.eject_after_count,
@@ -426,13 +438,13 @@
         );
     }
 
-    fn free_slot(&mut self, request: Request, place: Place, slot: Slot) {
-        self.minions.set_slot(place.minion, place.seat, slot);
+    fn free_slot(&mut self, request: Request, slot_ref: SlotRef, slot: Slot) {
+        self.minions.set_slot(slot_ref.minion, slot_ref.seat, slot);
         let service = self.requests.get(request).service;
         self.services.get_mut(service).inflight_count -= 1;
     }
 
-    fn drop_queued(&mut self, request: Request) {
+    fn remove_from_queue(&mut self, request: Request) {
         let service = self.requests.get(request).service;
         let queue = &mut self.services.get_mut(service).queue;
         let before = queue.len();
@@ -441,12 +453,12 @@
     }
 
     fn on_caller_left(&mut self, token: u64) {
-        let Some(request) = self.requests.by_token(token) else {
+        let Some(request) = self.requests.request_of_caller(token) else {
             return;
         };
-        self.requests.take_token(request);
+        self.requests.detach_caller(request);
         if self.requests.get(request).stage == Stage::Queued {
-            self.drop_queued(request);
+            self.remove_from_queue(request);
             self.requests.remove(request);
         }
     }
@@ -459,7 +471,7 @@
         give_up: GiveUp,
         actions: &mut Vec<Action>,
     ) {
-        let Some(token) = self.requests.take_token(request) else {
+        let Some(token) = self.requests.detach_caller(request) else {
             return;
         };
         match give_up.outcome {
@@ -467,7 +479,7 @@
             Outcome::Unknown | Outcome::Done => self.counts.unknown_count += 1,
         }
         let service = self.requests.get(request).service;
-        self.services.get_mut(service).burn.note(now, false);
+        self.services.get_mut(service).burn.record(now, false);
         actions.push(Action::GiveUp { token, give_up });
     }
 
@@ -488,12 +500,12 @@
         match self.requests.get(request).stage {
             Stage::Vacant => {}
             Stage::Queued => {
-                self.drop_queued(request);
-                self.give_up(now, request, too_late(), actions);
+                self.remove_from_queue(request);
+                self.give_up(now, request, deadline_passed(), actions);
                 self.requests.remove(request);
             }
             // Its run may be granted yet, and is then not used.
-            Stage::TakingKey(_) => self.give_up(now, request, too_late(), actions),
+            Stage::AwaitingKey(_) => self.give_up(now, request, deadline_passed(), actions),
             // Its slot stays in use until the send is reported as over.
             Stage::Sent(_) => {
                 let give_up = GiveUp {
@@ -557,6 +569,6 @@
     }
 }
 
-fn too_late() -> GiveUp {
+fn deadline_passed() -> GiveUp {
     not_run("no slot became free by the deadline", RETRY_AFTER)
 }
--- a/crates/routing/src/service.rs
+++ b/crates/routing/src/service.rs
@@ -89,13 +89,13 @@
     }
 
     /// Returns whether one more request may be in flight.
-    pub(crate) fn has_inflight_room(&self) -> bool {
+    pub(crate) fn has_inflight_capacity(&self) -> bool {
         self.inflight_limit_count
             .is_none_or(|limit| self.inflight_count < limit)
     }
 
     /// Notes how long a minion took.
-    pub(crate) fn note_service_time(&mut self, length: Duration) {
+    pub(crate) fn record_service_time(&mut self, length: Duration) {
         let difference_ms = length.as_ms() as f64 - self.service_time_ms;
         self.service_time_ms += SERVICE_TIME_GAIN * difference_ms;
     }
--- a/crates/routing/src/verifier.rs
+++ b/crates/routing/src/verifier.rs
@@ -2,7 +2,7 @@
 
 use crate::entity::{Minion, Request, Service};
 use crate::minion::Slot;
-use crate::request::{Place, Stage};
+use crate::request::{SlotRef, Stage};
 use crate::router::Router;
 use thiserror::Error;
 
@@ -21,7 +21,7 @@
     },
     /// A request uses a slot that does not name it.
     #[error("{request}: uses a slot of {minion} that does not name it")]
-    Unslotted {
+    SlotNotMarked {
         /// The request.
         request: Request,
         /// The minion.
@@ -47,7 +47,7 @@
     },
     /// A request that is unsafe to repeat was sent without its grant.
     #[error("{request}: sent without the grant of its key")]
-    Ungranted {
+    SentWithoutGrant {
         /// The request.
         request: Request,
     },
@@ -70,9 +70,9 @@
     }
 }
 
-fn place_of(stage: Stage) -> Option<Place> {
+fn slot_of(stage: Stage) -> Option<SlotRef> {
     match stage {
-        Stage::TakingKey(place) | Stage::Sent(place) => Some(place),
+        Stage::AwaitingKey(slot_ref) | Stage::Sent(slot_ref) => Some(slot_ref),
         Stage::Vacant | Stage::Queued => None,
     }
 }
@@ -81,8 +81,8 @@
     for (minion, data) in router.minions.iter() {
         for (seat, slot) in (0..).zip(data.slots) {
             let Slot::Busy(request) = slot else { continue };
-            let place = place_of(router.requests.get(request).stage);
-            if place != Some(Place { minion, seat }) {
+            let slot_ref = slot_of(router.requests.get(request).stage);
+            if slot_ref != Some(SlotRef { minion, seat }) {
                 errors.push(VerifierError::Slot {
                     minion,
                     seat,
@@ -95,15 +95,15 @@
 
 fn verify_requests(router: &Router, errors: &mut Vec<VerifierError>) {
     for (request, data) in router.requests.iter() {
-        if let Some(place) = place_of(data.stage) {
-            let minion = place.minion;
-            let slot = router.minions.get(minion).slots[place.seat as usize];
+        if let Some(slot_ref) = slot_of(data.stage) {
+            let minion = slot_ref.minion;
+            let slot = router.minions.get(minion).slots[slot_ref.seat as usize];
             if slot != Slot::Busy(request) {
-                errors.push(VerifierError::Unslotted { request, minion });
+                errors.push(VerifierError::SlotNotMarked { request, minion });
             }
         }
-        if matches!(data.stage, Stage::Sent(_)) && data.key.is_some() && !data.has_key {
-            errors.push(VerifierError::Ungranted { request });
+        if matches!(data.stage, Stage::Sent(_)) && data.key.is_some() && !data.key_granted {
+            errors.push(VerifierError::SentWithoutGrant { request });
         }
         let queues = router.services.iter().map(|(_, service)| &service.queue);
         let queued_count = queues
@@ -124,7 +124,7 @@
         let uses = router
             .requests
             .iter()
-            .filter(|(_, request)| request.service == service && place_of(request.stage).is_some());
+            .filter(|(_, request)| request.service == service && slot_of(request.stage).is_some());
         let found = uses.count() as u32;
         if found != data.inflight_count {
             errors.push(VerifierError::Inflight {
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -229,7 +229,7 @@
 fn broken_repeatable_goes_elsewhere_and_slot_is_kept() {
     let mut bench = Bench::new(2);
     let (request, first) = sent(&bench.ask("quick", None))[0].clone();
-    let actions = bench.tell(Event::Broken(request));
+    let actions = bench.tell(Event::Interrupted(request));
     let (_, second) = sent(&actions)[0].clone();
     assert_ne!(first, second);
     assert!(!bench.router.is_seat_idle(0));
@@ -243,7 +243,7 @@
         panic!("its key is claimed first: {actions:?}");
     };
     assert_eq!(sent(&bench.tell(Event::KeyGranted(request))).len(), 1);
-    let actions = bench.tell(Event::Broken(request));
+    let actions = bench.tell(Event::Interrupted(request));
     let give_up = given_up(&actions).expect("it is given up");
     assert_eq!(give_up.outcome, Outcome::Unknown);
     assert!(sent(&actions).is_empty());
@@ -304,7 +304,7 @@
         let mut open = sent(&bench.ask("quick", None));
         while let Some((request, _)) = open.pop() {
             sends_count += 1;
-            open.extend(sent(&bench.tell(Event::Broken(request))));
+            open.extend(sent(&bench.tell(Event::Interrupted(request))));
         }
     }
     // Ten retries to begin with, and one for each ten requests.
