--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -1,23 +1,23 @@
-//! What a router wants done.
+//! Actions that the router requests from the daemon.
 
 use crate::entity::Request;
 use ospreywing_types::{Duration, Key, Name, Outcome};
 
-/// The final word to a caller without an answer.
+/// The final reply to a caller whose request gets no answer from a minion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GiveUp {
-    /// What is known.
+    /// Whether the request may have run.
     pub outcome: Outcome,
-    /// Why, naming the field at fault where there is one.
+    /// The reason; begins with the invalid field, if there is one.
     pub reason: String,
-    /// When to come back; `None` where never.
+    /// How long to wait before a retry; `None` if a retry can't succeed.
     pub retry_after: Option<Duration>,
 }
 
-/// One thing to do. Actions are carried out in order.
+/// One action. The daemon executes actions in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Claim the one run of the request from the owner of its key.
+    /// Claim the request's only run from the owner of its key.
     TakeKey {
         /// The request.
         request: Request,
@@ -28,25 +28,25 @@
     Send {
         /// The request.
         request: Request,
-        /// The caller whose request it is.
+        /// Identifies the caller.
         token: u64,
         /// The minion.
         minion: Name,
         /// `IP:port` of the minion.
         addr: String,
-        /// When to break it off.
+        /// The time until the send is aborted.
         timeout: Duration,
     },
-    /// Pass the minion's answer on to the caller.
+    /// Forward the minion's answer to the caller.
     Deliver {
         /// The caller.
         token: u64,
     },
-    /// Tell the caller that there will be no answer.
+    /// Reply to the caller that there will be no answer.
     GiveUp {
         /// The caller.
         token: u64,
-        /// What it is told.
+        /// The reply.
         give_up: GiveUp,
     },
 }
--- a/crates/routing/src/burn.rs
+++ b/crates/routing/src/burn.rs
@@ -1,28 +1,29 @@
-//! How fast a row uses up its error budget.
+//! Measures how fast a row consumes its error budget.
 
 use ospreywing_types::{Duration, Instant};
 use serde::{Deserialize, Serialize};
 
-/// The length of one bucket.
+/// The duration of one bucket.
 const BUCKET: Duration = Duration::from_s(60);
-/// The long window: an hour of buckets.
+/// The long window: one hour.
 const LONG_BUCKETS_COUNT: usize = 60;
-/// The short window: five minutes of buckets.
+/// The short window: five minutes.
 const SHORT_BUCKETS_COUNT: usize = 5;
 
-/// What happened in a span of time.
+/// Request counts of a time window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
     /// Requests that ended.
     pub total_count: u64,
-    /// Requests done within their deadline.
+    /// Requests answered within their deadline.
     pub good_count: u64,
 }
 
 impl Window {
-    /// Returns how many times faster than allowed the budget is used.
+    /// Returns the burn rate: consumption of the error budget as a multiple of
+    /// the allowed rate.
     ///
-    /// One means that the objective is just met; zero that nothing failed.
+    /// One means that the objective is just met, zero that no request failed.
     pub fn burn_rate(&self, objective_permille: u32) -> f64 {
         if self.total_count == 0 {
             return 0.0;
@@ -34,12 +35,13 @@
     }
 }
 
-/// One row's line of the report on service-level burn.
+/// The error-budget report of one row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BurnReport {
     /// The row's name.
     pub row: String,
-    /// The part to be done in time, in thousandths.
+    /// The objective: the share of requests to finish within the deadline, in
+    /// thousandths.
     pub objective_permille: u32,
     /// The deadline, in milliseconds.
     pub deadline_ms: u64,
@@ -49,11 +51,11 @@
     pub long: Window,
 }
 
-/// Counts of one row, by minute, over the last hour.
+/// Request counts of one row for each minute of the last hour.
 #[derive(Clone, Debug)]
 pub struct Burn {
     buckets: [Window; LONG_BUCKETS_COUNT],
-    /// The number of the newest bucket since the clock's start.
+    /// The number of the newest bucket, counted from the start of the clock.
     newest: u64,
 }
 
@@ -67,7 +69,7 @@
 }
 
 impl Burn {
-    /// Notes a request that ended at `now`.
+    /// Records a request that ended at `now`.
     pub fn record(&mut self, now: Instant, is_good: bool) {
         self.advance(now);
         let bucket = &mut self.buckets[self.newest as usize % LONG_BUCKETS_COUNT];
@@ -75,12 +77,12 @@
         bucket.good_count += u64::from(is_good);
     }
 
-    /// Returns the last five minutes.
+    /// Returns the counts of the last five minutes.
     pub fn short(&mut self, now: Instant) -> Window {
         self.sum(now, SHORT_BUCKETS_COUNT)
     }
 
-    /// Returns the last hour.
+    /// Returns the counts of the last hour.
     pub fn long(&mut self, now: Instant) -> Window {
         self.sum(now, LONG_BUCKETS_COUNT)
     }
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -1,30 +1,31 @@
-//! What a router is told once, when it begins.
+//! The router's settings, fixed when it is created.
 
 use ospreywing_types::Duration;
 
 /// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// The seed of its choices.
+    /// Seeds the random choices.
     pub seed: u64,
-    /// How many requests may wait for a slot, over all rows.
+    /// The maximum number of requests that wait for a slot, over all rows.
     pub queue_limit_count: usize,
-    /// How long a request may take where its row gives no deadline.
+    /// The deadline of requests whose row sets none.
     pub default_deadline: Duration,
-    /// How long a minion may go on with a request whose connection broke.
+    /// How long a minion may continue to run a request after its connection
+    /// broke; the slot stays unavailable for this time.
     pub slot_quarantine: Duration,
-    /// Failures in a row after which a minion is ejected.
+    /// The number of consecutive failures after which a minion is ejected.
     pub eject_after_count: u32,
-    /// How long a minion is ejected the first time.
+    /// The duration of a minion's first ejection.
     pub eject_for: Duration,
-    /// The part of the minions that may be ejected at once, in percent.
+    /// The maximum share of live minions ejected at a time, in percent.
     pub eject_limit_percent: u32,
-    /// Retries allowed for each hundred requests.
+    /// The number of retries allowed for every hundred requests.
     pub retry_budget_percent: u32,
 }
 
 impl RouterConfig {
-    /// Creates a configuration with every value but the seed at its default.
+    /// Creates a configuration with defaults for all values except the seed.
     pub const fn new(seed: u64) -> Self {
         Self {
             seed,
--- a/crates/routing/src/entity.rs
+++ b/crates/routing/src/entity.rs
@@ -1,18 +1,18 @@
-//! Dense keys of the entities that a router decides about.
+//! Dense entity keys for the router's tables.
 
 use cranelift_entity::entity_impl;
 
-/// A minion.
+/// A minion: an upstream process that runs requests.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Minion(u32);
 entity_impl!(Minion, "minion");
 
-/// A row of the table that requests are sent to.
+/// A service row of the table.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Service(u32);
 entity_impl!(Service, "service");
 
-/// A request that is not answered, or whose slot is not free again.
+/// A request that has no final reply yet, or whose slot is still in use.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Request(u32);
 entity_impl!(Request, "request");
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -1,4 +1,4 @@
-//! What a router is told.
+//! Events that the router handles.
 
 use crate::entity::Request;
 use ospreywing_membership::SeatSet;
@@ -9,49 +9,50 @@
 /// A request from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Stands for the caller.
+    /// Identifies the caller.
     pub token: u64,
     /// The service row.
     pub row: Name,
-    /// The caller's key; rows that are unsafe to repeat need one.
+    /// The caller's request key; required if the row is unsafe to repeat.
     pub key: Option<Key>,
 }
 
-/// One thing that happened.
+/// One event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The minions as the box list has them now.
+    /// All minions on the current box list.
     Boxes(Vec<BoxFacts>),
     /// The table in force.
     Table(Arc<Table>),
-    /// The seats whose slots may be used for new requests.
+    /// The seats whose slots are available to new requests.
     Seats(SeatSet),
-    /// Whether the daemon knows its table to be current.
+    /// Whether the daemon's table is known to be current; if not, the router
+    /// rejects requests.
     Deciding(bool),
     /// A caller sent a request.
     Arrived(Arrival),
-    /// A caller has gone away.
+    /// A caller disconnected.
     CallerDisconnected {
         /// The caller.
         token: u64,
     },
-    /// The one run of a request was granted to this daemon.
+    /// The request's only run was granted to this daemon.
     KeyGranted(Request),
-    /// The one run of a request was granted earlier.
+    /// The request's only run had already been granted.
     KeyTaken(Request),
-    /// The one run of a request was granted to nobody.
+    /// The owner of the key granted the request's only run to nobody.
     KeyRefused {
         /// The request.
         request: Request,
-        /// When to come back.
+        /// How long the caller should wait before a retry.
         retry_after: Duration,
     },
-    /// A minion's whole answer is there.
+    /// A minion's complete answer arrived.
     Answered(Request),
-    /// Certainly nothing of the request left this daemon, or will.
+    /// No part of the request was sent, and none will be.
     NotSent(Request),
-    /// The connection broke, or the time was up, after sending had begun.
+    /// The connection broke or the timeout expired after sending had begun.
     Interrupted(Request),
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of request routing.
+//! Routes requests to minions.
 //!
-//! Which minion gets a request, whether it waits or is refused, and what its
-//! caller is told when something breaks. No I/O, no clock: [`Event`]s and an
-//! instant in, [`Action`]s out, choices drawn from a given seed.
+//! The router selects a minion for each request, queues or rejects the request,
+//! and determines the caller's reply when no answer arrives. It performs no I/O
+//! and reads no clock: it maps [`Event`]s and the current instant to
+//! [`Action`]s, and draws random choices from a seeded generator.
 
 mod action;
 mod burn;
--- a/crates/routing/src/minion.rs
+++ b/crates/routing/src/minion.rs
@@ -1,4 +1,4 @@
-//! Minions, their slots and their health.
+//! Tracks minions, their slots and their health.
 
 use crate::entity::{Minion, Request};
 use cranelift_entity::PrimaryMap;
@@ -6,15 +6,16 @@
 use ospreywing_types::{BoxFacts, BoxState, Duration, Instant, Name};
 use std::collections::{BTreeSet, HashMap};
 
-/// What one slot of a minion is used for.
+/// The state of one slot of a minion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Slot {
-    /// Nothing.
+    /// Not in use.
     #[default]
     Free,
-    /// A request of this daemon.
+    /// In use by a request of this daemon.
     Busy(Request),
-    /// A request that broke off; the minion may still be at it until then.
+    /// The connection of its request broke; the minion may still run the request
+    /// until the instant given.
     Quarantined(Instant),
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// Every minion that the box list has named.
+/// All minions that have ever been on the box list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MinionTable {
     minions: PrimaryMap<Minion, MinionData>,
@@ -72,7 +73,7 @@
 }
 
 impl MinionTable {
-    /// Takes in the box list: the minions, all of them.
+    /// Updates the minions from the complete box list.
     pub(crate) fn set_boxes(&mut self, boxes: &[BoxFacts]) {
         let listed: BTreeSet<&Name> = boxes.iter().map(|facts| &facts.name).collect();
         for data in self.minions.values_mut() {
@@ -105,12 +106,12 @@
         self.minions.iter()
     }
 
-    /// Sets what a slot is used for.
+    /// Sets the state of a slot.
     pub(crate) fn set_slot(&mut self, minion: Minion, seat: u32, slot: Slot) {
         self.minions[minion].slots[seat as usize] = slot;
     }
 
-    /// Frees the slots whose quarantine is over.
+    /// Frees slots whose quarantine has expired.
     pub(crate) fn end_quarantines(&mut self, now: Instant) {
         for data in self.minions.values_mut() {
             for slot in &mut data.slots {
@@ -121,23 +122,24 @@
         }
     }
 
-    /// Returns whether no minion's slot of `seat` is in use.
+    /// Returns whether the slots of `seat` are free at all minions.
     pub(crate) fn is_seat_idle(&self, seat: u32) -> bool {
         let mut slots = self.minions.values().map(|data| data.slots[seat as usize]);
         slots.all(|slot| slot == Slot::Free)
     }
 
-    /// Notes that a minion answered.
+    /// Records an answer of a minion and resets its failure counts.
     pub(crate) fn record_success(&mut self, minion: Minion) {
         let data = &mut self.minions[minion];
         data.failures_count = 0;
         data.ejections_count = 0;
     }
 
-    /// Notes that a minion failed, and ejects it where it keeps failing.
+    /// Records a failure of a minion and ejects it after `eject_after_count`
+    /// consecutive failures.
     ///
-    /// No more than `limit_percent` of the live minions are ejected at once:
-    /// when most fail, the fault is not theirs.
+    /// At most `limit_percent` of the live minions are ejected at a time: if most
+    /// minions fail, the cause is elsewhere.
     pub(crate) fn record_failure(
         &mut self,
         now: Instant,
@@ -161,5 +163,5 @@
     }
 }
 
-/// An ejection grows no longer than this many times the first.
+/// The maximum duration of an ejection, as a multiple of the first.
 const EJECTIONS_LIMIT: u32 = 6;
--- a/crates/routing/src/rate.rs
+++ b/crates/routing/src/rate.rs
@@ -1,10 +1,10 @@
-//! A rate limit over whole requests.
+//! Limits the request rate of a row.
 
 use ospreywing_types::Instant;
 
 const MILLI: u64 = 1000;
 
-/// A token bucket that holds a second's worth; rate zero stands for no limit.
+/// A token bucket that holds the tokens of one second; rate zero means no limit.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rate {
     rate_per_s: u32,
@@ -13,7 +13,7 @@
 }
 
 impl Rate {
-    /// Sets the rate; a new limit starts with a full bucket.
+    /// Sets the rate; a bucket that had no limit before starts full.
     pub(crate) fn set(&mut self, rate_per_s: u32) {
         if self.rate_per_s == 0 {
             self.tokens_milli = u64::from(rate_per_s) * MILLI;
@@ -21,7 +21,8 @@
         self.rate_per_s = rate_per_s;
     }
 
-    /// Takes a token, if one is there or there is no limit.
+    /// Takes a token and returns whether one was available; without a limit
+    /// always returns true.
     pub(crate) fn try_acquire(&mut self, now: Instant) -> bool {
         if self.rate_per_s == 0 {
             return true;
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,27 +1,27 @@
-//! Requests between their arrival and the end of their last slot.
+//! Stores requests from arrival until the release of their last slot.
 
 use crate::entity::{Minion, Request, Service};
 use cranelift_entity::PrimaryMap;
 use ospreywing_types::{Instant, Key};
 use std::collections::HashMap;
 
-/// The slot that a request uses.
+/// Identifies the slot that a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SlotRef {
     pub(crate) minion: Minion,
     pub(crate) seat: u32,
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Its entry is free for another request.
+    /// The entry is free for reuse.
     Vacant,
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Queued,
-    /// It has a slot and waits for the grant of its one run.
+    /// The request has a slot and waits for the grant of its only run.
     AwaitingKey(SlotRef),
-    /// It was sent.
+    /// The request was sent.
     Sent(SlotRef),
 }
 
@@ -34,13 +34,13 @@
     pub(crate) expires_at: Instant,
     pub(crate) retries_count: u32,
     pub(crate) stage: Stage,
-    /// Whether its one run was granted.
+    /// Whether the request's only run was granted.
     pub(crate) key_granted: bool,
-    /// The caller, until it has its final answer.
+    /// The caller; `None` once it has its final reply or has disconnected.
     pub(crate) token: Option<u64>,
 }
 
-/// Requests, with free entries used again.
+/// All requests; free entries are reused.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestTable {
     requests: PrimaryMap<Request, RequestData>,
@@ -72,7 +72,7 @@
         self.free_entries.push(request);
     }
 
-    /// Takes the caller, who now gets its final answer.
+    /// Removes and returns the caller, which gets no further reply.
     pub(crate) fn detach_caller(&mut self, request: Request) -> Option<u64> {
         let token = self.requests[request].token.take()?;
         self.request_of_caller.remove(&token);
@@ -89,18 +89,18 @@
         &self.requests[request]
     }
 
-    /// Returns a request's data to be changed.
+    /// Returns a request's data for modification.
     pub(crate) fn get_mut(&mut self, request: Request) -> &mut RequestData {
         &mut self.requests[request]
     }
 
-    /// Iterates over the requests that exist.
+    /// Iterates over all requests.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (Request, &RequestData)> {
         let all = self.requests.iter();
         all.filter(|(_, data)| data.stage != Stage::Vacant)
     }
 
-    /// Returns the number of requests that exist.
+    /// Returns the number of requests.
     pub(crate) fn len(&self) -> usize {
         self.requests.len() - self.free_entries.len()
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one daemon: its state, and what each event does to it.
+//! The router of one daemon: its state and event handlers.
 
 use crate::action::{Action, GiveUp};
 use crate::burn::BurnReport;
@@ -14,18 +14,18 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What has happened so far, for metrics.
+/// Request counters for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that arrived.
+    /// Requests received.
     pub arrived_count: u64,
-    /// Requests answered in full.
+    /// Requests whose complete answer was delivered.
     pub done_count: u64,
     /// Requests that certainly did not run.
     pub not_run_count: u64,
-    /// Requests of which nothing certain is known.
+    /// Requests that may or may not have run.
     pub unknown_count: u64,
-    /// Sends after the first of a request.
+    /// Repeated sends of requests.
     pub retries_count: u64,
 }
 
@@ -43,13 +43,13 @@
     counts: Counts,
 }
 
-/// When to come back where nothing better is known.
+/// The default delay before a retry.
 const RETRY_AFTER: Duration = Duration::from_s(1);
-/// When to come back while the daemon does not know its table to be current.
+/// The delay before a retry while the daemon's table is not known to be current.
 const STALE_RETRY_AFTER: Duration = Duration::from_s(2);
 
 impl Router {
-    /// Creates a router that knows no minions, rows or seats.
+    /// Creates a router without minions, rows or seats.
     pub fn new(config: RouterConfig) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(config.seed);
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Boxes(boxes) => self.minions.set_boxes(&boxes),
@@ -153,7 +153,11 @@
         self.queued_count += 1;
     }
 
-    /// Returns the row that takes the request, or what its caller is told.
+    /// Returns the row of an admitted request.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reply to the caller if the request is rejected.
     fn admit(&mut self, now: Instant, arrival: &Arrival) -> Result<Service, GiveUp> {
         let Some(service) = self.services.listed(&arrival.row) else {
             let reason = format!("row: the table has no service row {:?}", arrival.row);
@@ -191,7 +195,8 @@
         Ok(service)
     }
 
-    /// Returns how long a request that arrives now would wait, from the queue.
+    /// Estimates how long a request that arrives now waits, from the queue length
+    /// and the service time.
     fn expected_wait(&self, service: Service) -> Duration {
         let data = self.services.get(service);
         let serves = |minion: &crate::minion::MinionData| {
@@ -204,7 +209,7 @@
         Duration::from_ms(wait_ms as u64)
     }
 
-    /// Sends what can be sent: highest priority first, then by share.
+    /// Sends queued requests to free slots: by priority, then by share.
     fn dispatch(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.queued_count == 0 || !self.is_deciding || self.seats.is_empty() {
             return;
@@ -233,8 +238,8 @@
         best.map(|(service, _)| service)
     }
 
-    /// Returns the less busy of two minions drawn at random, or the next that
-    /// has a free slot where neither has.
+    /// Draws two minions with a free slot at random and returns a slot of the less
+    /// busy one.
     fn choose_minion(&mut self, now: Instant, service: Service) -> Option<SlotRef> {
         let name = &self.services.get(service).name;
         let is_open = |data: &crate::minion::MinionData| {
@@ -313,7 +318,8 @@
         };
         data.key_granted = true;
         if data.token.is_none() || now >= data.expires_at {
-            // Granted too late: nothing is sent, and the caller knows or learns it.
+            // Granted too late: the request is not sent. The caller has its final
+            // reply or gets it now.
             self.free_slot(request, slot_ref, Slot::Free);
             self.give_up(now, request, deadline_passed(), actions);
             self.requests.remove(request);
@@ -370,7 +376,8 @@
         self.requests.remove(request);
     }
 
-    /// Nothing was sent, so even a request that is unsafe to repeat may go elsewhere.
+    /// Retries a request that was not sent; this is safe even if the request is
+    /// unsafe to repeat.
     fn on_not_sent(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
         let Stage::Sent(slot_ref) = self.requests.get(request).stage else {
             return;
@@ -463,7 +470,7 @@
         }
     }
 
-    /// Gives a caller its final answer at once.
+    /// Sends the caller its final reply.
     fn give_up(
         &mut self,
         now: Instant,
@@ -504,9 +511,9 @@
                 self.give_up(now, request, deadline_passed(), actions);
                 self.requests.remove(request);
             }
-            // Its run may be granted yet, and is then not used.
+            // The run may still be granted; the grant is then not used.
             Stage::AwaitingKey(_) => self.give_up(now, request, deadline_passed(), actions),
-            // Its slot stays in use until the send is reported as over.
+            // The slot stays in use until the daemon reports the end of the send.
             Stage::Sent(_) => {
                 let give_up = GiveUp {
                     outcome: Outcome::Unknown,
@@ -518,12 +525,12 @@
         }
     }
 
-    /// Returns whether no slot of `seat` is in use, so that it can be given up.
+    /// Returns whether no slot of `seat` is in use, so that the seat can be released.
     pub fn is_seat_idle(&self, seat: u32) -> bool {
         self.minions.is_seat_idle(seat)
     }
 
-    /// Returns the number of requests whose callers or slots wait.
+    /// Returns the number of requests without a final reply or with a slot in use.
     pub fn open_count(&self) -> usize {
         self.requests.len()
     }
@@ -533,12 +540,12 @@
         self.queued_count
     }
 
-    /// Returns what has happened so far.
+    /// Returns the request counters.
     pub const fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Returns the report on service-level burn.
+    /// Returns the error-budget reports of the current table's rows.
     pub fn burn(&mut self, now: Instant) -> Vec<BurnReport> {
         let services: Vec<Service> = self.services.keys().collect();
         let mut reports = Vec::new();
--- a/crates/routing/src/service.rs
+++ b/crates/routing/src/service.rs
@@ -1,4 +1,4 @@
-//! Rows that requests are sent to: limits, queue and counts.
+//! Service rows: limits, queues and request counts.
 
 use crate::burn::Burn;
 use crate::entity::{Request, Service};
@@ -13,12 +13,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceData {
     pub(crate) name: Name,
-    /// Whether the table in force has the row.
+    /// Whether the current table contains the row.
     pub(crate) is_listed: bool,
     pub(crate) priority: u32,
     pub(crate) share: u32,
     pub(crate) caps: Caps,
-    /// This daemon's part of the cap on requests in flight; `None` for no cap.
+    /// This daemon's share of the cap on requests in flight; `None` means no cap.
     pub(crate) inflight_limit_count: Option<u32>,
     pub(crate) rate: Rate,
     pub(crate) deadline: Option<Duration>,
@@ -28,15 +28,16 @@
     pub(crate) inflight_count: u32,
     pub(crate) queue: VecDeque<Request>,
     pub(crate) retry_budget: RetryBudget,
-    /// A moving mean of how long a minion takes, in milliseconds.
+    /// Moving average of the service time, in milliseconds.
     pub(crate) service_time_ms: f64,
     pub(crate) burn: Burn,
 }
 
-/// The moving mean starts here and moves by this part of each difference.
+/// The initial value of the moving average.
 const SERVICE_TIME_START_MS: f64 = 20.0;
+/// The share of each difference that is added to the moving average.
 const SERVICE_TIME_GAIN: f64 = 0.1;
-/// The retries of a full budget.
+/// The number of retries in a full budget.
 const RETRY_BUDGET_COUNT: u32 = 10;
 
 impl ServiceData {
@@ -72,7 +73,8 @@
         self.objective_permille = row.objective_permille;
     }
 
-    /// Divides the row's caps: the parts of all seats add up to the caps.
+    /// Sets this daemon's share of the row's caps; the shares of all seats add
+    /// up to the caps.
     fn set_seats(&mut self, seats: SeatSet) {
         let part = |whole: u32| -> u32 {
             let parts = seats.iter().map(|seat| part_of(whole, seat, SEATS_COUNT));
@@ -88,20 +90,20 @@
         });
     }
 
-    /// Returns whether one more request may be in flight.
+    /// Returns whether the cap allows one more request in flight.
     pub(crate) fn has_inflight_capacity(&self) -> bool {
         self.inflight_limit_count
             .is_none_or(|limit| self.inflight_count < limit)
     }
 
-    /// Notes how long a minion took.
+    /// Adds a service time to the moving average.
     pub(crate) fn record_service_time(&mut self, length: Duration) {
         let difference_ms = length.as_ms() as f64 - self.service_time_ms;
         self.service_time_ms += SERVICE_TIME_GAIN * difference_ms;
     }
 }
 
-/// Every service row that was ever in force.
+/// All service rows that any table version has contained.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceTable {
     services: PrimaryMap<Service, ServiceData>,
@@ -109,7 +111,7 @@
 }
 
 impl ServiceTable {
-    /// Takes in the table that is in force.
+    /// Replaces the rows with those of the current table.
     pub(crate) fn set_table(&mut self, table: &Table, seats: SeatSet) {
         for data in self.services.values_mut() {
             data.is_listed = false;
@@ -121,7 +123,7 @@
         self.set_seats(seats);
     }
 
-    /// Takes in the seats that this daemon holds.
+    /// Updates the share of the caps for the seats that this daemon holds.
     pub(crate) fn set_seats(&mut self, seats: SeatSet) {
         for data in self.services.values_mut() {
             data.set_seats(seats);
@@ -137,7 +139,7 @@
         service
     }
 
-    /// Returns the row named `name`, where it is in force.
+    /// Returns the row named `name` if the current table contains it.
     pub(crate) fn listed(&self, name: &Name) -> Option<Service> {
         let service = self.by_name.get(name).copied()?;
         self.services[service].is_listed.then_some(service)
@@ -148,7 +150,7 @@
         &self.services[service]
     }
 
-    /// Returns a row's data to be changed.
+    /// Returns a row's data for modification.
     pub(crate) fn get_mut(&mut self, service: Service) -> &mut ServiceData {
         &mut self.services[service]
     }
--- a/crates/routing/src/verifier.rs
+++ b/crates/routing/src/verifier.rs
@@ -1,4 +1,4 @@
-//! Checks every invariant of a router's data and names the entity at fault.
+//! Checks the invariants of a router's data; each error names the entity at fault.
 
 use crate::entity::{Minion, Request, Service};
 use crate::minion::Slot;
@@ -6,20 +6,20 @@
 use crate::router::Router;
 use thiserror::Error;
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VerifierError {
-    /// A slot names a request that does not use it.
+    /// A slot refers to a request that does not use it.
     #[error("{minion}, seat {seat}: names {request}, which does not use it")]
     Slot {
         /// The minion.
         minion: Minion,
         /// The seat.
         seat: u32,
-        /// The request named.
+        /// The request that the slot refers to.
         request: Request,
     },
-    /// A request uses a slot that does not name it.
+    /// A request uses a slot that does not refer to it.
     #[error("{request}: uses a slot of {minion} that does not name it")]
     SlotNotMarked {
         /// The request.
@@ -32,20 +32,21 @@
     Inflight {
         /// The row.
         service: Service,
-        /// The count kept.
+        /// The stored count.
         counted: u32,
-        /// The requests found.
+        /// The number of requests found.
         found: u32,
     },
-    /// A queued request stands in no queue, or another stands in one.
+    /// A queued request is not in exactly one queue, or another request is in a
+    /// queue.
     #[error("{request}: is queued {queued_count} times")]
     Queued {
         /// The request.
         request: Request,
-        /// How often it stands in a queue.
+        /// How often the request occurs in queues.
         queued_count: usize,
     },
-    /// A request that is unsafe to repeat was sent without its grant.
+    /// A request that is unsafe to repeat was sent before its run was granted.
     #[error("{request}: sent without the grant of its key")]
     SentWithoutGrant {
         /// The request.
@@ -53,11 +54,11 @@
     },
 }
 
-/// Checks every invariant.
+/// Checks all invariants.
 ///
 /// # Errors
 ///
-/// Returns all that does not hold.
+/// Returns every violation found.
 pub fn verify(router: &Router) -> Result<(), Vec<VerifierError>> {
     let mut errors = Vec::new();
     verify_slots(router, &mut errors);
