--- a/crates/membership/src/assignment.rs
+++ b/crates/membership/src/assignment.rs
@@ -1,15 +1,16 @@
-//! Which daemon should own which shard.
+//! Assigns shards to daemons.
 
 use ospreywing_types::{stable_hash, Name};
 
-/// Returns, for each of `shards_count` shards, the index of its owner in `members`.
+/// Returns the index in `members` of the owner of each of `shards_count` shards.
 ///
-/// Each shard goes to the member with the highest hash of both names that has
-/// fewer than its even part. All daemons that see the same members agree, no
-/// member gets more than one shard above another, and few shards move when a
-/// member comes or goes.
+/// Uses rendezvous hashing with a load limit: each shard goes to the member with
+/// the highest hash of member and shard among those below the even share. All
+/// daemons that see the same members compute the same assignment, no member
+/// exceeds the even share (rounded up), and few shards move when a member joins
+/// or leaves.
 ///
-/// Returns an empty list where there are no members.
+/// Returns an empty list if there are no members.
 pub fn assign(members: &[Name], shards_count: u32) -> Vec<usize> {
     if members.is_empty() {
         return Vec::new();
--- a/crates/membership/src/control.rs
+++ b/crates/membership/src/control.rs
@@ -1,75 +1,75 @@
-//! The part of the store that all daemons watch.
+//! The control data: the part of the store that all daemons watch.
 
 use ospreywing_types::{DaemonIdentity, Name};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How many seats a cell has: one for each slot of a minion.
+/// The number of seats of a cell: one for each slot of a minion.
 ///
-/// The holder of a seat may use one slot of each minion and an eighth of its
-/// connections.
+/// A seat is a lease on one slot of every minion. Its holder may use that slot
+/// and an eighth of the minion's connections.
 pub const SEATS_COUNT: u32 = 8;
 
-/// A value with the store's revision of its last change; zero where absent.
+/// A value with the store revision of its last change; zero if the key is absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Versioned<T> {
     /// The value.
     pub value: T,
-    /// The revision to compare with when it is changed.
+    /// The revision that a conditional write compares with.
     pub revision: u64,
 }
 
-/// A daemon as it enters itself, under a lease.
+/// A daemon's own entry in the store, kept under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The process.
     pub identity: DaemonIdentity,
     /// `IP:port` of its endpoint for callers.
     pub http_addr: String,
-    /// The data centre it stands in.
+    /// The daemon's data centre.
     pub data_centre: Name,
-    /// The entry box it runs on, as the box list names it.
+    /// The name on the box list of the entry box that the daemon runs on.
     pub box_name: Name,
 }
 
-/// What a key of the control part is about.
+/// A key of the control data.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ControlKey {
     /// The entry of a daemon.
     Member(Name),
-    /// Who owns a shard.
+    /// The owner of a shard.
     Owner(u32),
-    /// Who holds a seat.
+    /// The holder of a seat.
     Seat(u32),
 }
 
-/// One change of the control part.
+/// One change of the control data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlChange {
-    /// A daemon entered itself.
+    /// A daemon wrote its entry.
     Member(Member),
-    /// A shard has another owner, or none.
+    /// The owner of a shard changed.
     Owner {
         /// The shard.
         shard: u32,
-        /// The owner.
+        /// The new owner; `None` if the shard has none.
         owner: Versioned<Option<DaemonIdentity>>,
     },
-    /// A seat has another holder, or none.
+    /// The holder of a seat changed.
     Seat {
         /// The seat.
         seat: u32,
-        /// The holder.
+        /// The new holder; `None` if the seat has none.
         holder: Versioned<Option<DaemonIdentity>>,
     },
-    /// A key is gone.
+    /// A key was removed.
     Removed(ControlKey),
 }
 
-/// The control part as last seen.
+/// The cached control data.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Control {
-    /// The daemons that entered themselves, by name.
+    /// The daemons with an entry, by name.
     pub members: BTreeMap<Name, Member>,
     /// The owner of each shard that ever had one.
     pub owners: BTreeMap<u32, Versioned<Option<DaemonIdentity>>>,
@@ -78,7 +78,7 @@
 }
 
 impl Control {
-    /// Takes in one change.
+    /// Applies one change; ignores owners and holders older than the cached ones.
     pub fn apply(&mut self, change: ControlChange) {
         match change {
             ControlChange::Member(member) => {
@@ -98,17 +98,17 @@
         }
     }
 
-    /// Returns the owner of a shard, with revision zero where it never had one.
+    /// Returns the owner of a shard; the revision is zero if it never had one.
     pub fn owner(&self, shard: u32) -> Versioned<Option<DaemonIdentity>> {
         self.owners.get(&shard).cloned().unwrap_or_default()
     }
 
-    /// Returns the holder of a seat, with revision zero where it never had one.
+    /// Returns the holder of a seat; the revision is zero if it never had one.
     pub fn seat(&self, seat: u32) -> Versioned<Option<DaemonIdentity>> {
         self.seats.get(&seat).cloned().unwrap_or_default()
     }
 
-    /// Returns every process named in the control part, each once.
+    /// Returns each process named in the control data once.
     pub fn identities(&self) -> Vec<DaemonIdentity> {
         let members = self.members.values().map(|member| &member.identity);
         let owners = self.owners.values().filter_map(|o| o.value.as_ref());
--- a/crates/membership/src/freshness.rs
+++ b/crates/membership/src/freshness.rs
@@ -1,34 +1,34 @@
-//! Whether a daemon knows its table to be current.
+//! Determines whether a daemon's table is known to be current.
 
 use crate::peer::Peers;
 use ospreywing_types::{Duration, Instant};
 use thiserror::Error;
 
-/// For how long word from the store proves the table current.
+/// How long an answer of the store proves that the table is current.
 ///
-/// A change is in force everywhere within 7 s: this, and a second for each of
-/// the poll that finds it and the peer that passes it on.
+/// A change takes effect on every daemon within 7 s: this time, plus a second
+/// for the poll that finds it and a second for the peer that forwards it.
 pub const FRESH_FOR: Duration = Duration::from_s(4);
 
-/// What a daemon's knowledge of the table rests on.
+/// The evidence that a daemon's table is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// The store itself answered lately.
+    /// The store answered this daemon recently.
     Store,
-    /// A peer passed on what the store answered lately.
+    /// The store answered a peer recently, and the peer forwarded the result.
     Peer,
-    /// More than half of the daemons answered lately that they have not heard
-    /// the store either. An edit needs more than half as well, so no edit can
-    /// have been accepted that this daemon does not know of.
+    /// More than half of the daemons, this one included, answered recently, and
+    /// none has recent contact with the store. An edit also needs more than
+    /// half, so no edit unknown to this daemon can have been accepted.
     StoreDown,
-    /// Nothing: the daemon must not decide by its table.
+    /// None: the daemon must not act on its table.
     Unknown,
 }
 
 impl Freshness {
-    /// Returns what the knowledge rests on at `now`.
+    /// Determines the evidence at `now`.
     ///
-    /// `store_contact_at` is when the last call that the store answered was begun.
+    /// `store_contact_at` is when the last call answered by the store began.
     pub fn new(now: Instant, store_contact_at: Option<Instant>, peers: &Peers) -> Self {
         let is_recent = |at: Instant| now.since(at) < FRESH_FOR;
         if store_contact_at.is_some_and(is_recent) {
@@ -38,7 +38,7 @@
         if peers.iter().any(contacted_store) {
             return Self::Peer;
         }
-        // Without ever having heard of the store there is no table to go by.
+        // Before the first contact with the store there is no table.
         let was_ever_contacted =
             store_contact_at.is_some() || peers.iter().any(|p| p.store_contact_at.is_some());
         if was_ever_contacted && has_majority(now, peers) {
@@ -47,12 +47,12 @@
         Self::Unknown
     }
 
-    /// Returns whether the daemon may decide by its table.
+    /// Returns whether the daemon may act on its table.
     pub fn may_decide(self) -> bool {
         self != Self::Unknown
     }
 
-    /// Returns the word used in logs and reports.
+    /// Returns the name used in logs and reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Store => "store",
@@ -63,34 +63,34 @@
     }
 }
 
-/// Why a daemon may not accept an edit of the table.
+/// The reason why a daemon may not accept an edit of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EditBlocked {
-    /// The store was not heard from lately.
+    /// The store has not answered recently.
     #[error("the store last answered a call begun {age_ms} ms ago")]
     StoreUnresponsive {
-        /// How long ago that call was begun.
+        /// The age of the last answered call, in milliseconds.
         age_ms: u64,
     },
-    /// The store was never heard from.
+    /// The store has not answered since the daemon started.
     #[error("the store has not answered yet")]
     StoreNeverContacted,
-    /// Too few of the daemons were heard from lately.
+    /// Too few of the daemons answered recently.
     #[error("{responsive_count} of {all_count} daemons were heard from lately")]
     NoMajority {
-        /// The daemons heard from, this one included.
+        /// The daemons that answered recently, this one included.
         responsive_count: usize,
-        /// The daemons met a short while ago that have not answered yet.
+        /// The daemons discovered recently that have not answered yet.
         new_count: usize,
-        /// All daemons that may be there.
+        /// All daemons not proved to have ended.
         all_count: usize,
     },
 }
 
 impl EditBlocked {
-    /// Returns what keeps a daemon from accepting an edit at `now`, if anything does.
+    /// Returns why a daemon may not accept an edit at `now`; `None` if it may.
     ///
-    /// `store_contact_at` is when the last call that the store answered was begun.
+    /// `store_contact_at` is when the last call answered by the store began.
     pub fn find(now: Instant, store_contact_at: Option<Instant>, peers: &Peers) -> Option<Self> {
         let Some(store_contact_at) = store_contact_at else {
             return Some(Self::StoreNeverContacted);
@@ -102,14 +102,14 @@
         }
         let count = ResponsiveCount::new(now, peers);
         (!count.is_majority()).then_some(Self::NoMajority {
-            responsive_count: count.heard,
+            responsive_count: count.responsive,
             new_count: count.new,
             all_count: count.all,
         })
     }
 
-    /// Returns whether it passes once what was just asked is answered: the daemon has just
-    /// started, or others have.
+    /// Returns whether pending answers can resolve the condition: this daemon or
+    /// others have just started.
     pub const fn is_transient(self) -> bool {
         match self {
             Self::StoreUnresponsive { .. } => false,
@@ -123,10 +123,10 @@
     }
 }
 
-/// How many of the daemons were heard from lately, this one included. Those proved gone
-/// don't count.
+/// Counts the daemons that answered recently, this one included. Processes proved
+/// to have ended don't count.
 struct ResponsiveCount {
-    heard: usize,
+    responsive: usize,
     new: usize,
     all: usize,
 }
@@ -134,7 +134,7 @@
 impl ResponsiveCount {
     fn new(now: Instant, peers: &Peers) -> Self {
         let mut count = Self {
-            heard: 1,
+            responsive: 1,
             new: 0,
             all: 1,
         };
@@ -142,7 +142,7 @@
             count.all += 1;
             let is_recent = |at: Instant| now.since(at) < FRESH_FOR;
             match peer.answered_at {
-                Some(at) => count.heard += usize::from(is_recent(at)),
+                Some(at) => count.responsive += usize::from(is_recent(at)),
                 None => count.new += usize::from(is_recent(peer.first_seen_at)),
             }
         }
@@ -150,11 +150,11 @@
     }
 
     const fn is_majority(&self) -> bool {
-        self.heard * 2 > self.all
+        self.responsive * 2 > self.all
     }
 }
 
-/// Returns whether more than half of the daemons were heard from lately.
+/// Returns whether more than half of the daemons answered recently.
 fn has_majority(now: Instant, peers: &Peers) -> bool {
     ResponsiveCount::new(now, peers).is_majority()
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,14 @@
-//! The decisions of membership.
+//! Tracks the daemons of a cell and assigns shards and seats to them.
 //!
-//! Which daemons serve, who owns which shard, who may use which slots of the
-//! minions, whether the table in hand is known to be current, and how often
-//! the platform's store may be called. No I/O, no clock: facts and an instant
-//! in, [`MembershipAction`]s out.
+//! The crate also determines whether the local table is known to be current,
+//! and limits the rate of calls to the platform's store. It performs no I/O and
+//! reads no clock: it maps observations and the current instant to
+//! [`MembershipAction`]s.
 //!
-//! Nothing unsafe rests on who is believed to be alive. A shard may be claimed
-//! from a live owner at any time, because its log is fenced; a seat, which
-//! nothing fences, changes hands only once its holder is proved gone.
+//! Safety does not depend on which daemons are considered live. A shard may be
+//! claimed from a live owner at any time because its log is fenced. A seat is
+//! not fenced, so it changes its holder only after the holder is proved to have
+//! ended.
 
 mod assignment;
 mod control;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! A daemon's view of the cell, and what it does about it.
+//! A daemon's view of the cell, and the actions that follow from it.
 
 use crate::assignment::assign;
 use crate::control::{Control, ControlChange, Member, Versioned, SEATS_COUNT};
@@ -12,27 +12,29 @@
 /// The settings of a membership.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// This daemon.
+    /// This daemon's entry.
     pub me: Member,
-    /// How many shards the cell has.
+    /// The number of shards of the cell.
     pub shards_count: u32,
-    /// How often each peer is pinged.
+    /// The interval between pings to a peer.
     pub ping_every: Duration,
-    /// How long without an answer until a peer counts as silent.
+    /// How long a peer may go without an answer before it counts as unresponsive.
     pub unresponsive_after: Duration,
-    /// How long each daemon lets the one before it in line claim a shard; longer
-    /// than it takes the other to read that the shard is free.
+    /// The delay between the claims of successive daemons on a shard; longer than
+    /// a daemon takes to read that the shard has no owner.
     pub claim_stagger: Duration,
-    /// How long a view must stand before a shard changes hands by plan.
+    /// How long the set of serving daemons must be unchanged before a planned
+    /// handover of a shard.
     pub stable_for: Duration,
-    /// How long after its holder's end a seat's requests may still run.
+    /// How long the requests of a seat may still run after its holder ended.
     pub seat_quarantine: Duration,
-    /// How long after an entry box left the box list its process is over.
+    /// How long after an entry box was removed from the box list its daemon counts
+    /// as ended.
     pub unlisted_quarantine: Duration,
 }
 
 impl MembershipConfig {
-    /// Creates a configuration with every period at its default.
+    /// Creates a configuration with default durations.
     pub const fn new(me: Member, shards_count: u32) -> Self {
         Self {
             me,
@@ -47,7 +49,7 @@
     }
 }
 
-/// One thing to do. Claims are writes on condition of the revision given.
+/// One action. A claim is a write conditional on the revision given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Ping a process.
@@ -56,10 +58,10 @@
     ClaimShard {
         /// The shard.
         shard: u32,
-        /// The revision of the owner's key.
+        /// The revision of the shard's owner key.
         revision: u64,
     },
-    /// Give a shard up: settle what is on its way, then vacate its key.
+    /// Hand over a shard: wait for what is in flight, then vacate its key.
     HandOverShard(u32),
     /// Claim a seat.
     ClaimSeat {
@@ -68,7 +70,7 @@
         /// The revision of the seat's key.
         revision: u64,
     },
-    /// Use a seat no more, and vacate its key once it is idle.
+    /// Stop using a seat, and vacate its key once it is idle.
     DrainSeat(u32),
 }
 
@@ -78,12 +80,12 @@
     config: MembershipConfig,
     control: Control,
     peers: Peers,
-    /// When the last call that the store answered was begun.
+    /// When the last call answered by the store began.
     store_contact_at: Option<Instant>,
     listed_boxes: BTreeSet<Name>,
     unlisted_since: BTreeMap<Name, Instant>,
     unowned_since: BTreeMap<u32, Instant>,
-    /// When this daemon last gave a shard up by plan.
+    /// When this daemon last began a planned handover of each shard.
     handed_over_at: BTreeMap<u32, Instant>,
     members_changed_at: Instant,
     last_members: Vec<Name>,
@@ -91,7 +93,7 @@
 }
 
 impl Membership {
-    /// Creates the view of a daemon that has seen nothing.
+    /// Creates an empty view.
     pub fn new(config: MembershipConfig) -> Self {
         Self {
             config,
@@ -108,12 +110,12 @@
         }
     }
 
-    /// Forgets the control part; what is there comes next.
+    /// Clears the cached control data before a complete snapshot is applied.
     pub fn clear_control(&mut self) {
         self.control = Control::default();
     }
 
-    /// Takes in changes of the store's control part.
+    /// Applies changes of the store's control data.
     pub fn on_control(&mut self, now: Instant, changes: Vec<ControlChange>) {
         for change in changes {
             self.control.apply(change);
@@ -134,7 +136,7 @@
             .retain(|incarnation| named.contains(&incarnation));
     }
 
-    /// A process that listens on another's address shows that the other ended.
+    /// Marks processes as ended whose address now belongs to another process.
     fn mark_replaced(&mut self, now: Instant) {
         let members: Vec<DaemonIdentity> = self
             .control
@@ -162,20 +164,22 @@
         member.is_some_and(|member| member.identity.incarnation == identity.incarnation)
     }
 
-    /// Notes that the store answered a call that was begun at `asked_at`.
+    /// Records that the store answered a call that began at `asked_at`.
     pub fn on_store_answer(&mut self, asked_at: Instant) {
         self.store_contact_at = self.store_contact_at.max(Some(asked_at));
     }
 
-    /// Takes in that a process pinged this one, which may not know it from the
-    /// store: it must then be asked in return for what it has heard.
+    /// Handles a ping from another process.
+    ///
+    /// This daemon may not know the process from the store yet, so it adds the
+    /// process to its peers and pings it for its newest store information.
     pub fn on_ping(&mut self, now: Instant, from: &DaemonIdentity) {
         if from.incarnation != self.me().incarnation {
             self.peers.insert_if_new(now, from);
         }
     }
 
-    /// Takes in a peer's answer to a ping that was sent at `asked_at`.
+    /// Handles a peer's answer to a ping that was sent at `asked_at`.
     pub fn on_pong(&mut self, asked_at: Instant, pong: &Pong) {
         let Some(peer) = self.peers.get_mut(pong.from.incarnation) else {
             return;
@@ -187,22 +191,22 @@
         peer.is_suspect = false;
     }
 
-    /// Takes in that a process's address refused a connection.
+    /// Handles a connection refused by a process's address.
     ///
-    /// That is reason enough to claim its shards, which is safe from a live
-    /// owner too, and no proof that it has ended.
+    /// This suffices to claim the process's shards, since claiming is safe even
+    /// from a live owner. It does not prove that the process has ended.
     pub fn on_connection_refused(&mut self, incarnation: u64) {
         if let Some(peer) = self.peers.get_mut(incarnation) {
             peer.is_suspect = true;
         }
     }
 
-    /// Takes in that the process `incarnation` has certainly ended.
+    /// Records that the process `incarnation` is proved to have ended.
     pub fn on_gone(&mut self, now: Instant, incarnation: u64) {
         self.peers.set_gone(now, incarnation);
     }
 
-    /// Takes in the platform's box list.
+    /// Handles a new version of the platform's box list.
     pub fn on_boxes(&mut self, now: Instant, boxes: &[BoxFacts]) {
         let entry = boxes.iter().filter(|facts| facts.kind == BoxKind::Entry);
         let listed_boxes: BTreeSet<Name> = entry.map(|facts| facts.name.clone()).collect();
@@ -214,7 +218,7 @@
         self.listed_boxes = listed_boxes;
     }
 
-    /// Notes that this daemon is stopping.
+    /// Marks this daemon as stopping.
     pub fn leave(&mut self) {
         self.is_leaving = true;
     }
@@ -229,49 +233,51 @@
         &self.config.me.identity
     }
 
-    /// Returns the control part as last seen.
+    /// Returns the cached control data.
     pub const fn control(&self) -> &Control {
         &self.control
     }
 
-    /// Returns when the last call that the store answered was begun.
+    /// Returns when the last call answered by the store began.
     pub const fn store_contact_at(&self) -> Option<Instant> {
         self.store_contact_at
     }
 
-    /// Returns what the knowledge of the table rests on.
+    /// Returns the evidence that the table is current.
     pub fn freshness(&self, now: Instant) -> Freshness {
         Freshness::new(now, self.store_contact_at, &self.peers)
     }
 
-    /// Checks that an edit of the table may be accepted: see [`Freshness::StoreDown`].
+    /// Checks whether an edit of the table may be accepted: see
+    /// [`Freshness::StoreDown`].
     ///
     /// # Errors
     ///
-    /// Returns what keeps this daemon from accepting it.
+    /// Returns the reason why this daemon may not accept the edit.
     pub fn check_edit(&self, now: Instant) -> Result<(), EditBlocked> {
         EditBlocked::find(now, self.store_contact_at, &self.peers).map_or(Ok(()), Err)
     }
 
-    /// Returns since when nothing newer is known to be in the store, by this
-    /// daemon's own calls or through its peers.
+    /// Returns the newest instant whose store contents this daemon knows, from its
+    /// own calls or through its peers.
     pub fn known_as_of(&self) -> Option<Instant> {
         let by_peers = self.peers.iter().filter_map(|peer| peer.store_contact_at);
         by_peers.chain(self.store_contact_at).max()
     }
 
-    /// Returns what is known of a process.
+    /// Returns the state of a process.
     pub fn peer_state(&self, now: Instant, incarnation: u64) -> PeerState {
         self.peers
             .state(now, incarnation, self.config.unresponsive_after)
     }
 
-    /// Returns whether a process has certainly ended.
+    /// Returns whether a process is proved to have ended.
     pub fn is_gone(&self, now: Instant, incarnation: u64) -> bool {
         matches!(self.peer_state(now, incarnation), PeerState::Gone(_))
     }
 
-    /// Returns the daemons that serve, this one included, by name.
+    /// Returns the serving daemons in the order of their names, including this one
+    /// unless it is stopping.
     pub fn serving(&self, now: Instant) -> Vec<Member> {
         let mut serving: Vec<Member> = self
             .control
@@ -313,7 +319,7 @@
             .collect()
     }
 
-    /// Decides what to do now.
+    /// Appends the actions that are due.
     pub fn decide(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         self.mark_unlisted(now);
         self.ping(now, actions);
@@ -388,8 +394,8 @@
         }
     }
 
-    /// A shard moves by plan when this daemon stops, or when the members have
-    /// stood for a while and another should have it: one shard at a time.
+    /// Returns whether to hand over a shard: this daemon is stopping, or the set of
+    /// serving daemons is stable and the shard is assigned to another daemon.
     fn should_hand_over(&self, now: Instant, preferred: Option<&Member>) -> bool {
         if self.is_leaving {
             return true;
@@ -407,8 +413,9 @@
         }
     }
 
-    /// Claims a shard when it is this daemon's turn: the preferred owner at
-    /// once, each of the others a step later, so that few claims collide.
+    /// Claims a shard when it is this daemon's turn. The preferred owner claims
+    /// immediately and each next daemon one step later, so that few claims
+    /// conflict.
     fn claim_in_turn(
         &mut self,
         now: Instant,
@@ -420,7 +427,7 @@
         let since = *self.unowned_since.entry(shard).or_insert(now);
         let handed_over_at = self.handed_over_at.get(&shard);
         if handed_over_at.is_some_and(|&at| now < at + self.config.stable_for) {
-            // It was given up for another; that one comes first.
+            // This daemon handed the shard over to another, which claims it first.
             return;
         }
         let names = &self.last_members;
@@ -449,7 +456,7 @@
             .filter(|&seat| self.is_seat_free(now, seat))
             .collect();
         if mine.len() < target && !free.is_empty() {
-            // Daemons that start together reach for different seats.
+            // Daemons that start at the same time claim different seats.
             let names = &self.last_members;
             let position = names.iter().position(|name| *name == self.me().name);
             let seat = free[position.unwrap_or(0) % free.len()];
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,56 +1,60 @@
-//! What a daemon knows of the others from talking to them.
+//! Tracks the state of the other daemons from their answers.
 
 use ospreywing_types::{DaemonIdentity, Duration, Instant};
 use std::collections::BTreeMap;
 
-/// Whether a process is there.
+/// Whether a process is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// It answered lately, or is too new to judge.
+    /// The process answered recently, or was discovered too recently to tell.
     Live,
-    /// It has not answered for some time; it may be alive, paused or cut off.
+    /// The process has not answered for some time, or refused a connection; it
+    /// may be running, paused or partitioned.
     Unresponsive,
-    /// The process has certainly ended, by the instant.
+    /// The process is proved to have ended by the instant given.
     Gone(Instant),
 }
 
 /// One other process.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Which process.
+    /// Identifies the process.
     pub identity: DaemonIdentity,
-    /// When it was first heard of.
+    /// When this daemon discovered the process.
     pub first_seen_at: Instant,
-    /// When the last ping that it answered was sent.
+    /// When the last answered ping was sent.
     pub answered_at: Option<Instant>,
-    /// How old its last word from the store was, by the instant of its answer.
+    /// When the peer's newest table information left the store, computed from the
+    /// age in its answer.
     pub store_contact_at: Option<Instant>,
-    /// Whether it said that it is stopping.
+    /// Whether the process reported that it is stopping.
     pub is_leaving: bool,
-    /// Whether its address last refused a connection; it need not have ended.
+    /// Whether its address refused a connection since its last answer; this is no
+    /// proof that the process ended.
     pub is_suspect: bool,
-    /// When it was proved to have ended.
+    /// When the process was proved to have ended.
     pub gone_at: Option<Instant>,
     /// When a ping was last sent.
     pub pinged_at: Option<Instant>,
 }
 
 impl Peer {
-    /// Returns when it last answered, or was first heard of.
+    /// Returns when the last answered ping was sent, or when the process was
+    /// discovered if that is later.
     pub fn last_seen_at(&self) -> Instant {
         self.answered_at
             .map_or(self.first_seen_at, |at| at.max(self.first_seen_at))
     }
 }
 
-/// Every other process that was heard of, by incarnation.
+/// All other known processes, by incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     peers: BTreeMap<u64, Peer>,
 }
 
 impl Peers {
-    /// Adds a process where it is new.
+    /// Adds a process if it is not known yet.
     pub fn insert_if_new(&mut self, now: Instant, identity: &DaemonIdentity) {
         self.peers
             .entry(identity.incarnation)
@@ -71,7 +75,7 @@
         self.peers.get(&incarnation)
     }
 
-    /// Returns a process to be changed.
+    /// Returns a process for modification.
     pub fn get_mut(&mut self, incarnation: u64) -> Option<&mut Peer> {
         self.peers.get_mut(&incarnation)
     }
@@ -81,19 +85,19 @@
         self.peers.values()
     }
 
-    /// Iterates over the processes, to be changed.
+    /// Iterates over the processes for modification.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Peer> {
         self.peers.values_mut()
     }
 
-    /// Notes that a process has certainly ended.
+    /// Marks a process as ended; keeps the instant of the first proof.
     pub fn set_gone(&mut self, now: Instant, incarnation: u64) {
         if let Some(peer) = self.peers.get_mut(&incarnation) {
             peer.gone_at.get_or_insert(now);
         }
     }
 
-    /// Returns whether a process is there; one never heard of is live.
+    /// Returns the state of a process; an unknown process counts as live.
     pub fn state(&self, now: Instant, incarnation: u64, unresponsive_after: Duration) -> PeerState {
         let Some(peer) = self.peers.get(&incarnation) else {
             return PeerState::Live;
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Drops processes that ended and that nothing names any more.
+    /// Removes the processes for which `is_named` returns false.
     pub fn retain(&mut self, is_named: impl Fn(u64) -> bool) {
         self.peers.retain(|&incarnation, _| is_named(incarnation));
     }
--- a/crates/membership/src/seat.rs
+++ b/crates/membership/src/seat.rs
@@ -1,4 +1,4 @@
-//! Seats: the right to an eighth of every minion.
+//! Sets of seats; a seat is a lease on one of the eight slots of every minion.
 
 use crate::control::SEATS_COUNT;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 pub struct SeatSet(u8);
 
 impl SeatSet {
-    /// No seats.
+    /// The empty set.
     pub const EMPTY: Self = Self(0);
 
     /// Adds a seat.
@@ -31,12 +31,12 @@
         self.0.count_ones()
     }
 
-    /// Returns whether there are none.
+    /// Returns whether the set is empty.
     pub const fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// Iterates over the seats, lowest first.
+    /// Iterates over the seats in ascending order.
     pub fn iter(self) -> impl Iterator<Item = u32> {
         (0..SEATS_COUNT).filter(move |&seat| self.contains(seat))
     }
@@ -54,8 +54,8 @@
 
 /// Returns how many seats each of `daemons_count` daemons should hold.
 ///
-/// What does not divide stays free, so that a daemon that starts finds a seat
-/// at once.
+/// The remainder of the division stays free, so that a daemon that starts can
+/// claim a seat immediately.
 pub const fn seat_target_count(daemons_count: usize) -> u32 {
     if daemons_count == 0 {
         return SEATS_COUNT;
