--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -1,4 +1,4 @@
-//! What a node wants done.
+//! Actions that a node requests from the daemon.
 
 use ospreywing_routing::Request;
 use ospreywing_shard::Commit;
@@ -8,50 +8,50 @@
 use ospreywing_types::worker::Order;
 use ospreywing_types::{DaemonIdentity, Duration, Name};
 
-/// An answer to a caller or a peer.
+/// A reply to a caller or a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// To a submission or a cancellation.
+    /// Reply to a submission or a cancellation.
     Submit(SubmitReply),
-    /// To a question about a task.
+    /// Reply to a query about a task.
     Query(QueryReply),
-    /// To a claim on a request key.
+    /// Reply to a claim on a request key.
     TakeKey(TakeKeyReply),
-    /// To a ping.
+    /// Reply to a ping.
     Pong(Pong),
-    /// To a request to close an epoch.
+    /// Reply to a request to close an epoch.
     CloseEpoch(CloseEpochReply),
-    /// To a request: pass on the minion's answer.
+    /// Reply to a request: forward the minion's answer.
     Deliver,
-    /// To a request: there will be no answer.
+    /// Reply to a request: there will be no answer.
     GiveUp(ospreywing_routing::GiveUp),
 }
 
-/// A message for the owner of a shard.
+/// A message to the owner of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Forward {
-    /// A task.
+    /// Submits a task.
     Submit {
         /// The caller.
         token: u64,
         /// The task.
         submit: Submit,
     },
-    /// A cancellation.
+    /// Cancels a task.
     Cancel {
         /// The caller.
         token: u64,
         /// The task.
         query: Query,
     },
-    /// A question.
+    /// Queries a task.
     Query {
         /// The caller.
         token: u64,
         /// The task.
         query: Query,
     },
-    /// A claim of the router's.
+    /// Claims a request key for the router.
     TakeKey {
         /// The request.
         request: Request,
@@ -60,17 +60,17 @@
     },
 }
 
-/// One thing to do. Actions are carried out in order.
+/// One action. The daemon executes actions in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Answer a caller or a peer.
+    /// Reply to a caller or a peer.
     Answer {
-        /// Who waits.
+        /// Identifies the caller or peer.
         token: u64,
-        /// The answer.
+        /// The reply.
         answer: Answer,
     },
-    /// Pass a message on to the owner of its shard.
+    /// Forward a message to the owner of its shard.
     Forward {
         /// The owner.
         to: DaemonIdentity,
@@ -88,21 +88,21 @@
         /// The former owner.
         owner: DaemonIdentity,
     },
-    /// Claim a shard where its key has the revision, then read its log.
+    /// Claim a shard if its key has the given revision, then read its log.
     ClaimShard {
         /// The shard.
         shard: u32,
         /// The revision.
         revision: u64,
     },
-    /// Vacate a shard's key where it has the revision.
+    /// Vacate a shard's key if it has the given revision.
     VacateShard {
         /// The shard.
         shard: u32,
         /// The revision.
         revision: u64,
     },
-    /// Write a commit where the shard's key has the epoch as its revision.
+    /// Write a commit if the revision of the shard's key equals the epoch.
     Commit {
         /// The shard.
         shard: u32,
@@ -111,36 +111,36 @@
         /// The commit.
         commit: Commit,
     },
-    /// Claim a seat where its key has the revision.
+    /// Claim a seat if its key has the given revision.
     ClaimSeat {
         /// The seat.
         seat: u32,
         /// The revision.
         revision: u64,
     },
-    /// Vacate a seat's key where it has the revision.
+    /// Vacate a seat's key if it has the given revision.
     VacateSeat {
         /// The seat.
         seat: u32,
         /// The revision.
         revision: u64,
     },
-    /// Keep a connection to a worker, opening it again when it breaks.
+    /// Maintain a connection to a worker; reconnect when it breaks.
     Connect {
         /// The worker.
         worker: Name,
         /// `IP:port` of the worker.
         addr: String,
-        /// The epoch under which it is asked for; what happens on the
-        /// connection is reported with it.
+        /// The epoch that requested the connection; events on the connection
+        /// carry it.
         epoch: u64,
     },
-    /// Close the connection to a worker and open it no more.
+    /// Close the connection to a worker and don't reconnect.
     Disconnect {
         /// The worker.
         worker: Name,
     },
-    /// Give a worker an order over its open connection.
+    /// Send an order to a worker over its open connection.
     Order {
         /// The worker.
         worker: Name,
@@ -151,11 +151,11 @@
     SendRequest {
         /// The request.
         request: Request,
-        /// The caller whose request it is.
+        /// Identifies the caller.
         token: u64,
         /// `IP:port` of the minion.
         addr: String,
-        /// When to break it off.
+        /// The time until the send is aborted.
         timeout: Duration,
     },
 }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -1,4 +1,4 @@
-//! What a node is told.
+//! Events that a node handles.
 
 use ospreywing_membership::{ControlChange, Versioned};
 use ospreywing_routing::{Arrival, Request};
@@ -9,32 +9,32 @@
 use ospreywing_types::worker::{Ended, Report};
 use ospreywing_types::{AttemptId, BoxFacts, Instant, Name};
 
-/// A change found in the store's control part.
+/// A change found in the store's control data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Of a member, an owner or a seat.
+    /// A change of a member, an owner or a seat.
     Control(ControlChange),
-    /// Of a row of the table; `None` where the row was removed.
+    /// A change of a row of the table.
     Row {
         /// The row's name.
         name: Name,
-        /// The row.
+        /// The row; `None` if it was removed.
         row: Versioned<Option<Row>>,
     },
 }
 
-/// What the store's control part holds.
+/// The result of one poll of the store's control data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// When the call was begun.
+    /// When the call began.
     pub asked_at: Instant,
-    /// The changes since the poll before, or all there is.
+    /// The changes since the previous poll, or the complete contents.
     pub changes: Vec<Change>,
-    /// Whether the changes are all there is.
+    /// Whether the changes are the complete contents.
     pub is_snapshot: bool,
 }
 
-/// A shard's log, read after its claim.
+/// A shard's log, read after the shard was claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimedLog {
     /// The shard.
@@ -45,42 +45,42 @@
     pub batches: Vec<(u64, Vec<u8>)>,
 }
 
-/// One thing that happened.
+/// One event.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The store answered a poll.
     Polled(Poll),
-    /// An edit made through this daemon took effect.
+    /// An edit of the table made through this daemon was written to the store.
     RowWritten {
         /// The row's name.
         name: Name,
         /// The row.
         row: Versioned<Option<Row>>,
     },
-    /// The platform's box list.
+    /// A new version of the platform's box list.
     Boxes(Vec<BoxFacts>),
-    /// A shard was claimed and its log read.
+    /// A shard was claimed and its log was read.
     ShardClaimed(ClaimedLog),
-    /// A claim was lost to another, or came to nothing.
+    /// A claim on a shard failed or was lost to another daemon.
     ClaimFailed {
         /// The shard.
         shard: u32,
     },
-    /// A commit took effect.
+    /// A commit was written to the store.
     CommitDone {
         /// The shard.
         shard: u32,
         /// The epoch.
         epoch: u64,
     },
-    /// The store names another owner.
+    /// The store refused a commit because the shard's key has another revision.
     CommitFenced {
         /// The shard.
         shard: u32,
         /// The epoch.
         epoch: u64,
-        /// Whether the commit certainly had no effect. It may have had one
-        /// where the answer to an earlier try was lost.
+        /// Whether the commit certainly had no effect. It may have had an effect
+        /// if the answer to an earlier attempt was lost.
         is_refused: bool,
     },
     /// A peer answered a ping.
@@ -95,119 +95,119 @@
         /// The process.
         incarnation: u64,
     },
-    /// A process has certainly ended.
+    /// A process is proved to have ended.
     ProcessGone {
         /// The process.
         incarnation: u64,
     },
-    /// A former owner answered.
+    /// A former owner answered a request to close its epoch.
     CloseEpochAnswered {
         /// The shard.
         shard: u32,
-        /// The epoch asked about.
+        /// The epoch to be closed.
         epoch: u64,
         /// The answer.
         reply: CloseEpochReply,
     },
-    /// A connection to a worker is open and gave its first report.
+    /// A connection to a worker was opened and the worker's first report arrived.
     SessionOpened {
         /// The worker.
         worker: Name,
-        /// The epoch under which the connection was asked for.
+        /// The epoch that requested the connection.
         epoch: u64,
-        /// The connection's number, never used again by this process.
+        /// The connection's number; this process never reuses it.
         session: u64,
-        /// Its report.
+        /// The worker's report.
         report: Report,
     },
-    /// A worker answered on its open connection.
+    /// A worker answered a poll on its open connection.
     Reported {
         /// The worker.
         worker: Name,
-        /// The epoch under which the connection was asked for.
+        /// The epoch that requested the connection.
         epoch: u64,
         /// The connection.
         session: u64,
-        /// When it was asked.
+        /// When the poll was sent.
         asked_at: Instant,
-        /// Its report.
+        /// The worker's report.
         report: Report,
     },
-    /// The connection to a worker is gone.
+    /// The connection to a worker was closed.
     SessionClosed {
         /// The worker.
         worker: Name,
-        /// The epoch under which the connection was asked for.
+        /// The epoch that requested the connection.
         epoch: u64,
         /// The connection.
         session: u64,
     },
-    /// A worker took a start.
+    /// A worker acknowledged a start.
     StartAcked {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A start was certainly not sent and will not be.
+    /// A start was not sent and never will be.
     StartNotSent {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A start was sent and its connection broke before an answer.
+    /// A start was sent, and its connection broke before the answer arrived.
     StartInDoubt {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A worker said that an attempt ended.
+    /// A worker reported the end of an attempt.
     Ended {
         /// The worker.
         worker: Name,
-        /// The attempt and its end.
+        /// The attempt and how it ended.
         ended: Ended,
     },
-    /// A caller, or a peer for one, hands in a task.
+    /// A caller, or a peer on its behalf, submits a task.
     Submit {
-        /// Whom to answer.
+        /// Identifies the caller or peer to reply to.
         token: u64,
         /// The task.
         submit: Submit,
-        /// Whether a peer passed it on, which is not done twice.
+        /// Whether a peer forwarded it; a message is forwarded at most once.
         is_forwarded: bool,
     },
-    /// A caller, or a peer for one, wants a task stopped.
+    /// A caller, or a peer on its behalf, cancels a task.
     Cancel {
-        /// Whom to answer.
+        /// Identifies the caller or peer to reply to.
         token: u64,
         /// The task.
         query: Query,
-        /// Whether a peer passed it on.
+        /// Whether a peer forwarded it.
         is_forwarded: bool,
     },
-    /// A caller, or a peer for one, asks about a task.
+    /// A caller, or a peer on its behalf, queries a task.
     Query {
-        /// Whom to answer.
+        /// Identifies the caller or peer to reply to.
         token: u64,
         /// The task.
         query: Query,
-        /// Whether a peer passed it on.
+        /// Whether a peer forwarded it.
         is_forwarded: bool,
     },
-    /// A peer claims the one run of a request.
+    /// A peer claims the only run of a request.
     TakeKey {
-        /// Whom to answer.
+        /// Identifies the caller or peer to reply to.
         token: u64,
         /// The claim.
         claim: TakeKey,
     },
-    /// A peer pings.
+    /// A peer sent a ping.
     Pinged {
-        /// Whom to answer.
+        /// Identifies the caller or peer to reply to.
         token: u64,
         /// The ping.
         ping: Ping,
     },
-    /// A peer asks for an epoch to be closed.
+    /// A peer requests that an epoch be closed.
     CloseEpoch {
-        /// Whom to answer.
+        /// Identifies the caller or peer to reply to.
         token: u64,
         /// The shard.
         shard: u32,
@@ -218,33 +218,33 @@
     },
     /// A caller sent a request.
     Arrived(Arrival),
-    /// A caller has gone away.
+    /// A caller disconnected.
     CallerDisconnected {
         /// The caller.
         token: u64,
     },
-    /// A peer answered a submission or cancellation passed on to it.
+    /// A peer answered a forwarded submission or cancellation.
     ForwardAnswered {
         /// The caller.
         token: u64,
         /// The answer.
         reply: SubmitReply,
     },
-    /// A peer answered a claim that the router made.
+    /// A peer answered a claim of the router.
     KeyAnswered {
         /// The request.
         request: Request,
         /// The answer.
         reply: TakeKeyReply,
     },
-    /// A minion's whole answer is there.
+    /// A minion's complete answer arrived.
     RequestAnswered(Request),
-    /// Certainly nothing of the request left this daemon, or will.
+    /// No part of the request was sent, and none will be.
     RequestNotSent(Request),
-    /// The connection broke, or the time was up, after sending had begun.
+    /// The connection broke or the timeout expired after sending had begun.
     RequestInterrupted(Request),
-    /// The daemon was asked to stop.
+    /// The daemon received a request to stop.
     Leave,
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of one daemon, put together from those of its parts.
+//! The state machine of one daemon, composed of membership, router and shards.
 //!
-//! [`Node`] holds the membership, the router, the table in force and the
-//! shards that the daemon owns. It does no I/O and reads no clock: the daemon
-//! turns sockets into [`Event`]s and carries out [`Action`]s; tests and
+//! [`Node`] holds the membership, the router, the current table and the shards
+//! that the daemon owns. It performs no I/O and reads no clock: the daemon
+//! turns network input into [`Event`]s and executes [`Action`]s; tests and
 //! replays do the same with fakes.
 
 mod action;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, and what each event does to it.
+//! The node: its state and event handlers.
 
 use crate::action::{Action, Answer};
 use crate::config::NodeConfig;
@@ -16,30 +16,30 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Who waits for an owner's reply.
+/// The recipient of an owner's reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
     /// A caller or a peer.
     External(u64),
-    /// The router, for a request's key.
+    /// The router, for the key of a request.
     Router(routing::Request),
 }
 
-/// The table that a peer said it has.
+/// The version of a peer's table, as the peer reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PeerTable {
     pub(crate) digest: u64,
     pub(crate) revision: u64,
 }
 
-/// How a connection to a worker was asked for.
+/// The parameters of a connection requested to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ConnectionTarget {
     pub(crate) addr: String,
     pub(crate) epoch: u64,
 }
 
-/// The decisions of one daemon.
+/// The state machine of one daemon.
 pub struct Node {
     pub(crate) config: NodeConfig,
     pub(crate) membership: Membership,
@@ -47,7 +47,7 @@
     pub(crate) table: TableView,
     pub(crate) shards: Vec<ShardSlot>,
     pub(crate) workers: BTreeMap<Name, BoxFacts>,
-    /// Workers that a connection is kept to.
+    /// The requested connections to workers.
     pub(crate) connection_targets: BTreeMap<Name, ConnectionTarget>,
     pub(crate) commit_limiter: RateLimiter,
     pub(crate) waiters: HashMap<u64, Waiter>,
@@ -55,7 +55,7 @@
     pub(crate) next_nonce: u64,
     pub(crate) draining: SeatSet,
     pub(crate) close_requested_at: Instant,
-    /// The table that each peer last said it has, by incarnation.
+    /// The table version that each peer last reported, by incarnation.
     pub(crate) peer_tables: BTreeMap<u64, PeerTable>,
     freshness: Freshness,
     seats_in_use: SeatSet,
@@ -66,11 +66,12 @@
 }
 
 const COMMIT_BURST_COUNT: u32 = 4;
-/// How often membership and owners look at the time; requests look at each tick.
+/// The interval between timer events for membership and owners; the router handles
+/// each tick.
 const DECIDE_EVERY: Duration = Duration::from_ms(100);
 
 impl Node {
-    /// Creates a node that has seen nothing.
+    /// Creates a node in its initial state.
     pub fn new(config: NodeConfig) -> Self {
         let shards_count = config.membership.shards_count as usize;
         Self {
@@ -97,9 +98,9 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
-        // A daemon that was paused must not act on what it knew before.
+        // A daemon that was paused must not act on outdated state.
         self.update_freshness(now, actions);
         match event {
             Event::Polled(poll) => self.on_polled(now, poll, actions),
@@ -196,7 +197,7 @@
             match self.table.merge_json(json) {
                 Some(true) => self.publish_table(now, actions),
                 Some(false) => {}
-                // The answer proves nothing of a table that can't be read.
+                // A peer's answer proves nothing if its table can't be parsed.
                 None => return,
             }
         }
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Lets the router use the seats held, less those to be given up.
+    /// Lets the router use the seats held, except those being drained.
     fn update_seats(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let held = self.membership.seats();
         let draining = self.draining.iter().filter(|&seat| held.contains(seat));
@@ -321,7 +322,7 @@
         }
     }
 
-    /// Hands an event to the router and turns its actions into the node's.
+    /// Passes an event to the router and translates its actions into the node's.
     pub(crate) fn route(&mut self, now: Instant, event: routing::Event, actions: &mut Vec<Action>) {
         let mut routed = core::mem::take(&mut self.router_actions);
         self.router.handle(now, event, &mut routed);
@@ -355,57 +356,57 @@
         self.router_actions = routed;
     }
 
-    /// Returns how many shards the cell has.
+    /// Returns the number of shards of the cell.
     pub const fn shards_count(&self) -> u32 {
         self.config.membership.shards_count
     }
 
-    /// Returns the shard that a key's task or request belongs to.
+    /// Returns the shard of a task key or request key.
     pub fn shard_of_key(&self, key: &Key) -> u32 {
         shard_of(key.as_str(), self.shards_count())
     }
 
-    /// Returns the shard that a worker belongs to.
+    /// Returns the shard of a worker.
     pub fn shard_of_worker(&self, name: &Name) -> u32 {
         shard_of(name.as_str(), self.shards_count())
     }
 
-    /// Returns the process that the store last named as a shard's owner.
+    /// Returns a shard's owner in the cached control data.
     pub fn owner_of(&self, shard: u32) -> Option<DaemonIdentity> {
         self.membership.control().owner(shard).value
     }
 
-    /// Returns the table in force.
+    /// Returns the current table.
     pub fn table(&self) -> Arc<Table> {
         self.table.table()
     }
 
-    /// Checks that an edit of the table may be accepted now.
+    /// Checks whether an edit of the table may be accepted now.
     ///
     /// # Errors
     ///
-    /// Returns what keeps this daemon from accepting it.
+    /// Returns the reason why this daemon may not accept the edit.
     pub fn check_edit(&self, now: Instant) -> Result<(), EditBlocked> {
         self.membership.check_edit(now)
     }
 
-    /// Returns whether the daemon may decide by its table at `now`.
+    /// Returns whether the daemon may act on its table at `now`.
     pub fn may_decide(&self, now: Instant) -> bool {
         self.membership.freshness(now).may_decide()
     }
 
-    /// Returns what the knowledge of the table rested on at the last event.
+    /// Returns the evidence, as of the last event, that the table is current.
     pub const fn freshness(&self) -> Freshness {
         self.freshness
     }
 
-    /// Returns whether the balancer should send callers here.
+    /// Returns whether the load balancer should send callers to this daemon.
     pub fn is_ready(&self) -> bool {
         let is_serving = !self.membership.is_leaving() && self.freshness.may_decide();
         is_serving && !self.seats_in_use.is_empty()
     }
 
-    /// Returns whether nothing is left to do before the process may end.
+    /// Returns whether the daemon is stopping and its process may exit.
     pub fn is_shutdown_complete(&self) -> bool {
         let is_idle = |slot: &ShardSlot| matches!(slot, ShardSlot::Idle);
         self.membership.is_leaving()
@@ -419,7 +420,7 @@
         &self.config.membership
     }
 
-    /// Returns the daemons that may not go by the same table as this one.
+    /// Returns the daemons that may use another table version than this one.
     pub fn lagging(&self, now: Instant) -> Vec<Name> {
         let me = self.membership.me().incarnation;
         let identities = self.membership.control().identities();
@@ -432,7 +433,7 @@
         lagging.map(|identity| identity.name).collect()
     }
 
-    /// Returns a hash of the versions of all rows of the table in force.
+    /// Returns a hash of the row versions of the current table.
     pub const fn table_digest(&self) -> u64 {
         self.table.digest()
     }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a node and its view of the cell.
+//! Reports to operators on a node and its view of the cell.
 
 use crate::node::Node;
 use ospreywing_membership::PeerState;
@@ -7,20 +7,20 @@
 use ospreywing_types::{BoxFacts, Instant};
 use serde::{Deserialize, Serialize};
 
-/// A daemon as seen by the one that reports.
+/// The state of a daemon in the view of the reporting daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// Its name.
+    /// The daemon's name.
     pub name: String,
     /// `IP:port` of its endpoint for callers.
     pub http_addr: String,
     /// `me`, `live`, `silent` or `gone`.
     pub state: String,
-    /// The seats it holds.
+    /// The seats that the daemon holds.
     pub seats: Vec<u32>,
-    /// The shards it owns.
+    /// The shards that the daemon owns.
     pub shards: Vec<u32>,
-    /// The newest table it said it has.
+    /// The revision of the daemon's table, as it last reported it.
     pub table_revision: u64,
 }
 
@@ -31,61 +31,62 @@
     pub shard: u32,
     /// The epoch of the ownership.
     pub epoch: u64,
-    /// Workers connected.
+    /// Connected workers.
     pub workers_count: usize,
-    /// Tasks waiting.
+    /// Waiting tasks.
     pub waiting_count: usize,
-    /// Recorded starts that are not over.
+    /// Attempts with a recorded start and no recorded end.
     pub started_count: usize,
-    /// Former epochs that may still have starts on their way.
+    /// Former epochs that may still have starts in flight.
     pub open_epochs_count: usize,
-    /// Tasks accepted under this ownership.
+    /// Tasks accepted in this epoch.
     pub submitted_count: u64,
-    /// Tasks ended under this ownership.
+    /// Tasks ended in this epoch.
     pub ended_count: u64,
-    /// Attempts that waited again under this ownership.
+    /// Attempts requeued in this epoch.
     pub requeued_count: u64,
-    /// Commits made under this ownership.
+    /// Commits written in this epoch.
     pub commits_count: u64,
-    /// Bytes committed under this ownership.
+    /// Bytes committed in this epoch.
     pub commit_bytes: u64,
-    /// Attempts that ran though the log does not say so.
+    /// Attempts that ran without a record in the log.
     pub stray_attempts_count: u64,
-    /// The log's size, in bytes.
+    /// The size of the log, in bytes.
     pub log_bytes: usize,
 }
 
-/// A worker or minion as seen by one daemon.
+/// The state of a worker in the view of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxReport {
-    /// What the platform's list says.
+    /// The entry on the platform's box list.
     pub facts: BoxFacts,
-    /// Whether the reporting daemon is connected; `None` where it need not be.
+    /// Whether the reporting daemon is connected to it; `None` if the daemon does
+    /// not own the worker's shard.
     pub is_connected: Option<bool>,
 }
 
-/// The cell as seen by one daemon.
+/// The state of the cell in the view of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellReport {
     /// The reporting daemon's name.
     pub name: String,
-    /// Whether the balancer should send callers there.
+    /// Whether the load balancer should send callers to the reporting daemon.
     pub is_ready: bool,
-    /// What its knowledge of the table rests on.
+    /// The evidence that the reporting daemon's table is current.
     pub freshness: String,
-    /// The version of its table.
+    /// The revision of the reporting daemon's table.
     pub table_revision: u64,
-    /// Every daemon.
+    /// All daemons with an entry in the store.
     pub members: Vec<MemberReport>,
-    /// The shards it owns.
+    /// The shards that the reporting daemon owns.
     pub shards: Vec<ShardReport>,
-    /// Requests whose callers or slots wait.
+    /// Requests without a final reply or with a slot in use.
     pub requests_open_count: usize,
-    /// Requests answered in full.
+    /// Requests whose complete answer was delivered.
     pub requests_done_count: u64,
     /// Requests that certainly did not run.
     pub requests_not_run_count: u64,
-    /// Requests of which nothing certain is known.
+    /// Requests that may or may not have run.
     pub requests_unknown_count: u64,
 }
 
@@ -173,7 +174,7 @@
         owners.map(report).collect()
     }
 
-    /// Returns the tasks of the shards that this node owns, up to a limit.
+    /// Returns up to `limit_count` tasks of the shards that this node owns.
     pub fn tasks(&self, limit_count: usize) -> Vec<TaskStatus> {
         let owners = (0..self.shards_count()).filter_map(|shard| self.owner(shard));
         let tasks = owners.flat_map(|owner| owner.statuses(limit_count));
@@ -197,7 +198,7 @@
         self.workers.values().map(report).collect()
     }
 
-    /// Returns the report on service-level burn.
+    /// Returns the error-budget reports.
     pub fn burn(&mut self, now: Instant) -> Vec<BurnReport> {
         self.router.burn(now)
     }
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that belong to the owner of a shard, here or elsewhere.
+//! Handles requests for the owner of a shard, which may be this or another daemon.
 
 use crate::action::{Action, Answer, Forward};
 use crate::event::Event;
@@ -9,7 +9,7 @@
 use ospreywing_types::peer::{Query, QueryReply, Submit, TakeKey, TakeKeyReply};
 use ospreywing_types::{stable_hash, DaemonIdentity, Instant, Key};
 
-/// Where a request is to be handled.
+/// Where a request is handled.
 enum Route {
     Local,
     Remote(DaemonIdentity),
@@ -140,7 +140,7 @@
         actions.push(Action::Answer { token, answer });
     }
 
-    /// A peer's router claims a key that this node's shard keeps.
+    /// Handles a peer's claim on a key of a shard owned by this node.
     fn on_take_key(&mut self, now: Instant, token: u64, claim: TakeKey, actions: &mut Vec<Action>) {
         let shard = self.shard_of_key(&claim.key);
         if self.shards[shard as usize].owner().is_none() {
@@ -156,7 +156,7 @@
         self.dispatch_to_owner(now, shard, event, actions);
     }
 
-    /// This node's router claims a key.
+    /// Claims a key for this node's router.
     pub(crate) fn take_key(
         &mut self,
         now: Instant,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Returns a number that no other claim of any daemon has.
+    /// Returns a number to tell this claim from all other claims of any daemon.
     fn nonce(&mut self) -> u64 {
         self.next_nonce += 1;
         let incarnation = self.membership.me().incarnation;
--- a/crates/node/src/shard_slot.rs
+++ b/crates/node/src/shard_slot.rs
@@ -1,33 +1,33 @@
-//! What a node has to do with one shard.
+//! The ownership state of one shard at a node.
 
 use ospreywing_shard::{Closing, Owner};
 use ospreywing_types::Instant;
 
-/// The life of a shard at one daemon, over and over.
+/// The ownership state of one shard at this daemon; the states recur.
 #[derive(Clone, Debug, Default)]
 pub(crate) enum ShardSlot {
-    /// Nothing.
+    /// Not owned, and no claim is pending.
     #[default]
     Idle,
-    /// Its claim is under way.
+    /// A claim is pending.
     Claiming,
-    /// It is owned.
+    /// The shard is owned.
     Owned(Box<Owner>),
-    /// It is owned and to be given up.
+    /// The shard is owned and being handed over.
     HandingOver {
         owner: Box<Owner>,
         since: Instant,
-        /// Whether the last commit was made.
+        /// Whether the owner's final commit was requested.
         is_finishing: bool,
     },
-    /// It was owned, and starts may be on their way.
+    /// The ownership ended, and starts may still be in flight.
     Closing(Closing),
-    /// It was given up, and its key is to say so.
+    /// The shard was handed over, and its key is being vacated.
     Vacating { epoch: u64, asked_at: Instant },
 }
 
 impl ShardSlot {
-    /// Returns the owner, where the shard is owned.
+    /// Returns the owner if the shard is owned.
     pub(crate) fn owner(&self) -> Option<&Owner> {
         match self {
             Self::Owned(owner) | Self::HandingOver { owner, .. } => Some(owner),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns the epoch under which connections to workers are needed.
+    /// Returns the epoch that needs connections to the shard's workers.
     pub(crate) fn epoch(&self) -> Option<u64> {
         match self {
             Self::Owned(owner) | Self::HandingOver { owner, .. } => Some(owner.config().epoch),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Returns the owner to be changed, where the shard is owned.
+    /// Returns the owner for modification if the shard is owned.
     pub(crate) fn owner_mut(&mut self) -> Option<&mut Owner> {
         match self {
             Self::Owned(owner) | Self::HandingOver { owner, .. } => Some(owner),
--- a/crates/node/src/shards.rs
+++ b/crates/node/src/shards.rs
@@ -1,4 +1,4 @@
-//! Claiming, serving and giving up shards.
+//! Claims shards, runs their owners and hands them over.
 
 use crate::action::{Action, Answer};
 use crate::event::{ClaimedLog, Event};
@@ -9,11 +9,11 @@
 use ospreywing_types::peer::{CloseEpochReply, SubmitReply, TakeKeyReply};
 use ospreywing_types::{Duration, Instant};
 
-/// How often a former owner is asked to close its epoch.
+/// The interval between requests to a former owner to close its epoch.
 const CLOSE_REQUEST_INTERVAL: Duration = Duration::from_ms(500);
-/// A hand-over that has not settled by then goes on without settling.
+/// A handover continues after this time even if the owner still has work in flight.
 const HANDOVER_TIMEOUT: Duration = Duration::from_s(5);
-/// How often a key that should be vacant is vacated again.
+/// The interval between attempts to vacate a shard's key.
 const VACATE_RETRY_INTERVAL: Duration = Duration::from_s(1);
 
 impl Node {
@@ -78,7 +78,8 @@
         let mut recovery = Recovery::new(config);
         for (seq, value) in &log.batches {
             if recovery.read(*seq, value).is_err() {
-                // A log that can't be read is not served; another may be newer.
+                // The shard is not served if its log can't be read; another daemon
+                // may run a newer version.
                 self.shards[log.shard as usize] = ShardSlot::Idle;
                 return;
             }
@@ -95,7 +96,7 @@
         self.close_requested_at = Instant::default();
     }
 
-    /// Compares what the store says with what this node believes to own.
+    /// Reconciles the node's shards with the owners in the store.
     pub(crate) fn check_ownership(
         &mut self,
         now: Instant,
@@ -121,7 +122,8 @@
                 ShardSlot::Vacating { epoch, .. } if revision > *epoch => {
                     self.shards[shard as usize] = ShardSlot::Idle;
                 }
-                // A claim whose answer was lost: claim it again to know its epoch.
+                // The answer to this node's claim was lost: claim the shard again to
+                // learn its epoch.
                 ShardSlot::Idle if is_me && !self.membership.is_leaving() => {
                     self.claim_shard(shard, revision, actions);
                 }
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Ends an ownership that the store has given to another.
+    /// Ends the ownership of a shard and closes its epoch.
     fn close_shard(
         &mut self,
         now: Instant,
@@ -193,7 +195,8 @@
         }
     }
 
-    /// Asks former owners to close their epochs; those proved gone have.
+    /// Requests former owners to close their epochs; the epochs of owners proved to
+    /// have ended count as closed.
     pub(crate) fn request_epoch_closes(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if now.since(self.close_requested_at) < CLOSE_REQUEST_INTERVAL {
             return;
@@ -236,7 +239,8 @@
         };
     }
 
-    /// Moves each hand-over on: settle, put the end on record, vacate the key.
+    /// Advances each handover: wait for work in flight, write the final commit,
+    /// vacate the key.
     pub(crate) fn advance_handovers(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for shard in 0..self.shards_count() {
             if let ShardSlot::Vacating { epoch, asked_at } = self.shards[shard as usize] {
@@ -267,7 +271,7 @@
     fn vacate_shard(&mut self, now: Instant, shard: u32, epoch: u64, actions: &mut Vec<Action>) {
         let revision = epoch;
         actions.push(Action::VacateShard { shard, revision });
-        // Starts that are still on their way go first.
+        // A closing shard stays in that state until its starts in flight are resolved.
         if matches!(
             self.shards[shard as usize],
             ShardSlot::Idle | ShardSlot::Vacating { .. }
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Makes the commits that are due, as far as the pace allows.
+    /// Issues the commits that are due, within the rate limit.
     pub(crate) fn issue_commits(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for shard in 0..self.shards_count() {
             let Some(owner) = self.shards[shard as usize].owner_mut() else {
@@ -297,8 +301,9 @@
         }
     }
 
-    /// Hands an event to the owner of a shard, where this node is that under
-    /// `epoch`. What a worker said before a shard was claimed may be out of date.
+    /// Passes an event to the owner of a shard if this node owns it in `epoch`.
+    ///
+    /// What a worker reported in an earlier epoch may be outdated.
     pub(crate) fn dispatch_to_epoch(
         &mut self,
         now: Instant,
@@ -312,7 +317,7 @@
         }
     }
 
-    /// Hands an event to the owner of a shard, where this node is that.
+    /// Passes an event to the owner of a shard if this node owns it.
     pub(crate) fn dispatch_to_owner(
         &mut self,
         now: Instant,
@@ -330,7 +335,7 @@
         self.shard_actions = owner_actions;
     }
 
-    /// Turns an owner's actions into the node's.
+    /// Translates an owner's actions into the node's.
     fn apply_owner_actions(
         &mut self,
         now: Instant,
@@ -390,12 +395,12 @@
         self.route(now, event, actions);
     }
 
-    /// Returns the owner of a shard, where this node is that.
+    /// Returns the owner of a shard if this node owns it.
     pub fn owner(&self, shard: u32) -> Option<&Owner> {
         self.shards.get(shard as usize)?.owner()
     }
 
-    /// What a caller is told while a shard has no owner that can be reached.
+    /// Returns the reply to a caller while a shard has no reachable owner.
     pub(crate) fn no_owner(shard: u32) -> SubmitReply {
         SubmitReply::Refused {
             reason: format!("shard {shard} is changing hands"),
@@ -404,5 +409,5 @@
     }
 }
 
-/// When to come back while a shard changes hands.
+/// The delay before a retry while a shard has no owner.
 pub(crate) const NO_OWNER_RETRY_AFTER: Duration = Duration::from_s(1);
--- a/crates/node/src/table_view.rs
+++ b/crates/node/src/table_view.rs
@@ -1,4 +1,4 @@
-//! The table as the store's rows make it up.
+//! Builds the current table from versioned rows.
 
 use ospreywing_membership::Versioned;
 use ospreywing_table::{Row, Table};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A row with the store's revision of its last change.
+/// A row with the store revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct RowVersion {
     name: Name,
@@ -15,10 +15,10 @@
     revision: u64,
 }
 
-/// The table in force. No row ever goes back to an older version.
+/// The current table. A row never returns to an older version.
 ///
-/// A row may be known, from the answer to its own edit or from a peer, before
-/// an older change of another row is; hence a version for each row.
+/// The version is kept for each row: a row can arrive, in the answer to its edit
+/// or from a peer, before an older change of another row.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TableView {
     table: Arc<Table>,
@@ -27,7 +27,7 @@
 }
 
 impl TableView {
-    /// Returns the table in force.
+    /// Returns the current table.
     pub(crate) fn table(&self) -> Arc<Table> {
         Arc::clone(&self.table)
     }
@@ -37,7 +37,7 @@
         self.digest
     }
 
-    /// Takes in rows that are newer than the known ones and returns whether
+    /// Applies the rows that are newer than the known ones and returns whether
     /// there were any.
     pub(crate) fn apply(&mut self, rows: Vec<(Name, Versioned<Option<Row>>)>) -> bool {
         let mut is_changed = false;
@@ -66,7 +66,7 @@
         self.revisions.insert(name, row.revision);
     }
 
-    /// Returns all rows with their versions, for a peer.
+    /// Serializes all rows and their versions for a peer.
     pub(crate) fn to_json(&self) -> String {
         let versions = self.revisions.iter().map(|(name, &revision)| RowVersion {
             name: name.clone(),
@@ -77,8 +77,8 @@
         serde_json::to_string(&versions).unwrap_or_default()
     }
 
-    /// Takes in what a peer has; `None` where it is not readable, else whether
-    /// anything was newer.
+    /// Merges a peer's rows and returns whether any was newer; `None` if the text
+    /// can't be parsed.
     pub(crate) fn merge_json(&mut self, json: &str) -> Option<bool> {
         let versions: Vec<RowVersion> = serde_json::from_str(json).ok()?;
         let rows = versions.into_iter().map(|version| {
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -1,4 +1,4 @@
-//! The workers of owned shards: connections, and word that comes over them.
+//! Maintains connections to the workers of owned shards and handles their events.
 
 use crate::action::Action;
 use crate::event::Event;
@@ -94,7 +94,7 @@
         self.dispatch_to_owner(now, attempt.shard, event, actions);
     }
 
-    /// Gives an owner the workers of its shard.
+    /// Sends the owner of a shard the boxes of its workers.
     pub(crate) fn dispatch_boxes(&mut self, now: Instant, shard: u32, actions: &mut Vec<Action>) {
         if self.shards[shard as usize].owner().is_none() {
             return;
@@ -107,7 +107,8 @@
         self.dispatch_to_owner(now, shard, shard::Event::Boxes(boxes), actions);
     }
 
-    /// Keeps connections to the workers of owned shards, and to no others.
+    /// Requests connections to the workers of owned and closing shards, and closes
+    /// all others.
     pub(crate) fn connect_workers(&mut self, actions: &mut Vec<Action>) {
         let wanted: BTreeMap<Name, ConnectionTarget> = self
             .workers
