--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Assignment of shards, parts of rates, seats, and who claims when.
+//! Tests shard assignment, the shared rate limiter, seats and the order of claims.
 
 use ospreywing_membership::{
     assign, seat_target_count, Control, ControlChange, EditBlocked, Member, Membership,
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn assign_few_move_when_one_leaves() {
+fn assign_moves_few_shards_when_one_leaves() {
     let before = names(7);
     let after: Vec<Name> = before.iter().skip(1).cloned().collect();
     let first = assign(&before, 64);
     let second = assign(&after, 64);
     let moved = (0..64).filter(|&shard| before[first[shard]] != after[second[shard]]);
-    // A seventh must move; the even bound moves some more.
+    // A seventh of the shards must move; the load limit moves some more.
     assert!(moved.count() <= 24);
 }
 
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn seat_set_holds_what_was_put_in() {
+fn seat_set_insert_and_remove() {
     let mut seats = SeatSet::from_iter([1, 5]);
     seats.insert(7);
     seats.remove(1);
@@ -84,19 +84,19 @@
 }
 
 #[test]
-fn pace_shares_a_rate() {
+fn rate_limiter_shares_a_rate() {
     let mut rate_limiter = RateLimiter::new(60, 4);
     rate_limiter.set_sharers(3);
-    let mut taken = 0;
+    let mut acquired_count = 0;
     for ms in 0..10_000 {
-        taken += u32::from(rate_limiter.try_acquire(Instant::from_ms(ms)));
+        acquired_count += u32::from(rate_limiter.try_acquire(Instant::from_ms(ms)));
     }
-    // Twenty a second and the burst.
-    assert!((200..=204).contains(&taken), "{taken}");
+    // 20 tokens per second for 10 s, and the burst of 4.
+    assert!((200..=204).contains(&acquired_count), "{acquired_count}");
 }
 
 #[test]
-fn control_older_change_is_passed_over() {
+fn control_older_change_is_ignored() {
     let mut control = Control::default();
     let owner = |revision| ControlChange::Owner {
         shard: 0,
@@ -110,7 +110,8 @@
     assert_eq!(control.owner(0).revision, 7);
 }
 
-/// A view of daemons `d0` to `d2`, all live, with all shards vacant.
+/// Creates the view of daemon `me` on daemons `d0` to `d2`: all are live, and no
+/// shard has an owner.
 fn view(me: usize) -> Membership {
     let mut membership = Membership::new(MembershipConfig::new(member(me, me as u64), 4));
     let members = (0..3).map(|i| ControlChange::Member(member(i, i as u64)));
@@ -128,10 +129,10 @@
 }
 
 #[test]
-fn decide_vacant_shard_is_claimed_by_one_at_first() {
+fn decide_vacant_shard_is_first_claimed_by_one_daemon() {
     let first: usize = (0..3).map(|me| claims(&mut view(me), 1000)).sum();
-    assert_eq!(first, 4, "each shard by the one it is assigned to");
-    // Where that one does not, the others do, one after the other.
+    assert_eq!(first, 4, "each shard is claimed by its assigned daemon");
+    // If that daemon does not claim it, the others do so in turn.
     let mut other = view(0);
     let at_once = claims(&mut other, 1000);
     let later = claims(&mut other, 1000 + 1900);
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn decide_seat_of_a_silent_daemon_is_not_claimed() {
+fn decide_seat_of_unresponsive_daemon_is_not_claimed() {
     let mut membership = view(0);
     let seats = (0..SEATS_COUNT).map(|seat| ControlChange::Seat {
         seat,
@@ -165,35 +166,35 @@
     assert_eq!(seat_claims(&mut membership, over), 1);
 }
 
-/// An edit may wait for daemons that were just met, and for those only.
+/// Only daemons that were just discovered make the block of an edit transient.
 #[test]
-fn check_edit_others_just_met() {
+fn check_edit_peers_just_discovered_is_transient() {
     let mut membership = view(0);
     let first_seen_at = Instant::from_ms(1_000);
     membership.on_store_answer(first_seen_at);
-    let settling = membership.check_edit(first_seen_at);
+    let just_discovered = membership.check_edit(first_seen_at);
     assert_eq!(
-        settling,
+        just_discovered,
         Err(EditBlocked::NoMajority {
             responsive_count: 1,
             new_count: 2,
             all_count: 3,
         })
     );
-    assert!(settling.is_err_and(EditBlocked::is_transient));
+    assert!(just_discovered.is_err_and(EditBlocked::is_transient));
     let later = first_seen_at + FRESH_FOR;
     membership.on_store_answer(later);
-    let silent = membership.check_edit(later);
-    assert!(silent.is_err_and(|blocked| !blocked.is_transient()));
+    let unresponsive = membership.check_edit(later);
+    assert!(unresponsive.is_err_and(|blocked| !blocked.is_transient()));
 }
 
 #[test]
-fn check_edit_store_silent() {
+fn check_edit_store_unresponsive_is_blocked() {
     let mut membership = Membership::new(MembershipConfig::new(member(0, 0), 4));
-    let unheard = membership.check_edit(Instant::from_ms(1_000));
-    assert_eq!(unheard, Err(EditBlocked::StoreNeverContacted));
+    let never_contacted = membership.check_edit(Instant::from_ms(1_000));
+    assert_eq!(never_contacted, Err(EditBlocked::StoreNeverContacted));
     membership.on_store_answer(Instant::from_ms(1_000));
     assert_eq!(membership.check_edit(Instant::from_ms(1_000)), Ok(()));
-    let silent = membership.check_edit(Instant::from_ms(1_000) + FRESH_FOR);
-    assert!(silent.is_err_and(|blocked| !blocked.is_transient()));
+    let unresponsive = membership.check_edit(Instant::from_ms(1_000) + FRESH_FOR);
+    assert!(unresponsive.is_err_and(|blocked| !blocked.is_transient()));
 }
--- a/crates/node/tests/cell/main.rs
+++ b/crates/node/tests/cell/main.rs
@@ -1,7 +1,7 @@
-//! Proofs of what the daemons of a cell promise together: slots of minions,
-//! request keys, the table, membership.
+//! Tests the invariants that the daemons of a cell uphold together: use of minion
+//! slots, request keys, the table and membership.
 
 mod search;
+mod simulation;
 mod store_fake;
 mod traces;
-mod world;
--- a/crates/node/tests/cell/search.rs
+++ b/crates/node/tests/cell/search.rs
@@ -1,6 +1,6 @@
-//! Searches the interleavings of several daemons, the store and minions.
+//! Explores random interleavings of several daemons, the store and minions.
 
-use crate::world::{Broken, Op, Tally, World, DAEMONS_COUNT};
+use crate::simulation::{Broken, Op, Simulation, Tally, DAEMONS_COUNT};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use std::sync::Mutex;
@@ -22,13 +22,13 @@
         4 => (1u64..40).prop_map(|steps| Op::Run { steps }),
         1 => (40u64..200).prop_map(|steps| Op::Run { steps }),
         12 => (daemon(), 0..KEYS_COUNT, any::<bool>()).prop_map(|(daemon, key, is_safe)| {
-            Op::Ask { daemon, key, is_safe }
+            Op::Submit { daemon, key, is_safe }
         }),
         2 => daemon().prop_map(|daemon| Op::Edit { daemon }),
         4 => daemon().prop_map(|daemon| Op::Burst { daemon }),
         4 => any_index().prop_map(|index| Op::Answer { index }),
         3 => daemon().prop_map(|daemon| Op::Poll { daemon }),
-        10 => any_index().prop_map(|index| Op::Carry { index }),
+        10 => any_index().prop_map(|index| Op::Deliver { index }),
         3 => daemon().prop_map(|daemon| Op::Tick { daemon }),
     ]
 }
@@ -57,25 +57,25 @@
 }
 
 fn play(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
-    let mut world = World::new();
-    world.step(&Op::Run { steps: 60 })?;
+    let mut simulation = Simulation::new();
+    simulation.step(&Op::Run { steps: 60 })?;
     for op in ops {
-        world.step(op)?;
+        simulation.step(op)?;
     }
-    world.heal()?;
+    simulation.recover()?;
     let mut sum = tally.lock().unwrap_or_else(|e| e.into_inner());
     sum.interleavings_count += 1;
-    sum.steps_count += world.tally.steps_count;
-    sum.faults_count += world.tally.faults_count;
-    sum.runs_count += world.tally.runs_count;
-    sum.done_count += world.tally.done_count;
-    sum.edits_count += world.tally.edits_count;
-    sum.peak_slots_count = sum.peak_slots_count.max(world.tally.peak_slots_count);
+    sum.steps_count += simulation.tally.steps_count;
+    sum.faults_count += simulation.tally.faults_count;
+    sum.runs_count += simulation.tally.runs_count;
+    sum.done_count += simulation.tally.done_count;
+    sum.edits_count += simulation.tally.edits_count;
+    sum.peak_slots_count = sum.peak_slots_count.max(simulation.tally.peak_slots_count);
     Ok(())
 }
 
 #[test]
-fn cell_keeps_its_promises_in_every_interleaving() {
+fn cell_invariants_hold_in_every_interleaving() {
     let config = Config {
         cases: CASES_COUNT,
         failure_persistence: None,
--- a/crates/node/tests/cell/world.rs
+++ b/crates/node/tests/cell/simulation.rs
@@ -1,4 +1,4 @@
-//! Several daemons, a store and minions, step by step.
+//! Simulates a cell of several daemons, a store and minions in single steps.
 
 use crate::store_fake::StoreFake;
 use ospreywing_membership::{Member, MembershipConfig, Versioned};
@@ -15,31 +15,31 @@
 pub const MINIONS_COUNT: usize = 2;
 const SHARDS_COUNT: u32 = 2;
 const SLOTS_COUNT: usize = 8;
-/// A minion works on a request for at most this long; less than the quarantine.
-const WORK_LIMIT: Duration = Duration::from_s(6);
-/// A change is in force at every daemon that decides within this time.
-const IN_FORCE_WITHIN: Duration = Duration::from_s(7);
-/// A claim of a key without an answer is given up after this time.
-const CLAIM_LIMIT: Duration = Duration::from_s(4);
+/// The longest time that a minion runs a request; less than the quarantine.
+const MAX_WORK_TIME: Duration = Duration::from_s(6);
+/// A table edit reaches every daemon that acts on its table within this time.
+const PROPAGATION_LIMIT: Duration = Duration::from_s(7);
+/// A claim of a key fails if it has no answer after this time.
+const CLAIM_TIMEOUT: Duration = Duration::from_s(4);
 const STEP: Duration = Duration::from_ms(100);
 const POLL_EVERY_STEPS: u64 = 5;
 
-/// One step.
+/// One step of the simulation.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// Everything that is up works for so many steps of a tenth of a second.
+    /// Everything that is up runs for `steps` steps of 100 ms.
     Run {
         steps: u64,
     },
-    /// Many callers ask at once.
+    /// Many callers submit requests at once.
     Burst {
         daemon: usize,
     },
-    /// Time passes while nothing works.
+    /// Time passes while no daemon runs.
     Pass {
         ms: u64,
     },
-    Ask {
+    Submit {
         daemon: usize,
         key: u64,
         is_safe: bool,
@@ -56,7 +56,7 @@
     Poll {
         daemon: usize,
     },
-    Carry {
+    Deliver {
         index: usize,
     },
     Lose {
@@ -93,18 +93,18 @@
     },
 }
 
-/// Something on its way from a daemon; a pause may lie before it.
-enum Letter {
-    /// To the store, or to a peer: an action that was decided.
-    Out { action: Action },
-    /// Back to the daemon.
-    Back { event: Event },
+/// A message from or to a daemon; a pause of the daemon delays it.
+enum Message {
+    /// An action of the daemon, to be executed by the store, a peer or a minion.
+    Outbound { action: Action },
+    /// A reply to the daemon.
+    Inbound { event: Event },
 }
 
-struct Posted {
+struct InFlight {
     daemon: usize,
     process: u64,
-    letter: Letter,
+    message: Message,
 }
 
 struct Daemon {
@@ -116,14 +116,14 @@
     table_revision: u64,
 }
 
-/// A request that a minion works on.
+/// A request that a minion is running.
 struct Work {
     daemon: usize,
     process: u64,
     request: Request,
     minion: usize,
     until: Instant,
-    is_heard: bool,
+    is_reported: bool,
 }
 
 struct Edit {
@@ -131,9 +131,9 @@
     at: Instant,
     writer: usize,
     process: u64,
-    /// Whether nothing has befallen its writer since.
-    is_writer_well: bool,
-    /// Whether the operator was told that it is in force everywhere.
+    /// Whether the writer has not been killed, paused or partitioned since.
+    is_writer_unaffected: bool,
+    /// Whether the writer reported that all daemons have the edit.
     is_accepted: bool,
 }
 
@@ -148,21 +148,21 @@
     pub peak_slots_count: usize,
 }
 
-/// A promise that was broken, with the entity at fault.
+/// A violated invariant, with the entity at fault.
 pub use ospreywing_filetest::Broken;
 
-pub struct World {
+pub struct Simulation {
     pub now: Instant,
     pub tally: Tally,
     store: StoreFake,
     daemons: Vec<Daemon>,
-    posted: Vec<Posted>,
+    in_flight: Vec<InFlight>,
     work: Vec<Work>,
     edits: Vec<Edit>,
     is_store_down: bool,
     keys: BTreeMap<u64, (Key, bool)>,
-    /// Tokens of questions that a peer asked: who asked, and for what.
-    asked: BTreeMap<u64, Asked>,
+    /// Requests between peers that have no reply yet, by token.
+    pending_replies: BTreeMap<u64, PendingReply>,
     runs: BTreeMap<Key, u32>,
     unsafe_keys: BTreeSet<Key>,
     not_run: BTreeSet<u64>,
@@ -173,7 +173,7 @@
 }
 
 #[derive(Clone)]
-enum Asked {
+enum PendingReply {
     Ping {
         daemon: usize,
         process: u64,
@@ -222,28 +222,28 @@
     row
 }
 
-/// Returns a change that should be in force and that a table lacks.
-fn missed_edit(edits: &[Edit], now: Instant, revision: u64) -> Option<&Edit> {
+/// Returns an edit that a table of the given revision should contain but lacks.
+fn find_missed_edit(edits: &[Edit], now: Instant, revision: u64) -> Option<&Edit> {
     let mut edits = edits.iter();
     edits.find(|edit| {
-        let is_due = edit.is_writer_well && now > edit.at + IN_FORCE_WITHIN;
+        let is_due = edit.is_writer_unaffected && now > edit.at + PROPAGATION_LIMIT;
         edit.revision > revision && (is_due || edit.is_accepted)
     })
 }
 
-impl World {
+impl Simulation {
     pub fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Instant::from_ms(10_000_000),
             tally: Tally::default(),
             store: StoreFake::default(),
             daemons: Vec::new(),
-            posted: Vec::new(),
+            in_flight: Vec::new(),
             work: Vec::new(),
             edits: Vec::new(),
             is_store_down: false,
             keys: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            pending_replies: BTreeMap::new(),
             runs: BTreeMap::new(),
             unsafe_keys: BTreeSet::new(),
             not_run: BTreeSet::new(),
@@ -252,19 +252,19 @@
             said: BTreeMap::new(),
             broken: None,
         };
-        world.store.put_row(row("safe", Repeat::Repeatable));
-        world.store.put_row(row("unsafe", Repeat::AtMostOnce));
+        simulation.store.put_row(row("safe", Repeat::Repeatable));
+        simulation.store.put_row(row("unsafe", Repeat::AtMostOnce));
         for daemon in 0..DAEMONS_COUNT {
-            let started = world.start(daemon);
-            world.daemons.push(started);
+            let started = simulation.start(daemon);
+            simulation.daemons.push(started);
         }
         for daemon in 0..DAEMONS_COUNT {
-            world.greet(daemon);
+            simulation.send_boxes(daemon);
         }
-        world
+        simulation
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_number(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
@@ -272,7 +272,7 @@
     fn start(&mut self, daemon: usize) -> Daemon {
         let identity = DaemonIdentity {
             name: name(&format!("d{daemon}")),
-            incarnation: self.number(),
+            incarnation: self.next_number(),
             rpc_addr: format!("10.0.1.{daemon}:90"),
         };
         let member = Member {
@@ -296,11 +296,11 @@
         }
     }
 
-    fn greet(&mut self, daemon: usize) {
-        self.tell(daemon, Event::Boxes(minions()));
+    fn send_boxes(&mut self, daemon: usize) {
+        self.handle_event(daemon, Event::Boxes(minions()));
     }
 
-    /// Takes one step and checks every promise.
+    /// Applies one step and checks every invariant.
     pub fn step(&mut self, op: &Op) -> Result<(), Broken> {
         self.tally.steps_count += 1;
         self.apply(op);
@@ -311,22 +311,22 @@
         match *op {
             Op::Run { steps } => self.run(steps),
             Op::Burst { daemon } => {
-                let first = self.number();
-                (0..10).for_each(|key| self.ask(daemon, first * 100 + key, true));
+                let first = self.next_number();
+                (0..10).for_each(|key| self.submit(daemon, first * 100 + key, true));
             }
-            Op::Pass { ms } => self.pass(Duration::from_ms(ms)),
-            Op::Ask {
+            Op::Pass { ms } => self.advance(Duration::from_ms(ms)),
+            Op::Submit {
                 daemon,
                 key,
                 is_safe,
-            } => self.ask(daemon, key, is_safe),
+            } => self.submit(daemon, key, is_safe),
             Op::Edit { daemon } => self.edit(daemon),
             Op::Answer { index } => self.answer(index),
-            Op::Break { index } => self.break_off(index),
+            Op::Break { index } => self.break_connection(index),
             Op::Poll { daemon } => self.poll(daemon),
-            Op::Carry { index } => self.carry(index),
+            Op::Deliver { index } => self.deliver(index),
             Op::Lose { index } => self.lose(index),
-            Op::Tick { daemon } => self.tell(daemon, Event::Tick),
+            Op::Tick { daemon } => self.handle_event(daemon, Event::Tick),
             Op::CutStore { daemon } => self.fault(|w| w.daemons[daemon].is_store_cut = true),
             Op::MendStore { daemon } => self.daemons[daemon].is_store_cut = false,
             Op::StoreDown => self.fault(|w| w.is_store_down = true),
@@ -336,7 +336,7 @@
             Op::Pause { daemon } => self.fault(|w| w.daemons[daemon].is_paused = true),
             Op::Resume { daemon } => self.daemons[daemon].is_paused = false,
             Op::Kill { daemon } => self.kill(daemon),
-            Op::Leave { daemon } => self.tell(daemon, Event::Leave),
+            Op::Leave { daemon } => self.handle_event(daemon, Event::Leave),
         }
     }
 
@@ -345,24 +345,25 @@
         change(self);
     }
 
-    /// The process dies; another takes its place and address.
+    /// Kills the process and starts another one at its address.
     fn kill(&mut self, daemon: usize) {
         self.tally.faults_count += 1;
         self.daemons[daemon] = self.start(daemon);
-        self.posted.retain(|posted| posted.daemon != daemon);
-        self.greet(daemon);
+        self.in_flight
+            .retain(|in_flight| in_flight.daemon != daemon);
+        self.send_boxes(daemon);
     }
 
-    fn pass(&mut self, length: Duration) {
+    fn advance(&mut self, length: Duration) {
         self.now = self.now + length;
-        self.give_up_claims();
-        // Work that nobody waits for goes on to its end.
+        self.expire_claims();
+        // Requests run to their end even if no daemon waits for the answer.
         let now = self.now;
         let (over, open): (Vec<Work>, Vec<Work>) =
             self.work.drain(..).partition(|work| now >= work.until);
         self.work = open;
-        for work in over.iter().filter(|work| !work.is_heard) {
-            self.post_back(
+        for work in over.iter().filter(|work| !work.is_reported) {
+            self.send_back(
                 work.daemon,
                 work.process,
                 Event::RequestAnswered(work.request),
@@ -370,43 +371,44 @@
         }
     }
 
-    /// Claims of keys without an answer are given up.
-    fn give_up_claims(&mut self) {
+    /// Refuses claims of keys that have been without an answer for too long.
+    fn expire_claims(&mut self) {
         let now = self.now;
         let mut overdue = Vec::new();
-        self.asked.retain(|_, asked| match asked {
-            Asked::Key {
-                daemon,
-                process,
-                request,
-                at,
-            } if now.since(*at) >= CLAIM_LIMIT => {
-                overdue.push((*daemon, *process, *request));
-                false
-            }
-            _ => true,
-        });
+        self.pending_replies
+            .retain(|_, pending_replies| match pending_replies {
+                PendingReply::Key {
+                    daemon,
+                    process,
+                    request,
+                    at,
+                } if now.since(*at) >= CLAIM_TIMEOUT => {
+                    overdue.push((*daemon, *process, *request));
+                    false
+                }
+                _ => true,
+            });
         for (daemon, process, request) in overdue {
             let reply = TakeKeyReply::Refused {
                 retry_after_ms: 1000,
             };
-            self.post_back(daemon, process, Event::KeyAnswered { request, reply });
+            self.send_back(daemon, process, Event::KeyAnswered { request, reply });
         }
     }
 
     fn run(&mut self, steps: u64) {
         for _ in 0..steps {
             self.steps += 1;
-            self.pass(STEP);
+            self.advance(STEP);
             for daemon in 0..DAEMONS_COUNT {
-                self.tell(daemon, Event::Tick);
+                self.handle_event(daemon, Event::Tick);
                 if self.steps % POLL_EVERY_STEPS == daemon as u64 {
                     self.poll(daemon);
                 }
             }
             for _ in 0..4 {
-                for index in (0..self.posted.len()).rev() {
-                    self.carry(index);
+                for index in (0..self.in_flight.len()).rev() {
+                    self.deliver(index);
                 }
             }
         }
@@ -422,17 +424,17 @@
         }
         let poll = Poll {
             asked_at: self.now,
-            changes: self.store.whole(),
+            changes: self.store.snapshot(),
             is_snapshot: true,
         };
-        self.tell(daemon, Event::Polled(poll));
+        self.handle_event(daemon, Event::Polled(poll));
     }
 
-    fn ask(&mut self, daemon: usize, key: u64, is_safe: bool) {
+    fn submit(&mut self, daemon: usize, key: u64, is_safe: bool) {
         if self.daemons[daemon].is_paused {
             return;
         }
-        let token = self.number();
+        let token = self.next_number();
         let text = format!("{}{key}", if is_safe { "s" } else { "u" });
         let key = Key::new(&text).expect("a key");
         if !is_safe {
@@ -445,10 +447,10 @@
             row,
             key: Some(key),
         };
-        self.tell(daemon, Event::Arrived(arrival));
+        self.handle_event(daemon, Event::Arrived(arrival));
     }
 
-    /// An operator edits a row through a daemon.
+    /// Edits a row of the table through a daemon, as an operator does.
     fn edit(&mut self, daemon: usize) {
         let state = &self.daemons[daemon];
         if state.is_paused
@@ -467,14 +469,14 @@
             at: self.now,
             writer: daemon,
             process: self.daemons[daemon].identity.incarnation,
-            is_writer_well: true,
+            is_writer_unaffected: true,
             is_accepted: false,
         });
         let row = Versioned {
             value: Some(edited),
             revision,
         };
-        self.tell(daemon, Event::RowWritten { name, row });
+        self.handle_event(daemon, Event::RowWritten { name, row });
     }
 
     fn answer(&mut self, index: usize) {
@@ -483,74 +485,74 @@
         }
         let index = index % self.work.len();
         let work = self.work.remove(index);
-        if !work.is_heard {
+        if !work.is_reported {
             let event = Event::RequestAnswered(work.request);
-            self.post_back(work.daemon, work.process, event);
+            self.send_back(work.daemon, work.process, event);
         }
     }
 
-    /// The connection breaks; the minion works on.
-    fn break_off(&mut self, index: usize) {
+    /// Breaks the connection of a request; the minion continues to run it.
+    fn break_connection(&mut self, index: usize) {
         if self.work.is_empty() {
             return;
         }
         self.tally.faults_count += 1;
         let index = index % self.work.len();
         let work = &mut self.work[index];
-        if !work.is_heard {
-            work.is_heard = true;
+        if !work.is_reported {
+            work.is_reported = true;
             let (daemon, process, request) = (work.daemon, work.process, work.request);
-            self.post_back(daemon, process, Event::RequestInterrupted(request));
+            self.send_back(daemon, process, Event::RequestInterrupted(request));
         }
     }
 
-    fn post_back(&mut self, daemon: usize, process: u64, event: Event) {
-        let letter = Letter::Back { event };
-        self.posted.push(Posted {
+    fn send_back(&mut self, daemon: usize, process: u64, event: Event) {
+        let message = Message::Inbound { event };
+        self.in_flight.push(InFlight {
             daemon,
             process,
-            letter,
+            message,
         });
     }
 
-    /// Loses a letter that may be lost: a ping, or a word of a peer.
+    /// Drops a message if it may be lost: a ping or a request to close an epoch.
     fn lose(&mut self, index: usize) {
-        if self.posted.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let index = index % self.posted.len();
+        let index = index % self.in_flight.len();
         let may_be_lost = matches!(
-            self.posted[index].letter,
-            Letter::Out {
+            self.in_flight[index].message,
+            Message::Outbound {
                 action: Action::Ping(_) | Action::CloseEpoch { .. }
             }
         );
         if may_be_lost {
-            self.posted.remove(index);
+            self.in_flight.remove(index);
         }
     }
 
-    /// Carries a letter to where it goes.
-    fn carry(&mut self, index: usize) {
-        if self.posted.is_empty() {
+    /// Delivers a message to its destination.
+    fn deliver(&mut self, index: usize) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let index = index % self.posted.len();
-        let daemon = self.posted[index].daemon;
+        let index = index % self.in_flight.len();
+        let daemon = self.in_flight[index].daemon;
         if self.daemons[daemon].is_paused {
             return;
         }
-        let posted = self.posted.remove(index);
-        if self.daemons[daemon].identity.incarnation != posted.process {
+        let in_flight = self.in_flight.remove(index);
+        if self.daemons[daemon].identity.incarnation != in_flight.process {
             return;
         }
-        match posted.letter {
-            Letter::Back { event } => self.tell(daemon, event),
-            Letter::Out { action } => self.carry_out(daemon, posted.process, action),
+        match in_flight.message {
+            Message::Inbound { event } => self.handle_event(daemon, event),
+            Message::Outbound { action } => self.execute(daemon, in_flight.process, action),
         }
     }
 
-    fn carry_out(&mut self, daemon: usize, process: u64, action: Action) {
+    fn execute(&mut self, daemon: usize, process: u64, action: Action) {
         let identity = self.daemons[daemon].identity.clone();
         let needs_store = matches!(
             action,
@@ -561,13 +563,13 @@
                 | Action::VacateSeat { .. }
         );
         if needs_store && !self.reaches_store(daemon) {
-            // Claims and commits are made again until they are answered.
+            // Claims and commits are retried until they are answered.
             if matches!(action, Action::ClaimShard { .. } | Action::Commit { .. }) {
-                let letter = Letter::Out { action };
-                self.posted.push(Posted {
+                let message = Message::Outbound { action };
+                self.in_flight.push(InFlight {
                     daemon,
                     process,
-                    letter,
+                    message,
                 });
             }
             return;
@@ -586,7 +588,7 @@
                     }
                     None => Event::ClaimFailed { shard },
                 };
-                self.post_back(daemon, process, event);
+                self.send_back(daemon, process, event);
             }
             Action::VacateShard { shard, revision } => {
                 self.store.swap_owner(shard, revision, None);
@@ -611,7 +613,7 @@
                         is_refused,
                     }
                 };
-                self.post_back(daemon, process, event);
+                self.send_back(daemon, process, event);
             }
             Action::ClaimSeat { seat, revision } => {
                 self.store.swap_seat(seat, revision, Some(identity));
@@ -651,7 +653,7 @@
         let minion = minion.expect("a minion's address");
         let (key, is_safe) = self.keys[&token].clone();
         if self.not_run.contains(&token) {
-            self.broken = Some(format!("request {token}: was told not_run, then ran"));
+            self.broken = Some(format!("request {token}: ran after the reply not_run"));
         }
         self.tally.runs_count += 1;
         if !is_safe {
@@ -662,41 +664,41 @@
             process,
             request,
             minion,
-            until: self.now + WORK_LIMIT,
-            is_heard: false,
+            until: self.now + MAX_WORK_TIME,
+            is_reported: false,
         });
     }
 
-    /// Returns the daemon at a process's address, where a word reaches it.
-    fn reached(&self, from: usize, to: &DaemonIdentity) -> Option<usize> {
+    /// Returns the daemon at a process's address if messages reach it.
+    fn reachable(&self, from: usize, to: &DaemonIdentity) -> Option<usize> {
         let mut daemons = (0..DAEMONS_COUNT).filter(|&d| d != from);
-        let there = daemons.find(|&d| self.daemons[d].identity.rpc_addr == to.rpc_addr)?;
-        let is_cut = self.daemons[from].is_cut || self.daemons[there].is_cut;
-        (!is_cut && !self.daemons[there].is_paused).then_some(there)
+        let target = daemons.find(|&d| self.daemons[d].identity.rpc_addr == to.rpc_addr)?;
+        let is_cut = self.daemons[from].is_cut || self.daemons[target].is_cut;
+        (!is_cut && !self.daemons[target].is_paused).then_some(target)
     }
 
     fn ping(&mut self, daemon: usize, process: u64, to: &DaemonIdentity) {
-        let Some(there) = self.reached(daemon, to) else {
+        let Some(target) = self.reachable(daemon, to) else {
             return;
         };
-        if self.daemons[there].identity.incarnation != to.incarnation {
+        if self.daemons[target].identity.incarnation != to.incarnation {
             let incarnation = to.incarnation;
-            self.post_back(daemon, process, Event::ProcessGone { incarnation });
+            self.send_back(daemon, process, Event::ProcessGone { incarnation });
             return;
         }
-        let token = self.number();
+        let token = self.next_number();
         let at = self.now;
-        let asked = Asked::Ping {
+        let pending_replies = PendingReply::Ping {
             daemon,
             process,
             at,
         };
-        self.asked.insert(token, asked);
+        self.pending_replies.insert(token, pending_replies);
         let ping = Ping {
             from: self.daemons[daemon].identity.clone(),
             table_digest: self.daemons[daemon].node.table_digest(),
         };
-        self.tell(there, Event::Pinged { token, ping });
+        self.handle_event(target, Event::Pinged { token, ping });
     }
 
     fn close_epoch(
@@ -707,19 +709,19 @@
         epoch: u64,
         owner: &DaemonIdentity,
     ) {
-        let Some(there) = self.reached(daemon, owner) else {
+        let Some(target) = self.reachable(daemon, owner) else {
             return;
         };
-        let token = self.number();
-        let asked = Asked::Close {
+        let token = self.next_number();
+        let pending_replies = PendingReply::Close {
             daemon,
             process,
             shard,
             epoch,
         };
-        self.asked.insert(token, asked);
-        self.tell(
-            there,
+        self.pending_replies.insert(token, pending_replies);
+        self.handle_event(
+            target,
             Event::CloseEpoch {
                 token,
                 shard,
@@ -737,27 +739,27 @@
         request: Request,
         claim: TakeKey,
     ) {
-        let there = self.reached(daemon, to);
-        let there = there.filter(|&d| self.daemons[d].identity.incarnation == to.incarnation);
-        let Some(there) = there else {
+        let target = self.reachable(daemon, to);
+        let target = target.filter(|&d| self.daemons[d].identity.incarnation == to.incarnation);
+        let Some(target) = target else {
             let reply = TakeKeyReply::Refused {
                 retry_after_ms: 1000,
             };
-            self.post_back(daemon, process, Event::KeyAnswered { request, reply });
+            self.send_back(daemon, process, Event::KeyAnswered { request, reply });
             return;
         };
-        let token = self.number();
-        let asked = Asked::Key {
+        let token = self.next_number();
+        let pending_replies = PendingReply::Key {
             daemon,
             process,
             request,
             at: self.now,
         };
-        self.asked.insert(token, asked);
-        self.tell(there, Event::TakeKey { token, claim });
+        self.pending_replies.insert(token, pending_replies);
+        self.handle_event(target, Event::TakeKey { token, claim });
     }
 
-    fn tell(&mut self, daemon: usize, event: Event) {
+    fn handle_event(&mut self, daemon: usize, event: Event) {
         if self.daemons[daemon].is_paused {
             return;
         }
@@ -768,21 +770,23 @@
         let revision = self.daemons[daemon].node.table().revision;
         for action in actions {
             let is_decision = matches!(action, Action::SendRequest { .. });
-            if is_decision && self.missed_edit(revision).is_some() {
-                self.broken = Some(format!("daemon {daemon}: routed by an old table"));
+            if is_decision && self.find_missed_edit(revision).is_some() {
+                self.broken = Some(format!(
+                    "daemon {daemon}: routed a request by an outdated table"
+                ));
             }
             match action {
-                Action::Answer { token, answer } => self.take_answer(token, answer),
-                action => self.posted.push(Posted {
+                Action::Answer { token, answer } => self.on_answer(token, answer),
+                action => self.in_flight.push(InFlight {
                     daemon,
                     process,
-                    letter: Letter::Out { action },
+                    message: Message::Outbound { action },
                 }),
             }
         }
     }
 
-    fn take_answer(&mut self, token: u64, answer: Answer) {
+    fn on_answer(&mut self, token: u64, answer: Answer) {
         match answer {
             Answer::Deliver => {
                 self.tally.done_count += 1;
@@ -795,62 +799,62 @@
                 self.said.insert(token, give_up.outcome);
             }
             Answer::Pong(pong) => {
-                if let Some(Asked::Ping {
+                if let Some(PendingReply::Ping {
                     daemon,
                     process,
                     at,
-                }) = self.asked.remove(&token)
+                }) = self.pending_replies.remove(&token)
                 {
                     let asked_at = at;
-                    self.post_back(daemon, process, Event::Ponged { asked_at, pong });
+                    self.send_back(daemon, process, Event::Ponged { asked_at, pong });
                 }
             }
             Answer::TakeKey(reply) => {
-                if let Some(Asked::Key {
+                if let Some(PendingReply::Key {
                     daemon,
                     process,
                     request,
                     ..
-                }) = self.asked.remove(&token)
+                }) = self.pending_replies.remove(&token)
                 {
-                    self.post_back(daemon, process, Event::KeyAnswered { request, reply });
+                    self.send_back(daemon, process, Event::KeyAnswered { request, reply });
                 }
             }
-            Answer::CloseEpoch(reply) => self.take_close(token, reply),
+            Answer::CloseEpoch(reply) => self.on_close_reply(token, reply),
             Answer::Submit(_) | Answer::Query(_) => {}
         }
     }
 
-    fn take_close(&mut self, token: u64, reply: CloseEpochReply) {
-        if let Some(Asked::Close {
+    fn on_close_reply(&mut self, token: u64, reply: CloseEpochReply) {
+        if let Some(PendingReply::Close {
             daemon,
             process,
             shard,
             epoch,
-        }) = self.asked.remove(&token)
+        }) = self.pending_replies.remove(&token)
         {
             let event = Event::CloseEpochAnswered {
                 shard,
                 epoch,
                 reply,
             };
-            self.post_back(daemon, process, event);
+            self.send_back(daemon, process, event);
         }
     }
 
-    /// Notes which edits the operator was told of, and whose writer fell ill.
-    fn note_edits(&mut self) {
+    /// Records which edits all daemons have, and whose writer was affected by a fault.
+    fn update_edits(&mut self) {
         for edit in &mut self.edits {
             let writer = &self.daemons[edit.writer];
             let is_same = writer.identity.incarnation == edit.process;
-            edit.is_writer_well &= is_same && !writer.is_paused && !writer.is_cut;
+            edit.is_writer_unaffected &= is_same && !writer.is_paused && !writer.is_cut;
             let is_there = is_same && !writer.is_paused;
             edit.is_accepted |= is_there && writer.node.lagging(self.now).is_empty();
         }
     }
 
     fn check(&mut self) -> Result<(), Broken> {
-        self.note_edits();
+        self.update_edits();
         if let Some(broken) = self.broken.take() {
             return Err(Broken(broken));
         }
@@ -879,45 +883,50 @@
         }
     }
 
-    fn missed_edit(&self, revision: u64) -> Option<&Edit> {
-        missed_edit(&self.edits, self.now, revision)
+    fn find_missed_edit(&self, revision: u64) -> Option<&Edit> {
+        find_missed_edit(&self.edits, self.now, revision)
     }
 
-    /// No table goes back, and who decides goes by every change of 7 s ago.
+    /// Checks that no table returns to an older revision, and that a daemon that acts
+    /// on its table has every edit older than 7 s.
     fn check_tables(&mut self) -> Result<(), Broken> {
         let (now, store) = (self.now, &self.store);
         for (index, daemon) in self.daemons.iter_mut().enumerate() {
             let revision = daemon.node.table().revision;
             if revision < daemon.table_revision {
-                return Err(Broken(format!("daemon {index}: its table went back")));
+                return Err(Broken(format!(
+                    "daemon {index}: its table returned to an older revision"
+                )));
             }
             daemon.table_revision = revision;
             if revision > store.revision {
-                return Err(Broken(format!("daemon {index}: table from nowhere")));
+                return Err(Broken(format!(
+                    "daemon {index}: its table revision is not in the store"
+                )));
             }
             if daemon.is_paused || !daemon.node.may_decide(now) {
                 continue;
             }
-            let missed = missed_edit(&self.edits, now, revision);
+            let missed = find_missed_edit(&self.edits, now, revision);
             if let Some(edit) = missed {
                 let age = now.since(edit.at);
                 return Err(Broken(format!(
-                    "daemon {index}: decides without a change of {age} ago"
+                    "daemon {index}: acts on a table that lacks an edit of {age} ago"
                 )));
             }
         }
         Ok(())
     }
 
-    /// Mends everything and checks that the cell serves again.
-    pub fn heal(&mut self) -> Result<(), Broken> {
+    /// Ends all faults and checks that the cell serves again.
+    pub fn recover(&mut self) -> Result<(), Broken> {
         self.is_store_down = false;
         for daemon in &mut self.daemons {
             daemon.is_paused = false;
             daemon.is_store_cut = false;
             daemon.is_cut = false;
         }
-        // Those that were leaving are replaced.
+        // Daemons that have shut down are replaced.
         self.step(&Op::Run { steps: 150 })?;
         for daemon in 0..DAEMONS_COUNT {
             if self.daemons[daemon].node.is_shutdown_complete() {
@@ -940,7 +949,7 @@
         }
     }
 
-    /// Returns what the caller of the newest request was told.
+    /// Returns the reply to the caller of the newest request.
     pub fn said(&self) -> &'static str {
         let newest = self.keys.keys().next_back();
         let outcome = newest.and_then(|token| self.said.get(token));
@@ -964,7 +973,7 @@
         held.count()
     }
 
-    /// Returns how many shards the store says a daemon owns.
+    /// Returns the number of shards that a daemon owns according to the store.
     pub fn shards_count(&self, daemon: usize) -> usize {
         let incarnation = self.daemons[daemon].identity.incarnation;
         let owned = self.store.owners.values().filter(|held| {
--- a/crates/node/tests/cell/store_fake.rs
+++ b/crates/node/tests/cell/store_fake.rs
@@ -1,4 +1,4 @@
-//! The store's control part, table and logs.
+//! A fake of the store's control data, table and logs.
 
 use ospreywing_membership::{ControlChange, Member, Versioned};
 use ospreywing_node::Change;
@@ -18,7 +18,7 @@
     pub logs: BTreeMap<u32, BTreeMap<u64, Vec<u8>>>,
 }
 
-/// Puts `value` where the key has `revision`; returns the new revision.
+/// Sets `value` if the key has `revision`; returns the new revision.
 fn swap(
     map: &mut BTreeMap<u32, HolderVersion>,
     newest: &mut u64,
@@ -64,8 +64,8 @@
         revision
     }
 
-    /// Returns all there is.
-    pub fn whole(&self) -> Vec<Change> {
+    /// Returns the complete control data and table.
+    pub fn snapshot(&self) -> Vec<Change> {
         let members = self.members.values().cloned().map(ControlChange::Member);
         let owners = self.owners.iter().map(|(&shard, owner)| {
             let owner = owner.clone();
--- a/crates/node/tests/cell/traces.rs
+++ b/crates/node/tests/cell/traces.rs
@@ -1,30 +1,30 @@
-//! Plays each trace of `tests/traces` against its stated outcomes.
+//! Runs each trace of `tests/traces` and checks its expected outcomes.
 //!
-//! One step a line; `#` begins a comment. Daemons are `d0` to `d2`.
+//! A trace has one step per line; `#` begins a comment. Daemons are `d0` to `d2`.
 
-use crate::world::{Broken, Op, World};
+use crate::simulation::{Broken, Op, Simulation};
 use ospreywing_filetest::{index, ms};
 use rstest::rstest;
 use std::path::PathBuf;
 
 #[rstest]
-fn trace_has_its_outcome(#[files("tests/traces/*.trace")] path: PathBuf) {
-    let text = std::fs::read_to_string(&path).expect("the trace can be read");
+fn trace_matches_expected_outcome(#[files("tests/traces/*.trace")] path: PathBuf) {
+    let text = std::fs::read_to_string(&path).expect("the trace file can be read");
     if let Err(broken) = play(&text) {
         panic!("{}: {}", path.display(), broken.0);
     }
 }
 
 fn play(text: &str) -> Result<(), Broken> {
-    let mut world = World::new();
-    ospreywing_filetest::play(text, |words| step(&mut world, words))
+    let mut simulation = Simulation::new();
+    ospreywing_filetest::play(text, |words| step(&mut simulation, words))
 }
 
-fn step(world: &mut World, words: &[&str]) -> Result<(), Broken> {
+fn step(simulation: &mut Simulation, words: &[&str]) -> Result<(), Broken> {
     match words {
-        ["expect", rest @ ..] => expect(world, rest),
-        ["heal"] => world.heal(),
-        _ => world.step(&op(words)?),
+        ["expect", rest @ ..] => expect(simulation, rest),
+        ["heal"] => simulation.recover(),
+        _ => simulation.step(&op(words)?),
     }
 }
 
@@ -36,7 +36,7 @@
             steps: ms(length) / STEP_MS,
         },
         ["pass", length] => Op::Pass { ms: ms(length) },
-        ["ask", daemon, safety, key] => Op::Ask {
+        ["ask", daemon, safety, key] => Op::Submit {
             daemon: index(daemon),
             key: index(key) as u64,
             is_safe: safety == "safe",
@@ -75,24 +75,24 @@
         ["leave", daemon] => Op::Leave {
             daemon: index(daemon),
         },
-        _ => return Err(Broken("no such step".to_owned())),
+        _ => return Err(Broken("unknown step".to_owned())),
     })
 }
 
-fn expect(world: &World, words: &[&str]) -> Result<(), Broken> {
+fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), Broken> {
     let (found, wanted) = match *words {
-        ["said", wanted] => (world.said().to_owned(), wanted),
-        ["ready", daemon, wanted] => (world.is_ready(index(daemon)).to_string(), wanted),
-        ["knows-by", daemon, wanted] => (world.freshness(index(daemon)).to_owned(), wanted),
-        ["seats", daemon, wanted] => (world.seats_count(index(daemon)).to_string(), wanted),
-        ["shards", daemon, wanted] => (world.shards_count(index(daemon)).to_string(), wanted),
-        ["current", daemon, wanted] => (world.is_current(index(daemon)).to_string(), wanted),
-        ["working", wanted] => (world.working_count().to_string(), wanted),
+        ["said", wanted] => (simulation.said().to_owned(), wanted),
+        ["ready", daemon, wanted] => (simulation.is_ready(index(daemon)).to_string(), wanted),
+        ["knows-by", daemon, wanted] => (simulation.freshness(index(daemon)).to_owned(), wanted),
+        ["seats", daemon, wanted] => (simulation.seats_count(index(daemon)).to_string(), wanted),
+        ["shards", daemon, wanted] => (simulation.shards_count(index(daemon)).to_string(), wanted),
+        ["current", daemon, wanted] => (simulation.is_current(index(daemon)).to_string(), wanted),
+        ["working", wanted] => (simulation.working_count().to_string(), wanted),
         ["left", daemon, wanted] => (
-            world.is_shutdown_complete(index(daemon)).to_string(),
+            simulation.is_shutdown_complete(index(daemon)).to_string(),
             wanted,
         ),
-        _ => return Err(Broken("no such outcome".to_owned())),
+        _ => return Err(Broken("unknown outcome".to_owned())),
     };
     ospreywing_filetest::expect(&found, wanted)
 }
