--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -83,8 +83,10 @@
     /// When the last call answered by the store began.
     store_contact_at: Option<Instant>,
     listed_boxes: BTreeSet<Name>,
+    /// When each entry box was removed from the box list.
     unlisted_since: BTreeMap<Name, Instant>,
-    unowned_since: BTreeMap<u32, Instant>,
+    /// Since when each shard has had no live owner.
+    claimable_since: BTreeMap<u32, Instant>,
     /// When this daemon last began a planned handover of each shard.
     handed_over_at: BTreeMap<u32, Instant>,
     members_changed_at: Instant,
@@ -102,7 +104,7 @@
             store_contact_at: None,
             listed_boxes: BTreeSet::new(),
             unlisted_since: BTreeMap::new(),
-            unowned_since: BTreeMap::new(),
+            claimable_since: BTreeMap::new(),
             handed_over_at: BTreeMap::new(),
             members_changed_at: Instant::default(),
             last_members: Vec::new(),
@@ -386,10 +388,10 @@
                     self.handed_over_at.insert(shard, now);
                     actions.push(MembershipAction::HandOverShard(shard));
                 }
-            } else if self.is_unowned(now, &owner) && !self.is_leaving {
+            } else if self.is_claimable(now, &owner) && !self.is_leaving {
                 self.claim_in_turn(now, shard, owner.revision, preferred, actions);
             } else {
-                self.unowned_since.remove(&shard);
+                self.claimable_since.remove(&shard);
             }
         }
     }
@@ -400,13 +402,14 @@
         if self.is_leaving {
             return true;
         }
-        let is_steady = now.since(self.members_changed_at) >= self.config.stable_for;
+        let is_stable = now.since(self.members_changed_at) >= self.config.stable_for;
         let is_other =
             preferred.is_some_and(|member| member.identity.incarnation != self.me().incarnation);
-        is_steady && is_other
+        is_stable && is_other
     }
 
-    fn is_unowned(&self, now: Instant, owner: &Versioned<Option<DaemonIdentity>>) -> bool {
+    /// Returns whether the shard has no live owner.
+    fn is_claimable(&self, now: Instant, owner: &Versioned<Option<DaemonIdentity>>) -> bool {
         match &owner.value {
             None => true,
             Some(owner) => self.peer_state(now, owner.incarnation) != PeerState::Live,
@@ -424,7 +427,7 @@
         preferred: Option<&Member>,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let since = *self.unowned_since.entry(shard).or_insert(now);
+        let since = *self.claimable_since.entry(shard).or_insert(now);
         let handed_over_at = self.handed_over_at.get(&shard);
         if handed_over_at.is_some_and(|&at| now < at + self.config.stable_for) {
             // This daemon handed the shard over to another, which claims it first.
--- a/crates/node/tests/cell/search.rs
+++ b/crates/node/tests/cell/search.rs
@@ -56,7 +56,7 @@
     proptest::collection::vec(step, 1..STEPS_COUNT)
 }
 
-fn play(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
+fn run_ops(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
     let mut simulation = Simulation::new();
     simulation.step(&Op::Run { steps: 60 })?;
     for op in ops {
@@ -86,7 +86,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let tally = Mutex::new(Tally::default());
     let found = runner.run(&steps(), |ops| {
-        play(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
+        run_ops(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
     });
     println!("{:?}", tally.lock().unwrap_or_else(|e| e.into_inner()));
     if let Err(error) = found {
--- a/crates/node/tests/cell/simulation.rs
+++ b/crates/node/tests/cell/simulation.rs
@@ -111,8 +111,8 @@
     identity: DaemonIdentity,
     node: Node,
     is_paused: bool,
-    is_store_cut: bool,
-    is_cut: bool,
+    is_store_partitioned: bool,
+    is_partitioned: bool,
     table_revision: u64,
 }
 
@@ -168,8 +168,8 @@
     not_run: BTreeSet<u64>,
     next: u64,
     steps: u64,
-    said: BTreeMap<u64, Outcome>,
-    broken: Option<String>,
+    outcomes: BTreeMap<u64, Outcome>,
+    violation: Option<String>,
 }
 
 #[derive(Clone)]
@@ -249,8 +249,8 @@
             not_run: BTreeSet::new(),
             next: 100,
             steps: 0,
-            said: BTreeMap::new(),
-            broken: None,
+            outcomes: BTreeMap::new(),
+            violation: None,
         };
         simulation.store.put_row(row("safe", Repeat::Repeatable));
         simulation.store.put_row(row("unsafe", Repeat::AtMostOnce));
@@ -290,8 +290,8 @@
             node: Node::new(NodeConfig::new(membership, identity.incarnation)),
             identity,
             is_paused: false,
-            is_store_cut: false,
-            is_cut: false,
+            is_store_partitioned: false,
+            is_partitioned: false,
             table_revision: 0,
         }
     }
@@ -327,12 +327,14 @@
             Op::Deliver { index } => self.deliver(index),
             Op::Lose { index } => self.lose(index),
             Op::Tick { daemon } => self.handle_event(daemon, Event::Tick),
-            Op::CutStore { daemon } => self.fault(|w| w.daemons[daemon].is_store_cut = true),
-            Op::MendStore { daemon } => self.daemons[daemon].is_store_cut = false,
+            Op::CutStore { daemon } => {
+                self.fault(|w| w.daemons[daemon].is_store_partitioned = true)
+            }
+            Op::MendStore { daemon } => self.daemons[daemon].is_store_partitioned = false,
             Op::StoreDown => self.fault(|w| w.is_store_down = true),
             Op::StoreUp => self.is_store_down = false,
-            Op::CutPeers { daemon } => self.fault(|w| w.daemons[daemon].is_cut = true),
-            Op::MendPeers { daemon } => self.daemons[daemon].is_cut = false,
+            Op::CutPeers { daemon } => self.fault(|w| w.daemons[daemon].is_partitioned = true),
+            Op::MendPeers { daemon } => self.daemons[daemon].is_partitioned = false,
             Op::Pause { daemon } => self.fault(|w| w.daemons[daemon].is_paused = true),
             Op::Resume { daemon } => self.daemons[daemon].is_paused = false,
             Op::Kill { daemon } => self.kill(daemon),
@@ -415,7 +417,7 @@
     }
 
     fn reaches_store(&self, daemon: usize) -> bool {
-        !self.is_store_down && !self.daemons[daemon].is_store_cut
+        !self.is_store_down && !self.daemons[daemon].is_store_partitioned
     }
 
     fn poll(&mut self, daemon: usize) {
@@ -653,7 +655,7 @@
         let minion = minion.expect("a minion's address");
         let (key, is_safe) = self.keys[&token].clone();
         if self.not_run.contains(&token) {
-            self.broken = Some(format!("request {token}: ran after the reply not_run"));
+            self.violation = Some(format!("request {token}: ran after the reply not_run"));
         }
         self.tally.runs_count += 1;
         if !is_safe {
@@ -673,8 +675,9 @@
     fn reachable(&self, from: usize, to: &DaemonIdentity) -> Option<usize> {
         let mut daemons = (0..DAEMONS_COUNT).filter(|&d| d != from);
         let target = daemons.find(|&d| self.daemons[d].identity.rpc_addr == to.rpc_addr)?;
-        let is_cut = self.daemons[from].is_cut || self.daemons[target].is_cut;
-        (!is_cut && !self.daemons[target].is_paused).then_some(target)
+        let is_partitioned =
+            self.daemons[from].is_partitioned || self.daemons[target].is_partitioned;
+        (!is_partitioned && !self.daemons[target].is_paused).then_some(target)
     }
 
     fn ping(&mut self, daemon: usize, process: u64, to: &DaemonIdentity) {
@@ -771,7 +774,7 @@
         for action in actions {
             let is_decision = matches!(action, Action::SendRequest { .. });
             if is_decision && self.find_missed_edit(revision).is_some() {
-                self.broken = Some(format!(
+                self.violation = Some(format!(
                     "daemon {daemon}: routed a request by an outdated table"
                 ));
             }
@@ -790,13 +793,13 @@
         match answer {
             Answer::Deliver => {
                 self.tally.done_count += 1;
-                self.said.insert(token, Outcome::Done);
+                self.outcomes.insert(token, Outcome::Done);
             }
             Answer::GiveUp(give_up) => {
                 if give_up.outcome == Outcome::NotRun {
                     self.not_run.insert(token);
                 }
-                self.said.insert(token, give_up.outcome);
+                self.outcomes.insert(token, give_up.outcome);
             }
             Answer::Pong(pong) => {
                 if let Some(PendingReply::Ping {
@@ -847,7 +850,7 @@
         for edit in &mut self.edits {
             let writer = &self.daemons[edit.writer];
             let is_same = writer.identity.incarnation == edit.process;
-            edit.is_writer_unaffected &= is_same && !writer.is_paused && !writer.is_cut;
+            edit.is_writer_unaffected &= is_same && !writer.is_paused && !writer.is_partitioned;
             let is_there = is_same && !writer.is_paused;
             edit.is_accepted |= is_there && writer.node.lagging(self.now).is_empty();
         }
@@ -855,8 +858,8 @@
 
     fn check(&mut self) -> Result<(), Broken> {
         self.update_edits();
-        if let Some(broken) = self.broken.take() {
-            return Err(Broken(broken));
+        if let Some(violation) = self.violation.take() {
+            return Err(Broken(violation));
         }
         self.check_slots()?;
         self.check_keys()?;
@@ -923,8 +926,8 @@
         self.is_store_down = false;
         for daemon in &mut self.daemons {
             daemon.is_paused = false;
-            daemon.is_store_cut = false;
-            daemon.is_cut = false;
+            daemon.is_store_partitioned = false;
+            daemon.is_partitioned = false;
         }
         // Daemons that have shut down are replaced.
         self.step(&Op::Run { steps: 150 })?;
@@ -950,9 +953,9 @@
     }
 
     /// Returns the reply to the caller of the newest request.
-    pub fn said(&self) -> &'static str {
+    pub fn newest_outcome(&self) -> &'static str {
         let newest = self.keys.keys().next_back();
-        let outcome = newest.and_then(|token| self.said.get(token));
+        let outcome = newest.and_then(|token| self.outcomes.get(token));
         outcome.map_or("nothing", |outcome| outcome.as_str())
     }
 
--- a/crates/node/tests/cell/traces.rs
+++ b/crates/node/tests/cell/traces.rs
@@ -10,12 +10,12 @@
 #[rstest]
 fn trace_matches_expected_outcome(#[files("tests/traces/*.trace")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("the trace file can be read");
-    if let Err(broken) = play(&text) {
-        panic!("{}: {}", path.display(), broken.0);
+    if let Err(violation) = run_trace(&text) {
+        panic!("{}: {}", path.display(), violation.0);
     }
 }
 
-fn play(text: &str) -> Result<(), Broken> {
+fn run_trace(text: &str) -> Result<(), Broken> {
     let mut simulation = Simulation::new();
     ospreywing_filetest::play(text, |words| step(&mut simulation, words))
 }
@@ -81,7 +81,7 @@
 
 fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), Broken> {
     let (found, wanted) = match *words {
-        ["said", wanted] => (simulation.said().to_owned(), wanted),
+        ["said", wanted] => (simulation.newest_outcome().to_owned(), wanted),
         ["ready", daemon, wanted] => (simulation.is_ready(index(daemon)).to_string(), wanted),
         ["knows-by", daemon, wanted] => (simulation.freshness(index(daemon)).to_owned(), wanted),
         ["seats", daemon, wanted] => (simulation.seats_count(index(daemon)).to_string(), wanted),
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -35,7 +35,7 @@
     pub(crate) retries_count: u32,
     pub(crate) stage: Stage,
     /// Whether the request's only run was granted.
-    pub(crate) key_granted: bool,
+    pub(crate) is_key_granted: bool,
     /// The caller; `None` once it has its final reply or has disconnected.
     pub(crate) token: Option<u64>,
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -76,7 +76,7 @@
             }
             Event::Deciding(is_deciding) => self.set_deciding(now, is_deciding, actions),
             Event::Arrived(arrival) => self.on_arrived(now, arrival, actions),
-            Event::CallerDisconnected { token } => self.on_caller_left(token),
+            Event::CallerDisconnected { token } => self.on_caller_disconnected(token),
             Event::KeyGranted(request) => self.on_key_granted(now, request, actions),
             Event::KeyTaken(request) => self.on_key_taken(now, request, actions),
             Event::KeyRefused {
@@ -140,7 +140,7 @@
             expires_at: now + deadline,
             retries_count: 0,
             stage: Stage::Queued,
-            key_granted: false,
+            is_key_granted: false,
             token: Some(token),
         });
         self.enqueue(request);
@@ -220,7 +220,7 @@
             match self.choose_minion(now, service) {
                 Some(slot_ref) => {
                     self.remove_from_queue(request);
-                    self.begin(now, request, slot_ref, actions);
+                    self.assign_slot(now, request, slot_ref, actions);
                 }
                 None => skipped.push(service),
             }
@@ -268,7 +268,7 @@
         }
     }
 
-    fn begin(
+    fn assign_slot(
         &mut self,
         now: Instant,
         request: Request,
@@ -280,7 +280,7 @@
         let data = self.requests.get(request);
         self.services.get_mut(data.service).inflight_count += 1;
         match &data.key {
-            Some(key) if !data.key_granted => {
+            Some(key) if !data.is_key_granted => {
                 let key = key.clone();
                 self.requests.get_mut(request).stage = Stage::AwaitingKey(slot_ref);
                 actions.push(Action::TakeKey { request, key });
@@ -316,7 +316,7 @@
         let Stage::AwaitingKey(slot_ref) = data.stage else {
             return;
         };
-        data.key_granted = true;
+        data.is_key_granted = true;
         if data.token.is_none() || now >= data.expires_at {
             // Granted too late: the request is not sent. The caller has its final
             // reply or gets it now.
@@ -459,7 +459,7 @@
         self.queued_count -= before - queue.len();
     }
 
-    fn on_caller_left(&mut self, token: u64) {
+    fn on_caller_disconnected(&mut self, token: u64) {
         let Some(request) = self.requests.request_of_caller(token) else {
             return;
         };
--- a/crates/routing/src/verifier.rs
+++ b/crates/routing/src/verifier.rs
@@ -103,7 +103,7 @@
                 errors.push(VerifierError::SlotNotMarked { request, minion });
             }
         }
-        if matches!(data.stage, Stage::Sent(_)) && data.key.is_some() && !data.key_granted {
+        if matches!(data.stage, Stage::Sent(_)) && data.key.is_some() && !data.is_key_granted {
             errors.push(VerifierError::SentWithoutGrant { request });
         }
         let queues = router.services.iter().map(|(_, service)| &service.queue);
