--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,28 +1,28 @@
-//! Requests between their arrival and the end of their last slot.
+//! Stores requests from arrival until the release of their last slot.
 
 use crate::entity::{Minion, Request, Service};
 use cranelift_entity::PrimaryMap;
 use ospreywing_types::{Instant, Key};
 use std::collections::HashMap;
 
-/// The slot that a request uses.
+/// Identifies the slot that a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct SlotRef {
     pub(crate) minion: Minion,
     pub(crate) seat: u32,
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Its entry is free for another request.
+    /// The entry is free for reuse.
     Vacant,
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Queued,
-    /// It has a slot and waits for the grant of its one run.
-    TakingKey(Place),
-    /// It was sent.
-    Sent(Place),
+    /// The request has a slot and waits for the grant of its only run.
+    AwaitingKey(SlotRef),
+    /// The request was sent.
+    Sent(SlotRef),
 }
 
 /// One request.
@@ -34,25 +34,25 @@
     pub(crate) expires_at: Instant,
     pub(crate) retries_count: u32,
     pub(crate) stage: Stage,
-    /// Whether its one run was granted.
-    pub(crate) has_key: bool,
-    /// The caller, until it has its final answer.
+    /// Whether the request's only run was granted.
+    pub(crate) is_key_granted: bool,
+    /// The caller; `None` once it has its final reply or has disconnected.
     pub(crate) token: Option<u64>,
 }
 
-/// Requests, with free entries used again.
+/// All requests; free entries are reused.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestTable {
     requests: PrimaryMap<Request, RequestData>,
-    vacant: Vec<Request>,
-    by_token: HashMap<u64, Request>,
+    free_entries: Vec<Request>,
+    request_of_caller: HashMap<u64, Request>,
 }
 
 impl RequestTable {
     /// Adds a request.
     pub(crate) fn insert(&mut self, data: RequestData) -> Request {
         let token = data.token;
-        let request = match self.vacant.pop() {
+        let request = match self.free_entries.pop() {
             Some(request) => {
                 self.requests[request] = data;
                 request
@@ -60,28 +60,28 @@
             None => self.requests.push(data),
         };
         if let Some(token) = token {
-            self.by_token.insert(token, request);
+            self.request_of_caller.insert(token, request);
         }
         request
     }
 
     /// Frees a request's entry.
     pub(crate) fn remove(&mut self, request: Request) {
-        self.take_token(request);
+        self.detach_caller(request);
         self.requests[request].stage = Stage::Vacant;
-        self.vacant.push(request);
+        self.free_entries.push(request);
     }
 
-    /// Takes the caller, who now gets its final answer.
-    pub(crate) fn take_token(&mut self, request: Request) -> Option<u64> {
+    /// Removes and returns the caller, which gets no further reply.
+    pub(crate) fn detach_caller(&mut self, request: Request) -> Option<u64> {
         let token = self.requests[request].token.take()?;
-        self.by_token.remove(&token);
+        self.request_of_caller.remove(&token);
         Some(token)
     }
 
     /// Returns the request of a caller.
-    pub(crate) fn by_token(&self, token: u64) -> Option<Request> {
-        self.by_token.get(&token).copied()
+    pub(crate) fn request_of_caller(&self, token: u64) -> Option<Request> {
+        self.request_of_caller.get(&token).copied()
     }
 
     /// Returns a request's data.
@@ -89,19 +89,19 @@
         &self.requests[request]
     }
 
-    /// Returns a request's data to be changed.
+    /// Returns a request's data for modification.
     pub(crate) fn get_mut(&mut self, request: Request) -> &mut RequestData {
         &mut self.requests[request]
     }
 
-    /// Iterates over the requests that exist.
+    /// Iterates over all requests.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (Request, &RequestData)> {
         let all = self.requests.iter();
         all.filter(|(_, data)| data.stage != Stage::Vacant)
     }
 
-    /// Returns the number of requests that exist.
+    /// Returns the number of requests.
     pub(crate) fn len(&self) -> usize {
-        self.requests.len() - self.vacant.len()
+        self.requests.len() - self.free_entries.len()
     }
 }
