--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -367,11 +367,11 @@
 }
 
 async fn status<P: Platform>(node: &Rc<Node<P>>, job: JobId, caller: Caller) -> Reply {
-    let leaders = query_leader_view(node, job, &caller).await;
-    if let Some(view) = leaders.filter(|view| view.is_settled) {
+    let leader_view = query_leader_view(node, job, &caller).await;
+    if let Some(view) = leader_view.filter(|view| view.is_settled) {
         return status_reply(view);
     }
-    let has_begun = leaders.is_some_and(|view| view.has_begun);
+    let has_begun = leader_view.is_some_and(|view| view.has_begun);
     match read_view(&node.store, &node.log, job, &caller).await {
         Ok(StoredView::Known(view)) => status_reply(JobView {
             has_begun: has_begun || view.has_begun,
--- a/crates/control/tests/control/recovery.rs
+++ b/crates/control/tests/control/recovery.rs
@@ -7,7 +7,7 @@
 
 const WALL_MS: u64 = 1_000;
 /// The first byte of an encoding of a later version.
-const LATER_FORM: u8 = 99;
+const LATER_FORMAT: u8 = 99;
 
 fn id(number: u64) -> JobId {
     format!("{number:016x}").parse().expect("an id")
@@ -53,9 +53,9 @@
 /// The job must not be recovered without it, since it would start from the beginning.
 #[test]
 fn assemble_recovered_unreadable_state() {
-    let unreadable = item(keys::job(id(3)), vec![LATER_FORM, 1], 5);
+    let unreadable = item(keys::job(id(3)), vec![LATER_FORMAT, 1], 5);
     let intake = vec![accepted(1, 3), accepted(2, 4), unreadable];
-    let states = [item(keys::state(id(2)), vec![LATER_FORM, 1], 5)];
+    let states = [item(keys::state(id(2)), vec![LATER_FORMAT, 1], 5)];
     let recovered = assemble_recovered(&log(), intake, &states, WALL_MS);
     let jobs: Vec<JobId> = recovered.jobs.iter().map(|(id, _)| *id).collect();
     assert_eq!(jobs, [id(1)]);
--- a/crates/control/tests/control/stored_view.rs
+++ b/crates/control/tests/control/stored_view.rs
@@ -8,7 +8,7 @@
 use slog::{o, Discard, Logger};
 
 /// The first byte of an encoding of a later version.
-const LATER_FORM: u8 = 99;
+const LATER_FORMAT: u8 = 99;
 
 async fn view(store: &MemoryStore) -> StoredView {
     let log = Logger::root(Discard, o!());
@@ -42,7 +42,7 @@
 fn read_view_unreadable_state() {
     run_local(async {
         let store = MemoryStore::new();
-        accept(&store, vec![LATER_FORM]).await;
+        accept(&store, vec![LATER_FORMAT]).await;
         assert_eq!(view(&store).await, StoredView::Unreadable);
     });
 }
@@ -91,6 +91,6 @@
         revision: 1,
     };
     assert_eq!(access(&item, &caller), expected);
-    item.value = Ok(vec![LATER_FORM]);
+    item.value = Ok(vec![LATER_FORMAT]);
     assert_eq!(access(&item, &caller), Access::Unreadable);
 }
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -230,9 +230,9 @@
         let missing_count = needed_count as f64 - total_fit_count(&fitting, &pending.demand) as f64;
         let found = self.choose_free_workers(pending, known.unknown, missing_count, cycle);
         // Each query leaves fewer unknown workers, so after a while a small chance is enough.
-        let is_worth_it =
+        let may_complete_gang =
             found.expected_count >= missing_count || has_waited && found.max_count >= missing_count;
-        if !is_worth_it {
+        if !may_complete_gang {
             return false;
         }
         let queried = found.queried;
--- a/crates/scheduler/src/speeds.rs
+++ b/crates/scheduler/src/speeds.rs
@@ -206,10 +206,10 @@
 
     /// Ejects machines of a service that are slow compared both with their baseline and with
     /// the change of the other machines: the slowest first, up to `EJECTED_LIMIT_PERCENT`.
-    pub fn eject_slow(&mut self, now: Instant, service: &[Arc<str>]) -> Vec<Ejection> {
+    pub fn eject_slow(&mut self, now: Instant, machines: &[Arc<str>]) -> Vec<Ejection> {
         let mut changes: Vec<(f64, &Arc<str>)> = Vec::new();
         let mut ejected_count = 0;
-        for id in service {
+        for id in machines {
             let Some(machine) = self.machines.get(id) else {
                 continue;
             };
@@ -227,7 +227,7 @@
             change - typical_change < SLOW_FACTOR.ln() && *change < SLOW_FACTOR.ln()
         });
         changes.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
-        let limit_count = (service.len() * EJECTED_LIMIT_PERCENT / 100).max(1);
+        let limit_count = (machines.len() * EJECTED_LIMIT_PERCENT / 100).max(1);
         changes.truncate(limit_count.saturating_sub(ejected_count));
         let slow = changes.into_iter().map(|(_, id)| id.clone());
         let slow: Vec<Arc<str>> = slow.collect();
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -124,9 +124,9 @@
     harness.submit_job(job(3, vec![urgent]));
     harness.commit_all();
     let requests = drain_requests(&mut harness);
-    let jobs_asked: Vec<u64> = requests.iter().map(|(job, _)| job.number()).collect();
+    let requesting_jobs: Vec<u64> = requests.iter().map(|(job, _)| job.number()).collect();
     assert_eq!(
-        jobs_asked,
+        requesting_jobs,
         [1, 3],
         "one node makes long requests, and one urgent request is queued there"
     );
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -41,7 +41,7 @@
     other_jobs_failed_count: usize,
     crashes_count: usize,
     /// The crashes caused by the task that caused the most.
-    most_crashes_count: usize,
+    max_crashes_count: usize,
     other_runs_lost_count: usize,
     crashing_jobs_count: usize,
     mean_ms: u64,
@@ -112,7 +112,7 @@
     };
     let crashes = simulation.rules.crashes.values();
     let crashes = crashes.map(|count| count.crashes_count);
-    figures.most_crashes_count = crashes.clone().max().unwrap_or(0);
+    figures.max_crashes_count = crashes.clone().max().unwrap_or(0);
     figures.crashes_count = crashes.sum();
     let mut sum_ms = 0;
     for number in 1..=jobs_count {
@@ -187,7 +187,7 @@
 
 /// A task crashes three workers if their next incarnations answer before the leases expire, and
 /// five at most, which is the platform's bound. Half of these workers stay down for longer.
-const MOST_CRASHES_COUNT: usize = 5;
+const MAX_CRASHES_COUNT: usize = 5;
 
 /// With ten crashing jobs no other job is failed, and the crashing tasks are not restarted
 /// endlessly.
@@ -207,7 +207,7 @@
         let figures = run_load(seed, CI_WORKERS_COUNT, 10, loss, policy);
         assert_eq!(figures.other_jobs_failed_count, 0, "seed {seed}");
         assert!(
-            figures.most_crashes_count <= MOST_CRASHES_COUNT,
+            figures.max_crashes_count <= MAX_CRASHES_COUNT,
             "seed {seed}: {figures:?}"
         );
     }
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -504,12 +504,12 @@
     harness.actions.clear();
     harness.answer_poll_running(worker, unknown.task(0));
     harness.commit_all();
-    let is_asked = harness
+    let is_polled = harness
         .actions
         .iter()
         .any(|action| matches!(action, Action::Hold { to, .. } if to.worker == worker));
     assert!(
-        is_asked,
+        is_polled,
         "the worker is polled until the unknown run is gone"
     );
 }
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -516,8 +516,8 @@
 #[rstest]
 #[case::no_start(placed_state("w0", 1), 1)]
 #[case::start(placed_at_incarnation("w0", 7, 1), 6)]
-fn job_state_stored_form(#[case] state: JobState, #[case] form: u8) {
+fn job_state_stored_format(#[case] state: JobState, #[case] format: u8) {
     let bytes = state.to_bytes();
-    assert_eq!(bytes.first(), Some(&form));
+    assert_eq!(bytes.first(), Some(&format));
     assert_eq!(JobState::from_bytes(&bytes), Ok(state));
 }
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -155,7 +155,7 @@
 #[rstest]
 #[case::few_nodes(8, 1, 100)]
 #[case::many_nodes(64, 8, 300)]
-fn find_capacity_for_gang_asks_in_parts(
+fn find_capacity_for_gang_splits_query(
     #[case] nodes_count: usize,
     #[case] calls_count: usize,
     #[case] named_count: usize,
