--- a/crates/control/src/cell_view.rs
+++ b/crates/control/src/cell_view.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 use thiserror::Error;
 
-/// The most candidates that a leader names.
+/// The maximum number of candidates that a leader names.
 pub const CANDIDATES_COUNT: usize = 8;
 
 /// The record of a live node, as stored.
@@ -23,7 +23,7 @@
 }
 
 impl NodeRecord {
-    /// Parses the stored form, also that of earlier versions without a data centre.
+    /// Parses the stored record, also that of earlier versions without a data centre.
     ///
     /// # Errors
     ///
@@ -96,7 +96,7 @@
     /// The value was not received whole.
     #[error(transparent)]
     Value(#[from] UnreadableValue),
-    /// The value has an unknown form.
+    /// The value has an unknown format.
     #[error(transparent)]
     Form(#[from] postcard::Error),
 }
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -41,7 +41,7 @@
 /// A node's view of the operators' configuration.
 pub struct ConfigurationView<P: Platform> {
     active: RefCell<Option<Rc<ActiveConfiguration<P>>>>,
-    /// The stored form of the active one, for other nodes.
+    /// The active one as stored, for other nodes.
     stored: RefCell<Option<Rc<StoredConfiguration>>>,
     /// Notified when another one becomes active.
     replaced: Notify,
@@ -87,7 +87,7 @@
         active.map_or(0, |active| active.configuration.version)
     }
 
-    /// Returns the stored form of the active configuration.
+    /// Returns the active configuration as stored.
     pub(crate) fn stored(&self) -> Option<Rc<StoredConfiguration>> {
         self.stored.borrow().clone()
     }
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -25,7 +25,7 @@
 const VIEW_AGE_LIMIT: Duration = Duration::from_ms(15_000);
 /// The delay between the campaigns of two successive candidates.
 const CAMPAIGN_STAGGER: Duration = Duration::from_ms(25);
-/// The least time between two evictions by one node.
+/// The minimum time between two evictions by one node.
 const EVICTION_PERIOD: Duration = Duration::from_ms(5000);
 /// The additional delay of a node that is much weaker than another one.
 const WEAK_DELAY: Duration = Duration::from_ms(400);
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// The most entries of one transaction; each needs a condition and a write.
+/// The maximum number of entries of one transaction; each needs a condition and a write.
 const GROUP_LIMIT_COUNT: usize = 15;
-/// The most entries that may be queued.
+/// The maximum number of entries that may be queued.
 const QUEUE_LIMIT_COUNT: usize = 400;
 /// How long an entry is retried that may already be in the store.
 const UNCONFIRMED_TIMEOUT: Duration = Duration::from_ms(1200);
--- a/crates/control/src/leader_probe.rs
+++ b/crates/control/src/leader_probe.rs
@@ -41,7 +41,7 @@
 
 /// Returns the leader if this node is to probe it.
 ///
-/// In a large cell nobody probes it: there a leader may be busy for longer than the detector
+/// In a large cell no node probes it: there a leader may be busy for longer than the detector
 /// waits, so only its lease counts.
 fn observed_leader<P: Platform>(node: &Node<P>) -> Option<LeaderRecord> {
     let cell = node.cell.borrow();
--- a/crates/control/src/log.rs
+++ b/crates/control/src/log.rs
@@ -9,9 +9,9 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The most bytes that may wait to be written.
+/// The maximum number of bytes that may wait to be written.
 const BUFFER_LIMIT_BYTES: usize = 512 * 1024;
-/// The most bytes of one write.
+/// The maximum number of bytes of one write.
 const CHUNK_LIMIT_BYTES: usize = 4096;
 /// How long lines are collected before they are written.
 const BATCHING_DELAY: Duration = Duration::from_millis(100);
--- a/crates/control/src/platform.rs
+++ b/crates/control/src/platform.rs
@@ -148,7 +148,7 @@
 /// A value of an external system could not be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// The value does not have the expected form.
+    /// The value does not have the expected format.
     #[error("{field}: {reason}")]
     Malformed {
         /// The field.
--- a/crates/control/src/relay/link.rs
+++ b/crates/control/src/relay/link.rs
@@ -23,7 +23,7 @@
 /// The minimum time between two batches to one relay. Starts are sent in groups, one
 /// for each commit.
 const BATCH_INTERVAL: Duration = Duration::from_ms(8);
-/// The most orders in a batch: a start has up to 4.5 KB, including its job's payload,
+/// The maximum number of orders in a batch: a start has up to 4.5 KB, including its job's payload,
 /// and nodes accept bodies of 4 MB from one another.
 const BATCH_LIMIT_COUNT: usize = 500;
 /// How long an idle loop waits before it checks whether the term is over.
--- a/crates/control/src/relay/server.rs
+++ b/crates/control/src/relay/server.rs
@@ -18,7 +18,7 @@
 /// At 1,100 workers, 5 ms (with batches every 4 ms instead of 8) made no difference beyond
 /// the noise: a score of 0.536 instead of 0.542, in one run each.
 const BATCHING_DELAY: Duration = Duration::from_ms(15);
-/// The most replies in one answer: a worker's lists have up to 30 KB with 500 ended
+/// The maximum number of replies in one answer: a worker's lists have up to 30 KB with 500 ended
 /// runs, and answers are limited to 8 MB.
 const REPLIES_LIMIT_COUNT: usize = 200;
 
--- a/crates/control/src/worker_entries.rs
+++ b/crates/control/src/worker_entries.rs
@@ -9,7 +9,7 @@
 use ospreywing_scheduler::{WorkerChange, WorkerFacts};
 use std::collections::BTreeMap;
 
-/// The most faults that are reported for one update, so that a writer that keeps changing
+/// The maximum number of faults that are reported for one update, so that a writer that keeps changing
 /// many entries does not flood the log.
 const NEW_FAULTS_LIMIT_COUNT: usize = 20;
 
--- a/crates/control/tests/control/worker_list.rs
+++ b/crates/control/tests/control/worker_list.rs
@@ -8,7 +8,7 @@
 
 /// The time between two rewrites of a worker's entry.
 const REWRITE_PERIOD_MS: u64 = 3000;
-/// The most changes in an answer of the store.
+/// The maximum number of changes in an answer of the store.
 const ANSWER_LIMIT_COUNT: u64 = 400;
 /// The time from a call until its answer is applied.
 const CALL_MS: u64 = 12;
--- a/crates/scheduler/src/crash_records.rs
+++ b/crates/scheduler/src/crash_records.rs
@@ -59,7 +59,8 @@
             || self.crashes_of(task).any(is_suspected)
     }
 
-    /// Returns whether so many workers have crashed under a task that it is given up.
+    /// Returns whether the crashes under a task have reached a limit of the policy, so that its
+    /// job is to be failed.
     pub fn exceeds_crash_limits(&self, task: TaskKey, policy: &CrashPolicy) -> bool {
         let confirmed = self.crashes_of(task).filter(|crash| crash.is_confirmed);
         let is_certain = confirmed.count() >= CONFIRMED_LEAST_COUNT;
--- a/crates/scheduler/src/deadline_selection.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -132,7 +132,7 @@
     pub priority: u32,
     /// The resources that it uses.
     pub usage: ResourceVector,
-    /// The least time for which it still uses them.
+    /// The minimum time for which it still uses them.
     pub remaining: Duration,
 }
 
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -58,7 +58,7 @@
     AdviceAnswered,
     /// A new configuration is active.
     Configured,
-    /// A customer went over its fair share of a service, or came back below it.
+    /// A customer exceeded its fair share of a service, or returned within it.
     ShareChanged,
     /// A data centre was cordoned or uncordoned.
     CordonChanged,
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -13,9 +13,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Least number of steps in a size class for a forecast.
+/// Minimum number of steps in a size class for a forecast.
 const CLASS_MIN_STEPS_COUNT: u64 = 8;
-/// Least number of steps in a queue for a forecast, where the size class has too few.
+/// Minimum number of steps in a queue for a forecast, where the size class has too few.
 const QUEUE_MIN_STEPS_COUNT: u64 = 16;
 /// Once a window has this many steps, the quantiles are recomputed only for each
 /// `UPDATE_PERIOD_COUNT`th step, since a single step hardly changes them.
@@ -27,9 +27,9 @@
 /// Sketches without a newer step than this are ignored: the queue's work may be different by
 /// now.
 const AGE_LIMIT: Duration = Duration::from_s(600);
-/// Largest number of size classes of all queues; each takes about 5 KB.
+/// Maximum number of size classes of all queues; each takes about 5 KB.
 const CLASSES_LIMIT_COUNT: usize = 1024;
-/// Largest number of size classes that are sent to the next leader; about 20 KB.
+/// Maximum number of size classes that are sent to the next leader; about 20 KB.
 const HANDOVER_LIMIT_COUNT: usize = 256;
 /// Durations are recorded up to this, about 37 hours.
 const MAX_DURATION_MS: u64 = 1 << 27;
@@ -45,11 +45,11 @@
 const STD_DEVS_BETWEEN_BOUNDS: f64 = 2.56;
 /// The quantiles one standard deviation below and above the median.
 const STD_DEV_QUANTILES: [f64; 2] = [0.16, 0.84];
-/// Least standard deviation of a logarithm that the resolution of the sketches can show.
+/// Minimum standard deviation of a logarithm that the resolution of the sketches can show.
 const MIN_LOG_STD_DEV: f64 = 0.05;
-/// Least weight of a new error in a queue's mean error.
+/// Minimum weight of a new error in a queue's mean error.
 const ERROR_GAIN: f64 = 0.05;
-/// Least number of steps before a queue's mean errors are compared.
+/// Minimum number of steps before a queue's mean errors are compared.
 const MIN_ERRORS_COUNT: u64 = 8;
 
 /// The expected duration of a step's tasks on a worker of typical speed.
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -207,7 +207,7 @@
         spec.is_some_and(|spec| spec.is_gang)
     }
 
-    /// Removes a run that was never sent or can't be alive any more, and sets its task back to
+    /// Removes a run that was never sent or can no longer be alive, and sets its task back to
     /// waiting.
     pub(crate) fn unplace(&mut self, task: TaskKey) {
         let Some(key) = self.placements.remove(&task) else {
@@ -223,7 +223,7 @@
         self.is_cycle_due = true;
     }
 
-    /// Logs and removes a run that can't be alive any more, and marks its gang as broken.
+    /// Logs and removes a run that can no longer be alive, and marks its gang as broken.
     pub(crate) fn release_run(
         &mut self,
         now: Instant,
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -16,9 +16,9 @@
 /// Bounds of the durations of a step's tasks, in percent of their median.
 const STEP_SURE_PERCENT: u64 = 75;
 const STEP_LATE_PERCENT: u64 = 130;
-/// Least progress since the start for which a run's own progress predicts its end.
+/// Minimum progress since the start for which a run's own progress predicts its end.
 const MIN_PROGRESS_PERCENT: u32 = 5;
-/// Least time for which a run must have made progress before other work is planned by it:
+/// Minimum time for which a run must have made progress before other work is planned by it:
 /// progress is reported in steps, and the run may have been listed just after one.
 const MIN_PROGRESS_TIME: Duration = Duration::from_ms(500);
 /// Percentage of an estimate that a run certainly needs, where nothing else is known. If this
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -151,7 +151,7 @@
 /// The result of a stop order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopReply {
-    /// The run ends soon or can't start any more.
+    /// The run ends soon or can no longer start.
     Stopping,
     /// A newer leader has contacted the worker.
     Fenced,
@@ -383,7 +383,7 @@
     Advise {
         /// The step.
         step: StepKey,
-        /// The workers to ask about.
+        /// The workers to query.
         workers: Vec<Endpoint>,
         /// The node that sends the request.
         node: Arc<str>,
--- a/crates/scheduler/src/forecast.rs
+++ b/crates/scheduler/src/forecast.rs
@@ -25,7 +25,7 @@
 /// Percentage of an estimate that a task certainly needs: estimates may be 2.5 times too
 /// long.
 const MIN_DURATION_PERCENT: u64 = 40;
-/// Largest number of queues per service in a forecast.
+/// Maximum number of queues per service in a forecast.
 const QUEUES_LIMIT_COUNT: usize = 16;
 /// Upper bound of a forecast completion.
 const MAX_COMPLETION: Duration = Duration::from_s(600);
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -305,8 +305,9 @@
         limit_count: usize,
     ) -> Vec<WorkerKey> {
         let suitable_share = self.suitable_share_of(&pending.record.queue);
-        // Further workers add little to the fixed cost of a request, and delay nobody while a node
-        // is idle. The reply stays useful, because the suitability of a worker never changes.
+        // Further workers add little to the fixed cost of a request, and delay no other request
+        // while a node is idle. The reply stays useful, because the suitability of a worker never
+        // changes.
         let has_idle_node = self.adviser_nodes.has_idle_node(now, policy.cost(1));
         let (factor, cost_share) = if has_idle_node {
             (IDLE_CAPACITY_FACTOR, IDLE_COST_SHARE)
--- a/crates/scheduler/src/handover.rs
+++ b/crates/scheduler/src/handover.rs
@@ -1,5 +1,5 @@
-//! The durations and speeds that a leader has learned, in the form sent to its possible
-//! successors.
+//! The durations and speeds that a leader has learned, as sent to the nodes that may
+//! lead next.
 //!
 //! All numbers are bounded integers, so that invalid values can be detected.
 
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -29,14 +29,14 @@
 /// sample of its machine before it ends, since on a hung machine it may never end. It is a
 /// sample again each time that its duration has doubled, so that two such runs suffice.
 const OVERDUE_FACTOR: u64 = 2;
-/// Largest number of samples per overdue run.
+/// Maximum number of samples per overdue run.
 const OVERDUE_SAMPLES_LIMIT_COUNT: u32 = 6;
 /// An overdue run counts only if its worker listed it within this time, a few lease renewals.
 const OVERDUE_REPORT_AGE_LIMIT: Duration = Duration::from_ms(5000);
 /// Speeds of a service's workers are used only if the fastest and the slowest differ by this
 /// factor, without the outliers at either end: tasks of a step differ by less.
 const MIN_SPEED_RATIO: f64 = 1.25;
-/// Least number of workers whose speed must be known for that.
+/// Minimum number of workers whose speed must be known for that.
 const MIN_KNOWN_SPEEDS_COUNT: usize = 4;
 /// One in this many speeds is left out at either end.
 const TRIM_DIVISOR: usize = 20;
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -237,7 +237,7 @@
     }
 
     /// Limits the lease that earlier leaders granted to a worker that has answered under
-    /// this leader's fencing token: it accepts nothing from them any more.
+    /// this leader's fencing token: it no longer accepts anything from them.
     fn bound_recovered_lease(&mut self, now: Instant, key: WorkerKey) {
         let bound = lease_bound(now, self.config.lease_limit);
         let worker = &mut self.workers[key];
@@ -339,7 +339,7 @@
         }
     }
 
-    /// Releases the runs that the worker neither lists nor can start any more.
+    /// Releases the runs that the worker doesn't list and can no longer start.
     fn release_unlisted(
         &mut self,
         now: Instant,
@@ -419,8 +419,8 @@
     listed
 }
 
-/// Returns the timeout of the next poll's answer after so many consecutive unanswered
-/// polls.
+/// Returns the timeout of the next poll after `unanswered_polls_count` consecutive
+/// unanswered polls.
 pub fn poll_timeout(unanswered_polls_count: u32) -> Duration {
     let doublings = unanswered_polls_count.saturating_sub(UNRESPONSIVE_AFTER_COUNT - 1);
     POLL_TIMEOUT.times(1 << doublings.min(TIMEOUT_DOUBLINGS_COUNT))
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! - a start is recorded in the store before it is sent;
 //! - an end is recorded before the worker may discard it;
-//! - a task is started again only after its last run has ended, can't start any more, or
+//! - a task is started again only after its last run has ended, can no longer start, or
 //!   has outlasted every lease granted to its worker.
 
 mod admission;
--- a/crates/scheduler/src/overloads.rs
+++ b/crates/scheduler/src/overloads.rs
@@ -18,14 +18,14 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A service whose used share of capacity is below this isn't overloaded, whatever waits:
-/// there is free capacity for what waits.
+/// A service whose used share of capacity is below this isn't overloaded, however
+/// many tasks wait: there is free capacity for them.
 const MIN_USED_SHARE: f64 = 0.5;
 /// The pause after a ranking is one millisecond for each this many active jobs, which bounds
 /// the part of the leader's time that ranking takes, however many jobs wait. A job that
 /// arrives in between is ordered without a rank.
 const RANKED_JOBS_PER_MS: u64 = 25;
-/// Least time for which a service counts as overloaded.
+/// Minimum time for which a service counts as overloaded.
 const MIN_OVERLOAD_TIME: Duration = Duration::from_ms(1000);
 /// A job that is this late goes first in its service for one turn, and again after each
 /// further period of this length. If several have a turn at the same time, it is the one that
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -12,15 +12,15 @@
         self.workers[worker].insert_run(task, run);
     }
 
-    /// Adds a run that an earlier leader started, when the worker's capacity may have been
-    /// larger.
+    /// Adds a run that this leader didn't place on the worker. It may exceed the worker's
+    /// capacity, which may have been larger when an earlier leader started the run.
     pub(crate) fn add_foreign_run(&mut self, worker: WorkerKey, task: TaskKey, run: Run) {
         self.accounts.charge(run.charge);
         self.shares.charge(&run);
         self.workers[worker].insert_foreign_run(task, run);
     }
 
-    /// Removes a run that can't be alive any more.
+    /// Removes a run that can no longer be alive.
     pub(crate) fn remove_run(&mut self, worker: WorkerKey, task: TaskKey) {
         if let Some(run) = self.workers[worker].remove_run(task) {
             self.accounts.refund(run.charge);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -137,7 +137,8 @@
     pub(crate) reservations: BTreeMap<StepKey, Vec<WorkerKey>>,
     /// The gangs that have lost a member, with the time of the loss.
     pub(crate) broken_gangs: BTreeMap<StepKey, Instant>,
-    /// The workers found suitable and the workers asked about, by queue.
+    /// The numbers of workers found suitable and of workers queried, by queue; earlier requests
+    /// count less.
     pub(crate) suitable_shares: HashMap<String, (f64, f64)>,
     /// The shapes of recently submitted tasks.
     pub(crate) shapes: Shapes,
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -8,11 +8,12 @@
 //! second. The tag of a customer that uses less moves with the clock, so that nobody
 //! accumulates credit, and no tag gets further ahead of the clock than a limit.
 //!
-//! Tags get ahead only while the service is short of capacity: what nobody else needed isn't
-//! charged. Otherwise shares affect neither the order of service nor preemption.
+//! Tags get ahead only while the service is short of capacity: capacity that no other
+//! customer needed isn't charged. Otherwise shares affect neither the scheduling order nor
+//! preemption.
 //!
-//! What runs, what waits and to whom it belongs follows from the store's records. A new
-//! leader lacks only the tags, which start at the clock; they are wrong by at most the limit.
+//! The store's records show which tasks run or wait and whose they are. A new leader
+//! lacks only the tags, which start at the clock; they are wrong by at most the limit.
 
 use crate::cycle::SchedulingCycle;
 use crate::decision::{Decision, DecisionKind};
@@ -33,7 +34,7 @@
 /// A customer is logged as within its share again once its tag is ahead by less than this, so
 /// that one near the threshold isn't logged all the time.
 const LAG_WITHIN_SHARE: Duration = Duration::from_ms(500);
-/// Least interval between log lines for one customer in one service.
+/// Minimum interval between log lines for one customer in one service.
 const LOG_PERIOD: Duration = Duration::from_ms(10_000);
 /// A customer that uses less than this part of its share is well under it: runs of others may
 /// be preempted for its jobs that would miss their objective.
--- a/crates/scheduler/src/speeds.rs
+++ b/crates/scheduler/src/speeds.rs
@@ -12,45 +12,45 @@
 
 /// The speed of a machine of which nothing is known; one of 0.5 takes twice as long.
 pub const TYPICAL_SPEED: f64 = 1.0;
-/// Least sum of the weights of a machine's runs for its baseline to be used.
+/// Minimum sum of the weights of a machine's runs for its baseline to be used.
 const BASELINE_MIN_WEIGHT: f64 = 4.0;
-/// Least weight of a new run in a machine's baseline.
+/// Minimum weight of a new run in a machine's baseline.
 const BASELINE_MIN_GAIN: f64 = 0.1;
 /// Number of earlier runs with which a run is compared if it has no others of its step: few
 /// enough to follow a change of all machines within a second or two, and enough for a median.
 const FORECAST_RATIOS_COUNT: usize = 15;
 /// Standard deviation of the logarithm of the durations in one step.
 const STEP_LOG_STD_DEV: f64 = 0.25;
-/// Largest deviation from the baseline that a run counts for, as a logarithm: a machine of
+/// Maximum deviation from the baseline that a run counts for, as a logarithm: a machine of
 /// half the speed counts in full, anything beyond that is clipped as an outlier.
 const MAX_DEVIATION_LN: f64 = core::f64::consts::LN_2;
 /// The recent speed is the median of this many runs, so that two wrong ones don't change it
 /// much.
 const RECENT_RUNS_COUNT: usize = 5;
-/// Least number of runs for a recent speed.
+/// Minimum number of runs for a recent speed.
 const RECENT_MIN_COUNT: usize = 3;
-/// Largest age of a run that counts for the recent speed.
+/// Maximum age of a run that counts for the recent speed.
 const RECENT_AGE_LIMIT: Duration = Duration::from_s(30);
-/// Least difference of the recent speed from the baseline for it to be used instead, as a
+/// Minimum difference of the recent speed from the baseline for it to be used instead, as a
 /// logarithm: tasks of one step differ by up to 30%.
 const RECENT_MIN_DIFFERENCE_LN: f64 = 0.35;
 /// A machine whose recent speed is below this factor of its baseline is ejected.
 const SLOW_FACTOR: f64 = 0.6;
 /// Duration of the first ejection; it doubles with each further one.
 const EJECTION_BASE: Duration = Duration::from_s(5);
-/// Largest number of doublings.
+/// Maximum number of doublings.
 const EJECTION_MAX_DOUBLINGS_COUNT: u32 = 4;
 /// A machine whose last ejection ended longer ago than this starts over with the base
 /// duration.
 const EJECTION_MEMORY: Duration = Duration::from_s(120);
-/// Largest percentage of a service's machines that are ejected at a time, but at least one.
+/// Maximum percentage of a service's machines that are ejected at a time, but at least one.
 /// If more are slow, the cause isn't the machines.
 const EJECTED_LIMIT_PERCENT: usize = 10;
-/// Largest number of machines in memory, twice that of the largest fleet. The machines whose
+/// Maximum number of machines in memory, twice that of the largest fleet. The machines whose
 /// last run is the oldest are evicted first.
 const MACHINES_LIMIT_COUNT: usize = 20_000;
 
-/// Largest number of machines whose speeds are sent to the next leader; about 100 KB.
+/// Maximum number of machines whose speeds are sent to the next leader; about 100 KB.
 const HANDOVER_LIMIT_COUNT: usize = 4_000;
 /// Range of plausible speeds from an earlier leader, in thousandths; others are ignored.
 const PLAUSIBLE_SPEEDS_MILLI: core::ops::RangeInclusive<u32> = 50..=20_000;
@@ -120,13 +120,13 @@
         let duration = EJECTION_BASE.times(1 << doublings);
         self.ejections_count += 1;
         self.ejected_until = now + duration;
-        // After the ejection the machine is judged by new runs only.
+        // After the ejection only new runs count for the recent speed.
         self.recent.clear();
         duration
     }
 }
 
-/// An ejection: for some time a machine is placed on last.
+/// The ejection of a machine: for its duration, tasks are placed on other machines first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ejection {
     /// The machine.
@@ -204,8 +204,8 @@
         machine.is_some_and(|machine| now < machine.ejected_until)
     }
 
-    /// Ejects machines of a service that are slow compared both with their baseline and with
-    /// the change of the other machines: the slowest first, up to `EJECTED_LIMIT_PERCENT`.
+    /// Ejects those of a service's machines that are slow compared both with their baseline and
+    /// with the change of the other machines: the slowest first, up to `EJECTED_LIMIT_PERCENT`.
     pub fn eject_slow(&mut self, now: Instant, machines: &[Arc<str>]) -> Vec<Ejection> {
         let mut changes: Vec<(f64, &Arc<str>)> = Vec::new();
         let mut ejected_count = 0;
--- a/crates/scheduler/src/step_durations.rs
+++ b/crates/scheduler/src/step_durations.rs
@@ -6,9 +6,9 @@
 use ospreywing_types::Duration;
 use std::sync::Arc;
 
-/// Largest number of finished tasks that are kept per step, the most recent ones.
+/// Maximum number of finished tasks that are kept per step, the most recent ones.
 const RECENT_TASKS_COUNT: usize = 32;
-/// Least number of finished tasks that predict the others.
+/// Minimum number of finished tasks that predict the others.
 const MIN_TASKS_COUNT: usize = 3;
 
 /// A finished task.
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -466,8 +466,8 @@
         self.runs.insert(task, run);
     }
 
-    /// Adds a run that an earlier leader started, when the worker's capacity may have been
-    /// larger.
+    /// Adds a run that this leader didn't place on the worker: an earlier leader started it,
+    /// or it was placed on an earlier incarnation. The capacity may have been larger then.
     pub(crate) fn insert_foreign_run(&mut self, task: TaskKey, run: Run) {
         self.insert_run(task, run);
         self.update_overcommitted();
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -152,7 +152,7 @@
     requests.collect()
 }
 
-/// Where many nodes are idle, several ask about fewer workers each, so that the answer for the
+/// If many nodes are idle, several query fewer workers each, so that the answer for the
 /// largest part takes less than half of the time. In a small cell the other nodes stay idle.
 #[rstest]
 #[case::small(7, 1)]
@@ -169,7 +169,7 @@
 #[test]
 fn cancel_frees_counted_capacity_at_once() {
     let mut harness = harness_with(NODES_COUNT, queues(LONG_REQUEST, LONG_REQUEST));
-    // Eight tasks fill a worker, so that no worker is asked about in advance.
+    // Eight tasks fill a worker, so that no worker is queried in advance.
     let small = |tasks_count| StepSpec {
         demand: Resources::new(500, 100, 0),
         ..step(tasks_count)
--- a/crates/scheduler/tests/scheduler/crash_figures.rs
+++ b/crates/scheduler/tests/scheduler/crash_figures.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
     Nothing,
-    /// So many of a hundred workers, across the cell, at once.
+    /// This percentage of the workers, across the cell, at once.
     Percent(usize),
     /// All workers of one rack at once.
     Rack,
@@ -40,7 +40,7 @@
 struct Figures {
     other_jobs_failed_count: usize,
     crashes_count: usize,
-    /// The crashes caused by the task that caused the most.
+    /// The most crashes that one task caused.
     max_crashes_count: usize,
     other_runs_lost_count: usize,
     crashing_jobs_count: usize,
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -420,8 +420,8 @@
     assert_eq!(job.map(|job| job.phase), Some(Phase::Failed));
 }
 
-/// Crashes are stored after the rest of a job's progress; without crashes the stored form is
-/// the earlier one.
+/// Crashes are stored after the rest of a job's progress; progress without crashes is stored in
+/// the earlier format.
 #[test]
 fn to_bytes_with_crashes() {
     let with = state_of_suspect();
--- a/crates/scheduler/tests/scheduler/customers.rs
+++ b/crates/scheduler/tests/scheduler/customers.rs
@@ -252,7 +252,7 @@
 /// A record as written by the version that preceded customers.
 #[test]
 fn stored_job_earlier_format() {
-    // Its form, a queue, a service, the time 5, a text, no steps, no schedule.
+    // Its format, a queue, a service, the time 5, a text, no steps, no schedule.
     let bytes = [1, 1, b'q', 1, b's', 5, 1, b't', 0, 0];
     let Ok(StoredJob::Accepted(record)) = StoredJob::from_bytes(&bytes) else {
         panic!("a record of the earlier version is not readable");
--- a/crates/scheduler/tests/scheduler/departures.rs
+++ b/crates/scheduler/tests/scheduler/departures.rs
@@ -114,7 +114,7 @@
     assert_eq!(stops_after(&mut harness, 500), 0, "it ends in time");
 }
 
-/// The members of a gang are stopped together: one that ends alone breaks off the others.
+/// The members of a gang are stopped together: if one ends alone, the others break off.
 #[test]
 fn stop_before_departures_gang() {
     let listed = workers(3);
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -19,7 +19,7 @@
 const SLOWEST_CLOCK_PER_MILLE: u64 = 980;
 /// What a leader waits in addition, for a slow clock and to place the task again.
 const LEASE_SLACK: Duration = Duration::from_ms(400);
-/// The most ends that a worker lists at once.
+/// The maximum number of ends that a worker lists at once.
 const ENDS_PER_LIST_COUNT: u64 = 500;
 /// The lease that a leader grants while the store is healthy.
 const SHORTEST_LEASE: Duration = Duration::from_ms(4000);
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -91,7 +91,7 @@
 }
 
 /// The share of suitable workers was once learned from workers known to be suitable, so that a
-/// gang asked about two unknown workers at a time.
+/// gang queried two unknown workers at a time.
 #[test]
 fn find_capacity_for_gang_few_suitable_workers() {
     let mut simulation = Simulation::new(3, 16, Faults::default(), Some(advice()));
@@ -106,8 +106,8 @@
     simulation.run_until_done(40_000);
 }
 
-/// A gang once waited for its suitable workers, which other gangs kept busy, without asking
-/// about the workers that were free.
+/// A gang once waited for its suitable workers, which other gangs kept busy, without querying
+/// the workers that were free.
 #[test]
 fn find_capacity_for_gang_suitable_workers_busy() {
     let policy = AdvicePolicy {
@@ -136,7 +136,7 @@
         4,
         "two gangs fill their suitable workers"
     );
-    // After each request the gang waits a while before it asks about further workers.
+    // After each request the gang waits a while before it queries further workers.
     for _ in 0..20 {
         harness.answer_advice_requests(&["w0", "w1", "w9"]);
         harness.commit_all();
@@ -231,8 +231,8 @@
     assert_eq!(harness.stops(), vec![], "nothing else is stopped");
 }
 
-/// A run is not preempted if it would lose much work, is as urgent, has no time to spare or is
-/// nearly done.
+/// A run is not preempted if it would lose much work, is as urgent as the gang, has no time to
+/// spare or is nearly done.
 #[rstest]
 #[case::saves_nothing(|record: &mut JobRecord| record.spec.steps[0].saves_progress = false, 50)]
 #[case::nearly_done(|_: &mut JobRecord| (), 80)]
@@ -346,7 +346,7 @@
     assert_eq!(harness.starts(), vec![], "no filler is placed beside it");
 }
 
-/// A gang whose suitable workers other gangs had taken once waited 2.5 s before it asked about
+/// A gang whose suitable workers other gangs had taken once waited 2.5 s before it queried
 /// workers that had been free all the time.
 #[test]
 fn query_free_workers_completes_gang() {
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -1,15 +1,16 @@
 //! Workers that start again under the same id.
 //!
-//! The failures: tasks that had ended well ran a second time half a second later, and other
+//! The failures: tasks that were done ran a second time half a second later, and other
 //! jobs made no progress though most of the workers' capacity was free.
 //!
 //! The sequence of events: a worker without runs crashes and is back within a second under its
-//! id. It is not polled meanwhile, since nothing runs there. A task starts there and ends well;
+//! id. It is not polled meanwhile, since nothing runs there. A task starts there and is done;
 //! its end gets number 1 of the new incarnation. The leader has seen some ends of the previous
-//! incarnation, mistakes number 1 for one of those, and skips it. Its next poll tells the
-//! worker to forget the ends of the previous incarnation. If that covers number 1, the task
-//! seems to have vanished and starts again. If the worker ignores it, it lists the end in every
-//! answer, and the task counts as running until the worker's next crash.
+//! incarnation, mistakes number 1 for one of those, and skips it. Its next poll acknowledges
+//! the ends of the previous incarnation, so the worker discards them. If that covers number 1,
+//! the task seems to have vanished and starts again. If the worker ignores the acknowledgement,
+//! it lists the end in every answer, and the task counts as running until the worker's next
+//! crash.
 //!
 //! The evidence: each such task had a run on a worker that had restarted 0.8 to 2.4 s before.
 //! Tasks that made no progress resumed within two seconds of their worker's next crash, 12 to
@@ -146,7 +147,7 @@
         run,
         reply: StartReply::Unanswered,
     });
-    // The repeat is carried out, and the run ends well.
+    // The repeat is carried out, and the run ends as done.
     harness.answer_started(start);
     answer_poll_as(
         &mut harness,
@@ -511,7 +512,7 @@
     assert_eq!(found.collect::<Vec<bool>>(), confirmed);
 }
 
-/// Where workers report no incarnations, progress is stored in the form that nodes of the
+/// If workers report no incarnations, progress is stored in the format that nodes of the
 /// previous version read.
 #[rstest]
 #[case::no_start(placed_state("w0", 1), 1)]
--- a/crates/scheduler/tests/scheduler/retries.rs
+++ b/crates/scheduler/tests/scheduler/retries.rs
@@ -183,7 +183,7 @@
 }
 
 /// A gang on an unresponsive worker was released and started again elsewhere. Then the worker
-/// answered and listed that the first run had ended well. The second run once kept running, and
+/// answered and listed the first run as done. The second run once kept running, and
 /// an unanswered start of it was sent again after the end had been acknowledged (search for
 /// gangs on few suitable workers with all faults, seed 502288).
 #[test]
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -1,4 +1,4 @@
-//! What a leader of many workers and waiting steps omits to limit its load.
+//! How a leader of many workers and waiting steps limits its load.
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{advice, job, step};
@@ -52,8 +52,8 @@
     harness.actions.iter().filter(is_placed).count()
 }
 
-/// After a pass over 300 waiting steps the leader leaves 30 ms to everything else, in which it
-/// once passed over these steps three more times.
+/// After a scheduling cycle over 300 waiting steps the leader leaves 30 ms to everything else. It
+/// once ran three more cycles over these steps in that time.
 #[test]
 fn place_pauses_after_many_waiting_steps() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
@@ -65,7 +65,7 @@
     harness.answer_started(first);
     harness.commit_all();
     assert_eq!(placed_count(&harness), 1);
-    // A pass over all waiting steps that places none.
+    // A scheduling cycle over all waiting steps that places none.
     harness.handle(Event::Tick);
     let ended = vec![end(1, first.1, first.2, EndKind::Done)];
     harness.answer_poll_after(Duration::from_ms(15), first.0, ended);
@@ -150,8 +150,8 @@
     assert_eq!(starts.len(), 120, "the whole gang");
 }
 
-/// A gang that needs many workers once asked about 100 of them at a time, in one request after
-/// the other. With many idle nodes it asks about all at once, each node about a part.
+/// A gang that needs many workers once queried 100 of them at a time, in one request after the
+/// other. With many idle nodes it queries all at once, and each node requests a part.
 #[rstest]
 #[case::few_nodes(8, 1, 100)]
 #[case::many_nodes(64, 8, 300)]
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -20,8 +20,8 @@
 const RECOVERY_LIMIT_MS: u64 = 90_000;
 /// Late orders are carried out up to 12 s late; then their runs must be found and stopped.
 const LATE_LIMIT_MS: u64 = 15_000;
-/// At most one job in this many may be failed by mistake, where three tasks crash ten workers
-/// beside all other faults: the bound on restarts has precedence.
+/// At most one job in this many may be failed by mistake if three tasks crash ten workers
+/// while all other faults occur too: the bound on restarts has precedence.
 const OTHER_JOBS_FAILED_ONE_IN: usize = 1000;
 
 const NO_FAULTS: Faults = Faults {
@@ -42,7 +42,7 @@
     held_order: 0,
 };
 
-/// Most faults at once.
+/// Most kinds of faults at once.
 const ALL_FAULTS: Faults = Faults {
     lost_answer: 40,
     late_order: 40,
@@ -198,7 +198,7 @@
     }
 }
 
-/// The same without advice. The first copy of a start gets no answer, and its task ends well
+/// The same without advice. The first copy of a start gets no answer, and its task ends as done
 /// meanwhile, by a repeat of the start or elsewhere. The first copy is carried out up to 12 s
 /// after it was sent, by the worker's next incarnation, before the leader's first poll of that
 /// incarnation. No order of the leader can arrive sooner, and the platform does not specify
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -209,8 +209,8 @@
     assert_eq!(view.expect("open jobs").share_per_mille, 2_500);
 }
 
-/// What a customer runs while nobody else needs the capacity is not charged later, and one that
-/// was idle has accumulated no credit.
+/// What a customer runs while no other customer needs the capacity is not charged later, and
+/// one that was idle has accumulated no credit.
 #[test]
 fn borrow_free_capacity_not_charged() {
     let mut harness = harness_with(Features::default(), &EQUAL);
--- a/crates/scheduler/tests/scheduler/support/rules.rs
+++ b/crates/scheduler/tests/scheduler/support/rules.rs
@@ -7,7 +7,7 @@
 /// The history of all tasks of a simulation.
 #[derive(Default)]
 pub struct Rules {
-    /// Tasks with an end `done` that was recorded for good: it was acknowledged to its worker,
+    /// Tasks with an end `done` that is recorded permanently: it was acknowledged to its worker,
     /// whose lease had held since the end.
     pub done_recorded: BTreeSet<TaskKey>,
     /// When each task was started last.
--- a/crates/scheduler/tests/scheduler/support/simulation/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -186,7 +186,7 @@
     pub started_ms: BTreeMap<JobId, u64>,
     crash_policy: CrashPolicy,
     features: Features,
-    /// Whether a leader hands over to the next one what it has learned.
+    /// Whether a leader sends what it has learned to the next one.
     pub hands_over_learned: bool,
     /// The range of the runs' durations at typical speed, for jobs that differ from the others.
     pub job_run_durations_ms: BTreeMap<JobId, core::ops::Range<u64>>,
