--- a/crates/scheduler/src/advice_requests.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -309,7 +309,7 @@
 
     /// Returns the expected share of suitable workers among unknown ones, for steps of a queue.
     pub(crate) fn suitable_share_of(&self, queue: &str) -> f64 {
-        let counts = self.suitable_shares.get(queue);
+        let counts = self.suitable_counts.get(queue);
         let (suitable, queried) = counts.copied().unwrap_or((INITIAL_SUITABLE_SHARE, 1.0));
         (suitable / queried).max(MIN_SUITABLE_SHARE)
     }
@@ -388,7 +388,7 @@
             return;
         };
         let counts = self
-            .suitable_shares
+            .suitable_counts
             .entry(queue)
             .or_insert((INITIAL_SUITABLE_SHARE, 1.0));
         counts.0 = counts.0 * SUITABLE_SHARE_DECAY + suitable_count as f64;
--- a/crates/scheduler/src/crash_records.rs
+++ b/crates/scheduler/src/crash_records.rs
@@ -12,7 +12,7 @@
 /// The confirmed crashes required before points decide: the platform allows a task to be
 /// given up after two workers have crashed under it, and an unresponsive worker may only be
 /// partitioned.
-const CONFIRMED_LEAST_COUNT: usize = 2;
+const MIN_CONFIRMED_COUNT: usize = 2;
 
 /// The relation of a run to its worker's crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -63,7 +63,7 @@
     /// job is to be failed.
     pub fn exceeds_crash_limits(&self, task: TaskKey, policy: &CrashPolicy) -> bool {
         let confirmed = self.crashes_of(task).filter(|crash| crash.is_confirmed);
-        let is_certain = confirmed.count() >= CONFIRMED_LEAST_COUNT;
+        let is_certain = confirmed.count() >= MIN_CONFIRMED_COUNT;
         let has_enough_points = is_certain && self.points_of(task, policy) >= policy.points_limit;
         // The limit on restarts applies even without confirmed crashes.
         has_enough_points || self.crashes_of(task).count() >= policy.crashes_limit_count
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -378,7 +378,7 @@
     }
 
     /// Gives up the runs of unresponsive workers whose leases have certainly expired.
-    pub(crate) fn give_up_expired(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(crate) fn release_expired_runs(&mut self, now: Instant, out: &mut Vec<Action>) {
         let expired: Vec<WorkerKey> = self
             .workers
             .iter()
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -139,7 +139,7 @@
     pub(crate) broken_gangs: BTreeMap<StepKey, Instant>,
     /// The numbers of workers found suitable and of workers queried, by queue; earlier requests
     /// count less.
-    pub(crate) suitable_shares: HashMap<String, (f64, f64)>,
+    pub(crate) suitable_counts: HashMap<String, (f64, f64)>,
     /// The shapes of recently submitted tasks.
     pub(crate) shapes: Shapes,
     /// The waiting steps and their wait reasons.
@@ -198,7 +198,7 @@
             learning: Learning::default(),
             reservations: BTreeMap::new(),
             broken_gangs: BTreeMap::new(),
-            suitable_shares: HashMap::new(),
+            suitable_counts: HashMap::new(),
             shapes: Shapes::default(),
             waits: Waits::default(),
             last_cycle: CycleSummary::default(),
@@ -372,7 +372,7 @@
     }
 
     fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.give_up_expired(now, out);
+        self.release_expired_runs(now, out);
         self.stop_broken_gangs(now, out);
         self.evict_fillers(now, out);
         self.repeat_stops(now, out);
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -153,7 +153,7 @@
 #[rstest]
 #[case::before_the_term(Duration::ZERO)]
 #[case::while_evicted(Duration::from_ms(1300))]
-fn give_up_expired_lease_of_earlier_leader(#[case] reached_after: Duration) {
+fn release_expired_runs_lease_of_earlier_leader(#[case] reached_after: Duration) {
     let mut cell = Cell::after_grant_of_earlier_leader(reached_after);
     let task = cell.begin_long_run();
     let partitioned_at = cell.harness.now;
@@ -170,7 +170,7 @@
 /// more. From then on its lease is bounded by the longest lease, however long an evicted leader
 /// may act.
 #[test]
-fn give_up_expired_worker_that_answered_early() {
+fn release_expired_runs_worker_that_answered_early() {
     let mut cell = Cell::after_grant_of_earlier_leader(Duration::ZERO);
     let answered = cell.harness.now;
     let task = cell.begin_long_run();
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -77,7 +77,7 @@
 
 /// The runs of an unresponsive worker are not released while its lease may hold.
 #[test]
-fn give_up_expired_lease_may_hold() {
+fn release_expired_runs_lease_may_hold() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
--- a/crates/scheduler/tests/scheduler/restarts.rs
+++ b/crates/scheduler/tests/scheduler/restarts.rs
@@ -293,7 +293,7 @@
 /// A start whose lease was computed on the previous incarnation's clock may have leased the
 /// next one for the longest time that a worker accepts, longer than the leader grants.
 #[test]
-fn give_up_expired_lease_by_clock_of_previous_incarnation() {
+fn release_expired_runs_lease_by_clock_of_previous_incarnation() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
     let first = harness.scheduler.worker_key("w0").expect("a worker");
     answer_poll_as(&mut harness, first, 1, Vec::new());
