--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -176,7 +176,7 @@
     cell.replace_worker(worker);
     let states = cell.harness.commit_all();
     let crashes = states.iter().flat_map(|state| &state.crashes);
-    let recorded: Vec<TaskKey> = crashes.map(|crash_worker| crash_worker.task).collect();
+    let recorded: Vec<TaskKey> = crashes.map(|crash| crash.task).collect();
     assert_eq!(recorded, [task]);
 }
 
@@ -239,11 +239,8 @@
 fn suspicions(states: &[JobState], number: u64) -> Vec<Suspicion> {
     let task = first_task(JobId::new(number));
     let newest = states.iter().rev().flat_map(|state| &state.crashes);
-    let of_task = newest.filter(|crash_worker| crash_worker.task == task);
-    of_task
-        .map(|crash_worker| crash_worker.suspicion)
-        .take(1)
-        .collect()
+    let of_task = newest.filter(|crash| crash.task == task);
+    of_task.map(|crash| crash.suspicion).take(1).collect()
 }
 
 /// A run that started well before the worker's crash is a bystander. The one that had just
