--- a/crates/control/src/worker_entries.rs
+++ b/crates/control/src/worker_entries.rs
@@ -1,7 +1,7 @@
 //! The workers' entries in the store, as last read.
 //!
 //! An entry may come from another writer, or be damaged in transit. A worker whose entry is
-//! unusable gets no new runs until a valid entry is written. Its runs are not given up or
+//! unusable gets no new runs until a valid entry is written. Its runs are not released or
 //! started elsewhere for that reason; as with a removed entry, their leases decide that.
 
 use crate::platform::WorkerEntryError;
@@ -9,8 +9,8 @@
 use ospreywing_scheduler::{WorkerChange, WorkerFacts};
 use std::collections::BTreeMap;
 
-/// The maximum number of faults that are reported for one update, so that a writer that keeps changing
-/// many entries does not flood the log.
+/// The maximum number of faults that are reported for one update, so that a writer that keeps
+/// changing many entries does not flood the log.
 const NEW_FAULTS_LIMIT_COUNT: usize = 20;
 
 /// A worker's entry.
--- a/crates/scheduler/src/advice_requests.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -170,7 +170,7 @@
         Some(fitting.into_iter().map(|it| it.worker).collect())
     }
 
-    /// Returns how many tasks fit beside the soft reservations of other steps.
+    /// Returns how many tasks fit alongside the soft reservations of other steps.
     fn unreserved_fit_count(&self, candidate: &Candidate, pending: &PendingStep) -> u32 {
         let mut candidate = candidate.clone();
         candidate.free -= self.workers[candidate.worker].soft_reserved();
--- a/crates/scheduler/src/backfill.rs
+++ b/crates/scheduler/src/backfill.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Forecast {
     due: Instant,
-    /// What will remain of the limit beside the step at that time.
+    /// What will remain of the limit alongside the step at that time.
     surplus: Resources,
 }
 
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Returns how many tasks of a step may start beside the customer's enforced reservation.
+    /// Returns how many tasks of a step may start alongside the customer's enforced reservation.
     pub(crate) fn count_beside_reservation(
         &self,
         now: Instant,
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -97,19 +97,19 @@
     Alone,
 }
 
-/// When a task is given up because workers crash under it. docs/design/crashes.md compares
-/// the alternatives.
+/// When a job is failed because workers crash under one of its tasks. docs/design/crashes.md
+/// compares the alternatives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashPolicy {
     /// The points for a crash right after the run's start.
     pub suspect_points: u32,
     /// The points for a crash that any of several runs may have caused.
     pub bystander_points: u32,
-    /// The points at which a task is given up: three crashes right after a start. With a
-    /// limit of five, about one innocent job in 4,000 failed on ten workers with three
-    /// tasks that crash them and a new leader every 2.5 s.
+    /// The points at which a task's job is failed: three crashes right after a start. With a
+    /// limit of five, about one job in 4,000 whose tasks crash no worker failed on ten
+    /// workers with three tasks that crash them and a new leader every 2.5 s.
     pub points_limit: u32,
-    /// The number of crashes of any kind at which a task is given up: the platform allows
+    /// The number of crashes of any kind at which a task's job is failed: the platform allows
     /// two more starts after three crashes of one task.
     pub crashes_limit_count: usize,
     /// Where a suspected task runs on probation.
@@ -185,7 +185,7 @@
     pub drain_time: Duration,
     /// How long a job's outcome is kept.
     pub retention: Duration,
-    /// When a task is given up because workers crash under it.
+    /// When a job is failed because workers crash under one of its tasks.
     pub crash_policy: CrashPolicy,
     /// The optional scheduling features that are enabled.
     pub features: Features,
@@ -232,7 +232,7 @@
         self
     }
 
-    /// Sets when a task is given up because workers crash under it.
+    /// Sets when a job is failed because workers crash under one of its tasks.
     pub fn with_crash_policy(mut self, policy: CrashPolicy) -> Self {
         self.crash_policy = policy;
         self
--- a/crates/scheduler/src/crash_records.rs
+++ b/crates/scheduler/src/crash_records.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The confirmed crashes required before points decide: the platform allows a task to be
-/// given up after two workers have crashed under it, and an unresponsive worker may only be
+/// failed after two workers have crashed under it, and an unresponsive worker may only be
 /// partitioned.
 const MIN_CONFIRMED_COUNT: usize = 2;
 
@@ -90,7 +90,7 @@
         self.crashes.retain(is_other);
     }
 
-    /// Removes the records of a task: a run of it is done, or has lived on long after its
+    /// Removes the records of a task: a run of it is done, or is still alive long after its
     /// start.
     pub fn clear_crashes(&mut self, task: TaskKey) {
         self.crashes.retain(|crash| crash.task != task);
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -1,5 +1,5 @@
 //! Worker crashes: which runs may have caused one, where suspected tasks run on probation,
-//! and when a task is given up.
+//! and when their job is failed.
 //!
 //! A crash is confirmed when another incarnation answers at the worker's address. A worker
 //! that is unresponsive until its leases expire may only be partitioned, so its records are
@@ -21,7 +21,7 @@
 /// A run did not crash its worker by starting if the worker answers this long after the run
 /// began. The crashes observed came 10 ms after the start.
 const START_WINDOW: Duration = Duration::from_ms(500);
-/// A run that lives this long clears its task of earlier crashes, so that tasks which run
+/// A run that lasts this long clears its task of earlier crashes, so that tasks which run
 /// for months don't accumulate the crashes of all that time.
 const CLEARING_TIME: Duration = Duration::from_s(30);
 /// The loss of a rack is assumed, and no task suspected, if at least this many of its
@@ -65,8 +65,8 @@
 }
 
 impl Scheduler {
-    /// Records the crash of an incarnation for each of its runs, and gives up the tasks
-    /// that exceed the crash limits.
+    /// Records the crash of an incarnation for each of its runs, and fails the jobs
+    /// of tasks that have reached a crash limit.
     pub(crate) fn record_crash(&mut self, now: Instant, key: WorkerKey, out: &mut Vec<Action>) {
         let mut lost = core::mem::take(&mut self.workers[key].lost_runs);
         lost.extend(self.runs_lost_with(key));
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Records the runs that are given up because their worker is unresponsive. The records
+    /// Records the runs that are released because their worker is unresponsive. The records
     /// are retracted if it answers again.
     pub(crate) fn record_unresponsive(
         &mut self,
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -230,7 +230,7 @@
             .map_or(ResourceTotals::default(), |pool| pool.capacity)
     }
 
-    /// Returns how much of it was free when the cycle began.
+    /// Returns how much of a service's capacity was free when the cycle began.
     pub(crate) fn total_free(&self, service: &Arc<str>) -> ResourceTotals {
         self.pool(service)
             .map_or(ResourceTotals::default(), |pool| pool.free)
--- a/crates/scheduler/src/deadline_selection.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -1,6 +1,6 @@
 //! Selects the jobs of an overloaded service that can be on time together.
 //!
-//! Where there is more work than capacity, serving jobs by deadline alone makes all of them a
+//! If there is more work than capacity, serving jobs by deadline alone makes all of them a
 //! little late. Instead, jobs are added in the order of their objectives; as soon as those
 //! added don't fit the capacity up to the current objective, the largest of the least
 //! important jobs is dropped (the Moore-Hodgson rule, which minimizes the number of late
@@ -209,9 +209,9 @@
     pub work: ResourceVector,
     /// The remaining duration of its critical path, the longest chain of dependent steps.
     pub critical_path: Duration,
-    /// Time until its objective; `None` where that has passed.
+    /// Time until its objective; `None` if that has passed.
     pub time_to_objective: Option<Duration>,
-    /// Time until its result is worthless; `None` where that has passed.
+    /// Time until its result is worthless; `None` if that has passed.
     pub time_to_worthless: Option<Duration>,
 }
 
@@ -430,7 +430,7 @@
         needed.dominant(usable).0 <= 1.0
     }
 
-    /// Returns the work that fits the usable capacity within `time` beside the runs.
+    /// Returns the work that fits the usable capacity within `time` alongside the runs.
     fn usable(&self, time: Duration) -> ResourceVector {
         let mut usable = self.capacity.times(time.as_ms() as f64);
         usable.subtract(self.occupancy.within(time));
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -28,7 +28,7 @@
     StopSent,
     /// A run's end was handled.
     RunEnded,
-    /// A run was given up as lost.
+    /// A run was released as lost.
     RunLost,
     /// A job ended, or clients can see its outcome.
     JobEnded,
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -146,7 +146,7 @@
     }
 
     /// Sends the new incarnation stops for starts that were meant for the previous one and
-    /// may still arrive, though their runs have ended or were given up.
+    /// may still arrive, though their runs have ended or were released.
     fn stop_open_starts(
         &mut self,
         now: Instant,
--- a/crates/scheduler/src/interference.rs
+++ b/crates/scheduler/src/interference.rs
@@ -35,7 +35,7 @@
 }
 
 impl Scheduler {
-    /// Stops fillers that run beside serving tasks: a serving task may have started there
+    /// Stops fillers that run alongside serving tasks: a serving task may have started there
     /// since, or an earlier leader's stop may not have arrived.
     pub(crate) fn evict_fillers(&mut self, now: Instant, out: &mut Vec<Action>) {
         let shared = self.workers.values().filter(|worker| worker.is_shared());
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -253,7 +253,7 @@
             durations, speeds, ..
         } = &mut self.learning;
         let (queue, class) = (&job.record.queue, StepClass::of(spec));
-        // Where the step has too few tasks to compare with each other, its tasks are compared
+        // If the step has too few tasks to compare with each other, its tasks are compared
         // with the forecast, which comes from other jobs.
         let forecast = durations.forecast(now, queue, class);
         if let Some(forecast) = forecast.filter(|_| !spec.is_gang) {
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -73,7 +73,7 @@
                 self.retries.polls.record_first_call();
             }
             // An unresponsive worker is polled without a lease: a lease that it may have
-            // received would keep its runs from ever being given up.
+            // received would keep its runs from ever being released.
             let renews_lease = worker.is_synced && worker.unanswered_polls_count == 0;
             // A worker answers at once while it lists an end, so the poll isn't held.
             let has_listed_end = !worker.uncommitted_ends.is_empty();
@@ -377,7 +377,7 @@
         }
     }
 
-    /// Gives up the runs of unresponsive workers whose leases have certainly expired.
+    /// Releases the runs of unresponsive workers whose leases have certainly expired.
     pub(crate) fn release_expired_runs(&mut self, now: Instant, out: &mut Vec<Action>) {
         let expired: Vec<WorkerKey> = self
             .workers
--- a/crates/scheduler/src/limits.rs
+++ b/crates/scheduler/src/limits.rs
@@ -24,7 +24,7 @@
 pub(crate) struct Allowance {
     /// The number that the limit itself allows.
     limit_count: u32,
-    /// The number that may start beside the reservation for another step, at most `limit_count`.
+    /// The number that may start alongside the reservation for another step, at most `limit_count`.
     pub(crate) allowed_count: u32,
 }
 
--- a/crates/scheduler/src/open_starts.rs
+++ b/crates/scheduler/src/open_starts.rs
@@ -24,7 +24,7 @@
     SentAt(Instant),
 }
 
-/// An unanswered start whose run has ended or was given up.
+/// An unanswered start whose run has ended or was released.
 #[derive(Clone, Copy, Debug)]
 struct OpenStart {
     task: TaskKey,
@@ -34,7 +34,7 @@
 }
 
 /// The starts sent to one worker that may still be carried out, though their runs have
-/// ended or were given up.
+/// ended or were released.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OpenStarts {
     starts: VecDeque<OpenStart>,
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -286,7 +286,7 @@
     }
 
     /// Returns whether runs in a job's service may be searched for preemption now, and
-    /// records that they are. This limits how often the service's workers are gone over.
+    /// records that they are. This limits how often the service's workers are searched.
     pub(crate) fn try_begin_share_search(&mut self, now: Instant, id: JobId) -> bool {
         let key = self.jobs.get(&id).and_then(|job| job.service);
         let Some(key) = key else {
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -255,9 +255,9 @@
     fillers_count: usize,
     /// The number of runs on probation.
     pub(crate) probation_runs_count: usize,
-    /// Unanswered starts whose runs have ended or were given up.
+    /// Unanswered starts whose runs have ended or were released.
     pub(crate) open_starts: OpenStarts,
-    /// Runs that were given up while the worker was unresponsive; their fate is
+    /// Runs that were released while the worker was unresponsive; whether they have ended is
     /// unconfirmed.
     pub(crate) lost_runs: Vec<LostRun>,
     /// When this leader learned that the incarnation is over.
@@ -366,7 +366,7 @@
         };
     }
 
-    /// Returns whether a recorded start still fits beside all runs whose start was sent.
+    /// Returns whether a recorded start still fits alongside all runs whose start was sent.
     pub(crate) fn has_capacity_to_send(&self, task: TaskKey) -> bool {
         if !self.is_overcommitted() {
             return true;
@@ -486,7 +486,7 @@
         self.serving_count > 0
     }
 
-    /// Returns whether a filler runs on the worker beside a serving task.
+    /// Returns whether a filler runs on the worker alongside a serving task.
     pub(crate) const fn is_shared(&self) -> bool {
         self.serving_count > 0 && self.fillers_count > 0
     }
--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Runs a load of short jobs beside long tasks that occupy the whole capacity.
+    /// Runs a load of short jobs alongside long tasks that occupy the whole capacity.
     fn run(&self, seed: u64) -> Outcome {
         let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
         simulation.run_durations_percent = Some(self.lengths_percent.clone());
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// Long requests use all nodes but one while there are no short ones, and five of eight beside
-/// many short ones.
+/// Long requests use all nodes but one while there are no short ones, and five of eight while
+/// there are many.
 #[rstest]
 #[case::no_short_requests(0, 7)]
 #[case::many_short_requests(60, 5)]
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -133,7 +133,7 @@
 }
 
 /// Behind a gang that waits for the limit, tasks start that surely end before its turn, or that
-/// fit beside it.
+/// fit alongside it.
 #[rstest]
 #[case::too_long(5, step(1), 0)]
 #[case::brief(5, brief(1), 1)]
--- a/crates/scheduler/tests/scheduler/backfill_load.rs
+++ b/crates/scheduler/tests/scheduler/backfill_load.rs
@@ -1,4 +1,4 @@
-//! Loads of one customer that are bounded by its limit: short jobs beside gangs.
+//! Loads of one customer that are bounded by its limit: short jobs alongside gangs.
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{
--- a/crates/scheduler/tests/scheduler/crashes.rs
+++ b/crates/scheduler/tests/scheduler/crashes.rs
@@ -245,7 +245,7 @@
 
 /// A run that started well before the worker's crash is a bystander. The one that had just
 /// begun is run on probation, where no other run would be lost with it, and nothing is placed
-/// beside it until it is past its start.
+/// alongside it until it is past its start.
 #[test]
 fn record_crash_new_run_beside_old_one() {
     let (mut harness, worker) = with_old_and_new_run();
--- a/crates/scheduler/tests/scheduler/gang_load.rs
+++ b/crates/scheduler/tests/scheduler/gang_load.rs
@@ -1,4 +1,4 @@
-//! A load of gangs, each member of which takes a third of a worker, beside deferrable work:
+//! A load of gangs, each member of which takes a third of a worker, alongside deferrable work:
 //! how many gangs are on time, and whether the deferrable work is done as well.
 
 use crate::support::harness::{workers, Harness};
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -102,8 +102,8 @@
         part(|it| it.0.actual > it.1.late),
     );
     println!("{below:.3} shorter than sure, {above:.3} longer than late");
-    // Jobs that could be on time must not be given up, nor capacity promised that won't be
-    // free.
+    // Jobs that could be on time must not be treated as late, and no capacity may be expected
+    // that won't be free.
     assert!(below <= 0.15 && above <= 0.15, "{below} {above}");
     let errors = durations.error();
     assert!(errors.forecast_percent < errors.estimate_percent);
--- a/crates/scheduler/tests/scheduler/learning_load.rs
+++ b/crates/scheduler/tests/scheduler/learning_load.rs
@@ -1,4 +1,4 @@
-//! A load of short urgent jobs beside deferrable work, on workers some of which take twice as
+//! A load of short urgent jobs alongside deferrable work, on workers some of which take twice as
 //! long: how many of the urgent jobs are on time.
 
 use crate::support::simulation::{Faults, Simulation};
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -146,9 +146,9 @@
     }
 }
 
-/// A lease never shortens and holds for all runs of a worker. So a run lives as long as an
-/// earlier leader has leased its worker, even if only the new leader started it. The earlier
-/// leader may have granted a long lease just before the new term or, where it was evicted,
+/// A lease never shortens and holds for all runs of a worker. So a run may be alive as
+/// long as an earlier leader has leased its worker, even if only the new leader started it. The
+/// earlier leader may have granted a long lease just before the new term or, if it was evicted,
 /// until it learned of that.
 #[rstest]
 #[case::before_the_term(Duration::ZERO)]
@@ -166,8 +166,8 @@
     );
 }
 
-/// A worker that has answered under the new fence accepts nothing from an earlier leader any
-/// more. From then on its lease is bounded by the longest lease, however long an evicted leader
+/// A worker that has answered under the new fence no longer accepts anything from an earlier
+/// leader. From then on its lease is bounded by the longest lease, however long an evicted leader
 /// may act.
 #[test]
 fn release_expired_runs_worker_that_answered_early() {
@@ -199,8 +199,8 @@
     (live, lost)
 }
 
-/// A worker that crashed stays listed for a while, beside the machine's next incarnation. Where
-/// a new leader's first list holds both, their order says nothing about which is the later one.
+/// A worker that crashed stays listed for a while, alongside the machine's next incarnation. If a
+/// new leader's first list holds both, their order says nothing about which is the later one.
 #[rstest]
 fn add_worker_two_incarnations_in_first_list(#[values(true, false)] is_live_first: bool) {
     let (live, lost) = incarnations(is_live_first);
@@ -403,7 +403,7 @@
     assert_eq!(harness.starts(), vec![]);
 }
 
-/// Where the listed incarnation is the later one, the worker is polled at once, and the answer
+/// If the listed incarnation is the later one, the worker is polled at once, and the answer
 /// at its address confirms it.
 #[test]
 fn list_workers_entry_of_later_incarnation() {
--- a/crates/scheduler/tests/scheduler/packing_load.rs
+++ b/crates/scheduler/tests/scheduler/packing_load.rs
@@ -1,4 +1,4 @@
-//! A load of tasks that need many accelerators beside many tasks that need one: how long the
+//! A load of tasks that need many accelerators alongside many tasks that need one: how long the
 //! large tasks wait, and what that costs the small ones.
 
 use crate::support::simulation::{Faults, Simulation};
@@ -273,7 +273,7 @@
     all
 }
 
-/// Large tasks that need advice start soon beside small ones, which costs the small ones almost
+/// Large tasks that need advice start soon alongside small ones, which costs the small ones almost
 /// nothing.
 #[rstest]
 #[case::whole_workers(accelerated(0.8, 0.25, &[8]))]
@@ -291,7 +291,7 @@
     assert!(lost <= SMALL_LOST_LIMIT, "small: {lost:.3} of their share");
 }
 
-/// Where all workers are alike and have no accelerators, packing changes no decision.
+/// If all workers have the same capacity and no accelerators, packing changes no decision.
 #[rstest]
 fn place_workers_alike(#[values(false, true)] has_advice: bool) {
     let load = Load {
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -318,7 +318,7 @@
     assert!(!harness.answer_advice_requests(&["w11"]).is_empty());
 }
 
-/// A filler is evicted for a task that serves users, and none is placed beside one.
+/// A filler is evicted for a task that serves users, and none is placed alongside one.
 #[test]
 fn evict_fillers_serving_task_comes() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
--- a/crates/scheduler/tests/scheduler/retries.rs
+++ b/crates/scheduler/tests/scheduler/retries.rs
@@ -153,8 +153,8 @@
     assert_eq!(timeouts_ms, [250, 500, 1000, 1000]);
 }
 
-/// When no start is answered, as where this node or its link is overloaded, repeats must not
-/// add to the load: they are limited to a fifth of what is sent, and to a hundred at once.
+/// When no start is answered, for example because this node or its link is overloaded, repeats
+/// must not add to the load: they are limited to a fifth of what is sent, and to a hundred at once.
 #[test]
 fn repeat_start_budget_used_up() {
     const STARTS_COUNT: usize = 160;
--- a/crates/scheduler/tests/scheduler/search.rs
+++ b/crates/scheduler/tests/scheduler/search.rs
@@ -316,7 +316,7 @@
     }
 }
 
-/// Gangs with few suitable workers, beside other work that could take their capacity.
+/// Gangs with few suitable workers, alongside other work that could take their capacity.
 #[rstest]
 #[case::quiet(Faults::default())]
 #[case::everything(ALL_FAULTS)]
@@ -559,7 +559,7 @@
     }
 }
 
-/// Customers' gangs need up to all of their limit, which is lowered meanwhile, beside short
+/// Customers' gangs need up to all of their limit, which is lowered meanwhile, alongside short
 /// jobs at two services: no customer has more running than its limit allows, and every gang
 /// starts.
 #[rstest]
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -142,7 +142,7 @@
 }
 
 /// A new leader rebuilds the same accounts from the records. Only the tags start at the virtual
-/// time, and none was ahead of it by more than the limit.
+/// clock, and none was ahead of it by more than the limit.
 #[test]
 fn rebuild_shares_after_takeover() {
     let weights = [("over", 1.0), ("under", 3.0)];
--- a/crates/scheduler/tests/scheduler/support/simulation/faults.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/faults.rs
@@ -6,7 +6,7 @@
 use ospreywing_scheduler::{Event, TaskKey};
 use rand::Rng;
 
-/// How long a worker is listed after its incarnation is over, beside its machine's next one.
+/// How long a worker is listed after its incarnation is over, alongside its machine's next one.
 const LISTED_AFTER_END_MS: core::ops::Range<u64> = 500..9_000;
 /// How long a draining worker stays.
 const DRAIN_MS: core::ops::Range<u64> = 2_000..5_000;
