--- a/crates/control/src/layered.rs
+++ b/crates/control/src/layered.rs
@@ -80,8 +80,8 @@
     ) -> Result<T, E>;
 
     /// Waits before a failed call is retried.
-    async fn pause(&self, length: Duration) {
-        tokio::time::sleep(length.into()).await;
+    async fn pause(&self, duration: Duration) {
+        tokio::time::sleep(duration.into()).await;
     }
 }
 
@@ -112,8 +112,8 @@
 }
 
 impl<S: Store, L: StoreLayer> Store for LayeredStore<S, L> {
-    async fn pause(&self, length: Duration) {
-        self.layer.pause(length).await;
+    async fn pause(&self, duration: Duration) {
+        self.layer.pause(duration).await;
     }
 
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
--- a/crates/control/src/probed.rs
+++ b/crates/control/src/probed.rs
@@ -160,8 +160,8 @@
         }
     }
 
-    async fn pause(&self, length: Duration) {
+    async fn pause(&self, duration: Duration) {
         // It makes no difference which of the two ended the pause.
-        let _ = tokio::time::timeout(length.into(), self.answered()).await;
+        let _ = tokio::time::timeout(duration.into(), self.answered()).await;
     }
 }
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -196,8 +196,8 @@
 pub trait Store: Clone + 'static {
     /// Waits before a failed call is retried; returns earlier if the end of an outage is
     /// detected.
-    async fn pause(&self, length: Duration) {
-        tokio::time::sleep(length.into()).await;
+    async fn pause(&self, duration: Duration) {
+        tokio::time::sleep(duration.into()).await;
     }
 
     /// Reads an item.
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -273,11 +273,11 @@
             return;
         }
         let doublings = (worker.failures_count - AVOID_AFTER_COUNT).min(AVOID_DOUBLINGS_COUNT);
-        let length = AVOID_BASE.times(1 << doublings);
-        worker.avoided_until = now + length;
+        let duration = AVOID_BASE.times(1 << doublings);
+        worker.avoided_until = now + duration;
         let line = Decision::new(DecisionKind::WorkerAvoided, reason)
             .with_worker(&worker.facts.id)
-            .with_figure(length.as_ms());
+            .with_figure(duration.as_ms());
         out.push(Action::Log(line));
     }
 
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -60,7 +60,7 @@
 
     /// Sends the polls that are due.
     pub(crate) fn send_due_polls(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let length = self.lease_duration();
+        let lease_duration = self.lease_duration();
         let busy = self.workers.values().filter(|w| !w.runs.is_empty());
         let wait = self.poll_wait(now, busy.count());
         let interval_during_commit = self.config.poll_interval_during_commit;
@@ -82,7 +82,7 @@
                 || has_listed_end
                 || worker.unconfirmed_since.is_some();
             let until_ms = if renews_lease {
-                worker.grant_lease(now, length)
+                worker.grant_lease(now, lease_duration)
             } else {
                 None
             };
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -79,7 +79,7 @@
         task: TaskKey,
         out: &mut Vec<Action>,
     ) -> bool {
-        let length = self.lease_duration();
+        let lease_duration = self.lease_duration();
         let Some(job) = self.jobs.get(&task.step.job) else {
             return false;
         };
@@ -89,7 +89,7 @@
         if !can_receive {
             return false;
         }
-        let Some(until_ms) = worker.grant_lease(now, length) else {
+        let Some(until_ms) = worker.grant_lease(now, lease_duration) else {
             return false;
         };
         let to = worker.endpoint(key);
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -502,18 +502,18 @@
         Some(run)
     }
 
-    /// Grants a lease of `length` and returns its end on the worker's clock.
+    /// Grants a lease of `duration` and returns its end on the worker's clock.
     ///
     /// Returns `None` if the worker's clock is unknown. That clock may be slow, so the
     /// lease may last longer on this node's clock.
-    pub(crate) fn grant_lease(&mut self, now: Instant, length: Duration) -> Option<u64> {
+    pub(crate) fn grant_lease(&mut self, now: Instant, duration: Duration) -> Option<u64> {
         let clock = self.clock?;
         let age = now.since(clock.read_at);
-        let slack = clock_slack(length + age);
-        let bound = now + length + slack + LEASE_MARGIN;
+        let slack = clock_slack(duration + age);
+        let bound = now + duration + slack + LEASE_MARGIN;
         self.leased_until = self.leased_until.max(bound);
         self.lease_granted_at = now;
-        Some(clock.clock_ms + age.as_ms() + length.as_ms())
+        Some(clock.clock_ms + age.as_ms() + duration.as_ms())
     }
 }
 
@@ -524,8 +524,8 @@
 }
 
 /// Returns by how much a time span on a worker's clock may be longer on this node's clock.
-const fn clock_slack(length: Duration) -> Duration {
-    Duration::from_ms(length.as_ms() * CLOCK_SLACK_PER_MILLE / 1000)
+const fn clock_slack(duration: Duration) -> Duration {
+    Duration::from_ms(duration.as_ms() * CLOCK_SLACK_PER_MILLE / 1000)
 }
 
 fn sum_of<'a>(reservations: impl Iterator<Item = &'a CapacityReservation>) -> Resources {
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -51,8 +51,8 @@
 }
 
 /// Advances the time; returns how many starts were sent meanwhile.
-fn wait(harness: &mut Harness, length_ms: u64) -> usize {
-    let until = harness.now + Duration::from_ms(length_ms);
+fn wait(harness: &mut Harness, duration_ms: u64) -> usize {
+    let until = harness.now + Duration::from_ms(duration_ms);
     let mut started_count = 0;
     while harness.now < until {
         started_count += start_all(harness).len();
--- a/crates/scheduler/tests/scheduler/departures.rs
+++ b/crates/scheduler/tests/scheduler/departures.rs
@@ -54,15 +54,15 @@
     harness.handle(Event::WorkersChanged(vec![change]));
 }
 
-fn wait(harness: &mut Harness, length_ms: u64) {
-    for _ in 0..length_ms / 100 {
+fn wait(harness: &mut Harness, duration_ms: u64) {
+    for _ in 0..duration_ms / 100 {
         harness.now = harness.now + Duration::from_ms(100);
         harness.handle(Event::Tick);
     }
 }
 
-fn stops_after(harness: &mut Harness, length_ms: u64) -> usize {
-    wait(harness, length_ms);
+fn stops_after(harness: &mut Harness, duration_ms: u64) -> usize {
+    wait(harness, duration_ms);
     harness.stops().len()
 }
 
--- a/crates/scheduler/tests/scheduler/learning_load.rs
+++ b/crates/scheduler/tests/scheduler/learning_load.rs
@@ -83,16 +83,22 @@
         self
     }
 
-    fn submit(&mut self, (id, mut record): (JobId, JobRecord), lengths: core::ops::Range<u64>) {
+    fn submit(
+        &mut self,
+        (id, mut record): (JobId, JobRecord),
+        durations_ms: core::ops::Range<u64>,
+    ) {
         record.accepted_ms = self.simulation.now_ms;
-        self.simulation.job_run_durations_ms.insert(id, lengths);
+        self.simulation
+            .job_run_durations_ms
+            .insert(id, durations_ms);
         self.simulation.submit((id, record));
         self.next_number += 1;
     }
 
-    fn run(&mut self, length_ms: u64) {
+    fn run(&mut self, duration_ms: u64) {
         let began_ms = self.simulation.now_ms;
-        for at_ms in (0..length_ms).step_by(50) {
+        for at_ms in (0..duration_ms).step_by(50) {
             if at_ms.is_multiple_of(URGENT_PERIOD_MS) {
                 let job = urgent_job(self.next_number);
                 self.urgent.insert(job.0, self.simulation.now_ms);
--- a/crates/scheduler/tests/scheduler/packing_load.rs
+++ b/crates/scheduler/tests/scheduler/packing_load.rs
@@ -186,8 +186,8 @@
         }
     }
 
-    fn submit_for(&mut self, simulation: &mut Simulation, load: &Load, length_ms: u64) {
-        for _ in (0..length_ms).step_by(STEP_MS as usize) {
+    fn submit_for(&mut self, simulation: &mut Simulation, load: &Load, duration_ms: u64) {
+        for _ in (0..duration_ms).step_by(STEP_MS as usize) {
             for (kind, stream) in load.streams.iter().enumerate() {
                 self.submit_due(simulation, kind, stream);
             }
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -73,8 +73,8 @@
 }
 
 /// Advances the time; returns the jobs whose runs are being stopped.
-fn stopped_within(harness: &mut Harness, length_ms: u64) -> Vec<u64> {
-    let until_ms = harness.now.as_ms() + length_ms;
+fn stopped_within(harness: &mut Harness, duration_ms: u64) -> Vec<u64> {
+    let until_ms = harness.now.as_ms() + duration_ms;
     let mut stopped = Vec::new();
     while harness.now.as_ms() < until_ms {
         harness.commit_all();
@@ -101,7 +101,7 @@
 #[rstest]
 #[case::has_time(0, 600)]
 #[case::has_half(2, OBJECTIVE_MS)]
-fn preempt_not_needed(#[case] running_count: u32, #[case] length_ms: u64) {
+fn preempt_not_needed(#[case] running_count: u32, #[case] duration_ms: u64) {
     let mut harness = harness_with(Features::default(), &EQUAL);
     if running_count > 0 {
         submit(&mut harness, "under", 9, running_count);
@@ -110,7 +110,7 @@
     submit(&mut harness, "over", 1, CAPACITY_TASKS_COUNT);
     start_all(&mut harness);
     submit(&mut harness, "under", 3, 1);
-    assert_eq!(stopped_within(&mut harness, length_ms), []);
+    assert_eq!(stopped_within(&mut harness, duration_ms), []);
 }
 
 fn id_of(harness: &Harness, worker: WorkerKey) -> Arc<str> {
--- a/crates/scheduler/tests/scheduler/support/harness.rs
+++ b/crates/scheduler/tests/scheduler/support/harness.rs
@@ -116,10 +116,15 @@
         self.answer_poll_after(Duration::from_ms(60), worker, ended);
     }
 
-    /// Answers a poll as [`Self::answer_poll`] does, `length` after it was sent.
-    pub fn answer_poll_after(&mut self, length: Duration, worker: WorkerKey, ended: Vec<EndedRun>) {
+    /// Answers a poll as [`Self::answer_poll`] does, `duration` after it was sent.
+    pub fn answer_poll_after(
+        &mut self,
+        duration: Duration,
+        worker: WorkerKey,
+        ended: Vec<EndedRun>,
+    ) {
         let sent_at = self.now;
-        self.now = self.now + length;
+        self.now = self.now + duration;
         self.handle(Event::HoldAnswered {
             worker,
             sent_at,
--- a/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
@@ -89,7 +89,10 @@
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
             Message::HandleEvent { term, event } => self.send_to_leader(term, event),
-            Message::Partition { worker, length_ms } => self.partition(worker, length_ms),
+            Message::Partition {
+                worker,
+                duration_ms,
+            } => self.partition(worker, duration_ms),
             Message::Heal { worker } => self.workers[worker].is_partitioned = false,
             Message::ReplaceWorker { worker } => self.replace_worker(worker),
             Message::Crash { worker, task } => self.crash_by_task(worker, task),
@@ -205,7 +208,7 @@
         // Only the incarnation that the poll names is told what to forget.
         let is_meant = to.incarnation.is_none() || to.incarnation == worker.incarnation;
         let last_seen = if is_meant {
-            worker.forgotten_end(last_seen)
+            worker.accepted_ack(last_seen)
         } else {
             0
         };
@@ -290,16 +293,16 @@
         started.or_insert(now_ms);
         let fails = self.draw_fault(self.faults.failing_run);
         let own = self.job_run_durations_ms.get(&order.task.step.job);
-        let lengths_ms = own.unwrap_or(&self.run_durations_ms).clone();
+        let durations_ms = own.unwrap_or(&self.run_durations_ms).clone();
         let spec = &self.jobs[&order.task.step.job].spec.steps[order.task.step.step as usize];
         let typical_ms = match &self.run_durations_percent {
             Some(percent) => spec.estimate_ms * self.rng.random_range(percent.clone()) / 100,
-            None => self.rng.random_range(lengths_ms),
+            None => self.rng.random_range(durations_ms),
         };
-        let length_ms = typical_ms * 1000 / self.workers[index].speed_per_mille;
+        let duration_ms = typical_ms * 1000 / self.workers[index].speed_per_mille;
         let run = FakeRun {
             run: order.run,
-            ends_at_ms: now_ms + length_ms,
+            ends_at_ms: now_ms + duration_ms,
             kind: if fails {
                 EndKind::Failed
             } else {
--- a/crates/scheduler/tests/scheduler/support/simulation/faults.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/faults.rs
@@ -56,8 +56,8 @@
             self.replace_worker(index);
         }
         if self.draw_fault(self.faults.partition) {
-            let length_ms = self.rng.random_range(500..9_000);
-            self.partition(index, length_ms);
+            let duration_ms = self.rng.random_range(500..9_000);
+            self.partition(index, duration_ms);
         }
         if self.draw_fault(self.faults.takeover) {
             self.elect();
@@ -65,8 +65,8 @@
         if self.draw_fault(self.faults.degraded_store) && !self.is_store_degraded {
             self.is_store_degraded = true;
             self.send_to_leaders(Event::StoreDegraded(true));
-            let length_ms = self.rng.random_range(STORE_DEGRADED_MS);
-            self.post(length_ms, Message::EndStoreDegradation);
+            let duration_ms = self.rng.random_range(STORE_DEGRADED_MS);
+            self.post(duration_ms, Message::EndStoreDegradation);
         }
         if self.faults.pause > 0 && self.draw_fault(self.faults.pause) {
             self.pause_leader();
@@ -91,8 +91,8 @@
         if self.draw_fault(self.faults.drain) && self.workers[index].is_alive {
             self.workers[index].is_draining = true;
             self.list_workers();
-            let length_ms = self.rng.random_range(DRAIN_MS);
-            self.post(length_ms, Message::ReplaceWorker { worker: index });
+            let duration_ms = self.rng.random_range(DRAIN_MS);
+            self.post(duration_ms, Message::ReplaceWorker { worker: index });
         }
     }
 
@@ -132,14 +132,14 @@
 
     /// Pauses the leader for a while; its clock keeps running.
     fn pause_leader(&mut self) {
-        let length_ms = self.rng.random_range(PAUSE_MS);
+        let duration_ms = self.rng.random_range(PAUSE_MS);
         let Some(leader) = self.leaders.last_mut().filter(|l| !l.is_paused) else {
             return;
         };
         leader.is_paused = true;
         let term = leader.fence;
-        self.post(length_ms, Message::ResumeLeader { term });
-        if length_ms >= LEADER_LEASE_MS {
+        self.post(duration_ms, Message::ResumeLeader { term });
+        if duration_ms >= LEADER_LEASE_MS {
             self.elect();
         }
     }
@@ -156,11 +156,11 @@
 
     fn shrink_at_random(&mut self) {
         let worker = self.rng.random_range(0..self.workers.len());
-        let length_ms = self.rng.random_range(RESIZED_MS);
+        let duration_ms = self.rng.random_range(RESIZED_MS);
         let per_mille = self.rng.random_range(0..1000);
         self.resize(worker, per_mille);
         let per_mille = 1000;
-        self.post(length_ms, Message::Resize { worker, per_mille });
+        self.post(duration_ms, Message::Resize { worker, per_mille });
     }
 
     pub(super) fn end_store_degradation(&mut self) {
@@ -169,18 +169,24 @@
             self.elect();
             if self.faults.partition > 0 {
                 let worker = self.rng.random_range(0..self.workers.len());
-                let length_ms = self.rng.random_range(EARLY_PARTITION_MS);
+                let duration_ms = self.rng.random_range(EARLY_PARTITION_MS);
                 let after_ms = self.rng.random_range(EARLY_PARTITION_AFTER_MS);
-                self.post(after_ms, Message::Partition { worker, length_ms });
+                self.post(
+                    after_ms,
+                    Message::Partition {
+                        worker,
+                        duration_ms,
+                    },
+                );
             }
         }
         self.send_to_leaders(Event::StoreDegraded(false));
     }
 
     /// Partitions a worker from the leaders for a while.
-    pub(super) fn partition(&mut self, index: usize, length_ms: u64) {
+    pub(super) fn partition(&mut self, index: usize, duration_ms: u64) {
         self.workers[index].is_partitioned = true;
-        self.post(length_ms, Message::Heal { worker: index });
+        self.post(duration_ms, Message::Heal { worker: index });
     }
 
     /// Ends a worker's incarnation and starts its machine's next one under a new id.
--- a/crates/scheduler/tests/scheduler/support/simulation/mod.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/mod.rs
@@ -102,7 +102,7 @@
     },
     Partition {
         worker: usize,
-        length_ms: u64,
+        duration_ms: u64,
     },
     Heal {
         worker: usize,
@@ -564,9 +564,9 @@
         }
     }
 
-    /// Advances the clock by `length_ms`, delivering messages and ticking.
-    pub fn run_for(&mut self, length_ms: u64) {
-        let until_ms = self.now_ms + length_ms;
+    /// Advances the clock by `duration_ms`, delivering messages and ticking.
+    pub fn run_for(&mut self, duration_ms: u64) {
+        let until_ms = self.now_ms + duration_ms;
         while self.now_ms < until_ms {
             let next_tick_ms = (self.now_ms / TICK_PERIOD_MS + 1) * TICK_PERIOD_MS;
             let due = self.messages.keys().next().copied();
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -163,7 +163,7 @@
     }
 
     /// Returns the highest end that an acknowledgement of `last_seen` has it forget.
-    pub fn forgotten_end(&self, last_seen: u64) -> u64 {
+    pub fn accepted_ack(&self, last_seen: u64) -> u64 {
         let is_foreign = last_seen >= self.next_end;
         if is_foreign && self.ignores_foreign_acks {
             0
@@ -278,7 +278,7 @@
         if let Some(until_ms) = until_ms {
             self.lease(now_ms, until_ms, limit_ms);
         }
-        let last_seen = self.forgotten_end(last_seen);
+        let last_seen = self.accepted_ack(last_seen);
         self.ended.retain(|end| end.number > last_seen);
         self.ended_at_ms.retain(|number, _| *number > last_seen);
         let running = self.runs.iter().map(|(task, run)| RunningRun {
--- a/crates/scheduler/tests/scheduler/wait_reasons.rs
+++ b/crates/scheduler/tests/scheduler/wait_reasons.rs
@@ -21,8 +21,8 @@
 }
 
 /// Advances the time without any answer; returns the logged decisions on waits.
-fn logged_waits_during(harness: &mut Harness, length: Duration) -> Vec<Decision> {
-    let until = harness.now + length;
+fn logged_waits_during(harness: &mut Harness, duration: Duration) -> Vec<Decision> {
+    let until = harness.now + duration;
     let mut lines = Vec::new();
     while harness.now < until {
         harness.now = harness.now + CYCLE;
