--- a/crates/scheduler/benches/leader.rs
+++ b/crates/scheduler/benches/leader.rs
@@ -1,7 +1,7 @@
 //! Measures the cost of a leader's decisions per run, without I/O.
 //!
 //! The scheduler is driven by workers, a store and an adviser that answer at set times. The
-//! benchmark measures the processor time of the scheduler's code (the least of three
+//! benchmark measures the CPU time of the scheduler's code (the least of three
 //! repetitions), its allocations and the bytes of its commits. Run it with `cargo bench -p
 //! ospreywing-scheduler`; the results are published in docs/design/scale.md.
 
@@ -286,7 +286,7 @@
     }
 }
 
-/// Returns the processor time of this thread, which does not depend on other load.
+/// Returns the CPU time of this thread, which does not depend on other load.
 fn processor_time_ns() -> u64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
--- a/crates/scheduler/src/advice_requests.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -30,8 +30,8 @@
 /// The capacity of the queried workers, as a multiple of the capacity needed.
 const QUERIED_CAPACITY_FACTOR: f64 = 1.5;
 /// How many workers are examined for packing a small task: the fullest ones with enough free
-/// processors. Examining more would take too long with thousands of workers. The others follow,
-/// most free processors first.
+/// cores. Examining more would take too long with thousands of workers. The others follow,
+/// most free cores first.
 const PACKED_EXAMINED_COUNT: usize = 200;
 /// The share of workers assumed to be suitable before any reply.
 const INITIAL_SUITABLE_SHARE: f64 = 0.5;
@@ -396,12 +396,12 @@
     }
 }
 
-/// Returns whether the cycle has unreserved processors for at least one task.
+/// Returns whether the cycle has unreserved cores for at least one task.
 pub(crate) fn has_unreserved_capacity(cycle: &SchedulingCycle, pending: &PendingStep) -> bool {
     cycle.unreserved_milli(&pending.service) >= i64::from(pending.demand.cores_milli)
 }
 
-/// Subtracts the demand of a step's tasks from the cycle's unreserved processors.
+/// Subtracts the demand of a step's tasks from the cycle's unreserved cores.
 pub(crate) fn reserve_in_cycle(
     cycle: &mut SchedulingCycle,
     pending: &PendingStep,
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -134,14 +134,14 @@
 }
 
 /// Returns the cost of placing a task of the step on a worker. Without packing data, the cost is
-/// the number of free processors.
+/// the number of free cores.
 fn packing_cost(
     pending: &PendingStep,
     packing: Option<&Packing>,
     candidate: &Candidate,
 ) -> PackingCost {
     let free_milli = candidate.free.cores_milli;
-    // Fillers go where most processors are free; other tasks preserve large free blocks.
+    // Fillers go where most cores are free; other tasks preserve large free blocks.
     if RunRole::of(pending.spec()) == RunRole::Filler {
         return PackingCost::of_leftover(u32::MAX - free_milli);
     }
--- a/crates/scheduler/src/customers.rs
+++ b/crates/scheduler/src/customers.rs
@@ -75,7 +75,7 @@
     pub(crate) customer: Option<CustomerKey>,
     /// The service of whose capacity it uses a share; `None` if the job isn't known.
     pub(crate) service: Option<ServiceKey>,
-    /// The amount. It includes the processors of fillers, which don't count against their
+    /// The amount. It includes the cores of fillers, which don't count against their
     /// worker's capacity.
     pub(crate) amount: Resources,
 }
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 struct FreeWorker {
     worker: WorkerKey,
-    /// Its free processors, in thousandths of a core.
+    /// Its free cores, in thousandths of a core.
     free_milli: u32,
 }
 
@@ -36,7 +36,7 @@
     capacity: ResourceTotals,
     free: ResourceTotals,
     used: ResourceTotals,
-    /// Packing data, or `None` if processors alone decide.
+    /// Packing data, or `None` if cores alone decide.
     packing: Option<Packing>,
 }
 
@@ -54,7 +54,7 @@
         self.used.add(&worker.used, 1);
     }
 
-    /// Returns whether at least half of the processors and half of the accelerators are in use.
+    /// Returns whether at least half of the cores and half of the accelerators are in use.
     /// Below that, work that fits is started at once.
     fn is_half_used(&self) -> bool {
         let [free_milli, _, free_accelerators] = self.free.parts();
@@ -93,7 +93,7 @@
 pub(crate) struct SchedulingCycle {
     /// Workers grouped by service. There are few services, so lookups scan the list.
     pools: Vec<Pool>,
-    /// Workers that can accept runs, sorted by descending free processors at the start of the
+    /// Workers that can accept runs, sorted by descending free cores at the start of the
     /// cycle.
     by_free_cores: Vec<FreeWorker>,
     /// Capacity reserved on workers for waiting steps. Steps examined later in the cycle are less
@@ -107,7 +107,7 @@
     enforced_reservations: BTreeSet<CustomerKey>,
     /// Steps of single tasks that wait for workers, counted so far.
     pub(crate) waiting_steps_count: usize,
-    /// Total and free processors of all workers that can accept runs, in thousandths of a core.
+    /// Total and free cores of all workers that can accept runs, in thousandths of a core.
     pub(crate) capacity_milli: u64,
     pub(crate) free_milli: u64,
     /// Gangs that wait for capacity, counted so far.
@@ -117,12 +117,12 @@
 }
 
 impl SchedulingCycle {
-    /// Returns the workers that can accept runs, most free processors first.
+    /// Returns the workers that can accept runs, most free cores first.
     pub(crate) fn workers(&self) -> impl Iterator<Item = WorkerKey> + '_ {
         self.by_free_cores.iter().map(|free| free.worker)
     }
 
-    /// Returns the workers that had enough free processors for a demand when the cycle began. Free
+    /// Returns the workers that had enough free cores for a demand when the cycle began. Free
     /// capacity only shrinks during a cycle.
     pub(crate) fn workers_for(&self, demand: &Resources) -> impl Iterator<Item = WorkerKey> + '_ {
         self.freest_for(demand, 0)
@@ -139,7 +139,7 @@
         workers[..remaining_count].iter().map(|free| free.worker)
     }
 
-    /// Returns the workers that had enough free processors for a demand, fullest first.
+    /// Returns the workers that had enough free cores for a demand, fullest first.
     pub(crate) fn fullest_for(&self, demand: &Resources) -> impl Iterator<Item = WorkerKey> + '_ {
         let workers = self.workers_with_cores(demand).iter().rev();
         workers.map(|free| free.worker)
@@ -206,7 +206,7 @@
         pool.map_or(Resources::ZERO, |pool| pool.largest)
     }
 
-    /// Returns packing data of a service, or `None` if processors alone decide.
+    /// Returns packing data of a service, or `None` if cores alone decide.
     pub(crate) fn packing(&self, service: &Arc<str>) -> Option<&Packing> {
         self.pool(service).and_then(|pool| pool.packing.as_ref())
     }
@@ -218,7 +218,7 @@
         pool.is_some_and(|pool| pool.packing.is_some() && pool.is_half_used())
     }
 
-    /// Returns a service's processors that are free and not yet reserved in this cycle, in
+    /// Returns a service's cores that are free and not yet reserved in this cycle, in
     /// thousandths of a core.
     pub(crate) fn unreserved_milli(&self, service: &Arc<str>) -> i64 {
         self.pool(service).map_or(0, |pool| pool.unreserved_milli)
@@ -236,7 +236,7 @@
             .map_or(ResourceTotals::default(), |pool| pool.free)
     }
 
-    /// Subtracts processors from those that are free and not yet reserved.
+    /// Subtracts cores from those that are free and not yet reserved.
     pub(crate) fn subtract_unreserved(&mut self, service: &Arc<str>, reserved_milli: i64) {
         let mut pools = self.pools.iter_mut();
         if let Some(pool) = pools.find(|pool| pool.service == *service) {
--- a/crates/scheduler/src/deadline_selection.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -13,7 +13,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The kinds of resources: processors, memory, accelerators.
+/// The kinds of resources: cores, memory, accelerators.
 const RESOURCE_KINDS_COUNT: usize = 3;
 /// Percentage of a service's capacity that work can use: free capacity is fragmented, and not
 /// every task fits the fragments.
@@ -21,7 +21,7 @@
 /// Load at which a service becomes overloaded, in percent of the usable capacity.
 pub const ENTER_LOAD_PERCENT: u64 = 100;
 /// Load below which a service is no longer overloaded, in percent. Lower than
-/// [`ENTER_LOAD_PERCENT`], so that the order of service doesn't flap.
+/// [`ENTER_LOAD_PERCENT`], so that the scheduling order doesn't flap.
 pub const LEAVE_LOAD_PERCENT: u64 = 70;
 /// Upper bound of a reported load.
 const MAX_LOAD_PERCENT: f64 = 1000.0;
@@ -93,7 +93,7 @@
     }
 
     /// Returns the time until every component is reached, starting with `available` and adding
-    /// `usage` per millisecond.
+    /// `growth` per millisecond.
     fn time_to_reach(self, available: Self, growth: Self) -> f64 {
         let parts = self.0.into_iter().zip(available.0).zip(growth.0);
         let times = parts.map(|((part, available), growth)| match part - available {
--- a/crates/scheduler/src/expected_capacity.rs
+++ b/crates/scheduler/src/expected_capacity.rs
@@ -37,7 +37,7 @@
 /// capacity needed, as for gangs.
 const SUITABLE_CAPACITY_FACTOR: u32 = 2;
 /// How many workers beyond one per task are examined for a step without advice, most free
-/// processors first. Estimating the ends of all runs on thousands of workers would take longer than
+/// cores first. Estimating the ends of all runs on thousands of workers would take longer than
 /// a cycle.
 const EXTRA_WORKERS_COUNT: usize = 64;
 
--- a/crates/scheduler/src/fragmentation.rs
+++ b/crates/scheduler/src/fragmentation.rs
@@ -17,7 +17,7 @@
     /// How many tasks of that shape fit.
     pub fit_count: u64,
     /// The percentage of the free capacity that tasks of the largest recent shape can use, measured
-    /// in accelerators if the shape needs them, otherwise in processors.
+    /// in accelerators if the shape needs them, otherwise in cores.
     pub usable_percent: u32,
 }
 
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -270,7 +270,7 @@
         found
     }
 
-    /// Returns the workers whose suitability for the step is unknown, most free processors first.
+    /// Returns the workers whose suitability for the step is unknown, most free cores first.
     pub(crate) fn unknown_workers(
         &self,
         pending: &PendingStep,
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -36,7 +36,7 @@
 }
 
 impl Scheduler {
-    /// Sets headroom for the largest tasks on the workers with most free processors, in each
+    /// Sets headroom for the largest tasks on the workers with most free cores, in each
     /// service that is at least half used.
     pub(crate) fn reserve_headroom(&self, cycle: &mut SchedulingCycle) {
         let mut wanted = cycle.wanted_headroom();
--- a/crates/scheduler/src/packing.rs
+++ b/crates/scheduler/src/packing.rs
@@ -1,6 +1,6 @@
 //! Packing: ranks workers by how little capacity for other tasks is lost by placing a task there.
 //!
-//! Workers have processors, memory and accelerators, and a task leaves some of each. What is left
+//! Workers have cores, memory and accelerators, and a task leaves some of each. What is left
 //! is only useful if whole tasks fit. The best worker is therefore the one that loses capacity for
 //! the fewest larger tasks; of equal ones, the one with the least left of the scarce resources. The
 //! functions here depend only on their arguments.
@@ -73,7 +73,7 @@
 /// The cost of placing a task on a worker. Lower is better.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PackingCost {
-    /// Whether the task uses processors that free accelerators need.
+    /// Whether the task uses cores that free accelerators need.
     strands_accelerators: bool,
     /// The capacity lost for larger tasks, weighted by how often they arrive.
     lost_capacity: u64,
@@ -162,7 +162,7 @@
     }
 
     /// Returns the cost of a task on a worker with enough free capacity. Without accelerators, only
-    /// processors count.
+    /// cores count.
     pub(crate) fn cost(&self, free: &Resources, demand: &Resources) -> PackingCost {
         if !self.scarcity.has_accelerators() {
             return PackingCost::of_leftover(free.cores_milli);
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -21,7 +21,7 @@
 
 /// A step with more slack than this leaves free capacity to waiting gangs.
 const YIELD_SLACK: Duration = Duration::from_ms(4000);
-/// Steps yield to gangs only while less than 1/`YIELD_FREE_DIVISOR` of the processors is free. The
+/// Steps yield to gangs only while less than 1/`YIELD_FREE_DIVISOR` of the cores is free. The
 /// platform requires that work which fits twice over starts within 3 s while more than half is
 /// free, so deferrable work must not wait then. Free capacity in total need not fit a gang whose
 /// members each take a third of a worker: with a third instead of half, wide gangs achieved 0.44 of
@@ -29,7 +29,7 @@
 /// loads).
 const YIELD_FREE_DIVISOR: u64 = 2;
 
-/// Returns the capacity that a task occupies on its worker. Fillers occupy no processors.
+/// Returns the capacity that a task occupies on its worker. Fillers occupy no cores.
 pub(crate) fn counted_demand(spec: &StepSpec) -> Resources {
     let mut demand = spec.demand;
     if spec.is_filler {
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -56,7 +56,7 @@
     target: usize,
     stopped_count: usize,
     members_count: u32,
-    /// The processors of the further runs to be stopped, per member gained.
+    /// The cores of the further runs to be stopped, per member gained.
     cost_milli: u32,
 }
 
--- a/crates/scheduler/src/resource_totals.rs
+++ b/crates/scheduler/src/resource_totals.rs
@@ -15,7 +15,7 @@
 }
 
 impl ResourceTotals {
-    /// Returns the processors, the memory and the accelerators.
+    /// Returns the cores, the memory and the accelerators.
     pub(crate) const fn parts(&self) -> [u64; 3] {
         [self.cores_milli, self.memory_mib, self.accelerators_count]
     }
--- a/crates/scheduler/src/scheduling_order.rs
+++ b/crates/scheduler/src/scheduling_order.rs
@@ -231,7 +231,7 @@
     worth_until - Duration::from_ms(job.remaining_ms)
 }
 
-/// Returns the binary logarithm of the processors that a job's largest gang needs, in thousandths
+/// Returns the binary logarithm of the cores that a job's largest gang needs, in thousandths
 /// of a core. Returns 0 for jobs without gangs, since single tasks are placed one by one.
 ///
 /// Of equally urgent gangs the smaller goes first; of gangs of similar size, the one that must
--- a/crates/scheduler/src/share_accounts.rs
+++ b/crates/scheduler/src/share_accounts.rs
@@ -35,8 +35,8 @@
 /// The owner of an account: a customer, or `None` for the jobs of all open queues.
 pub(crate) type AccountOwner = Option<CustomerKey>;
 
-/// A virtual time in microseconds, which advances in real time for a customer that uses
-/// exactly its share.
+/// A time on a virtual clock, in microseconds. A customer's tag is one too: it advances in
+/// real time if the customer uses exactly its share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct VirtualTime {
     us: u64,
--- a/crates/scheduler/src/shares.rs
+++ b/crates/scheduler/src/shares.rs
@@ -88,7 +88,7 @@
     pub share_per_mille: u64,
     /// The number of its open jobs.
     pub open_jobs_count: usize,
-    /// The service's virtual time.
+    /// The time on the service's virtual clock.
     pub virtual_time: Duration,
     /// Whether the service was short of capacity.
     pub is_short: bool,
--- a/crates/scheduler/tests/scheduler/customers_load.rs
+++ b/crates/scheduler/tests/scheduler/customers_load.rs
@@ -24,8 +24,8 @@
 /// The longest that a job of a customer under its share waits while a customer over its own
 /// share gets capacity: until a run of the longest duration ends, and its successor is placed.
 const WAIT_LIMIT_MS: u64 = 2_000;
-/// How far a customer within its rate and share may be ahead of the virtual time: less than
-/// what delays its work.
+/// How far a customer within its rate and share may be ahead of the virtual clock: less
+/// than what delays its work.
 const LAG_LIMIT_MS: u64 = 1_000;
 /// The percentage of the jobs done without fair shares that must be done with them.
 const DONE_PERCENT: usize = 97;
@@ -146,7 +146,7 @@
     done_count: usize,
     /// The longest that a job of the others waited for its first start.
     longest_wait_ms: u64,
-    /// The furthest that one of the others was ahead of the virtual time.
+    /// The furthest that one of the others was ahead of the virtual clock.
     largest_lag_ms: u64,
 }
 
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -17,7 +17,7 @@
 const QUEUE: &str = "render";
 /// The standard deviation of the logarithm of a queue's task durations.
 const DURATION_LOG_STD_DEV: f64 = 0.5;
-/// The factor by which an estimate is wrong at most.
+/// The maximum factor by which an estimate is wrong.
 const ESTIMATE_ERROR_FACTOR: f64 = 2.5;
 const TYPICAL_MS: f64 = 1_500.0;
 const SEED: u64 = 20;
@@ -324,7 +324,7 @@
     assert_eq!(second, expected(Duration::from_s(10)));
 }
 
-/// Only a part of a service's machines is ejected at a time, and none where all become slow.
+/// Only a part of a service's machines is ejected at a time, and none if all become slow.
 #[test]
 fn speeds_eject_limited() {
     let mut rng = Pcg64::seed_from_u64(SEED);
@@ -350,7 +350,7 @@
     assert_eq!(others.eject_slow(at(2), &machines), vec![], "all are slow");
 }
 
-/// What distinguishes a run from one that the durations are learned from.
+/// The ways in which a run differs from those from which durations are learned.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunKind {
     is_failed: bool,
@@ -465,7 +465,7 @@
     assert_eq!(stopped_count(without), 4);
 }
 
-/// Returns a harness whose scheduler was handed over what an earlier one learned.
+/// Returns a harness whose scheduler has restored what an earlier one learned.
 fn scheduler_with(learned: &Learned) -> Harness {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.scheduler.restore_learned(harness.now, learned);
--- a/crates/scheduler/tests/scheduler/packing.rs
+++ b/crates/scheduler/tests/scheduler/packing.rs
@@ -1,4 +1,4 @@
-//! On which workers tasks are placed that need more than cores and memory.
+//! Placement of tasks that need more than cores and memory.
 
 use crate::support::harness::Harness;
 use crate::support::step;
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -14,7 +14,7 @@
 /// The workers hold two tasks of [`step`] each.
 const WORKERS_COUNT: usize = 4;
 const CAPACITY_TASKS_COUNT: u32 = 8;
-/// How far a customer's tag may be ahead of its service's virtual time.
+/// How far a customer's tag may be ahead of its service's virtual clock.
 const LAG_LIMIT: Duration = Duration::from_ms(2_000);
 /// The objective of [`step`]: twice its estimate of a second, and one second.
 const OBJECTIVE_MS: u64 = 3_000;
@@ -242,7 +242,7 @@
     assert_eq!(view.lag, Duration::ZERO);
 }
 
-/// The virtual time of a service never decreases.
+/// The virtual clock of a service never goes back.
 #[test]
 fn virtual_time_never_decreases() {
     let mut harness = overcommitted(Features::default());
--- a/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
+++ b/crates/scheduler/tests/scheduler/support/simulation/delivery.rs
@@ -63,7 +63,7 @@
         );
     }
 
-    /// Returns for how long a relay holds a start.
+    /// Returns how long a relay delays a start.
     fn relay_hold_ms(&mut self) -> u64 {
         if self.faults.held_order > 0 && self.draw_fault(self.faults.held_order) {
             self.rng.random_range(0..RELAY_HOLD_LIMIT_MS)
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Draws for how long an order is in flight, in milliseconds.
+    /// Returns a random time for which an order is in flight, in milliseconds.
     pub(super) fn delay(&mut self, is_late: bool) -> u64 {
         if is_late {
             self.rng.random_range(2_000..12_000)
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A commit of a leader that has been succeeded has no effect.
+    /// A commit of a leader that has been replaced has no effect.
     fn deliver_commit(&mut self, term: u64, lane: u32, changes: Vec<Change>) {
         if self.leaders.last().map(|leader| leader.fence) != Some(term) {
             if let Some(leader) = self.leaders.iter_mut().find(|l| l.fence == term) {
@@ -205,7 +205,7 @@
         self.workers[index].advance(now_ms);
         self.record_done();
         let worker = &mut self.workers[index];
-        // Only the incarnation that the poll names is told what to forget.
+        // Only the incarnation that the poll names gets the acknowledgement.
         let is_meant = to.incarnation.is_none() || to.incarnation == worker.incarnation;
         let last_seen = if is_meant {
             worker.accepted_ack(last_seen)
--- a/crates/scheduler/tests/scheduler/support/worker.rs
+++ b/crates/scheduler/tests/scheduler/support/worker.rs
@@ -1,4 +1,5 @@
-//! A fake worker, with a fence, tombstones, a lease on its own clock and a list of ends.
+//! A fake worker, with a fence, a lease on its own clock, a list of ends, and tombstones: the
+//! highest run of each task that has ended or was stopped, so that late starts are refused.
 
 use ospreywing_scheduler::{
     EndKind, EndedRun, HoldReply, Incarnation, RefusedStart, RunningRun, StartOrder, StartReply,
@@ -162,7 +163,7 @@
         Arc::from(format!("ticket for {:?}", self.incarnation))
     }
 
-    /// Returns the highest end that an acknowledgement of `last_seen` has it forget.
+    /// Returns the number up to which an acknowledgement of `last_seen` makes it discard ends.
     pub fn accepted_ack(&self, last_seen: u64) -> u64 {
         let is_foreign = last_seen >= self.next_end;
         if is_foreign && self.ignores_foreign_acks {
