--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -130,5 +130,5 @@
 
 /// Logs a stored item that can't be parsed.
 pub fn log_unreadable_item(log: &Logger, key: &str, error: &str) {
-    warn!(log, "stored item can't be read"; "key" => key, "error" => error);
+    warn!(log, "stored item can't be parsed"; "key" => key, "error" => error);
 }
--- a/crates/control/tests/control/admission.rs
+++ b/crates/control/tests/control/admission.rs
@@ -107,8 +107,8 @@
 #[test]
 fn peer_reply_forecast_round_trip() {
     let reply = PeerReply::TakenInOverload(forecast());
-    let bytes = postcard::to_allocvec(&reply).expect("a form");
-    let read: PeerReply = postcard::from_bytes(&bytes).expect("the same");
+    let bytes = postcard::to_allocvec(&reply).expect("the reply can be encoded");
+    let read: PeerReply = postcard::from_bytes(&bytes).expect("the reply can be decoded");
     assert_eq!(read, reply);
 }
 
--- a/crates/control/tests/control/campaign.rs
+++ b/crates/control/tests/control/campaign.rs
@@ -158,11 +158,15 @@
     assert_eq!(chosen("n", "a", &["x"]).as_deref(), Some("y"));
     assert!(
         chosen("n", "b", &["z"]).is_some(),
-        "one of another data centre"
+        "a candidate in another data centre"
     );
     assert!(chosen("n", "c", &[]).is_some());
     assert_eq!(chosen("n", "a", &["x", "y", "z"]), None);
-    assert_eq!(chosen("x", "a", &[]), None, "a candidate asks the store");
+    assert_eq!(
+        chosen("x", "a", &[]),
+        None,
+        "a candidate reads the store itself"
+    );
 }
 
 /// In a large cell the campaigns of nodes that are not candidates are spread over time.
--- a/crates/control/tests/control/cordons.rs
+++ b/crates/control/tests/control/cordons.rs
@@ -48,5 +48,5 @@
     assert!(names(&list).is_empty());
     let (key, read) = bad("a");
     assert!(list.write(key, read).is_err());
-    assert!(names(&list).is_empty(), "nothing stood there");
+    assert!(names(&list).is_empty(), "no earlier cordon remains");
 }
--- a/crates/control/tests/control/follow.rs
+++ b/crates/control/tests/control/follow.rs
@@ -118,7 +118,7 @@
         put(&store, "p/0").await;
         store.fail_watches(2);
         let snapshots = follow_keys(store, &["p/1", "p/2"], 99).await;
-        assert_eq!(snapshots, 1, "the watch goes on from where it was");
+        assert_eq!(snapshots, 1, "the watch continues from its last revision");
     });
 }
 
@@ -149,7 +149,7 @@
         let following = follow_keys(store.clone(), &["p/1"], 99);
         let limit = std::time::Duration::from_secs(4);
         let followed = tokio::time::timeout(limit, following).await;
-        assert!(followed.is_ok(), "p/1 was passed over");
+        assert!(followed.is_ok(), "p/1 was skipped");
     });
 }
 
@@ -164,6 +164,6 @@
         let following = follow_keys(store.clone(), &["p/1"], 99);
         let limit = std::time::Duration::from_secs(4);
         let followed = tokio::time::timeout(limit, following).await;
-        assert!(followed.is_ok(), "p/1 is there, and was never read");
+        assert!(followed.is_ok(), "p/1 exists, but was never read");
     });
 }
--- a/crates/control/tests/control/handover.rs
+++ b/crates/control/tests/control/handover.rs
@@ -40,7 +40,7 @@
 #[test]
 fn decode_learned() {
     let request = PeerRequest::Learned(learned(20));
-    let body = postcard::to_allocvec(&request).expect("a form");
+    let body = postcard::to_allocvec(&request).expect("the request can be encoded");
     assert_eq!(peer::decode(&body), Some(request));
     assert_eq!(peer::decode(&body[..body.len() - 1]), None);
 }
--- a/crates/control/tests/control/relays.rs
+++ b/crates/control/tests/control/relays.rs
@@ -82,9 +82,10 @@
         cores_milli: 250,
         data_centre: "a".to_owned(),
     };
-    let bytes = postcard::to_allocvec(&record).expect("a stored form");
+    let bytes = postcard::to_allocvec(&record).expect("the record can be encoded");
     assert_eq!(NodeRecord::from_bytes(&bytes), Ok(record.clone()));
-    let earlier = postcard::to_allocvec(&("10.0.0.1:7000", 250u32)).expect("a stored form");
+    let earlier =
+        postcard::to_allocvec(&("10.0.0.1:7000", 250u32)).expect("the record can be encoded");
     let expected = NodeRecord {
         data_centre: String::new(),
         ..record
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -180,7 +180,7 @@
     harness.submit(2, vec![small(4)]);
     assert!(
         drain_requests(&mut harness).is_empty(),
-        "no free capacity is left to ask about"
+        "no free capacity is left to query"
     );
     harness.now = harness.now + Duration::from_ms(20);
     harness.cancel(1);
--- a/crates/scheduler/tests/scheduler/customers_load.rs
+++ b/crates/scheduler/tests/scheduler/customers_load.rs
@@ -239,7 +239,7 @@
         let before = run_load(seed, &baseline);
         let beside = run_load(seed, load);
         println!(
-            "seed {seed}: {:.3} without a burst, {:.3} beside it; waits of {} ms, a lag of {} ms",
+            "seed {seed}: {:.3} without a burst, {:.3} with one; waits of {} ms, a lag of {} ms",
             before.others_share, beside.others_share, beside.longest_wait_ms, beside.largest_lag_ms
         );
         lost += (before.others_share - beside.others_share) / seeds_count as f64;
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -229,8 +229,16 @@
     harness.commit_all();
     harness.answer_poll_running(live, task);
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "{task} runs on the live one");
-    assert_eq!(harness.stops(), vec![], "{task} runs on the live one");
+    assert_eq!(
+        harness.starts(),
+        vec![],
+        "{task} runs on the live incarnation"
+    );
+    assert_eq!(
+        harness.stops(),
+        vec![],
+        "{task} runs on the live incarnation"
+    );
     harness.answer_poll(live, vec![end(1, task, 1, EndKind::Done)]);
     harness.commit_all();
     let view = harness.scheduler.job(id).expect("a known job");
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -343,7 +343,7 @@
     harness.answer_poll(first.0, vec![end(1, first.1, first.2, EndKind::Stopped)]);
     harness.submit(3, vec![filler]);
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "no filler is placed beside it");
+    assert_eq!(harness.starts(), vec![], "no filler is placed alongside it");
 }
 
 /// A gang whose suitable workers other gangs had taken once waited 2.5 s before it queried
--- a/crates/scheduler/tests/scheduler/scale.rs
+++ b/crates/scheduler/tests/scheduler/scale.rs
@@ -69,10 +69,10 @@
     harness.handle(Event::Tick);
     let ended = vec![end(1, first.1, first.2, EndKind::Done)];
     harness.answer_poll_after(Duration::from_ms(15), first.0, ended);
-    assert_eq!(placed_count(&harness), 1, "15 ms after a pass");
+    assert_eq!(placed_count(&harness), 1, "15 ms after a cycle");
     harness.now = harness.now + Duration::from_ms(20);
     harness.handle(Event::Tick);
-    assert_eq!(placed_count(&harness), 2, "35 ms after a pass");
+    assert_eq!(placed_count(&harness), 2, "35 ms after a cycle");
 }
 
 /// Returns how many changes each commit sent so far contains.
