--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -106,7 +106,7 @@
 
 /// Returns a job's worth: 1 on time, a fifth if late, and nothing after three times its
 /// objective.
-fn worth_of(took_ms: u64, limit_ms: u64) -> f64 {
+fn value_of(took_ms: u64, limit_ms: u64) -> f64 {
     match took_ms {
         took_ms if took_ms <= limit_ms => 1.0,
         took_ms if took_ms <= 3 * limit_ms => 0.2,
@@ -120,9 +120,9 @@
     jobs_count: usize,
     on_time_count: usize,
     /// Jobs done within three times their objective.
-    with_worth_count: usize,
+    with_value_count: usize,
     /// The sum of the jobs' worth.
-    worth: f64,
+    value: f64,
     longest_ms: u64,
 }
 
@@ -177,8 +177,8 @@
             let took_ms = simulation.done_ms[&id] - since_ms;
             outcome.jobs_count += 1;
             outcome.on_time_count += usize::from(took_ms <= limit_ms);
-            outcome.with_worth_count += usize::from(took_ms <= 3 * limit_ms);
-            outcome.worth += worth_of(took_ms, limit_ms);
+            outcome.with_value_count += usize::from(took_ms <= 3 * limit_ms);
+            outcome.value += value_of(took_ms, limit_ms);
             outcome.longest_ms = outcome.longest_ms.max(took_ms);
         }
         outcome
@@ -218,8 +218,8 @@
             let outcome = self.run(seed);
             sum.jobs_count += outcome.jobs_count;
             sum.on_time_count += outcome.on_time_count;
-            sum.with_worth_count += outcome.with_worth_count;
-            sum.worth += outcome.worth;
+            sum.with_value_count += outcome.with_value_count;
+            sum.value += outcome.value;
             sum.longest_ms = sum.longest_ms.max(outcome.longest_ms);
         }
         sum
@@ -240,7 +240,7 @@
 fn place_in_burst_more_on_time(#[values(150, 200, 300)] burst_percent: u64) {
     let (before, after) = compare(|features| Scenario::new(features, burst_percent));
     assert!(after.on_time_count > before.on_time_count);
-    assert!(after.worth >= before.worth);
+    assert!(after.value >= before.value);
 }
 
 /// With estimates that are wrong by a factor of up to 2.5 the total worth is no less than
@@ -253,7 +253,7 @@
     let scenario =
         |features| Scenario::new(features, 200).with_durations(durations_percent.clone());
     let (before, after) = compare(scenario);
-    assert!(after.worth >= before.worth);
+    assert!(after.value >= before.value);
 }
 
 /// A leader that takes over in the middle of the burst orders the work as well as its
@@ -262,7 +262,7 @@
 fn place_in_burst_takeover() {
     let (before, after) = compare(|features| Scenario::new(features, 200).with_takeover());
     assert!(after.on_time_count >= before.on_time_count);
-    assert!(after.worth >= before.worth);
+    assert!(after.value >= before.value);
 }
 
 /// Without a burst the feature changes nothing.
