--- a/crates/control/src/cell_view.rs
+++ b/crates/control/src/cell_view.rs
@@ -16,7 +16,7 @@
 pub struct NodeRecord {
     /// The address for calls of other nodes.
     pub address: String,
-    /// Its processor share, in thousandths of a core.
+    /// Its CPU share, in thousandths of a core.
     pub cores_milli: u32,
     /// Its data centre; empty if it is not known.
     pub data_centre: String,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Returns the nodes that should campaign first: those with the most processor, and among
+/// Returns the nodes that should campaign first: those with the largest CPU share, and among
 /// equal ones one of each data centre before a second one of any.
 pub fn choose_candidates(nodes: &BTreeMap<String, NodeRecord>) -> Vec<Candidate> {
     let mut ranked: Vec<(&String, &NodeRecord)> = nodes.iter().collect();
--- a/crates/control/src/commit.rs
+++ b/crates/control/src/commit.rs
@@ -50,7 +50,7 @@
     }
 
     /// Commits changes, and retries until they are certainly stored or another leader has
-    /// written the lane's key. After a failed call it also gives up once `is_over` returns true.
+    /// written the lane's key. After a failed call it also stops once `is_over` returns true.
     pub async fn commit(&self, changes: Vec<Change>, is_over: impl Fn() -> bool) -> CommitOutcome {
         let key = keys::lane(self.number);
         let sequence = self.sequence.get() + 1;
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -29,13 +29,13 @@
 const EVICTION_PERIOD: Duration = Duration::from_ms(5000);
 /// The additional delay of a node that is much weaker than another one.
 const WEAK_DELAY: Duration = Duration::from_ms(400);
-/// The processor share from which a node campaigns without that delay if no candidates
+/// The CPU share from which a node campaigns without that delay if no candidates
 /// are known: a whole core.
 const NO_DELAY_CORES_MILLI: u32 = 1000;
 /// The period over which the campaigns of nodes that are not candidates are spread, so that
 /// the nodes of a large cell don't all campaign at once.
 const NON_CANDIDATE_SPREAD: Duration = Duration::from_ms(200);
-/// The factor between the processor shares of two nodes from which one is much stronger.
+/// The factor between the CPU shares of two nodes from which one is much stronger.
 const STRONGER_FACTOR: u32 = 2;
 /// The pause before a failed step is retried.
 const RETRY_PAUSE: Duration = Duration::from_ms(200);
--- a/crates/control/src/lateness.rs
+++ b/crates/control/src/lateness.rs
@@ -1,6 +1,6 @@
 //! Measures how late a node's own event loop is.
 //!
-//! A node that has more work than its processor share allows reads every answer late.
+//! A node that has more work than its CPU share allows reads every answer late.
 //! Timeouts for the answers of others must allow for that: otherwise each answer that
 //! is only read late causes a repeated call, and so more work.
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -60,7 +60,7 @@
     pub metrics_address: Option<SocketAddr>,
     /// The node's data centre; empty if the platform does not name one.
     pub data_centre: String,
-    /// The node's processor share, in thousandths of a core.
+    /// The node's CPU share, in thousandths of a core.
     pub cores_milli: u32,
     /// The number of workers from which other nodes relay the leader's orders.
     pub relays_min_workers_count: usize,
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -12,7 +12,7 @@
 use slog::{warn, Logger};
 use std::rc::Rc;
 
-/// Failed attempts after which the leader gives up, so that another node may try.
+/// Failed attempts after which the leader ends its term, so that another node may try.
 const ATTEMPTS_LIMIT_COUNT: usize = 3;
 /// The pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_ms(100);
--- a/crates/control/src/relay/assignment.rs
+++ b/crates/control/src/relay/assignment.rs
@@ -23,7 +23,7 @@
     pub address: Arc<str>,
     /// Its data centre; empty if the platform does not name one.
     pub data_centre: Arc<str>,
-    /// Its processor share, in thousandths of a core.
+    /// Its CPU share, in thousandths of a core.
     pub cores_milli: u32,
 }
 
@@ -45,7 +45,7 @@
 
 impl Assignment {
     /// Chooses the relays of a cell with `workers_counts` workers by data centre: the nodes
-    /// with the most processor in each, in the order of their names if equal. A cell of
+    /// with the largest CPU share in each, in the order of their names if equal. A cell of
     /// fewer than `min_workers_count` workers has none.
     pub fn new(
         mut candidates: Vec<RelayCandidate>,
--- a/crates/control/src/relay/link.rs
+++ b/crates/control/src/relay/link.rs
@@ -49,7 +49,7 @@
     queued: Notify,
     opened: Notify,
     is_lost: Cell<bool>,
-    /// Whether it is sent no further orders.
+    /// Whether no further orders are sent to the relay.
     is_retired: Cell<bool>,
 }
 
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -146,7 +146,7 @@
     pub cycle_interval: Duration,
     /// The number of steps that cycles may examine per millisecond, which bounds the share
     /// of the leader's time that cycles take however many steps wait. With four times as
-    /// many, the worth of the completed work at 1,100 workers did not change (0.565 and
+    /// many, the value of the completed work at 1,100 workers did not change (0.565 and
     /// 0.566, without CPU cost).
     pub cycle_steps_per_ms: u64,
     /// The minimum interval between two searches for due polls. Each search scans all
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -21,7 +21,7 @@
 /// What happens to a run when another incarnation answers under its worker's id.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Disposition {
-    /// The new incarnation has the run, or the answer to its start will tell.
+    /// The new incarnation has the run, or the answer to its start will show whether it has.
     Kept,
     /// The run was lost with the previous incarnation, but an unanswered start of it may
     /// still be carried out.
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Returns a job's worth: 1 on time, a fifth if late, and nothing after three times its
+/// Returns a job's value: 1 on time, a fifth if late, and nothing after three times its
 /// objective.
 fn value_of(took_ms: u64, limit_ms: u64) -> f64 {
     match took_ms {
@@ -121,7 +121,7 @@
     on_time_count: usize,
     /// Jobs done within three times their objective.
     with_value_count: usize,
-    /// The sum of the jobs' worth.
+    /// The sum of the jobs' values.
     value: f64,
     longest_ms: u64,
 }
@@ -235,7 +235,7 @@
     (before, after)
 }
 
-/// In a burst more jobs are on time, their total worth is no less, and all are done.
+/// In a burst more jobs are on time, their total value is no less, and all are done.
 #[rstest]
 fn place_in_burst_more_on_time(#[values(150, 200, 300)] burst_percent: u64) {
     let (before, after) = compare(|features| Scenario::new(features, burst_percent));
@@ -243,8 +243,8 @@
     assert!(after.value >= before.value);
 }
 
-/// With estimates that are wrong by a factor of up to 2.5 the total worth is no less than
-/// without the feature. The number of jobs on time is no measure where all tasks take too long
+/// With estimates that are wrong by a factor of up to 2.5 the total value is no less than
+/// without the feature. The number of jobs on time is no measure if all tasks take too long
 /// for that.
 #[rstest]
 fn place_in_burst_wrong_estimates(
