--- a/crates/control/tests/control/stored_view.rs
+++ b/crates/control/tests/control/stored_view.rs
@@ -48,7 +48,7 @@
 }
 
 /// The outcome may replace the progress between the two reads. Because of that, a job that
-/// had been shown as cancelled was then shown as queued.
+/// had been shown as cancelled was then shown as queued (soak seed 5007).
 #[rstest]
 #[case::canceled(Phase::Canceled)]
 #[case::complete(Phase::Complete)]
