--- a/crates/control/src/relay/mod.rs
+++ b/crates/control/src/relay/mod.rs
@@ -1,7 +1,7 @@
 //! Relays: nodes that forward the leader's orders to workers.
 //!
 //! A leader of a thousand workers makes some thousands of calls a second, so its
-//! processor limits the size of the cell. To avoid that, other nodes make these
+//! CPU share limits the size of the cell. To avoid that, other nodes make these
 //! calls: the leader sends each relay batches of orders over few connections, and
 //! collects the replies in batches. Decisions, commits and fencing stay with the
 //! leader; a relay only makes the calls.
--- a/crates/control/src/relay/server.rs
+++ b/crates/control/src/relay/server.rs
@@ -16,7 +16,7 @@
 pub(crate) const COLLECT_TIMEOUT: Duration = Duration::from_ms(300);
 /// How long a collect call then waits for further replies, so that one answer holds many.
 /// At 1,100 workers, 5 ms (with batches every 4 ms instead of 8) made no difference beyond
-/// the noise: a score of 0.536 instead of 0.542, in one run each.
+/// the noise: the completed work had a value of 0.536 instead of 0.542, in one run each.
 const BATCHING_DELAY: Duration = Duration::from_ms(15);
 /// The maximum number of replies in one answer: a worker's lists have up to 30 KB with 500 ended
 /// runs, and answers are limited to 8 MB.
