--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -12,7 +12,7 @@
 use slog::{warn, Logger};
 use std::rc::Rc;
 
-/// Failed attempts after which the leader gives up, so that another node may try.
+/// Failed attempts after which the leader ends its term, so that another node may try.
 const ATTEMPTS_LIMIT_COUNT: usize = 3;
 /// The pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_ms(100);
@@ -130,5 +130,5 @@
 
 /// Logs a stored item that can't be parsed.
 pub fn log_unreadable_item(log: &Logger, key: &str, error: &str) {
-    warn!(log, "stored item can't be read"; "key" => key, "error" => error);
+    warn!(log, "stored item can't be parsed"; "key" => key, "error" => error);
 }
--- a/crates/control/tests/control/stored_view.rs
+++ b/crates/control/tests/control/stored_view.rs
@@ -8,7 +8,7 @@
 use slog::{o, Discard, Logger};
 
 /// The first byte of an encoding of a later version.
-const LATER_FORM: u8 = 99;
+const LATER_FORMAT: u8 = 99;
 
 async fn view(store: &MemoryStore) -> StoredView {
     let log = Logger::root(Discard, o!());
@@ -42,13 +42,13 @@
 fn read_view_unreadable_state() {
     run_local(async {
         let store = MemoryStore::new();
-        accept(&store, vec![LATER_FORM]).await;
+        accept(&store, vec![LATER_FORMAT]).await;
         assert_eq!(view(&store).await, StoredView::Unreadable);
     });
 }
 
 /// The outcome may replace the progress between the two reads. Because of that, a job that
-/// had been shown as cancelled was then shown as queued.
+/// had been shown as cancelled was then shown as queued (soak seed 5007).
 #[rstest]
 #[case::canceled(Phase::Canceled)]
 #[case::complete(Phase::Complete)]
@@ -91,6 +91,6 @@
         revision: 1,
     };
     assert_eq!(access(&item, &caller), expected);
-    item.value = Ok(vec![LATER_FORM]);
+    item.value = Ok(vec![LATER_FORMAT]);
     assert_eq!(access(&item, &caller), Access::Unreadable);
 }
--- a/crates/scheduler/src/advice_requests.rs
+++ b/crates/scheduler/src/advice_requests.rs
@@ -30,8 +30,8 @@
 /// The capacity of the queried workers, as a multiple of the capacity needed.
 const QUERIED_CAPACITY_FACTOR: f64 = 1.5;
 /// How many workers are examined for packing a small task: the fullest ones with enough free
-/// processors. Examining more would take too long with thousands of workers. The others follow,
-/// most free processors first.
+/// cores. Examining more would take too long with thousands of workers. The others follow,
+/// most free cores first.
 const PACKED_EXAMINED_COUNT: usize = 200;
 /// The share of workers assumed to be suitable before any reply.
 const INITIAL_SUITABLE_SHARE: f64 = 0.5;
@@ -170,7 +170,7 @@
         Some(fitting.into_iter().map(|it| it.worker).collect())
     }
 
-    /// Returns how many tasks fit beside the soft reservations of other steps.
+    /// Returns how many tasks fit alongside the soft reservations of other steps.
     fn unreserved_fit_count(&self, candidate: &Candidate, pending: &PendingStep) -> u32 {
         let mut candidate = candidate.clone();
         candidate.free -= self.workers[candidate.worker].soft_reserved();
@@ -309,7 +309,7 @@
 
     /// Returns the expected share of suitable workers among unknown ones, for steps of a queue.
     pub(crate) fn suitable_share_of(&self, queue: &str) -> f64 {
-        let counts = self.suitable_shares.get(queue);
+        let counts = self.suitable_counts.get(queue);
         let (suitable, queried) = counts.copied().unwrap_or((INITIAL_SUITABLE_SHARE, 1.0));
         (suitable / queried).max(MIN_SUITABLE_SHARE)
     }
@@ -388,7 +388,7 @@
             return;
         };
         let counts = self
-            .suitable_shares
+            .suitable_counts
             .entry(queue)
             .or_insert((INITIAL_SUITABLE_SHARE, 1.0));
         counts.0 = counts.0 * SUITABLE_SHARE_DECAY + suitable_count as f64;
@@ -396,12 +396,12 @@
     }
 }
 
-/// Returns whether the cycle has unreserved processors for at least one task.
+/// Returns whether the cycle has unreserved cores for at least one task.
 pub(crate) fn has_unreserved_capacity(cycle: &SchedulingCycle, pending: &PendingStep) -> bool {
     cycle.unreserved_milli(&pending.service) >= i64::from(pending.demand.cores_milli)
 }
 
-/// Subtracts the demand of a step's tasks from the cycle's unreserved processors.
+/// Subtracts the demand of a step's tasks from the cycle's unreserved cores.
 pub(crate) fn reserve_in_cycle(
     cycle: &mut SchedulingCycle,
     pending: &PendingStep,
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -28,7 +28,7 @@
     StopSent,
     /// A run's end was handled.
     RunEnded,
-    /// A run was given up as lost.
+    /// A run was released as lost.
     RunLost,
     /// A job ended, or clients can see its outcome.
     JobEnded,
@@ -58,7 +58,7 @@
     AdviceAnswered,
     /// A new configuration is active.
     Configured,
-    /// A customer went over its fair share of a service, or came back below it.
+    /// A customer exceeded its fair share of a service, or returned within it.
     ShareChanged,
     /// A data centre was cordoned or uncordoned.
     CordonChanged,
--- a/crates/scheduler/src/gang_search.rs
+++ b/crates/scheduler/src/gang_search.rs
@@ -230,9 +230,9 @@
         let missing_count = needed_count as f64 - total_fit_count(&fitting, &pending.demand) as f64;
         let found = self.choose_free_workers(pending, known.unknown, missing_count, cycle);
         // Each query leaves fewer unknown workers, so after a while a small chance is enough.
-        let is_worth_it =
+        let may_complete_gang =
             found.expected_count >= missing_count || has_waited && found.max_count >= missing_count;
-        if !is_worth_it {
+        if !may_complete_gang {
             return false;
         }
         let queried = found.queried;
@@ -270,7 +270,7 @@
         found
     }
 
-    /// Returns the workers whose suitability for the step is unknown, most free processors first.
+    /// Returns the workers whose suitability for the step is unknown, most free cores first.
     pub(crate) fn unknown_workers(
         &self,
         pending: &PendingStep,
@@ -305,8 +305,9 @@
         limit_count: usize,
     ) -> Vec<WorkerKey> {
         let suitable_share = self.suitable_share_of(&pending.record.queue);
-        // Further workers add little to the fixed cost of a request, and delay nobody while a node
-        // is idle. The reply stays useful, because the suitability of a worker never changes.
+        // Further workers add little to the fixed cost of a request, and delay no other request
+        // while a node is idle. The reply stays useful, because the suitability of a worker never
+        // changes.
         let has_idle_node = self.adviser_nodes.has_idle_node(now, policy.cost(1));
         let (factor, cost_share) = if has_idle_node {
             (IDLE_CAPACITY_FACTOR, IDLE_COST_SHARE)
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -60,7 +60,7 @@
 
     /// Sends the polls that are due.
     pub(crate) fn send_due_polls(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let length = self.lease_duration();
+        let lease_duration = self.lease_duration();
         let busy = self.workers.values().filter(|w| !w.runs.is_empty());
         let wait = self.poll_wait(now, busy.count());
         let interval_during_commit = self.config.poll_interval_during_commit;
@@ -73,7 +73,7 @@
                 self.retries.polls.record_first_call();
             }
             // An unresponsive worker is polled without a lease: a lease that it may have
-            // received would keep its runs from ever being given up.
+            // received would keep its runs from ever being released.
             let renews_lease = worker.is_synced && worker.unanswered_polls_count == 0;
             // A worker answers at once while it lists an end, so the poll isn't held.
             let has_listed_end = !worker.uncommitted_ends.is_empty();
@@ -82,7 +82,7 @@
                 || has_listed_end
                 || worker.unconfirmed_since.is_some();
             let until_ms = if renews_lease {
-                worker.grant_lease(now, length)
+                worker.grant_lease(now, lease_duration)
             } else {
                 None
             };
@@ -237,7 +237,7 @@
     }
 
     /// Limits the lease that earlier leaders granted to a worker that has answered under
-    /// this leader's fencing token: it accepts nothing from them any more.
+    /// this leader's fencing token: it no longer accepts anything from them.
     fn bound_recovered_lease(&mut self, now: Instant, key: WorkerKey) {
         let bound = lease_bound(now, self.config.lease_limit);
         let worker = &mut self.workers[key];
@@ -339,7 +339,7 @@
         }
     }
 
-    /// Releases the runs that the worker neither lists nor can start any more.
+    /// Releases the runs that the worker doesn't list and can no longer start.
     fn release_unlisted(
         &mut self,
         now: Instant,
@@ -377,8 +377,8 @@
         }
     }
 
-    /// Gives up the runs of unresponsive workers whose leases have certainly expired.
-    pub(crate) fn give_up_expired(&mut self, now: Instant, out: &mut Vec<Action>) {
+    /// Releases the runs of unresponsive workers whose leases have certainly expired.
+    pub(crate) fn release_expired_runs(&mut self, now: Instant, out: &mut Vec<Action>) {
         let expired: Vec<WorkerKey> = self
             .workers
             .iter()
@@ -419,8 +419,8 @@
     listed
 }
 
-/// Returns the timeout of the next poll's answer after so many consecutive unanswered
-/// polls.
+/// Returns the timeout of the next poll after `unanswered_polls_count` consecutive
+/// unanswered polls.
 pub fn poll_timeout(unanswered_polls_count: u32) -> Duration {
     let doublings = unanswered_polls_count.saturating_sub(UNRESPONSIVE_AFTER_COUNT - 1);
     POLL_TIMEOUT.times(1 << doublings.min(TIMEOUT_DOUBLINGS_COUNT))
--- a/crates/scheduler/tests/scheduler/advice_calls.rs
+++ b/crates/scheduler/tests/scheduler/advice_calls.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// Long requests use all nodes but one while there are no short ones, and five of eight beside
-/// many short ones.
+/// Long requests use all nodes but one while there are no short ones, and five of eight while
+/// there are many.
 #[rstest]
 #[case::no_short_requests(0, 7)]
 #[case::many_short_requests(60, 5)]
@@ -124,9 +124,9 @@
     harness.submit_job(job(3, vec![urgent]));
     harness.commit_all();
     let requests = drain_requests(&mut harness);
-    let jobs_asked: Vec<u64> = requests.iter().map(|(job, _)| job.number()).collect();
+    let requesting_jobs: Vec<u64> = requests.iter().map(|(job, _)| job.number()).collect();
     assert_eq!(
-        jobs_asked,
+        requesting_jobs,
         [1, 3],
         "one node makes long requests, and one urgent request is queued there"
     );
@@ -152,7 +152,7 @@
     requests.collect()
 }
 
-/// Where many nodes are idle, several ask about fewer workers each, so that the answer for the
+/// If many nodes are idle, several query fewer workers each, so that the answer for the
 /// largest part takes less than half of the time. In a small cell the other nodes stay idle.
 #[rstest]
 #[case::small(7, 1)]
@@ -169,7 +169,7 @@
 #[test]
 fn cancel_frees_counted_capacity_at_once() {
     let mut harness = harness_with(NODES_COUNT, queues(LONG_REQUEST, LONG_REQUEST));
-    // Eight tasks fill a worker, so that no worker is asked about in advance.
+    // Eight tasks fill a worker, so that no worker is queried in advance.
     let small = |tasks_count| StepSpec {
         demand: Resources::new(500, 100, 0),
         ..step(tasks_count)
@@ -180,7 +180,7 @@
     harness.submit(2, vec![small(4)]);
     assert!(
         drain_requests(&mut harness).is_empty(),
-        "no free capacity is left to ask about"
+        "no free capacity is left to query"
     );
     harness.now = harness.now + Duration::from_ms(20);
     harness.cancel(1);
--- a/crates/scheduler/tests/scheduler/lease_expiry.rs
+++ b/crates/scheduler/tests/scheduler/lease_expiry.rs
@@ -19,7 +19,7 @@
 const SLOWEST_CLOCK_PER_MILLE: u64 = 980;
 /// What a leader waits in addition, for a slow clock and to place the task again.
 const LEASE_SLACK: Duration = Duration::from_ms(400);
-/// The most ends that a worker lists at once.
+/// The maximum number of ends that a worker lists at once.
 const ENDS_PER_LIST_COUNT: u64 = 500;
 /// The lease that a leader grants while the store is healthy.
 const SHORTEST_LEASE: Duration = Duration::from_ms(4000);
@@ -146,14 +146,14 @@
     }
 }
 
-/// A lease never shortens and holds for all runs of a worker. So a run lives as long as an
-/// earlier leader has leased its worker, even if only the new leader started it. The earlier
-/// leader may have granted a long lease just before the new term or, where it was evicted,
+/// A lease never shortens and holds for all runs of a worker. So a run may be alive as
+/// long as an earlier leader has leased its worker, even if only the new leader started it. The
+/// earlier leader may have granted a long lease just before the new term or, if it was evicted,
 /// until it learned of that.
 #[rstest]
 #[case::before_the_term(Duration::ZERO)]
 #[case::while_evicted(Duration::from_ms(1300))]
-fn give_up_expired_lease_of_earlier_leader(#[case] reached_after: Duration) {
+fn release_expired_runs_lease_of_earlier_leader(#[case] reached_after: Duration) {
     let mut cell = Cell::after_grant_of_earlier_leader(reached_after);
     let task = cell.begin_long_run();
     let partitioned_at = cell.harness.now;
@@ -166,11 +166,11 @@
     );
 }
 
-/// A worker that has answered under the new fence accepts nothing from an earlier leader any
-/// more. From then on its lease is bounded by the longest lease, however long an evicted leader
+/// A worker that has answered under the new fence no longer accepts anything from an earlier
+/// leader. From then on its lease is bounded by the longest lease, however long an evicted leader
 /// may act.
 #[test]
-fn give_up_expired_worker_that_answered_early() {
+fn release_expired_runs_worker_that_answered_early() {
     let mut cell = Cell::after_grant_of_earlier_leader(Duration::ZERO);
     let answered = cell.harness.now;
     let task = cell.begin_long_run();
@@ -199,8 +199,8 @@
     (live, lost)
 }
 
-/// A worker that crashed stays listed for a while, beside the machine's next incarnation. Where
-/// a new leader's first list holds both, their order says nothing about which is the later one.
+/// A worker that crashed stays listed for a while, alongside the machine's next incarnation. If a
+/// new leader's first list holds both, their order says nothing about which is the later one.
 #[rstest]
 fn add_worker_two_incarnations_in_first_list(#[values(true, false)] is_live_first: bool) {
     let (live, lost) = incarnations(is_live_first);
@@ -229,8 +229,16 @@
     harness.commit_all();
     harness.answer_poll_running(live, task);
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "{task} runs on the live one");
-    assert_eq!(harness.stops(), vec![], "{task} runs on the live one");
+    assert_eq!(
+        harness.starts(),
+        vec![],
+        "{task} runs on the live incarnation"
+    );
+    assert_eq!(
+        harness.stops(),
+        vec![],
+        "{task} runs on the live incarnation"
+    );
     harness.answer_poll(live, vec![end(1, task, 1, EndKind::Done)]);
     harness.commit_all();
     let view = harness.scheduler.job(id).expect("a known job");
@@ -403,7 +411,7 @@
     assert_eq!(harness.starts(), vec![]);
 }
 
-/// Where the listed incarnation is the later one, the worker is polled at once, and the answer
+/// If the listed incarnation is the later one, the worker is polled at once, and the answer
 /// at its address confirms it.
 #[test]
 fn list_workers_entry_of_later_incarnation() {
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -104,9 +104,9 @@
     }
 }
 
-/// Returns a job's worth: 1 on time, a fifth if late, and nothing after three times its
+/// Returns a job's value: 1 on time, a fifth if late, and nothing after three times its
 /// objective.
-fn worth_of(took_ms: u64, limit_ms: u64) -> f64 {
+fn value_of(took_ms: u64, limit_ms: u64) -> f64 {
     match took_ms {
         took_ms if took_ms <= limit_ms => 1.0,
         took_ms if took_ms <= 3 * limit_ms => 0.2,
@@ -120,16 +120,16 @@
     jobs_count: usize,
     on_time_count: usize,
     /// Jobs done within three times their objective.
-    with_worth_count: usize,
-    /// The sum of the jobs' worth.
-    worth: f64,
+    with_value_count: usize,
+    /// The sum of the jobs' values.
+    value: f64,
     longest_ms: u64,
 }
 
 struct Scenario {
     features: Features,
     burst_percent: u64,
-    lengths_percent: core::ops::Range<u64>,
+    durations_percent: core::ops::Range<u64>,
     /// Whether the leader is replaced in the middle of the burst.
     has_takeover: bool,
 }
@@ -139,14 +139,14 @@
         Self {
             features,
             burst_percent,
-            lengths_percent: 60..140,
+            durations_percent: 60..140,
             has_takeover: false,
         }
     }
 
-    fn with_lengths(self, lengths_percent: core::ops::Range<u64>) -> Self {
+    fn with_durations(self, durations_percent: core::ops::Range<u64>) -> Self {
         Self {
-            lengths_percent,
+            durations_percent,
             ..self
         }
     }
@@ -160,7 +160,7 @@
 
     fn run(&self, seed: u64) -> Outcome {
         let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
-        simulation.run_durations_percent = Some(self.lengths_percent.clone());
+        simulation.run_durations_percent = Some(self.durations_percent.clone());
         simulation.configure(configuration());
         simulation.elect_with_features(self.features);
         // Whatever an earlier leader may have started is over by then.
@@ -177,8 +177,8 @@
             let took_ms = simulation.done_ms[&id] - since_ms;
             outcome.jobs_count += 1;
             outcome.on_time_count += usize::from(took_ms <= limit_ms);
-            outcome.with_worth_count += usize::from(took_ms <= 3 * limit_ms);
-            outcome.worth += worth_of(took_ms, limit_ms);
+            outcome.with_value_count += usize::from(took_ms <= 3 * limit_ms);
+            outcome.value += value_of(took_ms, limit_ms);
             outcome.longest_ms = outcome.longest_ms.max(took_ms);
         }
         outcome
@@ -218,8 +218,8 @@
             let outcome = self.run(seed);
             sum.jobs_count += outcome.jobs_count;
             sum.on_time_count += outcome.on_time_count;
-            sum.with_worth_count += outcome.with_worth_count;
-            sum.worth += outcome.worth;
+            sum.with_value_count += outcome.with_value_count;
+            sum.value += outcome.value;
             sum.longest_ms = sum.longest_ms.max(outcome.longest_ms);
         }
         sum
@@ -235,22 +235,25 @@
     (before, after)
 }
 
-/// In a burst more jobs are on time, their total worth is no less, and all are done.
+/// In a burst more jobs are on time, their total value is no less, and all are done.
 #[rstest]
 fn place_in_burst_more_on_time(#[values(150, 200, 300)] burst_percent: u64) {
     let (before, after) = compare(|features| Scenario::new(features, burst_percent));
     assert!(after.on_time_count > before.on_time_count);
-    assert!(after.worth >= before.worth);
+    assert!(after.value >= before.value);
 }
 
-/// With estimates that are wrong by a factor of up to 2.5 the total worth is no less than
-/// without the feature. The number of jobs on time is no measure where all tasks take too long
+/// With estimates that are wrong by a factor of up to 2.5 the total value is no less than
+/// without the feature. The number of jobs on time is no measure if all tasks take too long
 /// for that.
 #[rstest]
-fn place_in_burst_wrong_estimates(#[values(24..56, 150..350)] lengths: core::ops::Range<u64>) {
-    let scenario = |features| Scenario::new(features, 200).with_lengths(lengths.clone());
+fn place_in_burst_wrong_estimates(
+    #[values(24..56, 150..350)] durations_percent: core::ops::Range<u64>,
+) {
+    let scenario =
+        |features| Scenario::new(features, 200).with_durations(durations_percent.clone());
     let (before, after) = compare(scenario);
-    assert!(after.worth >= before.worth);
+    assert!(after.value >= before.value);
 }
 
 /// A leader that takes over in the middle of the burst orders the work as well as its
@@ -259,7 +262,7 @@
 fn place_in_burst_takeover() {
     let (before, after) = compare(|features| Scenario::new(features, 200).with_takeover());
     assert!(after.on_time_count >= before.on_time_count);
-    assert!(after.worth >= before.worth);
+    assert!(after.value >= before.value);
 }
 
 /// Without a burst the feature changes nothing.
--- a/crates/scheduler/tests/scheduler/regressions.rs
+++ b/crates/scheduler/tests/scheduler/regressions.rs
@@ -77,7 +77,7 @@
 
 /// The runs of an unresponsive worker are not released while its lease may hold.
 #[test]
-fn give_up_expired_lease_may_hold() {
+fn release_expired_runs_lease_may_hold() {
     let mut harness = Harness::new(Recovered::default(), &workers(2));
     harness.submit(1, vec![step(1)]);
     harness.commit_all();
@@ -91,7 +91,7 @@
 }
 
 /// The share of suitable workers was once learned from workers known to be suitable, so that a
-/// gang asked about two unknown workers at a time.
+/// gang queried two unknown workers at a time.
 #[test]
 fn find_capacity_for_gang_few_suitable_workers() {
     let mut simulation = Simulation::new(3, 16, Faults::default(), Some(advice()));
@@ -106,8 +106,8 @@
     simulation.run_until_done(40_000);
 }
 
-/// A gang once waited for its suitable workers, which other gangs kept busy, without asking
-/// about the workers that were free.
+/// A gang once waited for its suitable workers, which other gangs kept busy, without querying
+/// the workers that were free.
 #[test]
 fn find_capacity_for_gang_suitable_workers_busy() {
     let policy = AdvicePolicy {
@@ -136,7 +136,7 @@
         4,
         "two gangs fill their suitable workers"
     );
-    // After each request the gang waits a while before it asks about further workers.
+    // After each request the gang waits a while before it queries further workers.
     for _ in 0..20 {
         harness.answer_advice_requests(&["w0", "w1", "w9"]);
         harness.commit_all();
@@ -231,8 +231,8 @@
     assert_eq!(harness.stops(), vec![], "nothing else is stopped");
 }
 
-/// A run is not preempted if it would lose much work, is as urgent, has no time to spare or is
-/// nearly done.
+/// A run is not preempted if it would lose much work, is as urgent as the gang, has no time to
+/// spare or is nearly done.
 #[rstest]
 #[case::saves_nothing(|record: &mut JobRecord| record.spec.steps[0].saves_progress = false, 50)]
 #[case::nearly_done(|_: &mut JobRecord| (), 80)]
@@ -318,7 +318,7 @@
     assert!(!harness.answer_advice_requests(&["w11"]).is_empty());
 }
 
-/// A filler is evicted for a task that serves users, and none is placed beside one.
+/// A filler is evicted for a task that serves users, and none is placed alongside one.
 #[test]
 fn evict_fillers_serving_task_comes() {
     let mut harness = Harness::new(Recovered::default(), &workers(1));
@@ -343,10 +343,10 @@
     harness.answer_poll(first.0, vec![end(1, first.1, first.2, EndKind::Stopped)]);
     harness.submit(3, vec![filler]);
     harness.commit_all();
-    assert_eq!(harness.starts(), vec![], "no filler is placed beside it");
+    assert_eq!(harness.starts(), vec![], "no filler is placed alongside it");
 }
 
-/// A gang whose suitable workers other gangs had taken once waited 2.5 s before it asked about
+/// A gang whose suitable workers other gangs had taken once waited 2.5 s before it queried
 /// workers that had been free all the time.
 #[test]
 fn query_free_workers_completes_gang() {
@@ -504,12 +504,12 @@
     harness.actions.clear();
     harness.answer_poll_running(worker, unknown.task(0));
     harness.commit_all();
-    let is_asked = harness
+    let is_polled = harness
         .actions
         .iter()
         .any(|action| matches!(action, Action::Hold { to, .. } if to.worker == worker));
     assert!(
-        is_asked,
+        is_polled,
         "the worker is polled until the unknown run is gone"
     );
 }
--- a/crates/scheduler/tests/scheduler/retries.rs
+++ b/crates/scheduler/tests/scheduler/retries.rs
@@ -153,8 +153,8 @@
     assert_eq!(timeouts_ms, [250, 500, 1000, 1000]);
 }
 
-/// When no start is answered, as where this node or its link is overloaded, repeats must not
-/// add to the load: they are limited to a fifth of what is sent, and to a hundred at once.
+/// When no start is answered, for example because this node or its link is overloaded, repeats
+/// must not add to the load: they are limited to a fifth of what is sent, and to a hundred at once.
 #[test]
 fn repeat_start_budget_used_up() {
     const STARTS_COUNT: usize = 160;
@@ -183,7 +183,7 @@
 }
 
 /// A gang on an unresponsive worker was released and started again elsewhere. Then the worker
-/// answered and listed that the first run had ended well. The second run once kept running, and
+/// answered and listed the first run as done. The second run once kept running, and
 /// an unanswered start of it was sent again after the end had been acknowledged (search for
 /// gangs on few suitable workers with all faults, seed 502288).
 #[test]
--- a/crates/scheduler/tests/scheduler/shares.rs
+++ b/crates/scheduler/tests/scheduler/shares.rs
@@ -14,7 +14,7 @@
 /// The workers hold two tasks of [`step`] each.
 const WORKERS_COUNT: usize = 4;
 const CAPACITY_TASKS_COUNT: u32 = 8;
-/// How far a customer's tag may be ahead of its service's virtual time.
+/// How far a customer's tag may be ahead of its service's virtual clock.
 const LAG_LIMIT: Duration = Duration::from_ms(2_000);
 /// The objective of [`step`]: twice its estimate of a second, and one second.
 const OBJECTIVE_MS: u64 = 3_000;
@@ -73,8 +73,8 @@
 }
 
 /// Advances the time; returns the jobs whose runs are being stopped.
-fn stopped_within(harness: &mut Harness, length_ms: u64) -> Vec<u64> {
-    let until_ms = harness.now.as_ms() + length_ms;
+fn stopped_within(harness: &mut Harness, duration_ms: u64) -> Vec<u64> {
+    let until_ms = harness.now.as_ms() + duration_ms;
     let mut stopped = Vec::new();
     while harness.now.as_ms() < until_ms {
         harness.commit_all();
@@ -101,7 +101,7 @@
 #[rstest]
 #[case::has_time(0, 600)]
 #[case::has_half(2, OBJECTIVE_MS)]
-fn preempt_not_needed(#[case] running_count: u32, #[case] length_ms: u64) {
+fn preempt_not_needed(#[case] running_count: u32, #[case] duration_ms: u64) {
     let mut harness = harness_with(Features::default(), &EQUAL);
     if running_count > 0 {
         submit(&mut harness, "under", 9, running_count);
@@ -110,7 +110,7 @@
     submit(&mut harness, "over", 1, CAPACITY_TASKS_COUNT);
     start_all(&mut harness);
     submit(&mut harness, "under", 3, 1);
-    assert_eq!(stopped_within(&mut harness, length_ms), []);
+    assert_eq!(stopped_within(&mut harness, duration_ms), []);
 }
 
 fn id_of(harness: &Harness, worker: WorkerKey) -> Arc<str> {
@@ -142,7 +142,7 @@
 }
 
 /// A new leader rebuilds the same accounts from the records. Only the tags start at the virtual
-/// time, and none was ahead of it by more than the limit.
+/// clock, and none was ahead of it by more than the limit.
 #[test]
 fn rebuild_shares_after_takeover() {
     let weights = [("over", 1.0), ("under", 3.0)];
@@ -209,8 +209,8 @@
     assert_eq!(view.expect("open jobs").share_per_mille, 2_500);
 }
 
-/// What a customer runs while nobody else needs the capacity is not charged later, and one that
-/// was idle has accumulated no credit.
+/// What a customer runs while no other customer needs the capacity is not charged later, and
+/// one that was idle has accumulated no credit.
 #[test]
 fn borrow_free_capacity_not_charged() {
     let mut harness = harness_with(Features::default(), &EQUAL);
@@ -242,7 +242,7 @@
     assert_eq!(view.lag, Duration::ZERO);
 }
 
-/// The virtual time of a service never decreases.
+/// The virtual clock of a service never goes back.
 #[test]
 fn virtual_time_never_decreases() {
     let mut harness = overcommitted(Features::default());
