--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -29,11 +29,11 @@
 const BODY_LIMIT_BYTES: usize = 1024 * 1024;
 /// A body larger than this is cut off without a further word.
 const BODY_DISCARD_LIMIT_BYTES: usize = 8 * BODY_LIMIT_BYTES;
-const BODY_TIME_LIMIT: std::time::Duration = std::time::Duration::from_secs(10);
+const BODY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 /// Tasks that one list returns.
 const LIST_LIMIT_COUNT: usize = 1000;
 const KEEP_ALIVE: std::time::Duration = std::time::Duration::from_secs(30);
-const HEAD_LIMIT: std::time::Duration = std::time::Duration::from_secs(5);
+const HEAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// What the handlers need.
 #[derive(Clone)]
@@ -87,7 +87,7 @@
     let mut server = HttpServer::serve(app.finish())
         .worker_threads(threads_count)
         .keep_alive_timeout(KEEP_ALIVE)
-        .request_head_timeout(HEAD_LIMIT)
+        .request_head_timeout(HEAD_TIMEOUT)
         .disable_signal()
         .listen(listener)?
         .run();
@@ -107,27 +107,27 @@
     path.map(|Params(path)| path.name).unwrap_or_default()
 }
 
-fn name_of(field: &str, text: &str) -> Result<Name, Reject> {
-    Name::new(text).map_err(|error| Reject::bad(format!("{field}: {text:?} {error}")))
+fn name_of(field: &str, text: &str) -> Result<Name, Rejection> {
+    Name::new(text).map_err(|error| Rejection::bad(format!("{field}: {text:?} {error}")))
 }
 
-fn key_of(field: &str, text: &str) -> Result<Key, Reject> {
-    Key::new(text).map_err(|error| Reject::bad(format!("{field}: {text:?} {error}")))
+fn key_of(field: &str, text: &str) -> Result<Key, Rejection> {
+    Key::new(text).map_err(|error| Rejection::bad(format!("{field}: {text:?} {error}")))
 }
 
 /// Reads the body. One that is too large is read on and thrown away for a while,
 /// since a caller that still sends would not see the answer.
-async fn body(ctx: &Context<'_>) -> Result<Vec<u8>, Reject> {
-    let reading = tokio::time::timeout(BODY_TIME_LIMIT, read_body(ctx)).await;
+async fn body(ctx: &Context<'_>) -> Result<Vec<u8>, Rejection> {
+    let reading = tokio::time::timeout(BODY_TIMEOUT, read_body(ctx)).await;
     reading.unwrap_or_else(|_| {
-        let ms = BODY_TIME_LIMIT.as_millis();
+        let ms = BODY_TIMEOUT.as_millis();
         let reason = format!("body: did not come within {ms} ms");
-        Err(Reject::new(StatusCode::REQUEST_TIMEOUT, reason, None))
+        Err(Rejection::new(StatusCode::REQUEST_TIMEOUT, reason, None))
     })
 }
 
-async fn read_body(ctx: &Context<'_>) -> Result<Vec<u8>, Reject> {
-    let unreadable = |_| Reject::bad("body: unreadable".to_owned());
+async fn read_body(ctx: &Context<'_>) -> Result<Vec<u8>, Rejection> {
+    let unreadable = |_| Rejection::bad("body: unreadable".to_owned());
     let Body(stream) = ctx
         .extract::<Body<RequestBody>>()
         .await
@@ -136,7 +136,7 @@
     let mut body = Vec::new();
     let mut size_bytes = 0;
     while let Some(chunk) = stream.as_mut().data().await {
-        let chunk = chunk.map_err(|_| Reject::bad("body: broken off".to_owned()))?;
+        let chunk = chunk.map_err(|_| Rejection::bad("body: broken off".to_owned()))?;
         size_bytes += chunk.len();
         if size_bytes <= BODY_LIMIT_BYTES {
             body.extend_from_slice(chunk.as_ref());
@@ -146,23 +146,23 @@
     }
     if size_bytes > BODY_LIMIT_BYTES {
         let reason = format!("body: more than {BODY_LIMIT_BYTES} bytes");
-        return Err(Reject::new(StatusCode::PAYLOAD_TOO_LARGE, reason, None));
+        return Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, reason, None));
     }
     Ok(body)
 }
 
-async fn json_body<T: DeserializeOwned>(ctx: &Context<'_>) -> Result<T, Reject> {
+async fn json_body<T: DeserializeOwned>(ctx: &Context<'_>) -> Result<T, Rejection> {
     let body = body(ctx).await?;
-    serde_json::from_slice(&body).map_err(|error| Reject::bad(format!("body: {error}")))
+    serde_json::from_slice(&body).map_err(|error| Rejection::bad(format!("body: {error}")))
 }
 
 /// A request that is answered with a refusal.
-struct Reject {
+struct Rejection {
     status: StatusCode,
     refusal: Refusal,
 }
 
-impl Reject {
+impl Rejection {
     fn bad(reason: String) -> Self {
         Self::new(StatusCode::BAD_REQUEST, reason, None)
     }
@@ -225,8 +225,8 @@
     response
 }
 
-fn finish(result: Result<WebResponse, Reject>) -> WebResponse {
-    result.unwrap_or_else(|reject| reject.response())
+fn finish(result: Result<WebResponse, Rejection>) -> WebResponse {
+    result.unwrap_or_else(|rejection| rejection.response())
 }
 
 async fn live(_: &Context<'_>) -> WebResponse {
@@ -234,7 +234,11 @@
 }
 
 async fn ready(ctx: &Context<'_>) -> WebResponse {
-    let is_ready = ctx.state().engine.ask(|node, _| node.is_ready()).await;
+    let is_ready = ctx
+        .state()
+        .engine
+        .query_node(|node, _| node.is_ready())
+        .await;
     if is_ready == Ok(true) {
         respond(StatusCode::OK, "text/plain", b"ready\n".to_vec())
     } else {
@@ -245,52 +249,52 @@
 
 async fn metrics_text(ctx: &Context<'_>) -> WebResponse {
     let state = ctx.state();
-    let report = state.engine.ask(|node, now| node.report(now)).await;
+    let report = state.engine.query_node(|node, now| node.report(now)).await;
     match report {
         Ok(report) => {
             let text = metrics::text(&report, &state.counts);
             respond(StatusCode::OK, "text/plain", text.into_bytes())
         }
-        Err(_) => Reject::stopping().response(),
+        Err(_) => Rejection::stopping().response(),
     }
 }
 
 /// Answers with what `question` returns, as JSON.
-async fn ask_json<T: Serialize + Send + 'static>(
+async fn query_json<T: Serialize + Send + 'static>(
     ctx: &Context<'_>,
     question: impl FnOnce(&mut ospreywing_node::Node, ospreywing_types::Instant) -> T + Send + 'static,
 ) -> WebResponse {
-    match ctx.state().engine.ask(question).await {
+    match ctx.state().engine.query_node(question).await {
         Ok(value) => json(StatusCode::OK, &value),
-        Err(_) => Reject::stopping().response(),
+        Err(_) => Rejection::stopping().response(),
     }
 }
 
 async fn status(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, now| node.report(now)).await
+    query_json(ctx, |node, now| node.report(now)).await
 }
 
 async fn burn(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, now| node.burn(now)).await
+    query_json(ctx, |node, now| node.burn(now)).await
 }
 
 async fn boxes(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, now| node.box_reports(now)).await
+    query_json(ctx, |node, now| node.box_reports(now)).await
 }
 
 async fn table(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, _| (*node.table()).clone()).await
+    query_json(ctx, |node, _| (*node.table()).clone()).await
 }
 
 async fn list_tasks(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, _| node.tasks(LIST_LIMIT_COUNT)).await
+    query_json(ctx, |node, _| node.tasks(LIST_LIMIT_COUNT)).await
 }
 
 async fn submit(ctx: &Context<'_>) -> WebResponse {
     finish(try_submit(ctx).await)
 }
 
-async fn try_submit(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_submit(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let task: SubmitTask = json_body(ctx).await?;
     let submit = Submit {
         key: task.key,
@@ -309,7 +313,7 @@
     finish(try_cancel(ctx).await)
 }
 
-async fn try_cancel(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_cancel(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let query = Query {
         key: key_of("key", &path(ctx).await)?,
     };
@@ -321,7 +325,7 @@
     submit_response(answer.await.ok())
 }
 
-fn submit_response(answer: Option<Answer>) -> Result<WebResponse, Reject> {
+fn submit_response(answer: Option<Answer>) -> Result<WebResponse, Rejection> {
     match answer {
         Some(Answer::Submit(SubmitReply::Accepted(status))) => Ok(task_response(&status)),
         Some(Answer::Submit(SubmitReply::Refused {
@@ -333,9 +337,9 @@
                 None => StatusCode::UNPROCESSABLE_ENTITY,
             };
             let retry_after = retry_after_ms.map(Duration::from_ms);
-            Err(Reject::new(status, reason, retry_after))
+            Err(Rejection::new(status, reason, retry_after))
         }
-        Some(Answer::Submit(SubmitReply::Unknown)) => Err(Reject {
+        Some(Answer::Submit(SubmitReply::Unknown)) => Err(Rejection {
             status: StatusCode::GATEWAY_TIMEOUT,
             refusal: Refusal {
                 outcome: Outcome::Unknown,
@@ -344,7 +348,7 @@
                 retry_after_ms: Some(UNKNOWN_RETRY_AFTER.as_ms()),
             },
         }),
-        _ => Err(Reject::stopping()),
+        _ => Err(Rejection::stopping()),
     }
 }
 
@@ -358,7 +362,7 @@
     finish(try_show_task(ctx).await)
 }
 
-async fn try_show_task(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_show_task(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let query = Query {
         key: key_of("key", &path(ctx).await)?,
     };
@@ -371,14 +375,14 @@
         Ok(Answer::Query(QueryReply::Found(status))) => Ok(task_response(&status)),
         Ok(Answer::Query(QueryReply::Absent)) => {
             let reason = "key: no task of this key is on record".to_owned();
-            Err(Reject::new(StatusCode::NOT_FOUND, reason, None))
+            Err(Rejection::new(StatusCode::NOT_FOUND, reason, None))
         }
         Ok(Answer::Query(QueryReply::NotOwner)) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let reason = "the key's shard is changing hands".to_owned();
-            Err(Reject::new(status, reason, Some(UNKNOWN_RETRY_AFTER)))
+            Err(Rejection::new(status, reason, Some(UNKNOWN_RETRY_AFTER)))
         }
-        Ok(_) | Err(_) => Err(Reject::stopping()),
+        Ok(_) | Err(_) => Err(Rejection::stopping()),
     }
 }
 
@@ -386,7 +390,7 @@
     finish(try_call(ctx).await)
 }
 
-async fn try_call(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_call(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let row = name_of("row", &path(ctx).await)?;
     let key = header(ctx, REQUEST_KEY)?;
     let key = match key {
@@ -396,18 +400,18 @@
     let body = body(ctx).await?;
     match ctx.state().engine.request(row, key, body).await {
         Ok(RequestReply::Answer(answer)) => Ok(answer_response(answer)),
-        Ok(RequestReply::GiveUp(give_up)) => Err(give_up_reject(give_up)),
-        Err(_) => Err(Reject::stopping()),
+        Ok(RequestReply::GiveUp(give_up)) => Err(give_up_rejection(give_up)),
+        Err(_) => Err(Rejection::stopping()),
     }
 }
 
-fn header(ctx: &Context<'_>, name: &str) -> Result<Option<String>, Reject> {
+fn header(ctx: &Context<'_>, name: &str) -> Result<Option<String>, Rejection> {
     let Some(value) = ctx.req().headers().get(name) else {
         return Ok(None);
     };
     match value.to_str() {
         Ok(text) => Ok(Some(text.to_owned())),
-        Err(_) => Err(Reject::bad(format!("{name}: is not text"))),
+        Err(_) => Err(Rejection::bad(format!("{name}: is not text"))),
     }
 }
 
@@ -422,13 +426,13 @@
     )
 }
 
-fn give_up_reject(give_up: GiveUp) -> Reject {
+fn give_up_rejection(give_up: GiveUp) -> Rejection {
     let status = match (give_up.outcome, give_up.retry_after) {
         (Outcome::NotRun, Some(_)) => StatusCode::SERVICE_UNAVAILABLE,
         (Outcome::NotRun, None) => StatusCode::UNPROCESSABLE_ENTITY,
         (Outcome::Unknown | Outcome::Done, _) => StatusCode::GATEWAY_TIMEOUT,
     };
-    Reject {
+    Rejection {
         status,
         refusal: Refusal {
             outcome: give_up.outcome,
@@ -442,7 +446,7 @@
     finish(try_show_row(ctx).await)
 }
 
-async fn try_show_row(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_show_row(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let name = name_of("row", &path(ctx).await)?;
     let edits = ctx.state().edits.clone();
     let read = on_runtime(ctx, async move { edits.read(&name).await }).await?;
@@ -456,7 +460,7 @@
     finish(try_history(ctx).await)
 }
 
-async fn try_history(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_history(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let name = name_of("row", &path(ctx).await)?;
     let edits = ctx.state().edits.clone();
     let read = on_runtime(ctx, async move { edits.history(&name).await }).await?;
@@ -470,7 +474,7 @@
     finish(try_put_row(ctx).await)
 }
 
-async fn try_put_row(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_put_row(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let row: Row = json_body(ctx).await?;
     edit(ctx, Some(row)).await
 }
@@ -484,21 +488,21 @@
 /// The query that makes an edit not wait to be in force everywhere.
 const NO_WAIT: &str = "wait=no";
 
-async fn edit(ctx: &Context<'_>, row: Option<Row>) -> Result<WebResponse, Reject> {
+async fn edit(ctx: &Context<'_>, row: Option<Row>) -> Result<WebResponse, Rejection> {
     let name = name_of("row", &path(ctx).await)?;
     if row.as_ref().is_some_and(|row| row.name != name) {
         let reason = format!("body.name: must be {name:?}, as in the path");
-        return Err(Reject::bad(reason));
+        return Err(Rejection::bad(reason));
     }
     let text = header(ctx, IF_MATCH)?;
     let revision = text.as_deref().map(str::parse::<u64>);
     let Some(Ok(revision)) = revision else {
         let reason = "if-match: must be the row's revision, 0 for a new row".to_owned();
-        return Err(Reject::bad(reason));
+        return Err(Rejection::bad(reason));
     };
-    let waits = ctx.req().uri().query() != Some(NO_WAIT);
+    let wait_for_all = ctx.req().uri().query() != Some(NO_WAIT);
     let edits = ctx.state().edits.clone();
-    let edit = async move { edits.edit(&name, row, revision, waits).await };
+    let edit = async move { edits.edit(&name, row, revision, wait_for_all).await };
     match on_runtime(ctx, edit).await? {
         Ok(accepted) => Ok(json(StatusCode::OK, &accepted)),
         Err(error) => Ok(edit_error(&error)),
@@ -509,9 +513,9 @@
 async fn on_runtime<T: Send + 'static>(
     ctx: &Context<'_>,
     work: impl core::future::Future<Output = T> + Send + 'static,
-) -> Result<T, Reject> {
+) -> Result<T, Rejection> {
     let done = ctx.state().runtime.spawn(work).await;
-    done.map_err(|_| Reject::stopping())
+    done.map_err(|_| Rejection::stopping())
 }
 
 /// The body of a refused edit.
@@ -526,7 +530,7 @@
 
 fn edit_error(error: &EditError) -> WebResponse {
     let status = match error {
-        EditError::Unsound(_) => StatusCode::UNPROCESSABLE_ENTITY,
+        EditError::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
         EditError::Conflict { .. } => StatusCode::CONFLICT,
         EditError::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
         EditError::Unknown => StatusCode::GATEWAY_TIMEOUT,
@@ -546,7 +550,7 @@
     };
     let retry_after = match error {
         EditError::Unavailable(_) | EditError::Unknown => Some(UNKNOWN_RETRY_AFTER),
-        EditError::Unsound(_) | EditError::Conflict { .. } => None,
+        EditError::Invalid(_) | EditError::Conflict { .. } => None,
     };
     with_outcome(json(status, &refusal), outcome, retry_after)
 }
--- a/crates/daemon/src/box_list.rs
+++ b/crates/daemon/src/box_list.rs
@@ -9,17 +9,17 @@
 use ospreywing_node::Event;
 use ospreywing_types::{BoxFacts, Duration};
 
-const TIME_LIMIT: std::time::Duration = std::time::Duration::from_secs(2);
+const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// Reads the list for ever and tells the engine when it has changed.
-pub async fn run(engine: EngineHandle, addr: String, every: Duration) {
+pub async fn run(engine: EngineHandle, addr: String, period: Duration) {
     let http = HttpClient::new(1);
-    let mut ticks = tokio::time::interval(every.into());
+    let mut ticks = tokio::time::interval(period.into());
     let mut known: Option<Vec<BoxFacts>> = None;
     let mut tag = String::new();
     loop {
         ticks.tick().await;
-        let mut call = Call::new(Method::GET, &addr, "/boxes", TIME_LIMIT);
+        let mut call = Call::new(Method::GET, &addr, "/boxes", TIMEOUT);
         if !tag.is_empty() {
             call = call.with_header("if-none-match", &tag);
         }
@@ -33,7 +33,7 @@
         tag = answer.header("etag").unwrap_or_default().to_owned();
         if known.as_ref() != Some(&boxes) {
             known = Some(boxes.clone());
-            engine.tell(Event::Boxes(boxes)).await;
+            engine.send_event(Event::Boxes(boxes)).await;
         }
     }
 }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,7 +1,7 @@
 //! Putting the parts together, and the daemon's life from start to stop.
 
 use crate::api::{self, Api};
-use crate::engine::{Engine, EngineHandle, Hands};
+use crate::engine::{Effects, Engine, EngineHandle};
 use crate::error::DaemonError;
 use crate::layout::Layout;
 use crate::metrics::{self, StoreCounts};
@@ -27,7 +27,7 @@
 /// Threads that serve callers.
 const API_THREADS_COUNT: usize = 1;
 /// How long answers may take to reach callers once all work is done.
-const LAST_ANSWERS: std::time::Duration = std::time::Duration::from_millis(300);
+const REPLY_FLUSH_TIME: std::time::Duration = std::time::Duration::from_millis(300);
 
 /// Runs the daemon until it was asked to stop and has left.
 ///
@@ -78,7 +78,7 @@
     let stop_api = api::start(listener, api, API_THREADS_COUNT)
         .map_err(|source| socket_error("--http-addr", http_addr, source))?;
 
-    let is_entered = Arc::new(AtomicBool::new(false));
+    let is_registered = Arc::new(AtomicBool::new(false));
     let member_key = layout.member(&settings.name);
     let poll = StorePoll::new(
         store,
@@ -86,10 +86,10 @@
         engine.clone(),
         Arc::clone(&counts),
         member_key,
-        Arc::clone(&is_entered),
+        Arc::clone(&is_registered),
     );
     tokio::spawn(poll.run(settings.poll_every, wake));
-    tokio::spawn(calls.clone().keep_member(is_entered));
+    tokio::spawn(calls.clone().maintain_member_entry(is_registered));
     let boxes_addr = settings.boxes_addr.to_string();
     tokio::spawn(box_list::run(
         engine.clone(),
@@ -105,7 +105,7 @@
 
     info!(log, "started"; "http" => http_addr.to_string(), "rpc" => rpc_addr.to_string(),
         "incarnation" => member.identity.incarnation);
-    let hands = Hands {
+    let effects = Effects {
         store: calls.clone(),
         sessions: Sessions::new(engine.clone()),
         peers: PeerClients::new(member.identity.clone(), engine.clone()),
@@ -113,11 +113,11 @@
     };
     let node = Node::new(node_config(&settings, member));
     let drain_limit = settings.drain_limit;
-    Engine::new(node, hands, log)
+    Engine::new(node, effects, log)
         .run(messages, drain_limit)
         .await;
-    calls.leave().await;
-    tokio::time::sleep(LAST_ANSWERS).await;
+    calls.deregister().await;
+    tokio::time::sleep(REPLY_FLUSH_TIME).await;
     stop_api();
     // The endpoint goes last: that nobody listens there proves the end.
     let _ = rpc.stop();
@@ -207,5 +207,5 @@
         _ = int.recv() => {}
     }
     info!(log, "leaving");
-    engine.tell(Event::Leave).await;
+    engine.send_event(Event::Leave).await;
 }
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -28,7 +28,7 @@
     GiveUp(GiveUp),
 }
 
-type Question = Box<dyn FnOnce(&mut Node, Instant) + Send>;
+type NodeQuery = Box<dyn FnOnce(&mut Node, Instant) + Send>;
 
 /// A message for the engine.
 pub enum Message {
@@ -62,7 +62,7 @@
         answer: MinionAnswer,
     },
     /// A question about the node.
-    Ask(Question),
+    QueryNode(NodeQuery),
 }
 
 /// The engine is gone: the daemon is stopping.
@@ -92,13 +92,13 @@
     }
 
     /// Tells the engine that something happened.
-    pub async fn tell(&self, event: Event) {
+    pub async fn send_event(&self, event: Event) {
         // An engine that is gone needs to know nothing.
         let _ = self.sender.send(Message::Event(event)).await;
     }
 
     /// Tells the engine without waiting for room; drops the event without it.
-    pub fn try_tell(&self, event: Event) {
+    pub fn try_send_event(&self, event: Event) {
         let _ = self.sender.try_send(Message::Event(event));
     }
 
@@ -159,16 +159,16 @@
     /// # Errors
     ///
     /// Returns [`EngineGone`] where the daemon is stopping.
-    pub async fn ask<T: Send + 'static>(
+    pub async fn query_node<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&mut Node, Instant) -> T + Send + 'static,
+        query: impl FnOnce(&mut Node, Instant) -> T + Send + 'static,
     ) -> Result<T, EngineGone> {
         let (reply, answer) = oneshot::channel();
-        let question: Question = Box::new(move |node, now| {
+        let query: NodeQuery = Box::new(move |node, now| {
             // Who asked may have gone.
-            let _ = reply.send(question(node, now));
+            let _ = reply.send(query(node, now));
         });
-        self.send(Message::Ask(question)).await;
+        self.send(Message::QueryNode(query)).await;
         answer.await.map_err(|_| EngineGone)
     }
 }
@@ -182,7 +182,7 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if let Some(token) = self.token {
-            self.engine.try_tell(Event::CallerLeft { token });
+            self.engine.try_send_event(Event::CallerLeft { token });
         }
     }
 }
@@ -197,7 +197,7 @@
 }
 
 /// The hands of the engine.
-pub struct Hands {
+pub struct Effects {
     /// Calls of the store.
     pub store: StoreCalls,
     /// Connections to workers.
@@ -211,17 +211,17 @@
 /// The task that owns the node.
 pub struct Engine {
     node: Node,
-    hands: Hands,
+    effects: Effects,
     calls: HashMap<u64, oneshot::Sender<Answer>>,
     requests: HashMap<u64, OpenRequest>,
     actions: Vec<Action>,
     log: Logger,
-    said: Said,
+    logged: LoggedState,
 }
 
 /// What was last logged, so that only changes of state are.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Said {
+struct LoggedState {
     freshness: &'static str,
     is_ready: bool,
     shards: Vec<u32>,
@@ -230,15 +230,15 @@
 
 impl Engine {
     /// Creates the engine.
-    pub fn new(node: Node, hands: Hands, log: Logger) -> Self {
+    pub fn new(node: Node, effects: Effects, log: Logger) -> Self {
         Self {
             node,
-            hands,
+            effects,
             calls: HashMap::new(),
             requests: HashMap::new(),
             actions: Vec::new(),
             log,
-            said: Said::default(),
+            logged: LoggedState::default(),
         }
     }
 
@@ -299,7 +299,7 @@
                 }
                 self.handle(Event::RequestAnswered(request));
             }
-            Message::Ask(question) => question(&mut self.node, clock::now()),
+            Message::QueryNode(query) => query(&mut self.node, clock::now()),
         }
     }
 
@@ -327,44 +327,44 @@
         let mut actions = core::mem::take(&mut self.actions);
         self.node.handle(clock::now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Answer { token, answer } => self.answer(token, answer),
             Action::Forward { to, message } => self.forward(&to, message),
             Action::Ping(to) => {
                 let digest = self.node.table_digest();
-                self.hands.peers.ping(to, digest);
+                self.effects.peers.ping(to, digest);
             }
             Action::CloseEpoch {
                 shard,
                 epoch,
                 owner,
-            } => self.hands.peers.close_epoch(shard, epoch, owner),
+            } => self.effects.peers.close_epoch(shard, epoch, owner),
             Action::ClaimShard { shard, revision } => {
-                self.hands.store.claim_shard(shard, revision);
+                self.effects.store.claim_shard(shard, revision);
             }
             Action::VacateShard { shard, revision } => {
-                self.hands.store.vacate_shard(shard, revision);
+                self.effects.store.vacate_shard(shard, revision);
             }
             Action::Commit {
                 shard,
                 epoch,
                 commit,
-            } => self.hands.store.commit(shard, epoch, commit),
-            Action::ClaimSeat { seat, revision } => self.hands.store.claim_seat(seat, revision),
-            Action::VacateSeat { seat, revision } => self.hands.store.vacate_seat(seat, revision),
+            } => self.effects.store.commit(shard, epoch, commit),
+            Action::ClaimSeat { seat, revision } => self.effects.store.claim_seat(seat, revision),
+            Action::VacateSeat { seat, revision } => self.effects.store.vacate_seat(seat, revision),
             Action::SendRequest {
                 request,
                 token,
                 addr,
                 time_limit,
             } => self.send_request(request, token, addr, time_limit),
-            other => self.hands.sessions.carry_out(other),
+            other => self.effects.sessions.execute(other),
         }
     }
 
@@ -392,19 +392,19 @@
     fn forward(&mut self, to: &ospreywing_types::DaemonIdentity, message: Forward) {
         match message {
             Forward::Submit { token, submit } => {
-                self.hands.peers.submit(to.clone(), token, submit);
+                self.effects.peers.submit(to.clone(), token, submit);
             }
             Forward::Cancel { token, query } => {
-                self.hands.peers.cancel(to.clone(), token, query);
+                self.effects.peers.cancel(to.clone(), token, query);
             }
             Forward::Query { token, query } => {
                 let reply = self.calls.remove(&token);
                 if let Some(reply) = reply {
-                    self.hands.peers.query(to.clone(), query, reply);
+                    self.effects.peers.query(to.clone(), query, reply);
                 }
             }
             Forward::TakeKey { request, claim } => {
-                self.hands.peers.take_key(to.clone(), request, claim);
+                self.effects.peers.take_key(to.clone(), request, claim);
             }
         }
     }
@@ -412,12 +412,12 @@
     fn send_request(&mut self, request: Request, token: u64, addr: String, time_limit: Duration) {
         let Some(open) = self.requests.get(&token) else {
             // The caller left in this very moment.
-            self.hands.minions.not_sent(request);
+            self.effects.minions.not_sent(request);
             return;
         };
         let body = open.body.clone();
         let (row, key) = (open.row.clone(), open.key.clone());
-        self.hands
+        self.effects
             .minions
             .send(request, token, addr, row, key, body, time_limit);
     }
@@ -425,13 +425,13 @@
     /// Logs what changed, and nothing else.
     fn log_changes(&mut self) {
         let shards = 0..self.node.shards_count();
-        let now = Said {
+        let now = LoggedState {
             freshness: self.node.freshness().as_str(),
             is_ready: self.node.is_ready(),
             shards: shards.filter(|&s| self.node.owner(s).is_some()).collect(),
             table_revision: self.node.table().revision,
         };
-        if now == self.said {
+        if now == self.logged {
             return;
         }
         info!(self.log, "state changed";
@@ -439,6 +439,6 @@
             "is_ready" => now.is_ready,
             "shards" => format!("{:?}", now.shards),
             "table_revision" => now.table_revision);
-        self.said = now;
+        self.logged = now;
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -79,7 +79,7 @@
     text
 }
 
-const SEND_EVERY: Duration = Duration::from_secs(10);
+const SEND_PERIOD: Duration = Duration::from_secs(10);
 
 /// Sends the counters for ever.
 ///
@@ -95,10 +95,10 @@
 
 /// Sends the counters for ever.
 pub async fn run(client: StatsdClient, engine: EngineHandle, store: Arc<StoreCounts>) {
-    let mut ticks = tokio::time::interval(SEND_EVERY);
+    let mut ticks = tokio::time::interval(SEND_PERIOD);
     loop {
         ticks.tick().await;
-        let report = engine.ask(|node, now| node.report(now)).await;
+        let report = engine.query_node(|node, now| node.report(now)).await;
         let Ok(report) = report else { return };
         for metric in metrics(&report, &store) {
             // A metric that is lost is followed by the next.
--- a/crates/daemon/src/minions.rs
+++ b/crates/daemon/src/minions.rs
@@ -77,9 +77,9 @@
                     this.engine.send(message).await;
                 }
                 Err(error) if error.is_not_sent() => {
-                    this.engine.tell(Event::RequestNotSent(request)).await;
+                    this.engine.send_event(Event::RequestNotSent(request)).await;
                 }
-                Err(_) => this.engine.tell(Event::RequestBroken(request)).await,
+                Err(_) => this.engine.send_event(Event::RequestBroken(request)).await,
             }
         });
     }
@@ -87,6 +87,6 @@
     /// Reports that a request was not sent.
     pub fn not_sent(&self, request: Request) {
         let engine = self.engine.clone();
-        tokio::spawn(async move { engine.tell(Event::RequestNotSent(request)).await });
+        tokio::spawn(async move { engine.send_event(Event::RequestNotSent(request)).await });
     }
 }
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -21,13 +21,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(1000);
-const PING_LIMIT: Duration = Duration::from_millis(1500);
-const CALL_LIMIT: Duration = Duration::from_millis(4000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const PING_TIMEOUT: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
 /// When to come back where the owner of a shard can't be reached.
 const RETRY_AFTER_MS: u64 = 1000;
 /// Refused connections in a row that prove a process ended.
-const REFUSALS_COUNT: u32 = 2;
+const REFUSALS_TO_PROVE_EXIT: u32 = 2;
 
 /// Why a call of a peer failed.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// Nothing was sent.
     NotSent,
     /// The call may have been received.
-    InDoubt,
+    Unconfirmed,
 }
 
 /// What is kept of one process.
@@ -50,16 +50,16 @@
 /// Calls of other daemons.
 #[derive(Clone)]
 pub struct PeerClients {
-    me: DaemonIdentity,
+    own_identity: DaemonIdentity,
     engine: EngineHandle,
     links: Arc<Mutex<HashMap<u64, Link>>>,
 }
 
 impl PeerClients {
     /// Creates the calls; what becomes of them goes to `engine`.
-    pub fn new(me: DaemonIdentity, engine: EngineHandle) -> Self {
+    pub fn new(own_identity: DaemonIdentity, engine: EngineHandle) -> Self {
         Self {
-            me,
+            own_identity,
             engine,
             links: Arc::new(Mutex::new(HashMap::new())),
         }
@@ -69,39 +69,45 @@
     pub fn ping(&self, to: DaemonIdentity, table_digest: u64) {
         let this = self.clone();
         let ping = Ping {
-            from: self.me.clone(),
+            from: self.own_identity.clone(),
             table_digest,
         };
         tokio::spawn(async move {
             let asked_at = clock::now();
             let pong: Result<Pong, CallError> = this
-                .call(&to, peer::PING, rpc_params![ping], PING_LIMIT)
+                .call(&to, peer::PING, rpc_params![ping], PING_TIMEOUT)
                 .await;
             match pong {
                 Ok(pong) if pong.from.incarnation == to.incarnation => {
-                    this.engine.tell(Event::Ponged { asked_at, pong }).await;
+                    this.engine
+                        .send_event(Event::Ponged { asked_at, pong })
+                        .await;
                 }
                 // Another process has its address.
-                Ok(_) => this.gone(&to).await,
-                Err(CallError::Refused) => this.refused(&to).await,
-                Err(CallError::NotSent | CallError::InDoubt) => {}
+                Ok(_) => this.on_process_gone(&to).await,
+                Err(CallError::Refused) => this.on_refused(&to).await,
+                Err(CallError::NotSent | CallError::Unconfirmed) => {}
             }
         });
     }
 
-    async fn refused(&self, to: &DaemonIdentity) {
-        if self.is_proved_gone(to) {
-            self.gone(to).await;
+    async fn on_refused(&self, to: &DaemonIdentity) {
+        if self.record_refusal(to) {
+            self.on_process_gone(to).await;
         } else {
             let incarnation = to.incarnation;
-            self.engine.tell(Event::PeerRefused { incarnation }).await;
+            self.engine
+                .send_event(Event::PeerRefused { incarnation })
+                .await;
         }
     }
 
-    async fn gone(&self, to: &DaemonIdentity) {
+    async fn on_process_gone(&self, to: &DaemonIdentity) {
         let incarnation = to.incarnation;
         self.drop_client(incarnation);
-        self.engine.tell(Event::ProcessGone { incarnation }).await;
+        self.engine
+            .send_event(Event::ProcessGone { incarnation })
+            .await;
     }
 
     /// Asks a former owner to close its epoch.
@@ -115,17 +121,17 @@
             };
             let params = rpc_params![message];
             let reply: Result<CloseEpochReply, CallError> = this
-                .call(&owner, peer::CLOSE_EPOCH, params, PING_LIMIT)
+                .call(&owner, peer::CLOSE_EPOCH, params, PING_TIMEOUT)
                 .await;
             let reply = match reply {
                 Ok(reply) => reply,
-                Err(CallError::Refused) if this.is_proved_gone(&owner) => {
+                Err(CallError::Refused) if this.record_refusal(&owner) => {
                     CloseEpochReply::OtherIncarnation
                 }
                 Err(_) => return,
             };
             this.engine
-                .tell(Event::EpochAnswered {
+                .send_event(Event::EpochAnswered {
                     shard,
                     epoch,
                     reply,
@@ -135,11 +141,11 @@
     }
 
     /// Counts one more refusal and returns whether that is proof.
-    fn is_proved_gone(&self, owner: &DaemonIdentity) -> bool {
+    fn record_refusal(&self, owner: &DaemonIdentity) -> bool {
         let mut links = self.links.lock().unwrap_or_else(|e| e.into_inner());
         let link = links.entry(owner.incarnation).or_default();
         link.refusals_count += 1;
-        link.refusals_count >= REFUSALS_COUNT
+        link.refusals_count >= REFUSALS_TO_PROVE_EXIT
     }
 
     /// Passes a task on to the owner of its shard.
@@ -147,10 +153,10 @@
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![submit];
-            let reply = this.call(&to, peer::SUBMIT, params, CALL_LIMIT).await;
+            let reply = this.call(&to, peer::SUBMIT, params, CALL_TIMEOUT).await;
             let reply = submit_reply(reply);
             this.engine
-                .tell(Event::ForwardAnswered { token, reply })
+                .send_event(Event::ForwardAnswered { token, reply })
                 .await;
         });
     }
@@ -160,10 +166,10 @@
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![query];
-            let reply = this.call(&to, peer::CANCEL, params, CALL_LIMIT).await;
+            let reply = this.call(&to, peer::CANCEL, params, CALL_TIMEOUT).await;
             let reply = submit_reply(reply);
             this.engine
-                .tell(Event::ForwardAnswered { token, reply })
+                .send_event(Event::ForwardAnswered { token, reply })
                 .await;
         });
     }
@@ -173,7 +179,7 @@
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![query];
-            let answer = this.call(&to, peer::QUERY, params, CALL_LIMIT).await;
+            let answer = this.call(&to, peer::QUERY, params, CALL_TIMEOUT).await;
             let answer = answer.unwrap_or(QueryReply::NotOwner);
             let _ = reply.send(Answer::Query(answer));
         });
@@ -187,12 +193,12 @@
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![claim];
-            let reply = this.call(&to, peer::TAKE_KEY, params, CALL_LIMIT).await;
+            let reply = this.call(&to, peer::TAKE_KEY, params, CALL_TIMEOUT).await;
             let reply = reply.unwrap_or(TakeKeyReply::Refused {
                 retry_after_ms: RETRY_AFTER_MS,
             });
             this.engine
-                .tell(Event::KeyAnswered { request, reply })
+                .send_event(Event::KeyAnswered { request, reply })
                 .await;
         });
     }
@@ -211,7 +217,7 @@
             Ok(Err(RpcError::Call(_))) => Err(CallError::NotSent),
             Ok(Err(_)) | Err(_) => {
                 self.drop_client(to.incarnation);
-                Err(CallError::InDoubt)
+                Err(CallError::Unconfirmed)
             }
         }
     }
@@ -244,7 +250,7 @@
 }
 
 async fn connect(addr: &str) -> Result<WsClient, CallError> {
-    let stream = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(addr)).await;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
     let stream = match stream {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
@@ -254,7 +260,7 @@
     };
     let _ = stream.set_nodelay(true);
     let built = WsClientBuilder::new().build_with_stream(format!("ws://{addr}"), stream);
-    match tokio::time::timeout(CONNECT_LIMIT, built).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, built).await {
         Ok(Ok(client)) => Ok(client),
         Ok(Err(_)) | Err(_) => Err(CallError::NotSent),
     }
@@ -263,7 +269,7 @@
 fn submit_reply(reply: Result<SubmitReply, CallError>) -> SubmitReply {
     match reply {
         Ok(reply) => reply,
-        Err(CallError::InDoubt) => SubmitReply::Unknown,
+        Err(CallError::Unconfirmed) => SubmitReply::Unknown,
         Err(CallError::Refused | CallError::NotSent) => SubmitReply::Refused {
             reason: "the owner of the key's shard can't be reached".to_owned(),
             retry_after_ms: Some(RETRY_AFTER_MS),
--- a/crates/daemon/src/sessions.rs
+++ b/crates/daemon/src/sessions.rs
@@ -20,8 +20,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(2000);
-const CALL_LIMIT: Duration = Duration::from_millis(4000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(2000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
 /// Unacknowledged bytes are given up on after this time.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -44,7 +44,7 @@
     }
 
     /// Carries out an action that is about a worker; passes over others.
-    pub fn carry_out(&mut self, action: Action) {
+    pub fn execute(&mut self, action: Action) {
         match action {
             Action::Connect {
                 worker,
@@ -80,7 +80,7 @@
         // Any other order for a connection that has gone is moot.
         if let (Some(attempt), None | Some(Err(_))) = (attempt, sent) {
             let engine = self.engine.clone();
-            tokio::spawn(async move { engine.tell(Event::StartNotSent { attempt }).await });
+            tokio::spawn(async move { engine.send_event(Event::StartNotSent { attempt }).await });
         }
     }
 }
@@ -119,7 +119,7 @@
                     epoch: self.epoch,
                     session,
                 };
-                self.engine.tell(closed).await;
+                self.engine.send_event(closed).await;
                 if is_over {
                     return;
                 }
@@ -137,7 +137,9 @@
             match orders.try_recv() {
                 Ok(Order::Start { start, .. }) => {
                     let attempt = start.attempt;
-                    self.engine.tell(Event::StartNotSent { attempt }).await;
+                    self.engine
+                        .send_event(Event::StartNotSent { attempt })
+                        .await;
                 }
                 Ok(_) => {}
                 Err(mpsc::error::TryRecvError::Empty) => return false,
@@ -147,11 +149,11 @@
     }
 
     async fn open(&self) -> Result<(OpenSession, Subscription<Ended>), RpcError> {
-        let opened = tokio::time::timeout(CONNECT_LIMIT, self.open_at_length()).await;
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, self.open_without_timeout()).await;
         opened.unwrap_or(Err(RpcError::RequestTimeout))
     }
 
-    async fn open_at_length(&self) -> Result<(OpenSession, Subscription<Ended>), RpcError> {
+    async fn open_without_timeout(&self) -> Result<(OpenSession, Subscription<Ended>), RpcError> {
         let stream = TcpStream::connect(&self.addr)
             .await
             .map_err(|error| RpcError::Transport(Box::new(error)))?;
@@ -177,7 +179,7 @@
         };
         let worker = self.worker.clone();
         self.engine
-            .tell(Event::SessionOpened {
+            .send_event(Event::SessionOpened {
                 worker,
                 epoch: self.epoch,
                 session: open.number,
@@ -212,7 +214,7 @@
                 },
                 () = self.broken.notified() => return false,
                 order = orders.recv() => match order {
-                    Some(order) => self.carry_out(order).await,
+                    Some(order) => self.execute(order).await,
                     None => return true,
                 },
             }
@@ -223,18 +225,18 @@
         let worker = self.session.worker.clone();
         self.session
             .engine
-            .tell(Event::Ended { worker, ended })
+            .send_event(Event::Ended { worker, ended })
             .await;
     }
 
-    async fn carry_out(&self, order: Order) {
+    async fn execute(&self, order: Order) {
         let this = self.clone();
         match order {
             Order::Start { incarnation, start } => {
                 if incarnation != self.incarnation || !self.client.is_connected() {
                     let attempt = start.attempt;
                     let event = Event::StartNotSent { attempt };
-                    self.session.engine.tell(event).await;
+                    self.session.engine.send_event(event).await;
                     return;
                 }
                 tokio::spawn(async move { this.start(start).await });
@@ -246,7 +248,7 @@
                 tokio::spawn(async move { this.stop(stop).await });
             }
             Order::Report => {
-                tokio::spawn(async move { this.ask_report().await });
+                tokio::spawn(async move { this.request_report().await });
             }
         }
     }
@@ -256,7 +258,7 @@
         let call = self
             .client
             .request::<(), _>(worker::START, rpc_params![start]);
-        let event = match tokio::time::timeout(CALL_LIMIT, call).await {
+        let event = match tokio::time::timeout(CALL_TIMEOUT, call).await {
             Ok(Ok(())) => Event::StartAcked { attempt },
             // The worker itself says that it did not start it.
             Ok(Err(RpcError::Call(_))) => Event::StartNotSent { attempt },
@@ -265,14 +267,14 @@
                 Event::StartInDoubt { attempt }
             }
         };
-        self.session.engine.tell(event).await;
+        self.session.engine.send_event(event).await;
     }
 
     async fn renew(&self, renew: Renew) {
         let call = self
             .client
             .request::<(), _>(worker::RENEW, rpc_params![renew]);
-        if !matches!(tokio::time::timeout(CALL_LIMIT, call).await, Ok(Ok(()))) {
+        if !matches!(tokio::time::timeout(CALL_TIMEOUT, call).await, Ok(Ok(()))) {
             self.broken.notify_one();
         }
     }
@@ -281,17 +283,17 @@
         let call = self
             .client
             .request::<(), _>(worker::STOP, rpc_params![stop]);
-        if !matches!(tokio::time::timeout(CALL_LIMIT, call).await, Ok(Ok(()))) {
+        if !matches!(tokio::time::timeout(CALL_TIMEOUT, call).await, Ok(Ok(()))) {
             self.broken.notify_one();
         }
     }
 
-    async fn ask_report(&self) {
+    async fn request_report(&self) {
         let asked_at = clock::now();
         let call = self
             .client
             .request::<Report, _>(worker::REPORT, rpc_params![]);
-        match tokio::time::timeout(CALL_LIMIT, call).await {
+        match tokio::time::timeout(CALL_TIMEOUT, call).await {
             Ok(Ok(report)) => {
                 let event = Event::Reported {
                     worker: self.session.worker.clone(),
@@ -300,7 +302,7 @@
                     asked_at,
                     report,
                 };
-                self.session.engine.tell(event).await;
+                self.session.engine.send_event(event).await;
             }
             Ok(Err(_)) | Err(_) => self.broken.notify_one(),
         }
--- a/crates/daemon/src/store_calls.rs
+++ b/crates/daemon/src/store_calls.rs
@@ -23,7 +23,7 @@
 const BACKOFF_LIMIT: Duration = Duration::from_millis(1000);
 /// The lease of this daemon's entry, and how often it is kept alive.
 const MEMBER_TTL_S: u64 = 10;
-const KEEPALIVE_EVERY: Duration = Duration::from_secs(3);
+const KEEPALIVE_PERIOD: Duration = Duration::from_secs(3);
 
 /// Writes of the store.
 #[derive(Clone)]
@@ -37,13 +37,13 @@
 }
 
 /// What became of a commit.
-enum Committed {
+enum CommitOutcome {
     Done,
-    Fenced { is_refused: bool },
+    NotWritten { is_refused: bool },
 }
 
 /// What became of a claim.
-enum Claim {
+enum ClaimOutcome {
     Won { revision: u64 },
     Lost,
 }
@@ -74,12 +74,12 @@
         tokio::spawn(async move {
             let key = this.layout.owner(shard);
             let event = match this.claim(key, revision).await {
-                Claim::Won { revision } => {
+                ClaimOutcome::Won { revision } => {
                     Event::ShardClaimed(this.read_log(shard, revision).await)
                 }
-                Claim::Lost => Event::ClaimFailed { shard },
+                ClaimOutcome::Lost => Event::ClaimFailed { shard },
             };
-            this.engine.tell(event).await;
+            this.engine.send_event(event).await;
             this.wake.notify_one();
         });
     }
@@ -94,7 +94,7 @@
                     key: key.clone(),
                     revision,
                 })
-                .with_then(this.put_me(key));
+                .with_then(this.put_own_identity(key));
             StoreCounts::add(&this.counts.claims_count);
             let _ = this.store.txn(&txn).await;
             this.wake.notify_one();
@@ -130,7 +130,7 @@
         });
     }
 
-    fn put_me(&self, key: String) -> Op {
+    fn put_own_identity(&self, key: String) -> Op {
         let identity = &self.member.identity;
         Op::Put {
             key,
@@ -141,32 +141,32 @@
 
     /// Writes this process under `key` where it has `revision`, and finds out
     /// whether that took effect even when answers are lost.
-    async fn claim(&self, key: String, revision: u64) -> Claim {
+    async fn claim(&self, key: String, revision: u64) -> ClaimOutcome {
         let txn = Txn::new()
             .with_compare(Compare::ModRevision {
                 key: key.clone(),
                 revision,
             })
-            .with_then(self.put_me(key.clone()))
+            .with_then(self.put_own_identity(key.clone()))
             .with_otherwise(Op::Get { key });
         let (reply, _) = self
             .txn_until_answered(&txn, &self.counts.claims_count)
             .await;
         if reply.succeeded {
-            return Claim::Won {
+            return ClaimOutcome::Won {
                 revision: reply.revision,
             };
         }
         // An earlier try of ours may have taken effect with its answer lost.
         match first_of(&reply) {
-            Some(found) if self.is_me(found) => Claim::Won {
+            Some(found) if self.is_own_identity(found) => ClaimOutcome::Won {
                 revision: found.mod_revision,
             },
-            _ => Claim::Lost,
+            _ => ClaimOutcome::Lost,
         }
     }
 
-    fn is_me(&self, found: &KeyValue) -> bool {
+    fn is_own_identity(&self, found: &KeyValue) -> bool {
         let identity: Option<ospreywing_types::DaemonIdentity> =
             serde_json::from_slice(&found.value).unwrap_or(None);
         identity.is_some_and(|identity| identity == self.member.identity)
@@ -197,19 +197,24 @@
     pub fn commit(&self, shard: u32, epoch: u64, commit: Commit) {
         let this = self.clone();
         tokio::spawn(async move {
-            let event = match this.commit_until_known(shard, epoch, &commit).await {
-                Committed::Done => Event::CommitDone { shard, epoch },
-                Committed::Fenced { is_refused } => Event::CommitFenced {
+            let event = match this.commit_until_resolved(shard, epoch, &commit).await {
+                CommitOutcome::Done => Event::CommitDone { shard, epoch },
+                CommitOutcome::NotWritten { is_refused } => Event::CommitFenced {
                     shard,
                     epoch,
                     is_refused,
                 },
             };
-            this.engine.tell(event).await;
+            this.engine.send_event(event).await;
         });
     }
 
-    async fn commit_until_known(&self, shard: u32, epoch: u64, commit: &Commit) -> Committed {
+    async fn commit_until_resolved(
+        &self,
+        shard: u32,
+        epoch: u64,
+        commit: &Commit,
+    ) -> CommitOutcome {
         let owner_key = self.layout.owner(shard);
         let batch_key = self.layout.batch(shard, commit.seq);
         let mut txn = Txn::new()
@@ -236,12 +241,12 @@
             .txn_until_answered(&txn, &self.counts.commits_count)
             .await;
         // The batch stands there because an earlier try of ours took effect.
-        let stands = first_of(&reply).is_some_and(|found| found.value == commit.value);
-        if reply.succeeded || stands {
-            return Committed::Done;
+        let is_already_written = first_of(&reply).is_some_and(|found| found.value == commit.value);
+        if reply.succeeded || is_already_written {
+            return CommitOutcome::Done;
         }
         // After an earlier try the batch may have stood and been cleaned away.
-        Committed::Fenced {
+        CommitOutcome::NotWritten {
             is_refused: tries_count == 1,
         }
     }
@@ -265,33 +270,33 @@
 
     /// Keeps this daemon's entry in the store for ever, under a lease.
     ///
-    /// `is_entered` says whether the last poll found the entry: a lease that is
+    /// `is_registered` says whether the last poll found the entry: a lease that is
     /// alive does not prove that the entry is there.
-    pub async fn keep_member(self, is_entered: Arc<AtomicBool>) {
+    pub async fn maintain_member_entry(self, is_registered: Arc<AtomicBool>) {
         let mut lease = None;
-        let mut ticks = tokio::time::interval(KEEPALIVE_EVERY);
+        let mut ticks = tokio::time::interval(KEEPALIVE_PERIOD);
         loop {
             ticks.tick().await;
             let kept = match lease {
-                Some(_) if !is_entered.load(Ordering::Relaxed) => Ok(false),
-                Some(lease) => self.keep_alive(lease).await,
+                Some(_) if !is_registered.load(Ordering::Relaxed) => Ok(false),
+                Some(lease) => self.renew_lease(lease).await,
                 None => Ok(false),
             };
             match kept {
                 Ok(true) => {}
-                Ok(false) => lease = self.enter().await.ok(),
+                Ok(false) => lease = self.register().await.ok(),
                 // The lease may still be there: ask again.
                 Err(_) => {}
             }
         }
     }
 
-    async fn keep_alive(&self, lease: u64) -> Result<bool, StoreError> {
+    async fn renew_lease(&self, lease: u64) -> Result<bool, StoreError> {
         StoreCounts::add(&self.counts.leases_count);
         self.store.lease_keepalive(lease).await
     }
 
-    async fn enter(&self) -> Result<u64, StoreError> {
+    async fn register(&self) -> Result<u64, StoreError> {
         StoreCounts::add(&self.counts.leases_count);
         let lease = self.store.lease_grant(MEMBER_TTL_S).await?;
         let txn = Txn::new().with_then(Op::Put {
@@ -306,7 +311,7 @@
     }
 
     /// Removes this daemon's entry, as its last word.
-    pub async fn leave(&self) {
+    pub async fn deregister(&self) {
         let key = self.layout.member(&self.member.identity.name);
         let txn = Txn::new().with_then(Op::Delete { key });
         StoreCounts::add(&self.counts.leases_count);
--- a/crates/daemon/src/store_poll.rs
+++ b/crates/daemon/src/store_poll.rs
@@ -29,20 +29,20 @@
     known: HashSet<String>,
     revision: u64,
     member_key: String,
-    is_entered: Arc<AtomicBool>,
+    is_registered: Arc<AtomicBool>,
 }
 
 impl StorePoll {
     /// Creates the poller.
     ///
-    /// `is_entered` says whether the last poll found `member_key`.
+    /// `is_registered` says whether the last poll found `member_key`.
     pub fn new(
         store: StoreClient,
         layout: Layout,
         engine: EngineHandle,
         counts: Arc<StoreCounts>,
         member_key: String,
-        is_entered: Arc<AtomicBool>,
+        is_registered: Arc<AtomicBool>,
     ) -> Self {
         Self {
             store,
@@ -52,17 +52,17 @@
             known: HashSet::new(),
             revision: 0,
             member_key,
-            is_entered,
+            is_registered,
         }
     }
 
-    /// Polls for ever, at each `every` and whenever `wake` is notified.
-    pub async fn run(mut self, every: Duration, wake: Arc<Notify>) {
+    /// Polls for ever, at each `period` and whenever `wake` is notified.
+    pub async fn run(mut self, period: Duration, wake: Arc<Notify>) {
         loop {
             // A poll that fails proves nothing, and the next one comes soon.
             let _ = self.poll().await;
             tokio::select! {
-                () = tokio::time::sleep(every.into()) => {}
+                () = tokio::time::sleep(period.into()) => {}
                 () = wake.notified() => {}
             }
         }
@@ -84,7 +84,7 @@
         let fits = known.len() as u64 == page.count && !page.has_more;
         if fits {
             self.known = known;
-            self.tell(asked_at, &page, is_whole).await;
+            self.send_event(asked_at, &page, is_whole).await;
             return Ok(());
         }
         let asked_at = clock::now();
@@ -92,14 +92,19 @@
         let whole = self.store.range_all(&prefix, PAGE_COUNT).await?;
         let keys = whole.key_values.iter().map(|found| found.key.clone());
         self.known = keys.collect();
-        self.tell(asked_at, &whole, true).await;
+        self.send_event(asked_at, &whole, true).await;
         Ok(())
     }
 
-    async fn tell(&mut self, asked_at: ospreywing_types::Instant, page: &Page, is_whole: bool) {
+    async fn send_event(
+        &mut self,
+        asked_at: ospreywing_types::Instant,
+        page: &Page,
+        is_whole: bool,
+    ) {
         self.revision = page.revision;
-        let is_entered = self.known.contains(&self.member_key);
-        self.is_entered.store(is_entered, Ordering::Relaxed);
+        let is_registered = self.known.contains(&self.member_key);
+        self.is_registered.store(is_registered, Ordering::Relaxed);
         let found = page.key_values.iter();
         let poll = Poll {
             asked_at,
@@ -108,6 +113,6 @@
                 .collect(),
             is_whole,
         };
-        self.engine.tell(Event::Polled(poll)).await;
+        self.engine.send_event(Event::Polled(poll)).await;
     }
 }
--- a/crates/daemon/src/table_edit.rs
+++ b/crates/daemon/src/table_edit.rs
@@ -17,14 +17,14 @@
 use tokio::sync::Notify;
 
 /// How long an edit may take until its fate is said to be unknown.
-const WRITE_LIMIT: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long an edit waits to be in force everywhere.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(7);
-const IN_FORCE_CHECK_EVERY: Duration = Duration::from_millis(50);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(7);
+const IN_FORCE_CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// How long an edit waits for daemons that were just met to answer: a ping is sent each half
 /// second, and its connection may be refused while the other still starts.
-const SETTLE_LIMIT: Duration = Duration::from_secs(4);
-const SETTLE_CHECK_EVERY: Duration = Duration::from_millis(20);
+const EDITABLE_TIMEOUT: Duration = Duration::from_secs(4);
+const EDITABLE_CHECK_PERIOD: Duration = Duration::from_millis(20);
 /// Edits of a row that are remembered.
 const HISTORY_COUNT: usize = 20;
 
@@ -64,7 +64,7 @@
 pub enum EditError {
     /// The table would not be sound.
     #[error("{}", .0.join("; "))]
-    Unsound(Vec<String>),
+    Invalid(Vec<String>),
     /// The row is not as the operator saw it.
     #[error("the row was changed by another; it is at revision {}", .newer.revision)]
     Conflict {
@@ -168,7 +168,7 @@
         name: &Name,
         row: Option<Row>,
         revision: u64,
-        waits: bool,
+        wait_for_all: bool,
     ) -> Result<Accepted, EditError> {
         self.check(name, row.as_ref()).await?;
         let before = self.stored(name).await.map_err(unavailable)?;
@@ -180,7 +180,7 @@
             edit_id: rand::random(),
         };
         let txn = self.txn(name, &stored, &before, revision);
-        let written = tokio::time::timeout(WRITE_LIMIT, self.write(&txn)).await;
+        let written = tokio::time::timeout(WRITE_TIMEOUT, self.write(&txn)).await;
         let reply = written.map_err(|_| EditError::Unknown)?;
         self.wake.notify_one();
         let revision = self.resolve(&reply, &stored, row.as_ref())?;
@@ -189,17 +189,19 @@
             value: row,
             revision,
         };
-        self.engine.tell(Event::RowWritten { name, row }).await;
-        Ok(self.accepted(revision, waits).await)
+        self.engine
+            .send_event(Event::RowWritten { name, row })
+            .await;
+        Ok(self.accepted(revision, wait_for_all).await)
     }
 
     /// Checks an edit, and waits where this daemon or others have only just started.
     async fn check(&self, name: &Name, row: Option<&Row>) -> Result<(), EditError> {
-        let settling = self.settle();
+        let settling = self.wait_until_editable();
         // Where that takes too long, the check tells what is missing.
-        let _ = tokio::time::timeout(SETTLE_LIMIT, settling).await;
+        let _ = tokio::time::timeout(EDITABLE_TIMEOUT, settling).await;
         let (name, row) = (name.clone(), row.cloned());
-        let checked = self.engine.ask(move |node, now| {
+        let checked = self.engine.query_node(move |node, now| {
             node.check_edit(now).map_err(blocked)?;
             let mut table = (*node.table()).clone();
             match row {
@@ -209,7 +211,7 @@
                 }
             }
             table.check(node.shards_count()).map_err(|faults| {
-                EditError::Unsound(faults.iter().map(ToString::to_string).collect())
+                EditError::Invalid(faults.iter().map(ToString::to_string).collect())
             })
         });
         checked
@@ -218,14 +220,17 @@
     }
 
     /// Waits until nothing keeps edits out that passes by itself.
-    async fn settle(&self) {
+    async fn wait_until_editable(&self) {
         loop {
-            let checked = self.engine.ask(|node, now| node.check_edit(now)).await;
+            let checked = self
+                .engine
+                .query_node(|node, now| node.check_edit(now))
+                .await;
             match checked {
                 Ok(Err(blocked)) if blocked.may_pass() => {}
                 _ => return,
             }
-            tokio::time::sleep(SETTLE_CHECK_EVERY).await;
+            tokio::time::sleep(EDITABLE_CHECK_PERIOD).await;
         }
     }
 
@@ -289,20 +294,20 @@
     }
 
     /// Waits until every daemon goes by `revision`, for a while.
-    async fn accepted(&self, revision: u64, waits: bool) -> Accepted {
+    async fn accepted(&self, revision: u64, wait_for_all: bool) -> Accepted {
         let until =
-            clock::now() + ospreywing_types::Duration::from_ms(IN_FORCE_LIMIT.as_millis() as u64);
+            clock::now() + ospreywing_types::Duration::from_ms(IN_FORCE_TIMEOUT.as_millis() as u64);
         loop {
-            let lagging = self.engine.ask(|node, now| node.lagging(now));
+            let lagging = self.engine.query_node(|node, now| node.lagging(now));
             let lagging = lagging.await.unwrap_or_default();
-            if lagging.is_empty() || !waits || clock::now() >= until {
+            if lagging.is_empty() || !wait_for_all || clock::now() >= until {
                 return Accepted {
                     revision,
                     is_in_force: lagging.is_empty(),
                     lagging,
                 };
             }
-            tokio::time::sleep(IN_FORCE_CHECK_EVERY).await;
+            tokio::time::sleep(IN_FORCE_CHECK_PERIOD).await;
         }
     }
 }
--- a/crates/daemon/tests/processes/bad_input.rs
+++ b/crates/daemon/tests/processes/bad_input.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn requests_get_an_error_that_names_the_field() {
+fn bad_request_error_names_field() {
     let cell = Cell::new(1);
     let addr = cell.daemons[0].http_addr.clone();
     for bad in bad_requests() {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_request_do_no_harm() {
+fn malformed_bytes_leave_daemon_ready() {
     let cell = Cell::new(1);
     let daemon = &cell.daemons[0];
     let noise: [&[u8]; 4] = [
--- a/crates/daemon/tests/processes/cell.rs
+++ b/crates/daemon/tests/processes/cell.rs
@@ -25,8 +25,8 @@
 /// The daemons' default.
 pub const SHARDS_COUNT: usize = 2;
 /// A condition that does not come about within this time will not.
-const PATIENCE: Duration = Duration::from_secs(60);
-const CALL_LIMIT: Duration = Duration::from_secs(15);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// One daemon's process.
 pub struct DaemonProcess {
@@ -47,7 +47,7 @@
     }
 
     /// Waits for the process to end by itself and returns whether it did well.
-    pub fn ends_well(&mut self) -> bool {
+    pub fn wait_for_success(&mut self) -> bool {
         self.child.wait().expect("the process ends").success()
     }
 }
@@ -140,9 +140,9 @@
         self.runtime.spawn(minion::run(host, minions));
     }
 
-    /// Starts a daemon; one that `is_apart` has its own way to the store.
-    pub fn start_daemon(&self, index: usize, is_apart: bool) -> DaemonProcess {
-        let store_addr = if is_apart {
+    /// Starts a daemon; one that `uses_other_store_addr` has its own way to the store.
+    pub fn start_daemon(&self, index: usize, uses_other_store_addr: bool) -> DaemonProcess {
+        let store_addr = if uses_other_store_addr {
             &self.other_platform_addr
         } else {
             &self.platform_addr
@@ -170,7 +170,7 @@
                 let _ = sender.send(line);
             }
         });
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = receiver.recv_timeout(left).expect("the daemon says where");
@@ -190,14 +190,14 @@
 
     pub fn report(&self, daemon: usize) -> Option<CellReport> {
         let addr = &self.daemons[daemon].http_addr;
-        let call = Call::new(Method::GET, addr, "/v1/status", CALL_LIMIT);
+        let call = Call::new(Method::GET, addr, "/v1/status", CALL_TIMEOUT);
         self.call(call)?.json().ok()
     }
 
     /// Waits until something is so.
-    pub fn wait_for(&self, what: &str, mut is_so: impl FnMut(&Self) -> bool) {
-        let until = Instant::now() + PATIENCE;
-        while !is_so(self) {
+    pub fn wait_for(&self, what: &str, mut condition: impl FnMut(&Self) -> bool) {
+        let until = Instant::now() + WAIT_TIMEOUT;
+        while !condition(self) {
             assert!(Instant::now() < until, "{what}: did not come about");
             std::thread::sleep(Duration::from_millis(50));
         }
@@ -235,11 +235,11 @@
         let path = format!("/v1/table/rows/{}", row.name);
         let addr = &self.daemons[0].http_addr;
         self.wait_for("the row is taken", |cell| {
-            let read = Call::new(Method::GET, addr, &path, CALL_LIMIT);
+            let read = Call::new(Method::GET, addr, &path, CALL_TIMEOUT);
             let found = cell.call(read).and_then(|found| found.json().ok());
             let found: serde_json::Value = found.unwrap_or_default();
             let revision = found["revision"].to_string();
-            let write = Call::new(Method::PUT, addr, &path, CALL_LIMIT)
+            let write = Call::new(Method::PUT, addr, &path, CALL_TIMEOUT)
                 .with_header("if-match", &revision)
                 .with_json(row)
                 .expect("a row has a JSON form");
@@ -250,7 +250,7 @@
 
     /// Sets faults of a stand-in.
     pub fn set_faults(&self, addr: &str, faults: &impl Serialize) {
-        let call = Call::new(Method::POST, addr, "/admin/faults", CALL_LIMIT)
+        let call = Call::new(Method::POST, addr, "/admin/faults", CALL_TIMEOUT)
             .with_json(faults)
             .expect("faults have a JSON form");
         let answer = self.call(call).expect("the stand-in answers");
@@ -281,7 +281,7 @@
         self.runtime.spawn(drive::run(drive))
     }
 
-    pub fn end_of(&self, drive: tokio::task::JoinHandle<DriveReport>) -> DriveReport {
+    pub fn wait_for_drive(&self, drive: tokio::task::JoinHandle<DriveReport>) -> DriveReport {
         self.runtime.block_on(drive).expect("the drive ends")
     }
 
--- a/crates/daemon/tests/processes/failures.rs
+++ b/crates/daemon/tests/processes/failures.rs
@@ -25,13 +25,13 @@
     let replacement = cell.start_daemon(1, false);
     // The drive goes on asking at the old address, which refuses it.
     let old = std::mem::replace(&mut cell.daemons[1], replacement);
-    let report = cell.end_of(drive);
+    let report = cell.wait_for_drive(drive);
     drop(old);
     cell.assert_clean(&report);
 }
 
 #[test]
-fn daemon_stopped_past_its_takeover_and_continued() {
+fn daemon_suspended_past_takeover_and_resumed() {
     let cell = Cell::new(DAEMONS_COUNT);
     let drive = cell.drive("freeze");
     pause(2000);
@@ -43,25 +43,28 @@
     });
     pause(1000);
     cell.daemons[0].signal(Signal::CONT);
-    let report = cell.end_of(drive);
+    let report = cell.wait_for_drive(drive);
     cell.assert_clean(&report);
     cell.wait_until_ready(DAEMONS_COUNT);
 }
 
 #[test]
-fn planned_stop_cuts_off_nothing() {
+fn planned_stop_finishes_open_requests() {
     let mut cell = Cell::new(DAEMONS_COUNT);
     let drive = cell.drive("stop");
     pause(2000);
     cell.daemons[2].signal(Signal::TERM);
-    assert!(cell.daemons[2].ends_well(), "it leaves with exit code 0");
-    let report = cell.end_of(drive);
+    assert!(
+        cell.daemons[2].wait_for_success(),
+        "it leaves with exit code 0"
+    );
+    let report = cell.wait_for_drive(drive);
     cell.assert_clean(&report);
     assert_eq!(report.requests_unknown, 0, "requests cut off");
 }
 
 #[test]
-fn store_down_then_losing_answers() {
+fn store_down_then_dropping_answers() {
     let cell = Cell::new(DAEMONS_COUNT);
     let drive = cell.drive("store");
     pause(2000);
@@ -81,7 +84,7 @@
     cell.set_faults(&cell.platform_addr, &faults);
     pause(4000);
     cell.set_faults(&cell.platform_addr, &PlatformFaults::default());
-    let report = cell.end_of(drive);
+    let report = cell.wait_for_drive(drive);
     cell.assert_clean(&report);
     cell.wait_until_ready(DAEMONS_COUNT);
 }
@@ -104,13 +107,13 @@
     });
     pause(2000);
     cell.set_faults(&cell.platform_addr, &PlatformFaults::default());
-    let report = cell.end_of(drive);
+    let report = cell.wait_for_drive(drive);
     cell.assert_clean(&report);
     cell.wait_until_ready(DAEMONS_COUNT);
 }
 
 #[test]
-fn workers_restarted_and_cut_off() {
+fn workers_restarted_and_partitioned() {
     let cell = Cell::new(DAEMONS_COUNT);
     let drive = cell.drive("workers");
     pause(3000);
@@ -121,12 +124,12 @@
     cell.set_worker_faults(&faults);
     pause(4000);
     cell.set_worker_faults(&WorkerFaults::default());
-    let report = cell.end_of(drive);
+    let report = cell.wait_for_drive(drive);
     cell.assert_clean(&report);
 }
 
 #[test]
-fn minions_slow_and_losing_answers() {
+fn minions_slow_and_dropping_answers() {
     let cell = Cell::new(DAEMONS_COUNT);
     let drive = cell.drive("minions");
     pause(2000);
@@ -137,7 +140,7 @@
     cell.set_minion_faults(&faults);
     pause(4000);
     cell.set_minion_faults(&MinionFaults::default());
-    let report = cell.end_of(drive);
+    let report = cell.wait_for_drive(drive);
     let judged = cell.judge();
     assert_eq!(judged.unsafe_run_twice, 0);
     assert_eq!(judged.overcommits, 0);
--- a/crates/daemon/tests/processes/table.rs
+++ b/crates/daemon/tests/processes/table.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn two_operators_at_once_one_wins() {
+fn concurrent_edits_one_wins() {
     let cell = Cell::new(2);
     let addrs = [0, 1].map(|daemon| cell.daemons[daemon].http_addr.clone());
     let answers = cell.runtime.block_on(async {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn lost_answers_are_resolved_not_repeated() {
+fn edit_with_lost_answers_applied_once() {
     let cell = Cell::new(2);
     let addr = cell.daemons[0].http_addr.clone();
     let faults = PlatformFaults {
@@ -85,7 +85,7 @@
 
 /// An edit is not refused for daemons that were met a moment ago and have not answered yet.
 #[test]
-fn edit_waits_for_daemons_just_met() {
+fn edit_waits_for_new_daemons() {
     let mut cell = Cell::new(3);
     cell.wait_until_ready(3);
     cell.daemons[0].kill();
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,8 +1,8 @@
 //! The client and its calls.
 
-use crate::connection::{Connection, Sent};
+use crate::connection::{Connection, SendOutcome};
 use crate::pool::Pool;
-use crate::{ConnectionId, HttpError, PeerMark};
+use crate::{ConnectionId, HttpError, PeerId};
 use http::header::HOST;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -32,26 +32,26 @@
     headers: HeaderMap,
     body: Bytes,
     /// What is sent in the body's place over a connection whose peer has this mark.
-    marked_body: Option<(PeerMark, Bytes)>,
-    time_limit: Duration,
-    silence_limit: Option<Duration>,
+    body_for_peer: Option<(PeerId, Bytes)>,
+    timeout: Duration,
+    body_idle_timeout: Option<Duration>,
 }
 
 impl Call {
     /// Creates a call without a body, whose whole answer has to come within
-    /// `time_limit`.
+    /// `timeout`.
     ///
     /// `addr` is `IP:port`; `path` starts with a slash and may have a query.
-    pub fn new(method: Method, addr: &str, path: &str, time_limit: Duration) -> Self {
+    pub fn new(method: Method, addr: &str, path: &str, timeout: Duration) -> Self {
         Self {
             method,
             addr: addr.to_owned(),
             path: path.to_owned(),
             headers: HeaderMap::new(),
             body: Bytes::new(),
-            marked_body: None,
-            time_limit,
-            silence_limit: None,
+            body_for_peer: None,
+            timeout,
+            body_idle_timeout: None,
         }
     }
 
@@ -60,8 +60,8 @@
     ///
     /// For answers of any size: one that is given up half way is paid for
     /// again by the next call, which over the same link comes no further.
-    pub const fn with_silence_limit(mut self, limit: Duration) -> Self {
-        self.silence_limit = Some(limit);
+    pub const fn with_body_idle_timeout(mut self, limit: Duration) -> Self {
+        self.body_idle_timeout = Some(limit);
         self
     }
 
@@ -85,12 +85,12 @@
     /// # Errors
     ///
     /// Returns [`HttpError::Invalid`] where `value` has no JSON form.
-    pub fn with_json_for(
+    pub fn with_json_for_peer(
         mut self,
-        mark: PeerMark,
+        peer: PeerId,
         value: &impl Serialize,
     ) -> Result<Self, HttpError> {
-        self.marked_body = Some((mark, json_of(value)?.into()));
+        self.body_for_peer = Some((peer, json_of(value)?.into()));
         Ok(self)
     }
 
@@ -171,11 +171,11 @@
     /// Returns an error where there is no whole answer; see
     /// [`HttpError::is_not_sent`].
     pub async fn call(&self, call: Call) -> Result<Answer, HttpError> {
-        let limits = Limits::begin(&call);
+        let limits = Timeouts::begin(&call);
         let (addr, path) = (call.addr.clone(), call.path.clone());
         let answer = self.make(call, &limits).await;
         if let Err(HttpError::TimedOut { .. }) = &answer {
-            self.close_silent(&addr, &path, &limits);
+            self.close_unresponsive(&addr, &path, &limits);
         }
         answer
     }
@@ -183,17 +183,17 @@
     /// Notes what the process is known by that has answered over a connection.
     ///
     /// A connection that another call has taken meanwhile stays as it is.
-    pub fn mark(&self, addr: &str, connection: ConnectionId, mark: PeerMark) {
-        self.pool.mark(addr, connection, mark);
+    pub fn set_peer(&self, addr: &str, connection: ConnectionId, peer: PeerId) {
+        self.pool.set_peer(addr, connection, peer);
     }
 
-    async fn make(&self, call: Call, limits: &Limits) -> Result<Answer, HttpError> {
-        let (connection, response) = limits.until_head(self.send(&call)).await??;
+    async fn make(&self, call: Call, limits: &Timeouts) -> Result<Answer, HttpError> {
+        let (connection, response) = limits.await_head(self.send(&call)).await??;
         let id = connection.id();
         let (parts, body) = response.into_parts();
         let mut body = Limited::new(body, ANSWER_LIMIT_BYTES);
         let mut received = Received::default();
-        while let Some(frame) = limits.until_part(body.frame(), &received).await? {
+        while let Some(frame) = limits.await_body_part(body.frame(), &received).await? {
             let frame = frame.map_err(|error| body_error_of(&*error))?;
             if let Ok(data) = frame.into_data() {
                 received.add(data);
@@ -211,72 +211,72 @@
     /// Sends a request over a kept connection, or over a new one where there is
     /// none that the peer has not closed.
     async fn send(&self, call: &Call) -> Result<(Connection, Response<Incoming>), HttpError> {
-        let wanted = call.marked_body.as_ref().map(|(mark, _)| *mark);
+        let peer = call.body_for_peer.as_ref().map(|(peer, _)| *peer);
         loop {
-            let kept = self.pool.take(&call.addr, wanted);
+            let kept = self.pool.take(&call.addr, peer);
             let is_kept = kept.is_some();
             let mut connection = match kept {
                 Some(connection) => connection,
                 None => Connection::open(&call.addr, self.pool.next_id()).await?,
             };
-            let request = request_of(call, connection.mark())?;
+            let request = request_of(call, connection.peer())?;
             match connection.send(request).await {
-                Sent::Answered(response) => return Ok((connection, response)),
-                Sent::Unsent if is_kept => {}
-                Sent::Unsent => {
+                SendOutcome::Answered(response) => return Ok((connection, response)),
+                SendOutcome::NotSent if is_kept => {}
+                SendOutcome::NotSent => {
                     return Err(HttpError::NotSent("the connection was closed".to_owned()))
                 }
-                Sent::Broken(error) => return Err(error),
+                SendOutcome::Broken(error) => return Err(error),
             }
         }
     }
 
     /// Closes idle connections that may be as silent as the one whose call has
     /// timed out.
-    fn close_silent(&self, addr: &str, path: &str, limits: &Limits) {
-        let closed_count = self.pool.close_made_until(addr, limits.called_at);
+    fn close_unresponsive(&self, addr: &str, path: &str, limits: &Timeouts) {
+        let closed_count = self.pool.close_opened_until(addr, limits.called_at);
         if let Some(log) = &self.log {
             debug!(log, "connection silent"; "address" => addr, "path" => path,
-                "limit_ms" => limits.time_limit.as_millis() as u64, "closed" => closed_count);
+                "limit_ms" => limits.timeout.as_millis() as u64, "closed" => closed_count);
         }
     }
 }
 
 /// The time limits of a call that has begun.
-struct Limits {
-    begun_at: Instant,
+struct Timeouts {
+    started_at: Instant,
     /// The same on the clock by which connections are as old as they are.
     called_at: ospreywing_types::Instant,
-    time_limit: Duration,
-    silence_limit: Option<Duration>,
+    timeout: Duration,
+    body_idle_timeout: Option<Duration>,
 }
 
-impl Limits {
+impl Timeouts {
     fn begin(call: &Call) -> Self {
         Self {
-            begun_at: Instant::now(),
+            started_at: Instant::now(),
             called_at: ospreywing_clock::now(),
-            time_limit: call.time_limit,
-            silence_limit: call.silence_limit,
+            timeout: call.timeout,
+            body_idle_timeout: call.body_idle_timeout,
         }
     }
 
     /// Waits for the answer's head.
-    async fn until_head<T>(&self, head: impl Future<Output = T>) -> Result<T, HttpError> {
-        let until = self.begun_at + self.time_limit;
-        let head = wait_until(until, self.time_limit, head).await;
-        head.ok_or_else(|| timed_out(self.time_limit, 0))
+    async fn await_head<T>(&self, head: impl Future<Output = T>) -> Result<T, HttpError> {
+        let until = self.started_at + self.timeout;
+        let head = wait_until(until, self.timeout, head).await;
+        head.ok_or_else(|| timed_out(self.timeout, 0))
     }
 
     /// Waits for the next part of the answer's body.
-    async fn until_part<T>(
+    async fn await_body_part<T>(
         &self,
         part: impl Future<Output = T>,
         received: &Received,
     ) -> Result<T, HttpError> {
-        let (until, limit) = match self.silence_limit {
+        let (until, limit) = match self.body_idle_timeout {
             Some(limit) => (Instant::now() + limit, limit),
-            None => (self.begun_at + self.time_limit, self.time_limit),
+            None => (self.started_at + self.timeout, self.timeout),
         };
         let part = wait_until(until, limit, part).await;
         part.ok_or_else(|| timed_out(limit, received.len_bytes))
@@ -352,12 +352,12 @@
 }
 
 /// Returns the request of a call over a connection whose peer has this mark.
-fn request_of(call: &Call, mark: Option<PeerMark>) -> Result<Request<Full<Bytes>>, HttpError> {
+fn request_of(call: &Call, peer: Option<PeerId>) -> Result<Request<Full<Bytes>>, HttpError> {
     let invalid = |error: &dyn std::error::Error| HttpError::Invalid(error.to_string());
     let host = HeaderValue::from_str(&call.addr).map_err(|error| invalid(&error))?;
     let request = Request::builder().method(&call.method).uri(&call.path);
-    let body = match &call.marked_body {
-        Some((wanted, body)) if mark == Some(*wanted) => body,
+    let body = match &call.body_for_peer {
+        Some((expected, body)) if peer == Some(*expected) => body,
         _ => &call.body,
     };
     let mut request = request
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to one address.
 
-use crate::{ConnectionId, HttpError, PeerMark};
+use crate::{ConnectionId, HttpError, PeerId};
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
@@ -14,19 +14,19 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long sent bytes may stay without an acknowledgement, and how long a quiet
 /// connection is left alone before the system probes it. The time limits of calls
 /// come first; these end what no call looks at any more.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(5);
-const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(10);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
+const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(10);
 
 /// What became of a request.
-pub(crate) enum Sent {
+pub(crate) enum SendOutcome {
     /// The answer's head.
     Answered(Response<Incoming>),
     /// The connection had been closed: nothing was sent.
-    Unsent,
+    NotSent,
     /// The connection broke.
     Broken(HttpError),
 }
@@ -36,10 +36,10 @@
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    made_at: Instant,
+    opened_at: Instant,
     id: ConnectionId,
     /// What the peer's process is known by.
-    mark: Option<PeerMark>,
+    peer: Option<PeerId>,
 }
 
 impl Connection {
@@ -51,14 +51,14 @@
     /// connection takes too long.
     pub(crate) async fn open(addr: &str, id: ConnectionId) -> Result<Self, HttpError> {
         let not_sent = |error: &dyn std::error::Error| HttpError::NotSent(error.to_string());
-        let connected = timeout(CONNECT_LIMIT, TcpStream::connect(addr)).await;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let connected = connected.map_err(|error| not_sent(&error))?;
         let stream = connected.map_err(|error| not_sent(&error))?;
         // A connection without these is only slower, or noticed as dead later.
         let _ = set_options(&stream);
-        let made_at = ospreywing_clock::now();
-        let shaken = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|error| not_sent(&error))?;
+        let opened_at = ospreywing_clock::now();
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|error| not_sent(&error))?;
         let driver = tokio::spawn(async move {
             // How it ends is told to the call that is under way.
             let _ = connection.await;
@@ -66,9 +66,9 @@
         Ok(Self {
             sender,
             driver: driver.abort_handle(),
-            made_at,
+            opened_at,
             id,
-            mark: None,
+            peer: None,
         })
     }
 
@@ -78,18 +78,18 @@
     }
 
     /// Returns what the peer's process is known by.
-    pub(crate) const fn mark(&self) -> Option<PeerMark> {
-        self.mark
+    pub(crate) const fn peer(&self) -> Option<PeerId> {
+        self.peer
     }
 
     /// Sets what the peer's process is known by.
-    pub(crate) const fn set_mark(&mut self, mark: PeerMark) {
-        self.mark = Some(mark);
+    pub(crate) const fn set_peer(&mut self, peer: PeerId) {
+        self.peer = Some(peer);
     }
 
     /// Returns when the connection was made.
-    pub(crate) const fn made_at(&self) -> Instant {
-        self.made_at
+    pub(crate) const fn opened_at(&self) -> Instant {
+        self.opened_at
     }
 
     /// Returns whether the peer has not closed the connection.
@@ -98,15 +98,15 @@
     }
 
     /// Sends a request, once.
-    pub(crate) async fn send(&mut self, request: Request<Full<Bytes>>) -> Sent {
+    pub(crate) async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         if self.sender.ready().await.is_err() {
-            return Sent::Unsent;
+            return SendOutcome::NotSent;
         }
         match self.sender.try_send_request(request).await {
-            Ok(response) => Sent::Answered(response),
+            Ok(response) => SendOutcome::Answered(response),
             Err(mut error) => match error.take_message() {
-                Some(_) => Sent::Unsent,
-                None => Sent::Broken(HttpError::Broken(text_of(error.error()))),
+                Some(_) => SendOutcome::NotSent,
+                None => SendOutcome::Broken(HttpError::Broken(text_of(error.error()))),
             },
         }
     }
@@ -121,8 +121,8 @@
 fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEP_ALIVE_AFTER))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_IDLE_TIME))
 }
 
 fn text_of(error: &hyper::Error) -> String {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -12,4 +12,4 @@
 
 pub use client::{Answer, Call, HttpClient};
 pub use error::HttpError;
-pub use peer::{ConnectionId, PeerMark};
+pub use peer::{ConnectionId, PeerId};
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -10,9 +10,9 @@
 /// itself over a connection holds for whatever is asked over the same connection later,
 /// while another process may listen at the address by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerMark(u64);
+pub struct PeerId(u64);
 
-impl PeerMark {
+impl PeerId {
     /// Creates a mark from a number that tells processes apart.
     pub const fn new(number: u64) -> Self {
         Self(number)
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,7 +1,7 @@
 //! Idle connections, kept for the next calls.
 
 use crate::connection::Connection;
-use crate::{ConnectionId, PeerMark};
+use crate::{ConnectionId, PeerId};
 use ospreywing_clock as clock;
 use ospreywing_types::{Duration, Instant};
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 
 /// How long a connection is kept that nobody uses, time in suspend included: a peer may
 /// close it meanwhile, and a request on it would be lost.
-const IDLE_LIMIT: Duration = Duration::from_s(20);
+const IDLE_TIMEOUT: Duration = Duration::from_s(20);
 /// The time between two searches for connections that have been idle for too long.
 const SWEEP_PERIOD: Duration = Duration::from_s(5);
 
@@ -23,12 +23,12 @@
 
 impl Idle {
     fn is_usable(&self, now: Instant) -> bool {
-        self.connection.is_open() && now.since(self.since) < IDLE_LIMIT
+        self.connection.is_open() && now.since(self.since) < IDLE_TIMEOUT
     }
 }
 
 #[derive(Debug)]
-struct Kept {
+struct PoolState {
     by_address: HashMap<String, Vec<Idle>>,
     next_sweep_at: Instant,
 }
@@ -38,7 +38,7 @@
 pub(crate) struct Pool {
     /// The most that are kept to each address.
     limit_count: usize,
-    kept: Mutex<Kept>,
+    kept: Mutex<PoolState>,
     next_id: AtomicU64,
 }
 
@@ -46,7 +46,7 @@
     pub(crate) fn new(limit_count: usize) -> Self {
         Self {
             limit_count,
-            kept: Mutex::new(Kept {
+            kept: Mutex::new(PoolState {
                 by_address: HashMap::new(),
                 next_sweep_at: clock::now() + SWEEP_PERIOD,
             }),
@@ -60,13 +60,13 @@
     }
 
     /// Takes out the connection to `addr` that was used last, where there is one whose peer
-    /// has the wanted mark the last one of these.
-    pub(crate) fn take(&self, addr: &str, wanted: Option<PeerMark>) -> Option<Connection> {
+    /// has the peer mark the last one of these.
+    pub(crate) fn take(&self, addr: &str, peer: Option<PeerId>) -> Option<Connection> {
         let now = clock::now();
         let mut kept = self.lock();
         let idle = kept.by_address.get_mut(addr)?;
-        let is_wanted = |idle: &Idle| idle.connection.mark() == wanted && idle.is_usable(now);
-        if let Some(index) = wanted.and_then(|_| idle.iter().rposition(is_wanted)) {
+        let has_peer = |idle: &Idle| idle.connection.peer() == peer && idle.is_usable(now);
+        if let Some(index) = peer.and_then(|_| idle.iter().rposition(has_peer)) {
             return Some(idle.remove(index).connection);
         }
         while let Some(newest) = idle.pop() {
@@ -96,12 +96,12 @@
     }
 
     /// Sets what the peer of an idle connection is known by.
-    pub(crate) fn mark(&self, addr: &str, id: ConnectionId, mark: PeerMark) {
+    pub(crate) fn set_peer(&self, addr: &str, id: ConnectionId, peer: PeerId) {
         let mut kept = self.lock();
         let idle = kept.by_address.get_mut(addr);
         let mut idle = idle.into_iter().flatten();
         if let Some(found) = idle.find(|idle| idle.connection.id() == id) {
-            found.connection.set_mark(mark);
+            found.connection.set_peer(peer);
         }
     }
 
@@ -110,17 +110,17 @@
     ///
     /// Those of the same millisecond are closed too: they may be the older ones, and a
     /// silent one that is kept costs a time limit, where a new one costs a handshake.
-    pub(crate) fn close_made_until(&self, addr: &str, until: Instant) -> usize {
+    pub(crate) fn close_opened_until(&self, addr: &str, until: Instant) -> usize {
         let mut kept = self.lock();
         let Some(idle) = kept.by_address.get_mut(addr) else {
             return 0;
         };
         let count = idle.len();
-        idle.retain(|idle| idle.connection.made_at() > until);
+        idle.retain(|idle| idle.connection.opened_at() > until);
         count - idle.len()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
+    fn lock(&self) -> MutexGuard<'_, PoolState> {
         // Nothing panics while it is held, and the list is whole at any time.
         self.kept.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -80,13 +80,13 @@
     let answer = runtime.expect("a runtime").block_on(async move {
         let client = HttpClient::new(1);
         let call = client.call(Call::new(Method::GET, &address, "/", LIMIT));
-        let be_late = async {
+        let block_thread = async {
             request_received.await.expect("a request");
             late.send(()).expect("a waiting server");
             // Nothing is read meanwhile, and the time limit passes.
             thread::sleep(LIMIT * 2);
         };
-        tokio::join!(call, be_late).0
+        tokio::join!(call, block_thread).0
     });
     server.join().expect("a server that ends");
     assert_eq!(answer.expect("the answer that has come").body, "ok");
@@ -110,8 +110,8 @@
 
 /// Answers one call on each of the first connections, all at the same time, and
 /// nothing more on these; answers the next connection too.
-fn serve_then_fall_silent(listener: TcpListener, silent_count: usize) {
-    let all_open = Arc::new(Barrier::new(silent_count));
+fn serve_then_stop_answering(listener: TcpListener, unresponsive_count: usize) {
+    let all_open = Arc::new(Barrier::new(unresponsive_count));
     let serve_one = |mut stream: TcpStream, all_open: Option<Arc<Barrier>>| {
         thread::spawn(move || {
             read_head(&mut stream);
@@ -123,7 +123,7 @@
             let _ = stream.read_to_end(&mut Vec::new());
         });
     };
-    for _ in 0..silent_count {
+    for _ in 0..unresponsive_count {
         let (stream, _) = listener.accept().expect("a connection");
         serve_one(stream, Some(all_open.clone()));
     }
@@ -136,16 +136,16 @@
 #[rstest]
 #[case::made_earlier(false)]
 #[case::made_in_same_millisecond(true)]
-fn call_after_all_connections_fell_silent(#[case] is_clock_stopped: bool) {
-    const SILENT_COUNT: usize = 4;
+fn call_after_all_connections_unresponsive(#[case] is_clock_stopped: bool) {
+    const UNRESPONSIVE_COUNT: usize = 4;
     let (listener, address) = listen();
-    let server = thread::spawn(move || serve_then_fall_silent(listener, SILENT_COUNT));
+    let server = thread::spawn(move || serve_then_stop_answering(listener, UNRESPONSIVE_COUNT));
     let runtime = Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async move {
         if is_clock_stopped {
             ospreywing_clock::simulation::stop();
         }
-        let client = HttpClient::new(SILENT_COUNT);
+        let client = HttpClient::new(UNRESPONSIVE_COUNT);
         let call = || client.call(Call::new(Method::GET, &address, "/", LIMIT));
         let (a, b, c, d) = tokio::join!(call(), call(), call(), call());
         assert!([a, b, c, d].iter().all(Result::is_ok));
@@ -191,7 +191,7 @@
 #[rstest]
 #[case::of_the_call(Some("queue.example"), "queue.example")]
 #[case::of_the_address(None, "127.0.0.1")]
-fn call_names_host(#[case] host: Option<&'static str>, #[case] expected: &str) {
+fn call_sets_host_header(#[case] host: Option<&'static str>, #[case] expected: &str) {
     let (listener, address) = listen();
     let server = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -15,23 +15,23 @@
 pub struct StoreClient {
     http: HttpClient,
     addr: String,
-    time_limit: Duration,
+    timeout: Duration,
 }
 
 const IDLE_CONNECTIONS: usize = 4;
 
 impl StoreClient {
     /// Creates a client of the store at `addr` (`IP:port`).
-    pub fn new(addr: &str, time_limit: Duration) -> Self {
+    pub fn new(addr: &str, timeout: Duration) -> Self {
         Self {
             http: HttpClient::new(IDLE_CONNECTIONS),
             addr: addr.to_owned(),
-            time_limit,
+            timeout,
         }
     }
 
     /// Reads the keys that start with `prefix` and changed at or after
-    /// `min_mod_revision`, from `first` on, at most `limit_count` of them.
+    /// `min_mod_revision`, from `first` on, at most `max_count` of them.
     ///
     /// # Errors
     ///
@@ -41,32 +41,32 @@
         prefix: &str,
         first: &str,
         min_mod_revision: u64,
-        limit_count: u64,
+        max_count: u64,
     ) -> Result<Page, StoreError> {
         let request = wire::RangeRequest {
             key: bytes(first),
             range_end: Bytes(wire::prefix_end(prefix)),
-            limit: Int64::from(limit_count),
+            limit: Int64::from(max_count),
             min_mod_revision: Int64::from(min_mod_revision),
         };
         let reply: wire::RangeReply = self.post(wire::RANGE, &request).await?;
-        page_of(reply)
+        page_from_reply(reply)
     }
 
-    /// Reads all keys that start with `prefix`, `page_count` to a call.
+    /// Reads all keys that start with `prefix`, `page_size` to a call.
     ///
     /// # Errors
     ///
     /// Returns an error where the store gave no readable answer.
-    pub async fn range_all(&self, prefix: &str, page_count: u64) -> Result<Page, StoreError> {
-        let mut whole = self.range(prefix, prefix, 0, page_count).await?;
+    pub async fn range_all(&self, prefix: &str, page_size: u64) -> Result<Page, StoreError> {
+        let mut whole = self.range(prefix, prefix, 0, page_size).await?;
         while whole.has_more {
             let Some(last) = whole.key_values.last() else {
                 break;
             };
             // The key right after the last one.
             let first = format!("{}\0", last.key);
-            let page = self.range(prefix, &first, 0, page_count).await?;
+            let page = self.range(prefix, &first, 0, page_size).await?;
             whole.key_values.extend(page.key_values);
             whole.has_more = page.has_more;
             whole.revision = page.revision;
@@ -82,13 +82,13 @@
     /// [`StoreError::is_without_effect`].
     pub async fn txn(&self, txn: &Txn) -> Result<TxnReply, StoreError> {
         let request = wire::TxnRequest {
-            compare: txn.compares.iter().map(compare_of).collect(),
-            success: txn.then.iter().map(op_of).collect(),
-            failure: txn.otherwise.iter().map(op_of).collect(),
+            compare: txn.compares.iter().map(compare_to_wire).collect(),
+            success: txn.then.iter().map(op_to_wire).collect(),
+            failure: txn.otherwise.iter().map(op_to_wire).collect(),
         };
         let reply: wire::TxnReply = self.post(wire::TXN, &request).await?;
         let ranges = reply.responses.into_iter().filter_map(|r| r.response_range);
-        let pages: Result<Vec<Page>, StoreError> = ranges.map(page_of).collect();
+        let pages: Result<Vec<Page>, StoreError> = ranges.map(page_from_reply).collect();
         Ok(TxnReply {
             succeeded: reply.succeeded,
             revision: reply.header.revision.as_u64(),
@@ -141,16 +141,16 @@
         path: &str,
         request: &impl Serialize,
     ) -> Result<T, StoreError> {
-        let call = Call::new(Method::POST, &self.addr, path, self.time_limit).with_json(request)?;
+        let call = Call::new(Method::POST, &self.addr, path, self.timeout).with_json(request)?;
         let answer = self.http.call(call).await?;
         if !answer.status.is_success() {
-            return Err(refusal(&answer));
+            return Err(error_from_answer(&answer));
         }
         Ok(answer.json()?)
     }
 }
 
-fn refusal(answer: &Answer) -> StoreError {
+fn error_from_answer(answer: &Answer) -> StoreError {
     let error: wire::ErrorReply = answer.json().unwrap_or_default();
     let status = answer.status.as_u16();
     if error.code == wire::CODE_RESOURCE_EXHAUSTED || status == 429 {
@@ -171,9 +171,9 @@
     Bytes(text.as_bytes().to_vec())
 }
 
-fn page_of(reply: wire::RangeReply) -> Result<Page, StoreError> {
+fn page_from_reply(reply: wire::RangeReply) -> Result<Page, StoreError> {
     let key_values: Result<Vec<KeyValue>, StoreError> =
-        reply.kvs.into_iter().map(key_value_of).collect();
+        reply.kvs.into_iter().map(key_value_from_wire).collect();
     Ok(Page {
         revision: reply.header.revision.as_u64(),
         key_values: key_values?,
@@ -182,7 +182,7 @@
     })
 }
 
-fn key_value_of(kv: wire::KeyValue) -> Result<KeyValue, StoreError> {
+fn key_value_from_wire(kv: wire::KeyValue) -> Result<KeyValue, StoreError> {
     let key = String::from_utf8(kv.key.0);
     let key = key.map_err(|_| StoreError::Malformed("a key is not text".to_owned()))?;
     Ok(KeyValue {
@@ -192,7 +192,7 @@
     })
 }
 
-fn compare_of(compare: &Compare) -> wire::CompareRequest {
+fn compare_to_wire(compare: &Compare) -> wire::CompareRequest {
     match compare {
         Compare::ModRevision { key, revision } => wire::CompareRequest {
             key: bytes(key),
@@ -208,7 +208,7 @@
     }
 }
 
-fn op_of(op: &Op) -> wire::RequestOp {
+fn op_to_wire(op: &Op) -> wire::RequestOp {
     let mut request = wire::RequestOp::default();
     match op {
         Op::Put { key, value, lease } => {
