--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client and its calls.
+//! The HTTP client and its calls.
 
 use crate::connection::{Connection, SendOutcome};
 use crate::pool::Pool;
@@ -16,14 +16,13 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The largest answer that is read.
+/// The maximum size of a response body.
 const ANSWER_LIMIT_BYTES: usize = 8 * 1024 * 1024;
-/// A timer that fires this much late tells of a process that is late itself:
-/// timers have steps of 1 ms, and a process with nothing else to do is at most a
-/// few milliseconds late.
+/// If a timer fires at least this late, this process itself was delayed: timers have a
+/// resolution of 1 ms, and in an idle process they are at most a few milliseconds late.
 const LATENESS_TOLERANCE: Duration = Duration::from_millis(10);
 
-/// One call.
+/// A request and its timeouts.
 #[derive(Clone, Debug)]
 pub struct Call {
     method: Method,
@@ -31,17 +30,16 @@
     path: String,
     headers: HeaderMap,
     body: Bytes,
-    /// What is sent in the body's place over a connection whose peer has this mark.
+    /// The body that replaces `body` on a connection to this peer.
     body_for_peer: Option<(PeerId, Bytes)>,
     timeout: Duration,
     body_idle_timeout: Option<Duration>,
 }
 
 impl Call {
-    /// Creates a call without a body, whose whole answer has to come within
-    /// `timeout`.
+    /// Creates a call without a body; the complete response must arrive within `timeout`.
     ///
-    /// `addr` is `IP:port`; `path` starts with a slash and may have a query.
+    /// `addr` is `IP:port`; `path` starts with a slash and may include a query.
     pub fn new(method: Method, addr: &str, path: &str, timeout: Duration) -> Self {
         Self {
             method,
@@ -55,17 +53,17 @@
         }
     }
 
-    /// Lets the answer's body take as long as it keeps coming: the time limit is
-    /// that of its head, and each part then has to follow within `limit`.
+    /// Limits the timeout of the call to the response head; after the head, each part of the
+    /// body must arrive within `limit`.
     ///
-    /// For answers of any size: one that is given up half way is paid for
-    /// again by the next call, which over the same link comes no further.
+    /// For responses of any size: if a call gave up on a slow transfer, the next call would
+    /// repeat the same transfer over the same link and time out again.
     pub const fn with_body_idle_timeout(mut self, limit: Duration) -> Self {
         self.body_idle_timeout = Some(limit);
         self
     }
 
-    /// Adds a header; one whose value is not printable text is left out.
+    /// Adds a header; ignores it if the value is not a valid header value.
     pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         if let Ok(value) = value.parse() {
             self.headers.insert(name, value);
@@ -79,18 +77,19 @@
         self
     }
 
-    /// Sets what is sent, as JSON, in the body's place over a connection whose peer has
-    /// this mark; such a connection is taken where one is idle.
+    /// Sets the JSON body that replaces the normal body on a connection to `peer`.
+    ///
+    /// The call prefers an idle connection to `peer`.
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::Invalid`] where `value` has no JSON form.
+    /// Returns [`HttpError::Invalid`] if `value` can't be serialized as JSON.
     pub fn with_json_for_peer(
         mut self,
         peer: PeerId,
         value: &impl Serialize,
     ) -> Result<Self, HttpError> {
-        self.body_for_peer = Some((peer, json_of(value)?.into()));
+        self.body_for_peer = Some((peer, to_json(value)?.into()));
         Ok(self)
     }
 
@@ -98,50 +97,50 @@
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::Invalid`] where `value` has no JSON form.
+    /// Returns [`HttpError::Invalid`] if `value` can't be serialized as JSON.
     pub fn with_json(self, value: &impl Serialize) -> Result<Self, HttpError> {
-        let body = json_of(value)?;
+        let body = to_json(value)?;
         Ok(self
             .with_header("content-type", "application/json")
             .with_body(body))
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// The connection over which it came.
+    /// The connection on which the response arrived.
     pub connection: ConnectionId,
 }
 
 impl Answer {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::Malformed`] where the body is not such JSON.
+    /// Returns [`HttpError::Malformed`] if the body can't be parsed as `T`.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, HttpError> {
         serde_json::from_slice(&self.body).map_err(|error| HttpError::Malformed(error.to_string()))
     }
 
-    /// Returns a header's text.
+    /// Returns the value of a header, or `None` if it is absent or not text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// A client that keeps connections to each address.
+/// A client that keeps idle connections to each address.
 ///
-/// A connection may go silent for good without being closed. So after a call
-/// that timed out, the idle connections to its address that are older than the
-/// call are closed: the next call makes a new one, and a silence of all of them
-/// costs one time limit.
+/// A connection may stop responding without being closed. So when a call times out,
+/// the client closes all idle connections to that address that are older than the call.
+/// The next call opens a new connection, so that several unresponsive connections cost
+/// only one timeout.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     pool: Arc<Pool>,
@@ -149,8 +148,7 @@
 }
 
 impl HttpClient {
-    /// Creates a client that keeps up to `idle_count` idle connections for each
-    /// address.
+    /// Creates a client that keeps up to `idle_count` idle connections to each address.
     pub fn new(idle_count: usize) -> Self {
         Self {
             pool: Arc::new(Pool::new(idle_count)),
@@ -158,43 +156,43 @@
         }
     }
 
-    /// Logs connections that are given up as silent.
+    /// Sets the logger for connections that stopped responding.
     pub fn with_log(mut self, log: Logger) -> Self {
         self.log = Some(log);
         self
     }
 
-    /// Makes a call, once.
+    /// Sends a call once and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Returns an error where there is no whole answer; see
-    /// [`HttpError::is_not_sent`].
+    /// Returns an error if no complete response arrived. Whether the peer may have received
+    /// the request: [`HttpError::is_not_sent`].
     pub async fn call(&self, call: Call) -> Result<Answer, HttpError> {
-        let limits = Timeouts::begin(&call);
+        let timeouts = Timeouts::start(&call);
         let (addr, path) = (call.addr.clone(), call.path.clone());
-        let answer = self.make(call, &limits).await;
+        let answer = self.exchange(call, &timeouts).await;
         if let Err(HttpError::TimedOut { .. }) = &answer {
-            self.close_unresponsive(&addr, &path, &limits);
+            self.close_unresponsive(&addr, &path, &timeouts);
         }
         answer
     }
 
-    /// Notes what the process is known by that has answered over a connection.
+    /// Sets the ID of the process that responded on a connection.
     ///
-    /// A connection that another call has taken meanwhile stays as it is.
+    /// Does nothing if another call is using the connection.
     pub fn set_peer(&self, addr: &str, connection: ConnectionId, peer: PeerId) {
         self.pool.set_peer(addr, connection, peer);
     }
 
-    async fn make(&self, call: Call, limits: &Timeouts) -> Result<Answer, HttpError> {
-        let (connection, response) = limits.await_head(self.send(&call)).await??;
+    async fn exchange(&self, call: Call, timeouts: &Timeouts) -> Result<Answer, HttpError> {
+        let (connection, response) = timeouts.await_head(self.send(&call)).await??;
         let id = connection.id();
         let (parts, body) = response.into_parts();
         let mut body = Limited::new(body, ANSWER_LIMIT_BYTES);
         let mut received = Received::default();
-        while let Some(frame) = limits.await_body_part(body.frame(), &received).await? {
-            let frame = frame.map_err(|error| body_error_of(&*error))?;
+        while let Some(frame) = timeouts.await_body_part(body.frame(), &received).await? {
+            let frame = frame.map_err(|error| error_from_body(&*error))?;
             if let Ok(data) = frame.into_data() {
                 received.add(data);
             }
@@ -208,21 +206,21 @@
         })
     }
 
-    /// Sends a request over a kept connection, or over a new one where there is
-    /// none that the peer has not closed.
+    /// Sends a request on an idle connection, or on a new one if no idle connection is
+    /// still open.
     async fn send(&self, call: &Call) -> Result<(Connection, Response<Incoming>), HttpError> {
         let peer = call.body_for_peer.as_ref().map(|(peer, _)| *peer);
         loop {
-            let kept = self.pool.take(&call.addr, peer);
-            let is_kept = kept.is_some();
-            let mut connection = match kept {
+            let pooled = self.pool.take(&call.addr, peer);
+            let is_pooled = pooled.is_some();
+            let mut connection = match pooled {
                 Some(connection) => connection,
                 None => Connection::open(&call.addr, self.pool.next_id()).await?,
             };
-            let request = request_of(call, connection.peer())?;
+            let request = build_request(call, connection.peer())?;
             match connection.send(request).await {
                 SendOutcome::Answered(response) => return Ok((connection, response)),
-                SendOutcome::NotSent if is_kept => {}
+                SendOutcome::NotSent if is_pooled => {}
                 SendOutcome::NotSent => {
                     return Err(HttpError::NotSent("the connection was closed".to_owned()))
                 }
@@ -231,28 +229,28 @@
         }
     }
 
-    /// Closes idle connections that may be as silent as the one whose call has
+    /// Closes the idle connections that may be unresponsive too, after a call to `addr`
     /// timed out.
-    fn close_unresponsive(&self, addr: &str, path: &str, limits: &Timeouts) {
-        let closed_count = self.pool.close_opened_until(addr, limits.called_at);
+    fn close_unresponsive(&self, addr: &str, path: &str, timeouts: &Timeouts) {
+        let closed_count = self.pool.close_opened_until(addr, timeouts.called_at);
         if let Some(log) = &self.log {
             debug!(log, "connection silent"; "address" => addr, "path" => path,
-                "limit_ms" => limits.timeout.as_millis() as u64, "closed" => closed_count);
+                "limit_ms" => timeouts.timeout.as_millis() as u64, "closed" => closed_count);
         }
     }
 }
 
-/// The time limits of a call that has begun.
+/// The timeouts of a call in progress.
 struct Timeouts {
     started_at: Instant,
-    /// The same on the clock by which connections are as old as they are.
+    /// The start of the call on the clock that the pool uses for the age of connections.
     called_at: ospreywing_types::Instant,
     timeout: Duration,
     body_idle_timeout: Option<Duration>,
 }
 
 impl Timeouts {
-    fn begin(call: &Call) -> Self {
+    fn start(call: &Call) -> Self {
         Self {
             started_at: Instant::now(),
             called_at: ospreywing_clock::now(),
@@ -261,14 +259,14 @@
         }
     }
 
-    /// Waits for the answer's head.
+    /// Waits for the response head.
     async fn await_head<T>(&self, head: impl Future<Output = T>) -> Result<T, HttpError> {
         let until = self.started_at + self.timeout;
         let head = wait_until(until, self.timeout, head).await;
         head.ok_or_else(|| timed_out(self.timeout, 0))
     }
 
-    /// Waits for the next part of the answer's body.
+    /// Waits for the next part of the response body.
     async fn await_body_part<T>(
         &self,
         part: impl Future<Output = T>,
@@ -283,9 +281,10 @@
     }
 }
 
-/// Waits for something until an instant, and longer where this process itself
-/// is late: what has come is then still unread. The wait goes on for as long as
-/// the timer was late, for no more than `limit` in all.
+/// Waits for a future until an instant, and longer if this process itself was delayed.
+///
+/// After a delay, data may have arrived that the process has not read yet. So if the timer
+/// fires late, the wait is extended by the lateness, by at most `limit` in total.
 async fn wait_until<T>(
     until: Instant,
     limit: Duration,
@@ -293,18 +292,18 @@
 ) -> Option<T> {
     let mut awaited = pin!(awaited);
     let mut until = until;
-    let mut left = limit;
+    let mut remaining_extension = limit;
     loop {
         if let Ok(value) = timeout_at(until, awaited.as_mut()).await {
             return Some(value);
         }
         let now = Instant::now();
         let lateness = now.saturating_duration_since(until);
-        if lateness < LATENESS_TOLERANCE || left.is_zero() {
+        if lateness < LATENESS_TOLERANCE || remaining_extension.is_zero() {
             return None;
         }
-        let extension = lateness.min(left);
-        left -= extension;
+        let extension = lateness.min(remaining_extension);
+        remaining_extension -= extension;
         until = now + extension;
     }
 }
@@ -316,7 +315,7 @@
     }
 }
 
-/// What has come of an answer's body.
+/// The parts of a response body received so far.
 #[derive(Default)]
 struct Received {
     parts: Vec<Bytes>,
@@ -329,7 +328,7 @@
         self.parts.push(part);
     }
 
-    /// Returns the parts as one, without a copy where there is one only.
+    /// Concatenates the parts; does not copy if there is only one part.
     fn into_bytes(mut self) -> Bytes {
         if self.parts.len() == 1 {
             return self.parts.pop().unwrap_or_default();
@@ -338,7 +337,7 @@
     }
 }
 
-fn body_error_of(error: &(dyn std::error::Error + Send + Sync + 'static)) -> HttpError {
+fn error_from_body(error: &(dyn std::error::Error + Send + Sync + 'static)) -> HttpError {
     if error.is::<LengthLimitError>() {
         let limit_bytes = ANSWER_LIMIT_BYTES;
         HttpError::TooLarge { limit_bytes }
@@ -347,12 +346,12 @@
     }
 }
 
-fn json_of(value: &impl Serialize) -> Result<Vec<u8>, HttpError> {
+fn to_json(value: &impl Serialize) -> Result<Vec<u8>, HttpError> {
     serde_json::to_vec(value).map_err(|error| HttpError::Invalid(error.to_string()))
 }
 
-/// Returns the request of a call over a connection whose peer has this mark.
-fn request_of(call: &Call, peer: Option<PeerId>) -> Result<Request<Full<Bytes>>, HttpError> {
+/// Builds the request of a call for a connection to `peer`.
+fn build_request(call: &Call, peer: Option<PeerId>) -> Result<Request<Full<Bytes>>, HttpError> {
     let invalid = |error: &dyn std::error::Error| HttpError::Invalid(error.to_string());
     let host = HeaderValue::from_str(&call.addr).map_err(|error| invalid(&error))?;
     let request = Request::builder().method(&call.method).uri(&call.path);
@@ -364,7 +363,7 @@
         .body(Full::new(body.clone()))
         .map_err(|error| invalid(&error))?;
     *request.headers_mut() = call.headers.clone();
-    // A caller may name another host than the one it calls.
+    // The caller may have set a host that differs from the address.
     request.headers_mut().entry(HOST).or_insert(host);
     Ok(request)
 }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to one address.
+//! A single HTTP/1.1 connection.
 
 use crate::{ConnectionId, HttpError, PeerId};
 use http::{Request, Response};
@@ -15,30 +15,32 @@
 use tokio::time::timeout;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long sent bytes may stay without an acknowledgement, and how long a quiet
-/// connection is left alone before the system probes it. The time limits of calls
-/// come first; these end what no call looks at any more.
+/// How long sent bytes may stay unacknowledged before the system closes the connection.
+///
+/// Call timeouts normally fire first; this limit and the keepalive probes close connections
+/// that no call is waiting on.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a connection may be idle before the system sends keepalive probes.
 const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// What became of a request.
+/// The outcome of sending a request.
 pub(crate) enum SendOutcome {
-    /// The answer's head.
+    /// The response head arrived.
     Answered(Response<Incoming>),
-    /// The connection had been closed: nothing was sent.
+    /// The connection was already closed; the request was not sent.
     NotSent,
-    /// The connection broke.
+    /// The connection failed; the peer may have received the request.
     Broken(HttpError),
 }
 
-/// A connection, closed where it is dropped.
+/// A connection, closed when it is dropped.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
     opened_at: Instant,
     id: ConnectionId,
-    /// What the peer's process is known by.
+    /// The ID of the peer's process, if known.
     peer: Option<PeerId>,
 }
 
@@ -47,20 +49,21 @@
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::NotSent`] where nothing listens there, or the
-    /// connection takes too long.
+    /// Returns [`HttpError::NotSent`] if the connection fails or takes longer than
+    /// [`CONNECT_TIMEOUT`].
     pub(crate) async fn open(addr: &str, id: ConnectionId) -> Result<Self, HttpError> {
         let not_sent = |error: &dyn std::error::Error| HttpError::NotSent(error.to_string());
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let connected = connected.map_err(|error| not_sent(&error))?;
         let stream = connected.map_err(|error| not_sent(&error))?;
-        // A connection without these is only slower, or noticed as dead later.
+        // Without these options the connection works, but is slower or is detected as dead
+        // later.
         let _ = set_options(&stream);
         let opened_at = ospreywing_clock::now();
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|error| not_sent(&error))?;
         let driver = tokio::spawn(async move {
-            // How it ends is told to the call that is under way.
+            // An error is also returned to the call that is in progress.
             let _ = connection.await;
         });
         Ok(Self {
@@ -72,32 +75,32 @@
         })
     }
 
-    /// Returns what tells the connection from the client's others.
+    /// Returns the connection's ID.
     pub(crate) const fn id(&self) -> ConnectionId {
         self.id
     }
 
-    /// Returns what the peer's process is known by.
+    /// Returns the ID of the peer's process, if known.
     pub(crate) const fn peer(&self) -> Option<PeerId> {
         self.peer
     }
 
-    /// Sets what the peer's process is known by.
+    /// Sets the ID of the peer's process.
     pub(crate) const fn set_peer(&mut self, peer: PeerId) {
         self.peer = Some(peer);
     }
 
-    /// Returns when the connection was made.
+    /// Returns when the connection was opened.
     pub(crate) const fn opened_at(&self) -> Instant {
         self.opened_at
     }
 
-    /// Returns whether the peer has not closed the connection.
+    /// Returns whether the connection is still open.
     pub(crate) fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Sends a request, once.
+    /// Sends a request and waits for the response head.
     pub(crate) async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         if self.sender.ready().await.is_err() {
             return SendOutcome::NotSent;
@@ -106,7 +109,7 @@
             Ok(response) => SendOutcome::Answered(response),
             Err(mut error) => match error.take_message() {
                 Some(_) => SendOutcome::NotSent,
-                None => SendOutcome::Broken(HttpError::Broken(text_of(error.error()))),
+                None => SendOutcome::Broken(HttpError::Broken(error_text(error.error()))),
             },
         }
     }
@@ -125,7 +128,7 @@
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_IDLE_TIME))
 }
 
-fn text_of(error: &hyper::Error) -> String {
+fn error_text(error: &hyper::Error) -> String {
     use std::error::Error;
     let cause = error.source().map_or(String::new(), |e| format!(": {e}"));
     format!("{error}{cause}")
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,40 +1,40 @@
-//! Errors of a call.
+//! Errors of calls, by whether the peer may have received the request.
 
 use thiserror::Error;
 
-/// Why a call has no answer.
+/// The reason why a call has no complete response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The address or a header can't be put into a request.
+    /// The request can't be built: the address, the path or the body is invalid.
     #[error("the request can't be made: {0}")]
     Invalid(String),
-    /// No connection was made: nothing was sent.
+    /// The request was not sent, mostly because no connection was established.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The connection broke: the request may have been received.
+    /// The connection failed; the peer may have received the request.
     #[error("broken off: {0}")]
     Broken(String),
-    /// The time was up: the request may have been received.
+    /// The call timed out; the peer may have received the request.
     #[error("no answer within {limit_ms} ms, {received_bytes} bytes of it received")]
     TimedOut {
-        /// The time limit.
+        /// The timeout, in milliseconds.
         limit_ms: u64,
-        /// How much of the answer's body had come.
+        /// The number of bytes of the response body received so far.
         received_bytes: usize,
     },
-    /// The answer is larger than allowed.
+    /// The response body exceeds the size limit.
     #[error("the answer has more than {limit_bytes} bytes")]
     TooLarge {
-        /// The size limit.
+        /// The size limit, in bytes.
         limit_bytes: usize,
     },
-    /// The answer is not the JSON that was expected.
+    /// The response body is not the expected JSON.
     #[error("the answer is not as expected: {0}")]
     Malformed(String),
 }
 
 impl HttpError {
-    /// Returns whether the request was certainly not received.
+    /// Returns whether it is certain that the peer did not receive the request.
     pub const fn is_not_sent(&self) -> bool {
         matches!(self, Self::Invalid(_) | Self::NotSent(_))
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! A bounded HTTP/1.1 client that says whether a request can have been received.
+//! An HTTP/1.1 client whose errors say whether the peer may have received the request.
 //!
-//! A thin layer over `hyper`. Every call has a time limit and a limit on
-//! the size of the answer, nothing is sent twice, and an error tells apart
-//! what was certainly not sent from what may have been received.
+//! A thin layer over `hyper`. Every call has a timeout and a limit on the response
+//! size, and no request is sent twice. Errors distinguish requests that were not sent
+//! from requests that the peer may have received.
 
 mod client;
 mod connection;
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -1,19 +1,19 @@
-//! What tells the processes behind one address apart.
+//! Identifiers of connections and of the processes at their other end.
 
-/// A connection of a client.
+/// Identifies a connection of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId(pub(crate) u64);
 
-/// What the process at the other end of a connection is known by to the client's user.
+/// Identifies the process at the other end of a connection; assigned by the client's user.
 ///
-/// A connection does not outlive the processes at its ends. So what a process has told of
-/// itself over a connection holds for whatever is asked over the same connection later,
-/// while another process may listen at the address by then.
+/// A connection ends with the process at either end. So an identity that a process reported
+/// over a connection stays valid for that connection, although another process may listen
+/// at the same address by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerId(u64);
 
 impl PeerId {
-    /// Creates a mark from a number that tells processes apart.
+    /// Creates an ID from a number that is unique to the process.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, kept for the next calls.
+//! The pool of idle connections, kept for reuse by later calls.
 
 use crate::connection::Connection;
 use crate::{ConnectionId, PeerId};
@@ -8,13 +8,13 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// How long a connection is kept that nobody uses, time in suspend included: a peer may
-/// close it meanwhile, and a request on it would be lost.
+/// Idle connections older than this are not reused: the peer may have closed them, and a
+/// request sent on them would be lost. Includes time for which the machine was suspended.
 const IDLE_TIMEOUT: Duration = Duration::from_s(20);
-/// The time between two searches for connections that have been idle for too long.
+/// The interval between two scans for connections past [`IDLE_TIMEOUT`].
 const SWEEP_PERIOD: Duration = Duration::from_s(5);
 
-/// A connection that no call uses.
+/// A connection that no call is using.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
@@ -36,9 +36,9 @@
 /// The idle connections of a client.
 #[derive(Debug)]
 pub(crate) struct Pool {
-    /// The most that are kept to each address.
+    /// The maximum number of idle connections to each address.
     limit_count: usize,
-    kept: Mutex<PoolState>,
+    state: Mutex<PoolState>,
     next_id: AtomicU64,
 }
 
@@ -46,7 +46,7 @@
     pub(crate) fn new(limit_count: usize) -> Self {
         Self {
             limit_count,
-            kept: Mutex::new(PoolState {
+            state: Mutex::new(PoolState {
                 by_address: HashMap::new(),
                 next_sweep_at: clock::now() + SWEEP_PERIOD,
             }),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns an id that no other connection has.
+    /// Returns an ID that is unique among this client's connections.
     pub(crate) fn next_id(&self) -> ConnectionId {
         ConnectionId(self.next_id.fetch_add(1, Ordering::Relaxed))
     }
@@ -63,8 +63,8 @@
     /// has the peer mark the last one of these.
     pub(crate) fn take(&self, addr: &str, peer: Option<PeerId>) -> Option<Connection> {
         let now = clock::now();
-        let mut kept = self.lock();
-        let idle = kept.by_address.get_mut(addr)?;
+        let mut state = self.lock();
+        let idle = state.by_address.get_mut(addr)?;
         let has_peer = |idle: &Idle| idle.connection.peer() == peer && idle.is_usable(now);
         if let Some(index) = peer.and_then(|_| idle.iter().rposition(has_peer)) {
             return Some(idle.remove(index).connection);
@@ -77,42 +77,43 @@
         None
     }
 
-    /// Keeps a connection whose last answer was read whole.
+    /// Returns a connection to the pool; its last response must have been read completely.
     pub(crate) fn put(&self, addr: String, connection: Connection) {
         let now = clock::now();
-        let mut kept = self.lock();
-        if now >= kept.next_sweep_at {
-            kept.next_sweep_at = now + SWEEP_PERIOD;
-            kept.by_address.retain(|_, idle| {
+        let mut state = self.lock();
+        if now >= state.next_sweep_at {
+            state.next_sweep_at = now + SWEEP_PERIOD;
+            state.by_address.retain(|_, idle| {
                 idle.retain(|idle| idle.is_usable(now));
                 !idle.is_empty()
             });
         }
-        let idle = kept.by_address.entry(addr).or_default();
+        let idle = state.by_address.entry(addr).or_default();
         if idle.len() < self.limit_count {
             let since = now;
             idle.push(Idle { connection, since });
         }
     }
 
-    /// Sets what the peer of an idle connection is known by.
+    /// Sets the peer ID of an idle connection; does nothing if the connection is in use.
     pub(crate) fn set_peer(&self, addr: &str, id: ConnectionId, peer: PeerId) {
-        let mut kept = self.lock();
-        let idle = kept.by_address.get_mut(addr);
+        let mut state = self.lock();
+        let idle = state.by_address.get_mut(addr);
         let mut idle = idle.into_iter().flatten();
         if let Some(found) = idle.find(|idle| idle.connection.id() == id) {
             found.connection.set_peer(peer);
         }
     }
 
-    /// Closes the idle connections to `addr` that were made up to `until`; returns how
-    /// many.
+    /// Closes the idle connections to `addr` that were opened at or before `until` and
+    /// returns their number.
     ///
-    /// Those of the same millisecond are closed too: they may be the older ones, and a
-    /// silent one that is kept costs a time limit, where a new one costs a handshake.
+    /// Connections opened in the same millisecond may predate `until` too, so they are also
+    /// closed: reusing an unresponsive connection costs a timeout, opening a new one only a
+    /// handshake.
     pub(crate) fn close_opened_until(&self, addr: &str, until: Instant) -> usize {
-        let mut kept = self.lock();
-        let Some(idle) = kept.by_address.get_mut(addr) else {
+        let mut state = self.lock();
+        let Some(idle) = state.by_address.get_mut(addr) else {
             return 0;
         };
         let count = idle.len();
@@ -121,7 +122,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, PoolState> {
-        // Nothing panics while it is held, and the list is whole at any time.
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+        // No code panics while holding the lock, and the state is always consistent.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against a server of a few lines.
+//! Tests the client against minimal servers.
 
 use http::Method;
 use ospreywing_http::{Call, HttpClient, HttpError};
@@ -14,14 +14,15 @@
 const LIMIT: Duration = Duration::from_millis(200);
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// Listens at a free port.
+/// Listens on a free port and returns its address.
 fn listen() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     (listener, address)
 }
 
-/// Serves so many connections, one request each at a time, until the client closes them.
+/// Accepts `count` connections and responds to one request on each; keeps all of them open
+/// until the last response is sent.
 fn serve_connections(listener: TcpListener, count: usize) {
     let streams = (0..count).map(|_| {
         let (mut stream, _) = listener.accept().expect("a connection");
@@ -29,13 +30,13 @@
         stream.write_all(ANSWER).expect("an open connection");
         stream
     });
-    // Kept until the last request is answered.
+    // The connections stay open until the last request is answered.
     drop(streams.collect::<Vec<TcpStream>>());
 }
 
-/// A machine that was suspended may find its idle connections closed by the peer long
-/// ago, though its timers have not moved: they are too old to be used. A server that
-/// answers each connection once would leave a second request on it unanswered.
+/// While a machine is suspended, peers may close its idle connections, but its timers don't
+/// advance. The client must count suspended time and not reuse such connections. This server
+/// responds once on each connection, so a second request on it would time out.
 #[test]
 fn call_after_suspend() {
     let (listener, address) = listen();
@@ -52,7 +53,7 @@
     server.join().expect("a server that ends");
 }
 
-/// Reads a request up to the end of its head, and returns that.
+/// Reads the head of a request and returns it.
 fn read_head(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -83,7 +84,7 @@
         let block_thread = async {
             request_received.await.expect("a request");
             late.send(()).expect("a waiting server");
-            // Nothing is read meanwhile, and the time limit passes.
+            // Blocks the client past its timeout, while the response arrives.
             thread::sleep(LIMIT * 2);
         };
         tokio::join!(call, block_thread).0
@@ -108,8 +109,8 @@
     );
 }
 
-/// Answers one call on each of the first connections, all at the same time, and
-/// nothing more on these; answers the next connection too.
+/// Responds to one call on each of the first `unresponsive_count` connections, once all are
+/// open, and to nothing more on them; then responds to one call on one more connection.
 fn serve_then_stop_answering(listener: TcpListener, unresponsive_count: usize) {
     let all_open = Arc::new(Barrier::new(unresponsive_count));
     let serve_one = |mut stream: TcpStream, all_open: Option<Arc<Barrier>>| {
@@ -119,7 +120,7 @@
                 all_open.wait();
             }
             stream.write_all(ANSWER).expect("an open connection");
-            // What comes after the answer is read and left unanswered.
+            // Later requests are read but not answered.
             let _ = stream.read_to_end(&mut Vec::new());
         });
     };
@@ -131,8 +132,8 @@
     serve_one(stream, None);
 }
 
-/// Each idle connection must not cost a time limit of its own, however shortly before
-/// the call it was made.
+/// If all idle connections stop responding, only one call may time out: the client must then
+/// close all of them, including those opened in the same millisecond as the call.
 #[rstest]
 #[case::made_earlier(false)]
 #[case::made_in_same_millisecond(true)]
@@ -149,10 +150,10 @@
         let call = || client.call(Call::new(Method::GET, &address, "/", LIMIT));
         let (a, b, c, d) = tokio::join!(call(), call(), call(), call());
         assert!([a, b, c, d].iter().all(Result::is_ok));
-        let silent = call().await;
+        let timed_out = call().await;
         assert!(
-            matches!(silent, Err(HttpError::TimedOut { .. })),
-            "{silent:?}"
+            matches!(timed_out, Err(HttpError::TimedOut { .. })),
+            "{timed_out:?}"
         );
         assert_eq!(
             call().await.expect("an answer on a new connection").body,
@@ -162,7 +163,8 @@
     server.join().expect("a server that ends");
 }
 
-/// A peer closes idle connections when it likes; nothing was sent on them.
+/// A peer may close an idle connection at any time. The next call must use a new connection
+/// instead of failing, since nothing was sent on the closed one.
 #[test]
 fn call_after_peer_closed_connection() {
     let (listener, address) = listen();
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the store.
+//! The store client.
 
 use crate::key_value::{KeyValue, Page};
 use crate::txn::{Compare, Op, Txn, TxnReply};
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// A client of the store. Each method is one call, made once.
+/// A client of the store. It never retries a call.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
     http: HttpClient,
@@ -18,10 +18,11 @@
     timeout: Duration,
 }
 
+/// Idle connections kept open to the store.
 const IDLE_CONNECTIONS: usize = 4;
 
 impl StoreClient {
-    /// Creates a client of the store at `addr` (`IP:port`).
+    /// Creates a client of the store at `addr` (`IP:port`); each call fails after `timeout`.
     pub fn new(addr: &str, timeout: Duration) -> Self {
         Self {
             http: HttpClient::new(IDLE_CONNECTIONS),
@@ -30,12 +31,12 @@
         }
     }
 
-    /// Reads the keys that start with `prefix` and changed at or after
-    /// `min_mod_revision`, from `first` on, at most `max_count` of them.
+    /// Reads up to `max_count` keys that start with `prefix`, are at or after `first` and
+    /// last changed at or after `min_mod_revision`.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn range(
         &self,
         prefix: &str,
@@ -53,18 +54,20 @@
         page_from_reply(reply)
     }
 
-    /// Reads all keys that start with `prefix`, `page_size` to a call.
+    /// Reads all keys that start with `prefix`, with up to `page_size` keys in each call.
+    ///
+    /// Each page is read at a revision of its own.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn range_all(&self, prefix: &str, page_size: u64) -> Result<Page, StoreError> {
         let mut whole = self.range(prefix, prefix, 0, page_size).await?;
         while whole.has_more {
             let Some(last) = whole.key_values.last() else {
                 break;
             };
-            // The key right after the last one.
+            // The smallest key greater than the last one.
             let first = format!("{}\0", last.key);
             let page = self.range(prefix, &first, 0, page_size).await?;
             whole.key_values.extend(page.key_values);
@@ -78,8 +81,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer; see
-    /// [`StoreError::is_without_effect`].
+    /// Returns an error if the store sent no valid response. Whether the transaction may
+    /// have taken effect: [`StoreError::is_without_effect`].
     pub async fn txn(&self, txn: &Txn) -> Result<TxnReply, StoreError> {
         let request = wire::TxnRequest {
             compare: txn.compares.iter().map(compare_to_wire).collect(),
@@ -96,11 +99,11 @@
         })
     }
 
-    /// Asks for a lease of `ttl_s` seconds and returns its number.
+    /// Requests a lease of `ttl_s` seconds and returns its ID.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn lease_grant(&self, ttl_s: u64) -> Result<u64, StoreError> {
         let request = wire::LeaseGrantRequest {
             ttl: Int64::from(ttl_s),
@@ -109,11 +112,11 @@
         Ok(reply.id.as_u64())
     }
 
-    /// Keeps a lease alive and returns whether it still was.
+    /// Renews a lease and returns whether it was still alive.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn lease_keepalive(&self, lease: u64) -> Result<bool, StoreError> {
         let request = wire::LeaseRequest {
             id: Int64::from(lease),
@@ -123,11 +126,11 @@
         Ok(!reply.result.ttl.is_zero())
     }
 
-    /// Revokes a lease; the keys that live by it are gone.
+    /// Revokes a lease, which deletes the keys attached to it.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn lease_revoke(&self, lease: u64) -> Result<(), StoreError> {
         let request = wire::LeaseRequest {
             id: Int64::from(lease),
@@ -156,8 +159,8 @@
     if error.code == wire::CODE_RESOURCE_EXHAUSTED || status == 429 {
         return StoreError::RateLimited;
     }
-    // A gateway that lost its store answers with a server error after the
-    // store may have taken the write.
+    // A gateway that lost its connection to the store responds with a server error,
+    // although the store may have applied the write.
     if answer.status.is_server_error() {
         return StoreError::Unanswered(format!("status {status}: {}", error.message));
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,35 +1,35 @@
-//! Errors of the store.
+//! Errors of store calls, by whether a write may have taken effect.
 
 use ospreywing_http::HttpError;
 use thiserror::Error;
 
-/// Why a call of the store failed.
+/// The reason why a store call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// Nothing was sent: a write has certainly had no effect.
+    /// The request was not sent, so a write had no effect.
     #[error("the store can't be reached: {0}")]
     Unreachable(String),
-    /// No answer came: a write may have taken effect.
+    /// No response arrived, so a write may have taken effect.
     #[error("the store did not answer: {0}")]
     Unanswered(String),
-    /// The store refused the call because too many came: it had no effect.
+    /// The store refused the call due to its rate limit, so a write had no effect.
     #[error("the store's rate limit is reached")]
     RateLimited,
-    /// The store refused the call: it had no effect.
+    /// The store refused the call, so a write had no effect.
     #[error("the store refused with status {status}: {message}")]
     Refused {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// What the store said.
+        /// The store's error message.
         message: String,
     },
-    /// The answer is not in the store's protocol: a write may have taken effect.
+    /// The response can't be decoded, so a write may have taken effect.
     #[error("the store's answer is not readable: {0}")]
     Malformed(String),
 }
 
 impl StoreError {
-    /// Returns whether a write certainly had no effect.
+    /// Returns whether it is certain that a write had no effect.
     pub const fn is_without_effect(&self) -> bool {
         matches!(
             self,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's key-value store.
 //!
-//! The store is met through etcd's v3 interface in its JSON form (the gRPC
-//! gateway): a published protocol that needs no code generator. Everything of
-//! that protocol stays in [`wire`]; another store is another [`wire`] and
+//! The client speaks etcd's v3 API in its JSON form (the gRPC gateway), a
+//! published protocol that needs no code generator. The protocol is contained in
+//! [`wire`]; supporting another store means replacing [`wire`] and
 //! [`StoreClient`].
 
 mod client;
--- a/crates/store/src/txn.rs
+++ b/crates/store/src/txn.rs
@@ -1,11 +1,11 @@
-//! Transactions: writes on conditions.
+//! Transactions: operations that depend on conditions.
 
 use crate::key_value::Page;
 
 /// A condition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Compare {
-    /// The key's last change has this revision; zero where the key is absent.
+    /// The key last changed at this revision; zero matches an absent key.
     ModRevision {
         /// The key.
         key: String,
@@ -19,16 +19,16 @@
     },
 }
 
-/// One step of a transaction.
+/// An operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// Puts a value.
+    /// Writes a value.
     Put {
         /// The key.
         key: String,
         /// The value.
         value: Vec<u8>,
-        /// The lease that it lives by; zero for none.
+        /// The lease whose end deletes the key; zero for none.
         lease: u64,
     },
     /// Deletes a key.
@@ -36,11 +36,11 @@
         /// The key.
         key: String,
     },
-    /// Deletes the keys from `first` up to but without `end`.
+    /// Deletes the keys from `first` (inclusive) to `end` (exclusive).
     DeleteRange {
         /// The first key.
         first: String,
-        /// The first key that is kept.
+        /// The first key that is not deleted.
         end: String,
     },
     /// Reads a key.
@@ -50,19 +50,19 @@
     },
 }
 
-/// Steps to take on conditions, all or none.
+/// An atomic transaction: runs `then` if all conditions hold, else `otherwise`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
     /// The conditions.
     pub compares: Vec<Compare>,
-    /// The steps where all conditions hold.
+    /// The operations that run if all conditions hold.
     pub then: Vec<Op>,
-    /// The steps where one does not.
+    /// The operations that run if any condition does not hold.
     pub otherwise: Vec<Op>,
 }
 
 impl Txn {
-    /// Creates a transaction that does nothing.
+    /// Creates an empty transaction.
     pub fn new() -> Self {
         Self::default()
     }
@@ -73,26 +73,26 @@
         self
     }
 
-    /// Adds a step for when all conditions hold.
+    /// Adds an operation that runs if all conditions hold.
     pub fn with_then(mut self, op: Op) -> Self {
         self.then.push(op);
         self
     }
 
-    /// Adds a step for when a condition does not hold.
+    /// Adds an operation that runs if any condition does not hold.
     pub fn with_otherwise(mut self, op: Op) -> Self {
         self.otherwise.push(op);
         self
     }
 }
 
-/// What a transaction did.
+/// The result of a transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TxnReply {
     /// Whether all conditions held.
     pub succeeded: bool,
-    /// The store's revision after it.
+    /// The store revision after the transaction.
     pub revision: u64,
-    /// What the [`Op::Get`]s found, in order.
+    /// The result of each [`Op::Get`], in order.
     pub pages: Vec<Page>,
 }
--- a/crates/store/src/wire.rs
+++ b/crates/store/src/wire.rs
@@ -1,8 +1,8 @@
-//! The JSON form of etcd's v3 interface, as far as it is used.
+//! The JSON form of etcd's v3 API: the parts that the client uses.
 //!
-//! Source: etcd's published API (`rpc.proto`, `kv.proto`) in the JSON mapping
-//! of protocol buffers: 64-bit numbers and bytes are strings, bytes in base64,
-//! and fields at their default are left out.
+//! Defined by etcd's published API (`rpc.proto`, `kv.proto`) and the JSON mapping
+//! of protocol buffers: 64-bit integers are strings, bytes are base64 strings, and
+//! fields with default values are omitted.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -14,16 +14,17 @@
 pub const TXN: &str = "/v3/kv/txn";
 /// Path that grants a lease.
 pub const LEASE_GRANT: &str = "/v3/lease/grant";
-/// Path that keeps a lease alive.
+/// Path that renews a lease.
 pub const LEASE_KEEPALIVE: &str = "/v3/lease/keepalive";
 /// Path that revokes a lease.
 pub const LEASE_REVOKE: &str = "/v3/lease/revoke";
-/// Bytes, in base64 on the wire.
+
+/// Bytes; a base64 string on the wire.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bytes(pub Vec<u8>);
 
 impl Bytes {
-    /// Returns whether there are none.
+    /// Returns whether there are no bytes.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -43,12 +44,12 @@
     }
 }
 
-/// A 64-bit number, a string on the wire.
+/// A 64-bit integer; a string on the wire.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Int64(pub i64);
 
 impl Int64 {
-    /// Returns the number, zero where it is negative.
+    /// Returns the number, or zero if it is negative.
     pub fn as_u64(self) -> u64 {
         u64::try_from(self.0).unwrap_or(0)
     }
@@ -86,11 +87,11 @@
     }
 }
 
-/// The head of every reply.
+/// The header of every reply.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    /// The store's revision.
+    /// The current store revision.
     pub revision: Int64,
 }
 
@@ -100,32 +101,32 @@
 pub struct KeyValue {
     /// The key.
     pub key: Bytes,
-    /// The revision of its creation.
+    /// The revision at which the key was created.
     pub create_revision: Int64,
-    /// The revision of its last change.
+    /// The revision at which the key last changed.
     pub mod_revision: Int64,
-    /// How often it was changed since its creation.
+    /// The number of changes since the key was created, including its creation.
     pub version: Int64,
-    /// Its value.
+    /// The value.
     pub value: Bytes,
-    /// The lease that it lives by.
+    /// The lease whose end deletes the key; zero for none.
     #[serde(skip_serializing_if = "Int64::is_zero")]
     pub lease: Int64,
 }
 
-/// A range read.
+/// A request to read a range.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeRequest {
     /// The first key.
     pub key: Bytes,
-    /// The first key after the range; none for one key alone.
+    /// The first key after the range; empty to select only `key`.
     #[serde(skip_serializing_if = "Bytes::is_empty")]
     pub range_end: Bytes,
-    /// The most keys to return; zero for all.
+    /// The maximum number of keys to return; zero for all.
     #[serde(skip_serializing_if = "Int64::is_zero")]
     pub limit: Int64,
-    /// Leaves out keys that did not change since this revision.
+    /// Omits keys that last changed before this revision.
     #[serde(skip_serializing_if = "Int64::is_zero")]
     pub min_mod_revision: Int64,
 }
@@ -134,18 +135,18 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeReply {
-    /// The head.
+    /// The reply header.
     pub header: Header,
     /// The keys.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub kvs: Vec<KeyValue>,
-    /// Whether there are more.
+    /// Whether the range has more keys.
     pub more: bool,
-    /// How many keys the whole range has.
+    /// The number of keys in the whole range.
     pub count: Int64,
 }
 
-/// A put.
+/// A request to write a key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutRequest {
@@ -153,55 +154,55 @@
     pub key: Bytes,
     /// The value.
     pub value: Bytes,
-    /// The lease that it lives by.
+    /// The lease whose end deletes the key; zero for none.
     #[serde(skip_serializing_if = "Int64::is_zero")]
     pub lease: Int64,
 }
 
-/// A deletion.
+/// A request to delete a key or a range.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRangeRequest {
     /// The first key.
     pub key: Bytes,
-    /// The first key after the range; none for one key alone.
+    /// The first key after the range; empty to select only `key`.
     #[serde(skip_serializing_if = "Bytes::is_empty")]
     pub range_end: Bytes,
 }
 
-/// One step of a transaction: one field is set.
+/// An operation of a transaction; exactly one field is set.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RequestOp {
-    /// A read.
+    /// Reads a key or a range.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_range: Option<RangeRequest>,
-    /// A put.
+    /// Writes a key.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_put: Option<PutRequest>,
-    /// A deletion.
+    /// Deletes a key or a range.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_delete_range: Option<DeleteRangeRequest>,
 }
 
-/// What a condition looks at.
+/// The property of a key that a condition compares.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareTarget {
-    /// How often the key was changed; zero where it is absent.
+    /// The number of changes of the key; zero if it is absent.
     #[default]
     Version,
-    /// The revision of the last change; zero where the key is absent.
+    /// The revision of the key's last change; zero if it is absent.
     Mod,
 }
 
-/// A condition, always of equality.
+/// A condition; always tests for equality, the protocol's default.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CompareRequest {
     /// The key.
     pub key: Bytes,
-    /// What is compared.
+    /// The compared property.
     pub target: CompareTarget,
     /// The expected number of changes.
     #[serde(skip_serializing_if = "Int64::is_zero")]
@@ -211,23 +212,23 @@
     pub mod_revision: Int64,
 }
 
-/// A transaction.
+/// A request to run a transaction.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
     /// The conditions.
     pub compare: Vec<CompareRequest>,
-    /// The steps where all hold.
+    /// The operations that run if all conditions hold.
     pub success: Vec<RequestOp>,
-    /// The steps where one does not.
+    /// The operations that run if any condition does not hold.
     pub failure: Vec<RequestOp>,
 }
 
-/// The reply to one step.
+/// The reply to an operation of a transaction.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseOp {
-    /// To a read.
+    /// The reply to a read; absent for other operations.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub response_range: Option<RangeReply>,
 }
@@ -236,28 +237,28 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnReply {
-    /// The head.
+    /// The reply header.
     pub header: Header,
     /// Whether all conditions held.
     pub succeeded: bool,
-    /// The replies to the steps.
+    /// The replies to the operations, in order.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub responses: Vec<ResponseOp>,
 }
 
-/// Asks for a lease.
+/// A request to grant a lease.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, rename_all = "UPPERCASE")]
 pub struct LeaseGrantRequest {
-    /// Its length, in seconds.
+    /// The requested time to live, in seconds.
     pub ttl: Int64,
 }
 
-/// Names a lease.
+/// A request to renew or revoke a lease.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, rename_all = "UPPERCASE")]
 pub struct LeaseRequest {
-    /// The lease.
+    /// The lease ID.
     pub id: Int64,
 }
 
@@ -265,33 +266,35 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, rename_all = "UPPERCASE")]
 pub struct LeaseReply {
-    /// The lease.
+    /// The lease ID.
     pub id: Int64,
-    /// Its length, in seconds; zero where it has lapsed.
+    /// The time to live, in seconds; zero if the lease has expired.
     pub ttl: Int64,
 }
 
-/// The envelope of a streamed reply.
+/// The envelope of a reply of a streaming method.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Streamed<T> {
     /// The reply.
     pub result: T,
 }
 
-/// An error of the gateway.
+/// An error reply of the gateway.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ErrorReply {
     /// The gRPC status code.
     pub code: u32,
-    /// What happened.
+    /// The error message.
     pub message: String,
 }
 
-/// The gRPC status code of a rate limit.
+/// The gRPC status code `RESOURCE_EXHAUSTED`, sent when the rate limit is reached.
 pub const CODE_RESOURCE_EXHAUSTED: u32 = 8;
 
-/// Returns the first key after all that start with `prefix`.
+/// Returns the smallest key greater than all keys that start with `prefix`.
+///
+/// Returns `a zero byte`, which etcd reads as "no upper bound", if there is no such key.
 pub fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
