--- a/crates/daemon/src/box_list.rs
+++ b/crates/daemon/src/box_list.rs
@@ -1,7 +1,7 @@
-//! Reads the platform's box list: `GET /boxes`.
+//! Polls the platform's box list: `GET /boxes`.
 //!
-//! The list is long and seldom changes, so it is asked for on condition that it
-//! has (HTTP's `ETag` and `If-None-Match`).
+//! The list is long and rarely changes, so the requests are conditional (HTTP's
+//! `ETag` and `If-None-Match`).
 
 use crate::engine::EngineHandle;
 use http::Method;
@@ -11,7 +11,7 @@
 
 const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// Reads the list for ever and tells the engine when it has changed.
+/// Polls the list every `period`, without end, and sends it to the engine when it has changed.
 pub async fn run(engine: EngineHandle, addr: String, period: Duration) {
     let http = HttpClient::new(1);
     let mut ticks = tokio::time::interval(period.into());
@@ -26,7 +26,7 @@
         let Ok(answer) = http.call(call).await else {
             continue;
         };
-        // A list that has not changed or can't be read leaves the last one standing.
+        // The last list stays in use if this one is unchanged or can't be parsed.
         let Ok(boxes) = answer.json::<Vec<BoxFacts>>() else {
             continue;
         };
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Putting the parts together, and the daemon's life from start to stop.
+//! Starts the daemon's components, runs them and shuts them down.
 
 use crate::api::{self, Api};
 use crate::engine::{Effects, Engine, EngineHandle};
@@ -24,17 +24,17 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::Notify;
 
-/// Threads that serve callers.
+/// Threads that serve the HTTP API.
 const API_THREADS_COUNT: usize = 1;
-/// How long answers may take to reach callers once all work is done.
+/// Time for responses to reach callers after all work is done.
 const REPLY_FLUSH_TIME: std::time::Duration = std::time::Duration::from_millis(300);
 
-/// Runs the daemon until it was asked to stop and has left.
+/// Runs the daemon until a signal stops it and it has drained.
 ///
 /// # Errors
 ///
-/// Returns an error where a socket can't be opened or the store says what the
-/// daemon can't work with.
+/// Returns an error if a socket can't be opened or the cell in the store has a different
+/// number of shards.
 pub async fn run(settings: Settings, log: Logger) -> Result<(), DaemonError> {
     let (engine, messages) = EngineHandle::new();
     let (rpc, rpc_addr) = peer_server::start(settings.rpc_addr, engine.clone())
@@ -46,8 +46,8 @@
         .local_addr()
         .map_err(|source| socket_error("--http-addr", settings.http_addr, source))?;
     let member = member(&settings, rpc_addr, http_addr);
-    let time_limit = settings.store_time_limit.into();
-    let store = StoreClient::new(&settings.store_addr.to_string(), time_limit);
+    let store_timeout = settings.store_time_limit.into();
+    let store = StoreClient::new(&settings.store_addr.to_string(), store_timeout);
     let layout = Layout::new(&settings.cell);
     check_shards(&store, &layout, settings.shards_count).await?;
 
@@ -101,7 +101,7 @@
             metrics::client(addr).map_err(|source| socket_error("--statsd-addr", addr, source))?;
         tokio::spawn(metrics::run(client, engine.clone(), counts));
     }
-    tokio::spawn(leave_on_signal(engine.clone(), log.clone()));
+    tokio::spawn(drain_on_signal(engine.clone(), log.clone()));
 
     info!(log, "started"; "http" => http_addr.to_string(), "rpc" => rpc_addr.to_string(),
         "incarnation" => member.identity.incarnation);
@@ -119,7 +119,8 @@
     calls.deregister().await;
     tokio::time::sleep(REPLY_FLUSH_TIME).await;
     stop_api();
-    // The endpoint goes last: that nobody listens there proves the end.
+    // The RPC endpoint closes last: a refused connection to it proves to other daemons that
+    // this process has ended.
     let _ = rpc.stop();
     Ok(())
 }
@@ -161,7 +162,11 @@
     config
 }
 
-/// Puts the number of shards on record, or compares it with what is there.
+/// Stores the cell's number of shards, or checks it against the stored number.
+///
+/// # Errors
+///
+/// Returns [`DaemonError::ShardsCount`] if the numbers differ.
 async fn check_shards(
     store: &StoreClient,
     layout: &Layout,
@@ -180,7 +185,7 @@
     let reply = loop {
         match store.txn(&txn).await {
             Ok(reply) => break reply,
-            // A daemon that starts in an outage of the store waits for its end.
+            // A daemon that starts during a store outage waits until the store responds.
             Err(_) => backoff.wait().await,
         }
     };
@@ -195,7 +200,7 @@
     }
 }
 
-async fn leave_on_signal(engine: EngineHandle, log: Logger) {
+async fn drain_on_signal(engine: EngineHandle, log: Logger) {
     let (Ok(mut term), Ok(mut int)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,37 +1,37 @@
-//! Errors of the daemon.
+//! Errors that stop the daemon.
 
 use ospreywing_settings::SettingsError;
 use ospreywing_store::StoreError;
 use thiserror::Error;
 
-/// Why the daemon can't start or go on.
+/// The reason why the daemon can't start or continue.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// A socket can't be opened.
     #[error("{what} {addr}: {source}")]
     Socket {
-        /// Which socket.
+        /// The setting that names the address.
         what: &'static str,
-        /// Its address.
+        /// The socket's address.
         addr: String,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The store said what the daemon can't work with.
+    /// The store returned an error that the daemon can't handle.
     #[error("store: {0}")]
     Store(#[from] StoreError),
-    /// The runtime can't be set up.
+    /// The async runtime can't be created.
     #[error("runtime: {0}")]
     Runtime(std::io::Error),
-    /// The cell in the store has another number of shards.
-    #[error("--shards: {setting} given, the cell has {cell}")]
+    /// The cell in the store has a different number of shards.
+    #[error("--shards: {setting} configured, but the cell has {cell}")]
     ShardsCount {
-        /// The setting.
+        /// The configured number.
         setting: u32,
-        /// What the store says.
+        /// The number in the store.
         cell: u32,
     },
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,8 @@
-//! The daemon: a thin shell around [`ospreywing_node::Node`].
+//! The daemon: the I/O layer around [`ospreywing_node::Node`].
 //!
-//! It turns sockets into events and carries out actions. Everything that is
-//! decided is decided in the node, by one task, the [`engine`].
+//! It converts network input into events and executes the actions that the node
+//! returns. All decisions are made by the node, which a single task, the
+//! [`engine`], owns.
 
 pub mod api;
 pub mod box_list;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,12 +1,12 @@
-//! The logger.
+//! Creates the root logger.
 
 use ospreywing_settings::LogFormat;
 use slog::{o, Drain, Logger};
 
-/// Lines that may wait to be written; more are dropped and counted by `slog`.
+/// Maximum number of lines that wait to be written; `slog` drops and counts any more.
 const QUEUE_COUNT: usize = 1024;
 
-/// Creates the root logger; lines go to standard error.
+/// Creates the root logger, which writes to standard error.
 pub fn logger(format: LogFormat, name: &str) -> Logger {
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match format {
         LogFormat::Terminal => {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `ospreywingd`.
+//! The `ospreywingd` executable.
 
 use clap::Command;
 use ospreywing_daemon::error::DaemonError;
@@ -7,10 +7,11 @@
 use slog::crit;
 use std::process::ExitCode;
 
-/// The exit code for wrong settings, as `clap` uses it.
+/// The exit code for invalid settings; the same as `clap`'s for invalid arguments.
 const EXIT_SETTINGS: u8 = 2;
+/// The exit code for all other failures.
 const EXIT_FAILURE: u8 = 1;
-const THREADS_COUNT: usize = 2;
+const RUNTIME_THREADS_COUNT: usize = 2;
 
 fn main() -> ExitCode {
     let command = Command::new("ospreywingd")
@@ -39,7 +40,7 @@
 
 fn serve(settings: Settings, log: slog::Logger) -> Result<(), DaemonError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(THREADS_COUNT)
+        .worker_threads(RUNTIME_THREADS_COUNT)
         .enable_all()
         .build()
         .map_err(DaemonError::Runtime)?;
--- a/crates/daemon/src/minions.rs
+++ b/crates/daemon/src/minions.rs
@@ -1,4 +1,4 @@
-//! Calls of minions: `POST /run/ROW`.
+//! Calls to minions: `POST /run/ROW`.
 
 use crate::engine::{EngineHandle, Message};
 use http::{Method, StatusCode};
@@ -7,12 +7,12 @@
 use ospreywing_routing::Request;
 use ospreywing_types::{api, Duration, Key, Name};
 
-/// A minion's whole answer.
+/// A minion's complete response.
 #[derive(Clone, Debug)]
 pub struct MinionAnswer {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The type of the body.
+    /// The content type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Vec<u8>,
@@ -28,18 +28,18 @@
     }
 }
 
-/// Calls of minions.
+/// Sends requests to minions.
 #[derive(Clone)]
 pub struct Minions {
     http: HttpClient,
     engine: EngineHandle,
 }
 
-/// Idle connections kept to each minion, well under an eighth of its 64.
+/// Idle connections kept to each minion; well below an eighth of the 64 that it accepts.
 const IDLE_CONNECTIONS: usize = 2;
 
 impl Minions {
-    /// Creates the calls; what becomes of them goes to `engine`.
+    /// Creates the client; results are sent to `engine`.
     pub fn new(engine: EngineHandle) -> Self {
         Self {
             http: HttpClient::new(IDLE_CONNECTIONS),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sends a request to a minion, once.
+    /// Sends a request to a minion, without retries.
     #[allow(clippy::too_many_arguments)]
     pub fn send(
         &self,
@@ -84,7 +84,7 @@
         });
     }
 
-    /// Reports that a request was not sent.
+    /// Reports to the engine that a request was not sent.
     pub fn not_sent(&self, request: Request) {
         let engine = self.engine.clone();
         tokio::spawn(async move { engine.send_event(Event::RequestNotSent(request)).await });
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! The endpoint for other daemons.
+//! The RPC endpoint for other daemons.
 
 use crate::engine::EngineHandle;
 use jsonrpsee::server::{RpcModule, Server, ServerConfig, ServerHandle};
@@ -7,22 +7,22 @@
 use ospreywing_types::peer::{self, CloseEpoch, Ping, Query, Submit, TakeKey};
 use std::net::SocketAddr;
 
-/// Other daemons hold one connection each; the rest is room for new ones.
+/// Each other daemon keeps one connection open; the rest allows for reconnections.
 const CONNECTIONS_LIMIT: u32 = 64;
 const MESSAGE_LIMIT_BYTES: u32 = 2 * 1024 * 1024;
 
-/// The error code for "this daemon is stopping".
+/// The JSON-RPC error code for a stopping daemon.
 const CODE_STOPPING: i32 = -32000;
 
-fn stopping() -> ErrorObjectOwned {
+fn stopping_error() -> ErrorObjectOwned {
     ErrorObjectOwned::owned(CODE_STOPPING, "the daemon is stopping", None::<()>)
 }
 
-/// Starts the endpoint and returns it with the address it listens on.
+/// Starts the endpoint and returns its handle and the address that it listens on.
 ///
 /// # Errors
 ///
-/// Returns an error where the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(
     addr: SocketAddr,
     engine: EngineHandle,
@@ -47,10 +47,10 @@
             let answer = engine.call(|$token| $event).await;
             match answer {
                 Ok($answer(reply)) => Ok::<_, ErrorObjectOwned>(reply),
-                Ok(_) | Err(_) => Err(stopping()),
+                Ok(_) | Err(_) => Err(stopping_error()),
             }
         });
-        // The names are constants, each registered once.
+        // Registration fails only for a duplicate name; each name is registered once.
         debug_assert!(registered.is_ok());
     };
 }
--- a/crates/daemon/src/sessions.rs
+++ b/crates/daemon/src/sessions.rs
@@ -1,8 +1,8 @@
-//! Connections to workers, each bound to one run of its worker.
+//! Connections to workers, each bound to one incarnation of its worker.
 //!
-//! A start goes only over the connection that is open when it is carried out,
-//! and only to the run of the worker that it names. When this process ends,
-//! the system discards what it has not sent: connections linger for no time.
+//! A start is sent only on the connection that is open when the order is executed, and
+//! only to the incarnation that it names. When this process ends, the system discards
+//! unsent data, because the linger time of the sockets is zero.
 
 use crate::clock;
 use crate::engine::EngineHandle;
@@ -22,10 +22,10 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2000);
 const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Unacknowledged bytes are given up on after this time.
+/// How long sent bytes may stay unacknowledged before the system closes the connection.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The number of the next connection; each is used once in a process.
+/// The number of the next connection; unique within this process.
 static NEXT_SESSION: AtomicU64 = AtomicU64::new(1);
 
 /// Connections to workers.
@@ -35,7 +35,7 @@
 }
 
 impl Sessions {
-    /// Creates no connections; what happens on them goes to `engine`.
+    /// Creates an empty set of connections; their events are sent to `engine`.
     pub fn new(engine: EngineHandle) -> Self {
         Self {
             engine,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Carries out an action that is about a worker; passes over others.
+    /// Executes an action that concerns a worker; ignores all others.
     pub fn execute(&mut self, action: Action) {
         match action {
             Action::Connect {
@@ -77,7 +77,7 @@
             Order::Renew(_) | Order::Stop(_) | Order::Report => None,
         };
         let sent = self.orders.get(worker).map(|orders| orders.send(order));
-        // Any other order for a connection that has gone is moot.
+        // Only a start needs a result; other orders to a closed connection have no effect.
         if let (Some(attempt), None | Some(Err(_))) = (attempt, sent) {
             let engine = self.engine.clone();
             tokio::spawn(async move { engine.send_event(Event::StartNotSent { attempt }).await });
@@ -85,7 +85,7 @@
     }
 }
 
-/// The connections to one worker, one after the other.
+/// The connections to one worker; at most one is open at a time.
 #[derive(Clone)]
 struct WorkerSession {
     worker: Name,
@@ -94,7 +94,7 @@
     engine: EngineHandle,
 }
 
-/// One open connection.
+/// An open connection.
 #[derive(Clone)]
 struct OpenSession {
     session: WorkerSession,
@@ -105,13 +105,13 @@
 }
 
 impl WorkerSession {
-    /// Keeps a connection until no more orders can come.
+    /// Keeps a connection open, reconnecting as needed, until the order channel is closed.
     async fn run(self, mut orders: mpsc::UnboundedReceiver<Order>) {
         let mut backoff = Backoff::new();
         loop {
             if let Ok((open, ends)) = self.open().await {
                 backoff = Backoff::new();
-                let is_over = open.serve(ends, &mut orders).await;
+                let is_finished = open.serve(ends, &mut orders).await;
                 let worker = self.worker.clone();
                 let session = open.number;
                 let closed = Event::SessionClosed {
@@ -120,19 +120,20 @@
                     session,
                 };
                 self.engine.send_event(closed).await;
-                if is_over {
+                if is_finished {
                     return;
                 }
             }
-            if self.refuse_orders(&mut orders).await {
+            if self.discard_queued_orders(&mut orders).await {
                 return;
             }
             backoff.wait().await;
         }
     }
 
-    /// Refuses the orders that wait and returns whether no more can come.
-    async fn refuse_orders(&self, orders: &mut mpsc::UnboundedReceiver<Order>) -> bool {
+    /// Reports queued starts as not sent, drops other queued orders, and returns whether the
+    /// order channel is closed.
+    async fn discard_queued_orders(&self, orders: &mut mpsc::UnboundedReceiver<Order>) -> bool {
         loop {
             match orders.try_recv() {
                 Ok(Order::Start { start, .. }) => {
@@ -191,7 +192,7 @@
 }
 
 fn set_options(stream: &TcpStream) {
-    // Each option only makes an end be noticed sooner; without it, later.
+    // Failures are ignored: without these options a dead connection is only detected later.
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_linger(Some(Duration::ZERO));
@@ -199,8 +200,8 @@
 }
 
 impl OpenSession {
-    /// Serves orders until the connection breaks or no more can come; returns
-    /// whether the latter.
+    /// Handles orders and events until the connection fails or the order channel is closed;
+    /// returns `true` in the latter case.
     async fn serve(
         &self,
         mut ends: Subscription<Ended>,
@@ -260,7 +261,7 @@
             .request::<(), _>(worker::START, rpc_params![start]);
         let event = match tokio::time::timeout(CALL_TIMEOUT, call).await {
             Ok(Ok(())) => Event::StartAcked { attempt },
-            // The worker itself says that it did not start it.
+            // The worker responded that it did not start the attempt.
             Ok(Err(RpcError::Call(_))) => Event::StartNotSent { attempt },
             Ok(Err(_)) | Err(_) => {
                 self.broken.notify_one();
--- a/crates/daemon/src/store_poll.rs
+++ b/crates/daemon/src/store_poll.rs
@@ -1,9 +1,9 @@
-//! Reads what changed in the store's control part.
+//! Polls the store for changes under the `control/` prefix.
 //!
-//! Each poll asks for the keys changed since the one before. The reply also
-//! counts all keys: where the count does not fit, keys have gone, and the
-//! whole part is read. A watch would show changes sooner but proves nothing
-//! while it is silent; a poll that is answered proves that all is known.
+//! Each poll requests the keys that changed since the previous one. The reply also has the
+//! total number of keys: if it differs from the number of known keys, some were deleted, and
+//! all keys are read again. A watch would report changes sooner, but without events it
+//! doesn't prove that nothing changed; a completed poll does.
 
 use crate::clock;
 use crate::engine::EngineHandle;
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// Keys that one call may return.
+/// Maximum number of keys that a call returns.
 const PAGE_COUNT: u64 = 1000;
 
-/// The poller.
+/// Polls the store and sends the changes to the engine.
 pub struct StorePoll {
     store: StoreClient,
     layout: Layout,
@@ -35,7 +35,7 @@
 impl StorePoll {
     /// Creates the poller.
     ///
-    /// `is_registered` says whether the last poll found `member_key`.
+    /// The poller sets `is_registered` to whether the last poll found `member_key`.
     pub fn new(
         store: StoreClient,
         layout: Layout,
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Polls for ever, at each `period` and whenever `wake` is notified.
+    /// Polls without end, every `period` and whenever `wake` is notified.
     pub async fn run(mut self, period: Duration, wake: Arc<Notify>) {
         loop {
-            // A poll that fails proves nothing, and the next one comes soon.
+            // A failed poll changes no state, and the next one follows soon.
             let _ = self.poll().await;
             tokio::select! {
                 () = tokio::time::sleep(period.into()) => {}
@@ -81,8 +81,8 @@
         let mut known = self.known.clone();
         known.extend(changed);
         let is_whole = self.revision == 0;
-        let fits = known.len() as u64 == page.count && !page.has_more;
-        if fits {
+        let is_count_matching = known.len() as u64 == page.count && !page.has_more;
+        if is_count_matching {
             self.known = known;
             self.send_event(asked_at, &page, is_whole).await;
             return Ok(());
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -59,8 +59,8 @@
         ConnectionId(self.next_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Takes out the connection to `addr` that was used last, where there is one whose peer
-    /// has the peer mark the last one of these.
+    /// Removes and returns the most recently used connection to `addr`, preferring
+    /// connections to `peer` if there are any.
     pub(crate) fn take(&self, addr: &str, peer: Option<PeerId>) -> Option<Connection> {
         let now = clock::now();
         let mut state = self.lock();
