--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -1,4 +1,4 @@
-//! The task that owns the node: events in, actions out.
+//! The task that owns the node: it feeds events to the node and executes its actions.
 
 use crate::clock;
 use crate::minions::{MinionAnswer, Minions};
@@ -14,33 +14,34 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that may wait for the engine.
+/// Capacity of the engine's message queue.
 const QUEUE_COUNT: usize = 16 * 1024;
-/// How often the node is told that time has passed.
+/// The interval between tick events.
 const TICK: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// What became of a caller's request.
+/// The outcome of a caller's request.
 #[derive(Debug)]
 pub enum RequestReply {
-    /// The minion's whole answer.
+    /// The minion's complete response.
     Answer(MinionAnswer),
-    /// There will be no answer.
+    /// The node gave up on the request; there is no response.
     GiveUp(GiveUp),
 }
 
+/// A function that runs on the node, in the engine's task.
 type NodeQuery = Box<dyn FnOnce(&mut Node, Instant) + Send>;
 
 /// A message for the engine.
 pub enum Message {
-    /// Something happened.
+    /// An event that needs no answer.
     Event(Event),
-    /// Something happened, and somebody waits for the answer.
+    /// An event whose sender waits for an answer.
     Call {
-        /// Stands for who waits.
+        /// Identifies the sender in the node's answer.
         token: u64,
-        /// What happened.
+        /// The event.
         event: Event,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: oneshot::Sender<Answer>,
     },
     /// A caller sent a request.
@@ -49,28 +50,28 @@
         arrival: Arrival,
         /// Its body.
         body: Vec<u8>,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: oneshot::Sender<RequestReply>,
     },
-    /// A minion's whole answer is there.
+    /// A minion's complete response arrived.
     MinionAnswered {
         /// The request.
         request: Request,
-        /// The caller.
+        /// The token of the caller's request.
         token: u64,
-        /// The answer.
+        /// The response.
         answer: MinionAnswer,
     },
-    /// A question about the node.
+    /// Runs a function on the node.
     QueryNode(NodeQuery),
 }
 
-/// The engine is gone: the daemon is stopping.
+/// The engine has stopped because the daemon is stopping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the daemon is stopping")]
 pub struct EngineGone;
 
-/// A way to the engine, to be cloned freely.
+/// Sends messages to the engine; cheap to clone.
 #[derive(Clone)]
 pub struct EngineHandle {
     sender: mpsc::Sender<Message>,
@@ -78,7 +79,7 @@
 }
 
 impl EngineHandle {
-    /// Creates the handle and the queue that the engine reads.
+    /// Creates a handle and the receiver that the engine reads from.
     pub fn new() -> (Self, mpsc::Receiver<Message>) {
         let (sender, receiver) = mpsc::channel(QUEUE_COUNT);
         let next_token = Arc::new(AtomicU64::new(1));
@@ -86,32 +87,32 @@
         (handle, receiver)
     }
 
-    /// Returns a number that stands for somebody who waits.
+    /// Returns a new token, unique within this process.
     pub fn token(&self) -> u64 {
         self.next_token.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Tells the engine that something happened.
+    /// Sends an event, waiting while the queue is full.
     pub async fn send_event(&self, event: Event) {
-        // An engine that is gone needs to know nothing.
+        // If the engine has stopped, the event no longer matters.
         let _ = self.sender.send(Message::Event(event)).await;
     }
 
-    /// Tells the engine without waiting for room; drops the event without it.
+    /// Sends an event, or drops it if the queue is full.
     pub fn try_send_event(&self, event: Event) {
         let _ = self.sender.try_send(Message::Event(event));
     }
 
-    /// Sends a message.
+    /// Sends a message, waiting while the queue is full.
     pub async fn send(&self, message: Message) {
         let _ = self.sender.send(message).await;
     }
 
-    /// Tells the engine of `event`, made with a token, and waits for its answer.
+    /// Sends the event that `make` creates for a new token and waits for its answer.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineGone`] where the daemon is stopping.
+    /// Returns [`EngineGone`] if the daemon is stopping.
     pub async fn call(&self, make: impl FnOnce(u64) -> Event) -> Result<Answer, EngineGone> {
         let token = self.token();
         let (reply, answer) = oneshot::channel();
@@ -125,11 +126,11 @@
         answer.await.map_err(|_| EngineGone)
     }
 
-    /// Sends a caller's request and waits for what becomes of it.
+    /// Sends a caller's request and waits for its outcome.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineGone`] where the daemon is stopping.
+    /// Returns [`EngineGone`] if the daemon is stopping.
     pub async fn request(
         &self,
         row: Name,
@@ -154,18 +155,18 @@
         answer
     }
 
-    /// Asks the node a question.
+    /// Runs a function on the node and returns its result.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineGone`] where the daemon is stopping.
+    /// Returns [`EngineGone`] if the daemon is stopping.
     pub async fn query_node<T: Send + 'static>(
         &self,
         query: impl FnOnce(&mut Node, Instant) -> T + Send + 'static,
     ) -> Result<T, EngineGone> {
         let (reply, answer) = oneshot::channel();
         let query: NodeQuery = Box::new(move |node, now| {
-            // Who asked may have gone.
+            // The receiver may have been dropped.
             let _ = reply.send(query(node, now));
         });
         self.send(Message::QueryNode(query)).await;
@@ -173,7 +174,7 @@
     }
 }
 
-/// Tells the engine when a caller goes away before its answer.
+/// Notifies the engine when a caller disconnects before its request is answered.
 struct CallerGuard {
     engine: EngineHandle,
     token: Option<u64>,
@@ -187,7 +188,7 @@
     }
 }
 
-/// What the engine keeps of a caller's request.
+/// An open request of a caller.
 struct OpenRequest {
     row: Name,
     key: Option<Key>,
@@ -196,15 +197,15 @@
     answer: Option<MinionAnswer>,
 }
 
-/// The hands of the engine.
+/// The clients with which the engine executes actions.
 pub struct Effects {
-    /// Calls of the store.
+    /// Writes to the store.
     pub store: StoreCalls,
     /// Connections to workers.
     pub sessions: Sessions,
     /// Connections to other daemons.
     pub peers: PeerClients,
-    /// Calls of minions.
+    /// Requests to minions.
     pub minions: Minions,
 }
 
@@ -219,7 +220,7 @@
     logged: LoggedState,
 }
 
-/// What was last logged, so that only changes of state are.
+/// The state that was logged last; only changes are logged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct LoggedState {
     freshness: &'static str,
@@ -242,11 +243,11 @@
         }
     }
 
-    /// Runs until the node has left, or `drain_limit` after it began to.
+    /// Runs until the node has drained, or until `drain_limit` after the drain began.
     pub async fn run(mut self, mut messages: mpsc::Receiver<Message>, drain_limit: Duration) {
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut leaving_since = None;
+        let mut drain_started_at = None;
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
@@ -254,12 +255,12 @@
                     self.log_changes();
                 }
                 message = messages.recv() => match message {
-                    Some(message) => self.on_message(message, &mut leaving_since),
+                    Some(message) => self.on_message(message, &mut drain_started_at),
                     None => return,
                 },
             }
-            if let Some(since) = leaving_since {
-                let is_overdue = clock::now().since(since) >= drain_limit;
+            if let Some(started_at) = drain_started_at {
+                let is_overdue = clock::now().since(started_at) >= drain_limit;
                 if self.node.has_left() || is_overdue {
                     info!(self.log, "left"; "is_overdue" => is_overdue);
                     return;
@@ -268,11 +269,11 @@
         }
     }
 
-    fn on_message(&mut self, message: Message, leaving_since: &mut Option<Instant>) {
+    fn on_message(&mut self, message: Message, drain_started_at: &mut Option<Instant>) {
         match message {
             Message::Event(event) => {
                 if matches!(event, Event::Leave) {
-                    leaving_since.get_or_insert(clock::now());
+                    drain_started_at.get_or_insert(clock::now());
                 }
                 self.handle(event);
             }
@@ -411,7 +412,7 @@
 
     fn send_request(&mut self, request: Request, token: u64, addr: String, time_limit: Duration) {
         let Some(open) = self.requests.get(&token) else {
-            // The caller left in this very moment.
+            // The caller disconnected in the meantime.
             self.effects.minions.not_sent(request);
             return;
         };
@@ -422,7 +423,7 @@
             .send(request, token, addr, row, key, body, time_limit);
     }
 
-    /// Logs what changed, and nothing else.
+    /// Logs the state if it has changed since it was last logged.
     fn log_changes(&mut self) {
         let shards = 0..self.node.shards_count();
         let now = LoggedState {
--- a/crates/daemon/src/layout.rs
+++ b/crates/daemon/src/layout.rs
@@ -1,16 +1,16 @@
-//! Where things are in the store, and how they read.
+//! The layout of keys and values in the store.
 //!
 //! All keys of a cell start with `/ospreywing/CELL/`:
 //!
 //! | key | value | written by |
 //! |---|---|---|
 //! | `control/members/NAME` | [`Member`], under a lease | each daemon |
-//! | `control/owners/NNN` | the owner of a shard, or `null` | claims |
-//! | `control/seats/N` | the holder of a seat, or `null` | claims |
+//! | `control/owners/NNN` | the owner of a shard, or `null` | claims of shards |
+//! | `control/seats/N` | the holder of a seat, or `null` | claims of seats |
 //! | `control/table/ROW` | [`StoredRow`] | edits |
 //! | `history/ROW` | the last edits of a row | edits |
 //! | `log/NNN/SEQ` | a batch of a shard's log | commits |
-//! | `shards` | how many shards the cell has | the first daemon |
+//! | `shards` | the number of shards of the cell | the first daemon |
 
 use ospreywing_membership::{ControlChange, ControlKey, Member, Versioned};
 use ospreywing_node::Change;
@@ -19,16 +19,16 @@
 use ospreywing_types::{DaemonIdentity, Name};
 use serde::{Deserialize, Serialize};
 
-/// A row as the store keeps it.
+/// A row of the table as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRow {
-    /// The row; `None` once it is removed.
+    /// The row, or `None` after it was removed.
     pub row: Option<Row>,
-    /// A random number that tells one edit from another.
+    /// A random number that identifies the edit.
     pub edit_id: u64,
 }
 
-/// The keys of one cell.
+/// The store keys of a cell.
 #[derive(Clone, Debug)]
 pub struct Layout {
     root: String,
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Returns the prefix of the part that all daemons read.
+    /// Returns the prefix of the keys that all daemons poll.
     pub fn control(&self) -> String {
         format!("{}control/", self.root)
     }
 
-    /// Returns the key of the number of shards.
+    /// Returns the key of the cell's number of shards.
     pub fn shards(&self) -> String {
         format!("{}shards", self.root)
     }
 
-    /// Returns the key of a daemon's entry.
+    /// Returns the key of a daemon's member entry.
     pub fn member(&self, name: &Name) -> String {
         format!("{}members/{name}", self.control())
     }
@@ -72,7 +72,7 @@
         format!("{}table/{name}", self.control())
     }
 
-    /// Returns the key of a row's last edits.
+    /// Returns the key of a row's edit history.
     pub fn history(&self, name: &Name) -> String {
         format!("{}history/{name}", self.root)
     }
@@ -87,12 +87,12 @@
         format!("{}{seq:020}", self.log(shard))
     }
 
-    /// Returns the number of the batch under `key`.
+    /// Returns the sequence number of the batch at `key`, or `None` for other keys.
     pub fn seq_of(&self, shard: u32, key: &str) -> Option<u64> {
         key.strip_prefix(&self.log(shard))?.parse().ok()
     }
 
-    /// Reads a key of the control part; `None` for one that is not known.
+    /// Parses a key under `control/` and its value; returns `None` if they are not recognized.
     pub fn change(&self, found: &KeyValue) -> Option<Change> {
         let path = found.key.strip_prefix(&self.control())?;
         let (kind, rest) = path.split_once('/')?;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Reads what a key is about, once it is gone.
+    /// Returns the change for a deleted key under `control/`, or `None` if it isn't recognized.
     pub fn removed(&self, key: &str) -> Option<Change> {
         let path = key.strip_prefix(&self.control())?;
         let (kind, rest) = path.split_once('/')?;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters: over UDP by `cadence`, and as text over HTTP.
+//! Metrics, sent as StatsD packets over UDP and served as text over HTTP.
 
 use crate::engine::EngineHandle;
 use cadence::{Gauged, StatsdClient, UdpMetricSink};
@@ -9,33 +9,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Calls of the store, by kind.
+/// Numbers of store calls, by kind.
 #[derive(Debug, Default)]
 pub struct StoreCounts {
-    /// Reads of the control part.
+    /// Polls of the keys under `control/`.
     pub polls_count: AtomicU64,
-    /// Writes of a shard's log.
+    /// Commits to the log of a shard.
     pub commits_count: AtomicU64,
-    /// Claims and vacations of shards and seats.
+    /// Claims and releases of shards and seats.
     pub claims_count: AtomicU64,
-    /// Reads of a shard's log.
+    /// Reads of the log of a shard.
     pub log_reads_count: AtomicU64,
-    /// Calls that keep this daemon's entry.
+    /// Calls that maintain this daemon's member entry.
     pub leases_count: AtomicU64,
-    /// Reads and writes for edits of the table.
+    /// Reads and writes for table edits.
     pub edits_count: AtomicU64,
-    /// Calls without an answer.
+    /// Failed transactions for claims and commits.
     pub failures_count: AtomicU64,
 }
 
 impl StoreCounts {
-    /// Adds one.
+    /// Increments a counter.
     pub fn add(count: &AtomicU64) {
         count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// One counter with its name.
+/// A metric's name and value.
 struct Metric {
     name: &'static str,
     value: u64,
@@ -69,11 +69,11 @@
     ]
 }
 
-/// Returns the counters, a name and a value to a line.
+/// Formats the metrics as text, one name and value per line.
 pub fn text(report: &CellReport, store: &StoreCounts) -> String {
     let mut text = String::new();
     for metric in metrics(report, store) {
-        // Writing to memory does not fail.
+        // Writing to a string doesn't fail.
         let _ = writeln!(text, "ospreywing_{} {}", metric.name, metric.value);
     }
     text
@@ -81,11 +81,11 @@
 
 const SEND_PERIOD: Duration = Duration::from_secs(10);
 
-/// Sends the counters for ever.
+/// Creates a StatsD client.
 ///
 /// # Errors
 ///
-/// Returns an error where no socket can be opened.
+/// Returns an error if the UDP socket can't be opened.
 pub fn client(addr: SocketAddr) -> Result<StatsdClient, std::io::Error> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.set_nonblocking(true)?;
@@ -93,7 +93,7 @@
     Ok(StatsdClient::from_sink("ospreywing", sink))
 }
 
-/// Sends the counters for ever.
+/// Sends the metrics every [`SEND_PERIOD`] until the engine stops.
 pub async fn run(client: StatsdClient, engine: EngineHandle, store: Arc<StoreCounts>) {
     let mut ticks = tokio::time::interval(SEND_PERIOD);
     loop {
@@ -101,7 +101,7 @@
         let report = engine.query_node(|node, now| node.report(now)).await;
         let Ok(report) = report else { return };
         for metric in metrics(&report, &store) {
-            // A metric that is lost is followed by the next.
+            // A failed send is ignored: the next period sends the value again.
             let _ = client.gauge(metric.name, metric.value);
         }
     }
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls of other daemons, over one WebSocket to each.
+//! RPC calls to other daemons, over one WebSocket to each.
 
 use crate::clock;
 use crate::engine::EngineHandle;
@@ -24,30 +24,30 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 const PING_TIMEOUT: Duration = Duration::from_millis(1500);
 const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
-/// When to come back where the owner of a shard can't be reached.
+/// The retry delay returned to callers if the owner of a shard can't be reached.
 const RETRY_AFTER_MS: u64 = 1000;
-/// Refused connections in a row that prove a process ended.
+/// Number of consecutive refused connections that proves that a process has ended.
 const REFUSALS_TO_PROVE_EXIT: u32 = 2;
 
-/// Why a call of a peer failed.
+/// The reason why a call to a peer failed.
 #[derive(Debug)]
 enum CallError {
-    /// No process listens at the address.
+    /// The connection was refused: no process listens on the address.
     Refused,
-    /// Nothing was sent.
+    /// The call had no effect: it was not sent, or the peer returned an error.
     NotSent,
-    /// The call may have been received.
+    /// The peer may have received the call.
     Unconfirmed,
 }
 
-/// What is kept of one process.
+/// The connection to one incarnation of a daemon.
 #[derive(Default)]
 struct Link {
     client: Option<Arc<WsClient>>,
     refusals_count: u32,
 }
 
-/// Calls of other daemons.
+/// Sends calls to other daemons.
 #[derive(Clone)]
 pub struct PeerClients {
     own_identity: DaemonIdentity,
@@ -56,7 +56,7 @@
 }
 
 impl PeerClients {
-    /// Creates the calls; what becomes of them goes to `engine`.
+    /// Creates the client; results are sent to `engine`.
     pub fn new(own_identity: DaemonIdentity, engine: EngineHandle) -> Self {
         Self {
             own_identity,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Pings a process.
+    /// Pings a daemon.
     pub fn ping(&self, to: DaemonIdentity, table_digest: u64) {
         let this = self.clone();
         let ping = Ping {
@@ -83,7 +83,7 @@
                         .send_event(Event::Ponged { asked_at, pong })
                         .await;
                 }
-                // Another process has its address.
+                // Another process listens on the address.
                 Ok(_) => this.on_process_gone(&to).await,
                 Err(CallError::Refused) => this.on_refused(&to).await,
                 Err(CallError::NotSent | CallError::Unconfirmed) => {}
@@ -110,7 +110,7 @@
             .await;
     }
 
-    /// Asks a former owner to close its epoch.
+    /// Requests that the former owner of a shard closes its epoch.
     pub fn close_epoch(&self, shard: u32, epoch: u64, owner: DaemonIdentity) {
         let this = self.clone();
         tokio::spawn(async move {
@@ -140,7 +140,8 @@
         });
     }
 
-    /// Counts one more refusal and returns whether that is proof.
+    /// Records a refused connection and returns whether the refusals prove that the process has
+    /// ended.
     fn record_refusal(&self, owner: &DaemonIdentity) -> bool {
         let mut links = self.links.lock().unwrap_or_else(|e| e.into_inner());
         let link = links.entry(owner.incarnation).or_default();
@@ -148,33 +149,33 @@
         link.refusals_count >= REFUSALS_TO_PROVE_EXIT
     }
 
-    /// Passes a task on to the owner of its shard.
+    /// Forwards a task to the owner of its shard.
     pub fn submit(&self, to: DaemonIdentity, token: u64, submit: Submit) {
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![submit];
             let reply = this.call(&to, peer::SUBMIT, params, CALL_TIMEOUT).await;
-            let reply = submit_reply(reply);
+            let reply = submit_reply_from(reply);
             this.engine
                 .send_event(Event::ForwardAnswered { token, reply })
                 .await;
         });
     }
 
-    /// Passes a cancellation on to the owner of its shard.
+    /// Forwards a cancellation to the owner of the task's shard.
     pub fn cancel(&self, to: DaemonIdentity, token: u64, query: Query) {
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![query];
             let reply = this.call(&to, peer::CANCEL, params, CALL_TIMEOUT).await;
-            let reply = submit_reply(reply);
+            let reply = submit_reply_from(reply);
             this.engine
                 .send_event(Event::ForwardAnswered { token, reply })
                 .await;
         });
     }
 
-    /// Passes a question on to the owner of its shard.
+    /// Forwards a query to the owner of the task's shard.
     pub fn query(&self, to: DaemonIdentity, query: Query, reply: oneshot::Sender<Answer>) {
         let this = self.clone();
         tokio::spawn(async move {
@@ -187,8 +188,8 @@
 
     /// Claims a request's key from the owner of its shard.
     ///
-    /// A claim without an answer is as good as refused: the key may be burnt,
-    /// but this daemon, which alone could use it, sends nothing.
+    /// A claim without a reply counts as refused. The owner may have marked the key as used,
+    /// but only this daemon could have used it, and it sends no request.
     pub fn take_key(&self, to: DaemonIdentity, request: Request, claim: TakeKey) {
         let this = self.clone();
         tokio::spawn(async move {
@@ -266,7 +267,7 @@
     }
 }
 
-fn submit_reply(reply: Result<SubmitReply, CallError>) -> SubmitReply {
+fn submit_reply_from(reply: Result<SubmitReply, CallError>) -> SubmitReply {
     match reply {
         Ok(reply) => reply,
         Err(CallError::Unconfirmed) => SubmitReply::Unknown,
