--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface for callers and operators.
+//! The HTTP API for callers and operators.
 
 use crate::engine::{EngineHandle, RequestReply};
 use crate::metrics::{self, StoreCounts};
@@ -25,39 +25,42 @@
 use xitca_web::route::{get, post};
 use xitca_web::{App, HttpServer, WebContext};
 
-/// The largest body that is read.
+/// The maximum size of a request body.
 const BODY_LIMIT_BYTES: usize = 1024 * 1024;
-/// A body larger than this is cut off without a further word.
+/// The maximum size of a rejected body that is read and discarded; reading stops beyond it.
 const BODY_DISCARD_LIMIT_BYTES: usize = 8 * BODY_LIMIT_BYTES;
+/// The timeout for receiving a request body.
 const BODY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
-/// Tasks that one list returns.
+/// Maximum number of tasks in a list.
 const LIST_LIMIT_COUNT: usize = 1000;
+/// How long an idle connection is kept open.
 const KEEP_ALIVE: std::time::Duration = std::time::Duration::from_secs(30);
+/// The timeout for receiving a request head.
 const HEAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// What the handlers need.
+/// The state shared by the handlers.
 #[derive(Clone)]
 pub struct Api {
-    /// The engine.
+    /// Sends events and queries to the engine.
     pub engine: EngineHandle,
-    /// Edits of the table.
+    /// Reads and edits the table.
     pub edits: TableEdits,
-    /// Calls of the store.
+    /// The numbers of store calls, for the metrics.
     pub counts: Arc<StoreCounts>,
-    /// Where calls of the store run.
+    /// The runtime on which store calls run.
     pub runtime: Handle,
 }
 
 type Context<'r> = WebContext<'r, Api>;
 
-/// Stops the interface.
+/// Stops the HTTP server.
 pub type Stop = Box<dyn Fn() + Send>;
 
-/// Starts the interface on threads of its own.
+/// Starts the HTTP server on `threads_count` threads of its own.
 ///
 /// # Errors
 ///
-/// Returns an error where the listener can't be used.
+/// Returns an error if the listener can't be used.
 pub fn start(listener: TcpListener, api: Api, threads_count: usize) -> std::io::Result<Stop> {
     let app = App::new()
         .with_state(api)
@@ -96,7 +99,7 @@
     Ok(Box::new(move || handle.stop(true)))
 }
 
-/// The variable part of a path.
+/// The parameter of a path.
 #[derive(Deserialize)]
 struct Path {
     name: String,
@@ -115,8 +118,9 @@
     Key::new(text).map_err(|error| Rejection::bad(format!("{field}: {text:?} {error}")))
 }
 
-/// Reads the body. One that is too large is read on and thrown away for a while,
-/// since a caller that still sends would not see the answer.
+/// Reads the body. If it is too large, continues to read and discard it up to
+/// [`BODY_DISCARD_LIMIT_BYTES`], because a caller that is still sending would not see the
+/// response.
 async fn body(ctx: &Context<'_>) -> Result<Vec<u8>, Rejection> {
     let reading = tokio::time::timeout(BODY_TIMEOUT, read_body(ctx)).await;
     reading.unwrap_or_else(|_| {
@@ -156,7 +160,7 @@
     serde_json::from_slice(&body).map_err(|error| Rejection::bad(format!("body: {error}")))
 }
 
-/// A request that is answered with a refusal.
+/// A rejected request: the status and body of the response.
 struct Rejection {
     status: StatusCode,
     refusal: Refusal,
@@ -194,6 +198,7 @@
     }
 }
 
+/// The retry delay returned to callers while the daemon is stopping.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_s(1);
 
 fn json(status: StatusCode, value: &impl Serialize) -> WebResponse {
@@ -225,7 +230,7 @@
     response
 }
 
-fn finish(result: Result<WebResponse, Rejection>) -> WebResponse {
+fn into_response(result: Result<WebResponse, Rejection>) -> WebResponse {
     result.unwrap_or_else(|rejection| rejection.response())
 }
 
@@ -259,12 +264,12 @@
     }
 }
 
-/// Answers with what `question` returns, as JSON.
+/// Responds with the result of `query` as JSON.
 async fn query_json<T: Serialize + Send + 'static>(
     ctx: &Context<'_>,
-    question: impl FnOnce(&mut ospreywing_node::Node, ospreywing_types::Instant) -> T + Send + 'static,
+    query: impl FnOnce(&mut ospreywing_node::Node, ospreywing_types::Instant) -> T + Send + 'static,
 ) -> WebResponse {
-    match ctx.state().engine.query_node(question).await {
+    match ctx.state().engine.query_node(query).await {
         Ok(value) => json(StatusCode::OK, &value),
         Err(_) => Rejection::stopping().response(),
     }
@@ -291,7 +296,7 @@
 }
 
 async fn submit(ctx: &Context<'_>) -> WebResponse {
-    finish(try_submit(ctx).await)
+    into_response(try_submit(ctx).await)
 }
 
 async fn try_submit(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
@@ -310,7 +315,7 @@
 }
 
 async fn cancel(ctx: &Context<'_>) -> WebResponse {
-    finish(try_cancel(ctx).await)
+    into_response(try_cancel(ctx).await)
 }
 
 async fn try_cancel(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
@@ -352,6 +357,7 @@
     }
 }
 
+/// The retry delay returned to callers if an outcome is unknown or temporarily unavailable.
 const UNKNOWN_RETRY_AFTER: Duration = Duration::from_s(2);
 
 fn task_response(status: &TaskStatus) -> WebResponse {
@@ -359,7 +365,7 @@
 }
 
 async fn show_task(ctx: &Context<'_>) -> WebResponse {
-    finish(try_show_task(ctx).await)
+    into_response(try_show_task(ctx).await)
 }
 
 async fn try_show_task(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
@@ -387,7 +393,7 @@
 }
 
 async fn call(ctx: &Context<'_>) -> WebResponse {
-    finish(try_call(ctx).await)
+    into_response(try_call(ctx).await)
 }
 
 async fn try_call(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
@@ -443,7 +449,7 @@
 }
 
 async fn show_row(ctx: &Context<'_>) -> WebResponse {
-    finish(try_show_row(ctx).await)
+    into_response(try_show_row(ctx).await)
 }
 
 async fn try_show_row(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
@@ -452,12 +458,12 @@
     let read = on_runtime(ctx, async move { edits.read(&name).await }).await?;
     match read {
         Ok(row) => Ok(json(StatusCode::OK, &row)),
-        Err(error) => Ok(edit_error(&error)),
+        Err(error) => Ok(edit_error_response(&error)),
     }
 }
 
 async fn history(ctx: &Context<'_>) -> WebResponse {
-    finish(try_history(ctx).await)
+    into_response(try_history(ctx).await)
 }
 
 async fn try_history(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
@@ -466,12 +472,12 @@
     let read = on_runtime(ctx, async move { edits.history(&name).await }).await?;
     match read {
         Ok(entries) => Ok(json(StatusCode::OK, &entries)),
-        Err(error) => Ok(edit_error(&error)),
+        Err(error) => Ok(edit_error_response(&error)),
     }
 }
 
 async fn put_row(ctx: &Context<'_>) -> WebResponse {
-    finish(try_put_row(ctx).await)
+    into_response(try_put_row(ctx).await)
 }
 
 async fn try_put_row(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
@@ -480,12 +486,12 @@
 }
 
 async fn delete_row(ctx: &Context<'_>) -> WebResponse {
-    finish(edit(ctx, None).await)
+    into_response(edit(ctx, None).await)
 }
 
-/// The header that names the revision at which the operator saw the row.
+/// The header with the revision at which the operator read the row.
 const IF_MATCH: &str = "if-match";
-/// The query that makes an edit not wait to be in force everywhere.
+/// The query string that makes an edit not wait until all daemons use it.
 const NO_WAIT: &str = "wait=no";
 
 async fn edit(ctx: &Context<'_>, row: Option<Row>) -> Result<WebResponse, Rejection> {
@@ -505,11 +511,11 @@
     let edit = async move { edits.edit(&name, row, revision, wait_for_all).await };
     match on_runtime(ctx, edit).await? {
         Ok(accepted) => Ok(json(StatusCode::OK, &accepted)),
-        Err(error) => Ok(edit_error(&error)),
+        Err(error) => Ok(edit_error_response(&error)),
     }
 }
 
-/// Runs calls of the store where its connections live.
+/// Runs a store call on the runtime that owns the store's connections.
 async fn on_runtime<T: Send + 'static>(
     ctx: &Context<'_>,
     work: impl core::future::Future<Output = T> + Send + 'static,
@@ -518,17 +524,17 @@
     done.map_err(|_| Rejection::stopping())
 }
 
-/// The body of a refused edit.
+/// The body of the response to a failed edit.
 #[derive(Serialize)]
 struct EditRefusal<'a> {
     reason: String,
-    /// The row as it is, where another changed it.
+    /// The current row, if it has changed since the operator read it.
     newer: Option<&'a crate::table_edit::VersionedRow>,
-    /// What differs between it and the row that was not taken.
+    /// The differences from the current row to the rejected one.
     changes: &'a [ospreywing_table::CellChange],
 }
 
-fn edit_error(error: &EditError) -> WebResponse {
+fn edit_error_response(error: &EditError) -> WebResponse {
     let status = match error {
         EditError::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
         EditError::Conflict { .. } => StatusCode::CONFLICT,
--- a/crates/daemon/src/store_calls.rs
+++ b/crates/daemon/src/store_calls.rs
@@ -1,8 +1,8 @@
-//! Writes of the store: claims, commits, seats, and the lease of this daemon.
+//! Writes to the store: claims of shards and seats, commits, and this daemon's member entry.
 //!
-//! A write whose answer is lost is resolved, not repeated blindly: each is a
-//! transaction that takes effect at most once, and is made again until the
-//! store says whether it has.
+//! Claims of shards and commits are transactions that take effect at most once. If a
+//! response is lost, the transaction is retried until the store's reply shows whether it
+//! took effect. Claims of seats and releases are sent once; the next poll shows their result.
 
 use crate::engine::EngineHandle;
 use crate::layout::Layout;
@@ -17,15 +17,18 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Batches that one call may return.
+/// Maximum number of batches that a call returns.
 const PAGE_COUNT: u64 = 500;
+/// The upper bound of the first delay of a [`Backoff`].
 const BACKOFF_FIRST: Duration = Duration::from_millis(40);
+/// The upper bound of all delays of a [`Backoff`].
 const BACKOFF_LIMIT: Duration = Duration::from_millis(1000);
-/// The lease of this daemon's entry, and how often it is kept alive.
+/// The time to live of the lease of this daemon's member entry.
 const MEMBER_TTL_S: u64 = 10;
+/// The interval between renewals of that lease.
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(3);
 
-/// Writes of the store.
+/// Writes to the store.
 #[derive(Clone)]
 pub struct StoreCalls {
     store: StoreClient,
@@ -36,20 +39,20 @@
     wake: Arc<Notify>,
 }
 
-/// What became of a commit.
+/// The outcome of a commit.
 enum CommitOutcome {
     Done,
-    NotWritten { is_refused: bool },
+    Fenced { is_refused: bool },
 }
 
-/// What became of a claim.
+/// The outcome of a claim.
 enum ClaimOutcome {
     Won { revision: u64 },
     Lost,
 }
 
 impl StoreCalls {
-    /// Creates the calls; `wake` makes the poller read what they changed.
+    /// Creates the writer; it notifies `wake` after a write, so that the poller polls at once.
     pub fn new(
         store: StoreClient,
         layout: Layout,
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Claims a shard, reads its log and tells the engine.
+    /// Claims a shard, reads its log and sends the result to the engine.
     pub fn claim_shard(&self, shard: u32, revision: u64) {
         let this = self.clone();
         tokio::spawn(async move {
@@ -84,7 +87,7 @@
         });
     }
 
-    /// Claims a seat; the poller sees whether it was won.
+    /// Claims a seat; the next poll shows whether the claim succeeded.
     pub fn claim_seat(&self, seat: u32, revision: u64) {
         let this = self.clone();
         tokio::spawn(async move {
@@ -101,12 +104,12 @@
         });
     }
 
-    /// Vacates a shard's key; the poller sees whether that took effect.
+    /// Releases a shard; the next poll shows whether that took effect.
     pub fn vacate_shard(&self, shard: u32, revision: u64) {
         self.vacate(self.layout.owner(shard), revision);
     }
 
-    /// Vacates a seat's key; the poller sees whether that took effect.
+    /// Releases a seat; the next poll shows whether that took effect.
     pub fn vacate_seat(&self, seat: u32, revision: u64) {
         self.vacate(self.layout.seat(seat), revision);
     }
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Writes this process under `key` where it has `revision`, and finds out
-    /// whether that took effect even when answers are lost.
+    /// Writes this daemon's identity to `key` if the key is at `revision`, and retries until
+    /// it is known whether that took effect.
     async fn claim(&self, key: String, revision: u64) -> ClaimOutcome {
         let txn = Txn::new()
             .with_compare(Compare::ModRevision {
@@ -157,7 +160,7 @@
                 revision: reply.revision,
             };
         }
-        // An earlier try of ours may have taken effect with its answer lost.
+        // An earlier attempt may have taken effect although its response was lost.
         match first_of(&reply) {
             Some(found) if self.is_own_identity(found) => ClaimOutcome::Won {
                 revision: found.mod_revision,
@@ -172,7 +175,7 @@
         identity.is_some_and(|identity| identity == self.member.identity)
     }
 
-    /// Reads a shard's log. Its former owner is fenced, so it stands still.
+    /// Reads a shard's log, which no longer changes because the former owner is fenced.
     async fn read_log(&self, shard: u32, epoch: u64) -> ClaimedLog {
         let prefix = self.layout.log(shard);
         let mut backoff = Backoff::new();
@@ -193,13 +196,13 @@
         }
     }
 
-    /// Writes a commit and tells the engine whether it took effect.
+    /// Writes a commit and reports to the engine whether it took effect.
     pub fn commit(&self, shard: u32, epoch: u64, commit: Commit) {
         let this = self.clone();
         tokio::spawn(async move {
             let event = match this.commit_until_resolved(shard, epoch, &commit).await {
                 CommitOutcome::Done => Event::CommitDone { shard, epoch },
-                CommitOutcome::NotWritten { is_refused } => Event::CommitFenced {
+                CommitOutcome::Fenced { is_refused } => Event::CommitFenced {
                     shard,
                     epoch,
                     is_refused,
@@ -237,29 +240,31 @@
                 end: self.layout.batch(shard, commit.first_kept_seq),
             });
         }
-        let (reply, tries_count) = self
+        let (reply, attempts_count) = self
             .txn_until_answered(&txn, &self.counts.commits_count)
             .await;
-        // The batch stands there because an earlier try of ours took effect.
+        // If the batch has this value, an earlier attempt took effect.
         let is_already_written = first_of(&reply).is_some_and(|found| found.value == commit.value);
         if reply.succeeded || is_already_written {
             return CommitOutcome::Done;
         }
-        // After an earlier try the batch may have stood and been cleaned away.
-        CommitOutcome::NotWritten {
-            is_refused: tries_count == 1,
+        // After several attempts, an earlier one may have written the batch, and the batch may have
+        // been deleted since. Only a first attempt proves that the store refused the commit.
+        CommitOutcome::Fenced {
+            is_refused: attempts_count == 1,
         }
     }
 
-    /// Makes a transaction until it is answered; returns the number of tries too.
+    /// Retries a transaction until the store responds; returns the reply and the number of
+    /// attempts.
     async fn txn_until_answered(&self, txn: &Txn, count: &AtomicU64) -> (TxnReply, u32) {
         let mut backoff = Backoff::new();
-        let mut tries_count = 0;
+        let mut attempts_count = 0;
         loop {
-            tries_count += 1;
+            attempts_count += 1;
             StoreCounts::add(count);
             match self.store.txn(txn).await {
-                Ok(reply) => return (reply, tries_count),
+                Ok(reply) => return (reply, attempts_count),
                 Err(_) => {
                     StoreCounts::add(&self.counts.failures_count);
                     backoff.wait().await;
@@ -268,24 +273,24 @@
         }
     }
 
-    /// Keeps this daemon's entry in the store for ever, under a lease.
+    /// Maintains this daemon's member entry in the store under a lease; never returns.
     ///
-    /// `is_registered` says whether the last poll found the entry: a lease that is
-    /// alive does not prove that the entry is there.
+    /// `is_registered` is whether the last poll found the entry. It is checked in addition to
+    /// the lease, because a live lease doesn't prove that the entry exists.
     pub async fn maintain_member_entry(self, is_registered: Arc<AtomicBool>) {
         let mut lease = None;
         let mut ticks = tokio::time::interval(KEEPALIVE_PERIOD);
         loop {
             ticks.tick().await;
-            let kept = match lease {
+            let is_renewed = match lease {
                 Some(_) if !is_registered.load(Ordering::Relaxed) => Ok(false),
                 Some(lease) => self.renew_lease(lease).await,
                 None => Ok(false),
             };
-            match kept {
+            match is_renewed {
                 Ok(true) => {}
                 Ok(false) => lease = self.register().await.ok(),
-                // The lease may still be there: ask again.
+                // The lease may still be alive; renew it again at the next tick.
                 Err(_) => {}
             }
         }
@@ -310,12 +315,12 @@
         Ok(lease)
     }
 
-    /// Removes this daemon's entry, as its last word.
+    /// Deletes this daemon's member entry, as its last write before it stops.
     pub async fn deregister(&self) {
         let key = self.layout.member(&self.member.identity.name);
         let txn = Txn::new().with_then(Op::Delete { key });
         StoreCounts::add(&self.counts.leases_count);
-        // An entry that stays lapses with its lease.
+        // If the deletion fails, the entry is removed when its lease expires.
         let _ = self.store.txn(&txn).await;
     }
 }
@@ -324,23 +329,23 @@
     reply.pages.first()?.key_values.first()
 }
 
-/// Waiting times between tries, doubled up to a limit, with jitter.
+/// Exponential backoff with jitter and an upper limit.
 pub struct Backoff {
     next: Duration,
 }
 
 impl Backoff {
-    /// Creates the times of a first try.
+    /// Creates a backoff that starts with the shortest delay.
     pub const fn new() -> Self {
         Self {
             next: BACKOFF_FIRST,
         }
     }
 
-    /// Waits for the next time.
+    /// Waits for the current delay and doubles the next one.
     pub async fn wait(&mut self) {
-        let part = rand::rng().random_range(0.5..1.0);
-        tokio::time::sleep(self.next.mul_f64(part)).await;
+        let jitter_factor = rand::rng().random_range(0.5..1.0);
+        tokio::time::sleep(self.next.mul_f64(jitter_factor)).await;
         self.next = (self.next * 2).min(BACKOFF_LIMIT);
     }
 }
--- a/crates/daemon/src/table_edit.rs
+++ b/crates/daemon/src/table_edit.rs
@@ -1,4 +1,5 @@
-//! Edits of the table: one row, on condition that it is as the operator saw it.
+//! Edits of the table: each changes one row, if it is still at the revision that the operator
+//! read.
 
 use crate::clock;
 use crate::engine::EngineHandle;
@@ -16,72 +17,72 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// How long an edit may take until its fate is said to be unknown.
+/// Timeout of an edit's write, after which its outcome is reported as unknown.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long an edit waits to be in force everywhere.
+/// How long an edit waits until all daemons use the new revision.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(7);
 const IN_FORCE_CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// How long an edit waits for daemons that were just met to answer: a ping is sent each half
-/// second, and its connection may be refused while the other still starts.
+/// How long an edit waits for newly discovered daemons to respond. Pings are sent every 500 ms,
+/// and a starting daemon may refuse the connection at first.
 const EDITABLE_TIMEOUT: Duration = Duration::from_secs(4);
 const EDITABLE_CHECK_PERIOD: Duration = Duration::from_millis(20);
-/// Edits of a row that are remembered.
+/// Number of edits kept in the history of a row.
 const HISTORY_COUNT: usize = 20;
 
-/// A row with the revision that an edit must name.
+/// A row with its revision, which an edit must specify.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedRow {
-    /// The row; `None` where there is none.
+    /// The row, or `None` if it doesn't exist.
     pub row: Option<Row>,
-    /// The revision; zero where the row never was.
+    /// The revision; zero if the row never existed.
     pub revision: u64,
 }
 
-/// An edit that the store has taken.
+/// An edit that was written to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
     /// The row's new revision.
     pub revision: u64,
-    /// Whether every daemon goes by it.
+    /// Whether all daemons use the new revision.
     pub is_in_force: bool,
-    /// The daemons that are not known to.
+    /// The daemons that are not known to use the new revision.
     pub lagging: Vec<Name>,
 }
 
-/// One remembered edit.
+/// An edit in the history of a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// When, in seconds since 1970.
+    /// The time of the edit, in seconds since the Unix epoch.
     pub unix_s: u64,
-    /// The daemon that took it.
+    /// The daemon that wrote the edit.
     pub daemon: Name,
     /// The cells that changed.
     pub changes: Vec<CellChange>,
 }
 
-/// Why an edit was not taken.
+/// The reason why an edit failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EditError {
-    /// The table would not be sound.
+    /// The table would be invalid after the edit.
     #[error("{}", .0.join("; "))]
     Invalid(Vec<String>),
-    /// The row is not as the operator saw it.
+    /// The row has changed since the operator read it.
     #[error("the row was changed by another; it is at revision {}", .newer.revision)]
     Conflict {
-        /// The row as it is.
+        /// The current row.
         newer: Box<VersionedRow>,
-        /// What differs between it and the row that was not taken.
+        /// The differences from the current row to the rejected one.
         changes: Vec<CellChange>,
     },
-    /// This daemon can't take edits now; nothing was written.
+    /// This daemon can't write edits now; nothing was written.
     #[error("no edit can be taken now: {0}")]
     Unavailable(String),
-    /// The store did not say whether the edit was taken.
+    /// The store did not respond in time, so the edit may have been written.
     #[error("whether the edit was taken is unknown; read the row again")]
     Unknown,
 }
 
-/// Edits of the table.
+/// Reads and writes rows of the table in the store.
 #[derive(Clone)]
 pub struct TableEdits {
     store: StoreClient,
@@ -92,14 +93,14 @@
     wake: Arc<Notify>,
 }
 
-/// The row and its history as the store has them.
+/// The stored row and its history.
 struct Stored {
     row: VersionedRow,
     history: Vec<HistoryEntry>,
 }
 
 impl TableEdits {
-    /// Creates the edits; `wake` makes the poller read what they changed.
+    /// Creates the editor; it notifies `wake` after a write, so that the poller polls at once.
     pub fn new(
         store: StoreClient,
         layout: Layout,
@@ -122,19 +123,19 @@
     ///
     /// # Errors
     ///
-    /// Returns [`EditError::Unavailable`] where the store does not answer.
+    /// Returns [`EditError::Unavailable`] if the store call fails.
     pub async fn read(&self, name: &Name) -> Result<VersionedRow, EditError> {
-        let stored = self.stored(name).await.map_err(unavailable)?;
+        let stored = self.stored(name).await.map_err(unavailable_error)?;
         Ok(stored.row)
     }
 
-    /// Reads the last edits of a row from the store, newest last.
+    /// Reads the edit history of a row from the store, newest last.
     ///
     /// # Errors
     ///
-    /// Returns [`EditError::Unavailable`] where the store does not answer.
+    /// Returns [`EditError::Unavailable`] if the store call fails.
     pub async fn history(&self, name: &Name) -> Result<Vec<HistoryEntry>, EditError> {
-        let stored = self.stored(name).await.map_err(unavailable)?;
+        let stored = self.stored(name).await.map_err(unavailable_error)?;
         Ok(stored.history)
     }
 
@@ -149,20 +150,23 @@
         StoreCounts::add(&self.counts.edits_count);
         let reply = self.store.txn(&txn).await?;
         let mut pages = reply.pages.into_iter();
-        let row = pages.next().and_then(first);
-        let history = pages.next().and_then(first);
+        let row = pages.next().and_then(first_key_value);
+        let history = pages.next().and_then(first_key_value);
         let history = history.and_then(|found| serde_json::from_slice(&found.value).ok());
         Ok(Stored {
-            row: row.map_or(absent(), |found| versioned(&found)),
+            row: row.map_or(absent_row(), |found| versioned_row(&found)),
             history: history.unwrap_or_default(),
         })
     }
 
-    /// Puts or removes a row that the operator saw at `revision`.
+    /// Writes a row, or removes it if `row` is `None`, if it is still at `revision`.
+    ///
+    /// With `wait_for_all`, waits up to [`IN_FORCE_TIMEOUT`] until all daemons use the edit.
     ///
     /// # Errors
     ///
-    /// Returns why it was not taken; see [`EditError`].
+    /// Returns the reason why the edit was not written, or may not have been; see
+    /// [`EditError`].
     pub async fn edit(
         &self,
         name: &Name,
@@ -171,7 +175,7 @@
         wait_for_all: bool,
     ) -> Result<Accepted, EditError> {
         self.check(name, row.as_ref()).await?;
-        let before = self.stored(name).await.map_err(unavailable)?;
+        let before = self.stored(name).await.map_err(unavailable_error)?;
         if before.row.revision != revision {
             return Err(conflict(before.row, row.as_ref()));
         }
@@ -195,14 +199,14 @@
         Ok(self.accepted(revision, wait_for_all).await)
     }
 
-    /// Checks an edit, and waits where this daemon or others have only just started.
+    /// Checks an edit; first waits for a while if this or other daemons have just started.
     async fn check(&self, name: &Name, row: Option<&Row>) -> Result<(), EditError> {
-        let settling = self.wait_until_editable();
-        // Where that takes too long, the check tells what is missing.
-        let _ = tokio::time::timeout(EDITABLE_TIMEOUT, settling).await;
+        let editable = self.wait_until_editable();
+        // After a timeout, the check below returns the reason.
+        let _ = tokio::time::timeout(EDITABLE_TIMEOUT, editable).await;
         let (name, row) = (name.clone(), row.cloned());
         let checked = self.engine.query_node(move |node, now| {
-            node.check_edit(now).map_err(blocked)?;
+            node.check_edit(now).map_err(blocked_error)?;
             let mut table = (*node.table()).clone();
             match row {
                 Some(row) => table.put(row),
@@ -219,7 +223,7 @@
             .unwrap_or_else(|gone| Err(EditError::Unavailable(gone.to_string())))
     }
 
-    /// Waits until nothing keeps edits out that passes by itself.
+    /// Waits while edits are blocked for a temporary reason.
     async fn wait_until_editable(&self) {
         loop {
             let checked = self
@@ -273,8 +277,8 @@
         }
     }
 
-    /// Returns the new revision, also where an earlier try took effect with
-    /// its answer lost.
+    /// Returns the row's new revision, including when an earlier attempt took effect although
+    /// its response was lost.
     fn resolve(
         &self,
         reply: &TxnReply,
@@ -287,13 +291,16 @@
         let found = reply.pages.first().and_then(|page| page.key_values.first());
         let found_row = found.and_then(|f| serde_json::from_slice::<StoredRow>(&f.value).ok());
         match (found, found_row) {
-            (Some(found), Some(there)) if there.edit_id == stored.edit_id => Ok(found.mod_revision),
-            (Some(found), _) => Err(conflict(versioned(found), row)),
-            (None, _) => Err(conflict(absent(), row)),
+            (Some(found), Some(found_row)) if found_row.edit_id == stored.edit_id => {
+                Ok(found.mod_revision)
+            }
+            (Some(found), _) => Err(conflict(versioned_row(found), row)),
+            (None, _) => Err(conflict(absent_row(), row)),
         }
     }
 
-    /// Waits until every daemon goes by `revision`, for a while.
+    /// Returns the accepted edit; with `wait_for_all`, first waits up to [`IN_FORCE_TIMEOUT`]
+    /// until all daemons use `revision`.
     async fn accepted(&self, revision: u64, wait_for_all: bool) -> Accepted {
         let until =
             clock::now() + ospreywing_types::Duration::from_ms(IN_FORCE_TIMEOUT.as_millis() as u64);
@@ -312,18 +319,18 @@
     }
 }
 
-fn first(page: Page) -> Option<KeyValue> {
+fn first_key_value(page: Page) -> Option<KeyValue> {
     page.key_values.into_iter().next()
 }
 
-const fn absent() -> VersionedRow {
+const fn absent_row() -> VersionedRow {
     VersionedRow {
         row: None,
         revision: 0,
     }
 }
 
-fn versioned(found: &KeyValue) -> VersionedRow {
+fn versioned_row(found: &KeyValue) -> VersionedRow {
     let stored: Option<StoredRow> = serde_json::from_slice(&found.value).ok();
     VersionedRow {
         row: stored.and_then(|stored| stored.row),
@@ -331,13 +338,13 @@
     }
 }
 
-fn blocked(reason: EditBlocked) -> EditError {
+fn blocked_error(reason: EditBlocked) -> EditError {
     EditError::Unavailable(format!(
         "this daemon does not reach the store and most daemons: {reason}"
     ))
 }
 
-fn unavailable(error: StoreError) -> EditError {
+fn unavailable_error(error: StoreError) -> EditError {
     EditError::Unavailable(error.to_string())
 }
 
