--- a/crates/daemon/tests/processes/bad_input.rs
+++ b/crates/daemon/tests/processes/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input on every port gets a clear error, and the daemon goes on.
+//! Malformed input on each port is answered with a clear error or ignored, and the daemon
+//! stays ready.
 
 use crate::cell::Cell;
 use http::Method;
@@ -9,7 +10,7 @@
 
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// One bad request, the status it gets and a word of the reason.
+/// A bad request, the expected status and a word expected in the reason.
 struct Bad {
     method: Method,
     path: &'static str,
@@ -120,14 +121,14 @@
 fn malformed_bytes_leave_daemon_ready() {
     let cell = Cell::new(1);
     let daemon = &cell.daemons[0];
-    let noise: [&[u8]; 4] = [
+    let malformed: [&[u8]; 4] = [
         b"\x00\xff\x16\x03\x01garbage\r\n\r\n",
         b"POST /v1/tasks HTTP/1.1\r\ncontent-length: 10\r\n\r\nabc",
         b"GET / HTTP/1.1\r\nhost",
         b"POST /v1/tasks HTTP/1.1\r\ncontent-length: -5\r\n\r\n",
     ];
     for addr in [&daemon.http_addr, &daemon.rpc_addr] {
-        for bytes in noise {
+        for bytes in malformed {
             let mut stream = TcpStream::connect(addr).expect("the port is open");
             stream.write_all(bytes).expect("the bytes go out");
             let shut = stream.shutdown(std::net::Shutdown::Write);
@@ -135,7 +136,7 @@
             let limit = Some(LIMIT);
             stream.set_read_timeout(limit).expect("a limit is set");
             let mut answer = Vec::new();
-            // Whether it is answered or cut off, it ends.
+            // The connection must end, with or without a response.
             let _ = stream.read_to_end(&mut answer);
         }
     }
--- a/crates/daemon/tests/processes/cell.rs
+++ b/crates/daemon/tests/processes/cell.rs
@@ -1,4 +1,5 @@
-//! A cell: stand-ins in this process, daemons as processes of their own.
+//! Test harness for a cell: simulated platform components run in the test process, daemons
+//! run as separate processes.
 
 use http::Method;
 use ospreywing_http::{Call, HttpClient};
@@ -22,13 +23,13 @@
     include_str!("../../../../examples/swaramala.csv"),
     include_str!("../../../../examples/gallery.csv"),
 ];
-/// The daemons' default.
+/// The daemons' default number of shards.
 pub const SHARDS_COUNT: usize = 2;
-/// A condition that does not come about within this time will not.
+/// The timeout for a condition to become true.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// One daemon's process.
+/// A daemon process.
 pub struct DaemonProcess {
     child: Child,
     pub http_addr: String,
@@ -46,7 +47,7 @@
         self.child.wait().expect("the process ends");
     }
 
-    /// Waits for the process to end by itself and returns whether it did well.
+    /// Waits for the process to exit by itself and returns whether its exit code is 0.
     pub fn wait_for_success(&mut self) -> bool {
         self.child.wait().expect("the process ends").success()
     }
@@ -54,17 +55,18 @@
 
 impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // A process that has ended needs no end.
+        // Killing fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
+/// A running cell with its simulated platform.
 pub struct Cell {
     pub runtime: tokio::runtime::Runtime,
     pub http: HttpClient,
     pub platform_addr: String,
-    /// A second way to the platform, to be cut for one daemon alone.
+    /// A second address of the platform, which can be disabled for a single daemon.
     pub other_platform_addr: String,
     workers_addr: String,
     minions_addr: String,
@@ -85,7 +87,8 @@
 }
 
 impl Cell {
-    /// Starts stand-ins and `daemons_count` daemons and waits until they serve.
+    /// Starts the simulated components and `daemons_count` daemons, waits until all are ready,
+    /// and writes the tables. The last daemon uses the second address of the store.
     pub fn new(daemons_count: usize) -> Self {
         let runtime = tokio::runtime::Runtime::new().expect("a runtime");
         let (first, second) = (listener(), listener());
@@ -140,7 +143,7 @@
         self.runtime.spawn(minion::run(host, minions));
     }
 
-    /// Starts a daemon; one that `uses_other_store_addr` has its own way to the store.
+    /// Starts a daemon and waits until it has logged its addresses.
     pub fn start_daemon(&self, index: usize, uses_other_store_addr: bool) -> DaemonProcess {
         let store_addr = if uses_other_store_addr {
             &self.other_platform_addr
@@ -164,7 +167,7 @@
         };
         let (sender, receiver) = mpsc::channel();
         let log = BufReader::new(daemon.child.stderr.take().expect("it is piped"));
-        // The log is read to its end, so that the daemon never waits for it.
+        // Reads the log to its end, so that the daemon never blocks on a full pipe.
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 let _ = sender.send(line);
@@ -194,7 +197,7 @@
         self.call(call)?.json().ok()
     }
 
-    /// Waits until something is so.
+    /// Waits until `condition` holds.
     pub fn wait_for(&self, what: &str, mut condition: impl FnMut(&Self) -> bool) {
         let until = Instant::now() + WAIT_TIMEOUT;
         while !condition(self) {
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Puts a row as an operator does: again, from its newest state, until taken.
+    /// Writes a row as an operator does: retries with the newest revision until it succeeds.
     fn put_row(&self, row: &ospreywing_table::Row) {
         let path = format!("/v1/table/rows/{}", row.name);
         let addr = &self.daemons[0].http_addr;
@@ -248,7 +251,7 @@
         });
     }
 
-    /// Sets faults of a stand-in.
+    /// Sets the faults that a simulated component injects.
     pub fn set_faults(&self, addr: &str, faults: &impl Serialize) {
         let call = Call::new(Method::POST, addr, "/admin/faults", CALL_TIMEOUT)
             .with_json(faults)
@@ -265,7 +268,7 @@
         self.set_faults(&self.minions_addr, faults);
     }
 
-    /// Begins to drive the daemons with both deployments' work.
+    /// Starts a load generator that sends the work of both sample deployments to the daemons.
     pub fn drive(&self, run_name: &str) -> tokio::task::JoinHandle<DriveReport> {
         let daemons = self.daemons.iter().map(|daemon| daemon.http_addr.clone());
         let drive = Drive {
@@ -292,7 +295,7 @@
         judged.expect("the stand-ins answer")
     }
 
-    /// Checks that nothing was lost, doubled, wrong or overcommitted.
+    /// Checks that no task was lost or run twice, no answer was wrong and no box overcommitted.
     pub fn assert_clean(&self, report: &DriveReport) {
         let judged = self.judge();
         println!("{report:?}\n{judged:?}");
--- a/crates/daemon/tests/processes/failures.rs
+++ b/crates/daemon/tests/processes/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of daemons, of the store, of workers and of minions, under load.
+//! Failures of daemons, the store, workers and minions, injected under load.
 
 use crate::cell::{Cell, SHARDS_COUNT};
 use ospreywing_standin::faults::{MinionFaults, PlatformFaults, WorkerFaults};
@@ -23,7 +23,7 @@
         owned.sum::<usize>() == SHARDS_COUNT
     });
     let replacement = cell.start_daemon(1, false);
-    // The drive goes on asking at the old address, which refuses it.
+    // The load generator continues to call the old address, which refuses connections.
     let old = std::mem::replace(&mut cell.daemons[1], replacement);
     let report = cell.wait_for_drive(drive);
     drop(old);
--- a/crates/daemon/tests/processes/main.rs
+++ b/crates/daemon/tests/processes/main.rs
@@ -1,7 +1,7 @@
-//! Real daemons as processes against stand-ins, with failures brought about.
+//! Runs real daemon processes against simulated platform components and injects failures.
 //!
-//! The stand-ins keep the record that is judged. Conditions are awaited; no
-//! wall time is asserted.
+//! The checks use the records that the simulated components keep. The tests wait for
+//! conditions and assert no wall-clock times.
 
 mod bad_input;
 mod cell;
--- a/crates/daemon/tests/processes/table.rs
+++ b/crates/daemon/tests/processes/table.rs
@@ -1,4 +1,4 @@
-//! Edits of the table: two operators at once, and answers that are lost.
+//! Edits of the table: concurrent edits, lost store responses and newly started daemons.
 
 use crate::cell::Cell;
 use http::Method;
@@ -49,7 +49,7 @@
     assert_eq!(statuses, [200, 409]);
     let loser = answers.iter().find(|answer| answer.status.as_u16() == 409);
     let loser = body(loser.expect("one lost"));
-    // The loser gets the newer row, and what differs from it to its own.
+    // The losing operator gets the newer row and its differences to the rejected one.
     let winner_share = loser["newer"]["row"]["share"].as_u64();
     assert!(matches!(winner_share, Some(11 | 22)), "{loser}");
     assert_eq!(loser["changes"][0]["column"], "share", "{loser}");
@@ -79,11 +79,13 @@
     cell.set_faults(&cell.platform_addr, &PlatformFaults::default());
     let history = Call::new(Method::GET, &addr, "/v1/table/history/edited", LIMIT);
     let history = body(&cell.call(history).expect("an answer comes"));
-    // Each edit is there once.
+    // The history has each edit exactly once.
     assert_eq!(history.as_array().map(Vec::len), Some(8), "{history}");
 }
 
-/// An edit is not refused for daemons that were met a moment ago and have not answered yet.
+/// A daemon that has just started doesn't know yet whether it reaches the other daemons. An
+/// edit sent to it must wait for their responses instead of failing. The others are suspended
+/// here, so that their responses come late.
 #[test]
 fn edit_waits_for_new_daemons() {
     let mut cell = Cell::new(3);
@@ -102,7 +104,7 @@
         put(&cell.daemons[0].http_addr, &row(11), 0),
     );
     let edit = cell.runtime.spawn(async move { http.call(call).await });
-    // Where it is refused at all, that takes some milliseconds.
+    // A refusal would arrive within a few milliseconds.
     std::thread::sleep(REFUSED_WITHIN);
     for other in [1, 2] {
         cell.daemons[other].signal(Signal::CONT);
