--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -34,7 +34,7 @@
 /// Maximum number of tasks in a list.
 const LIST_LIMIT_COUNT: usize = 1000;
 /// How long an idle connection is kept open.
-const KEEP_ALIVE: std::time::Duration = std::time::Duration::from_secs(30);
+const KEEP_ALIVE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
 /// The timeout for receiving a request head.
 const HEAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
@@ -89,7 +89,7 @@
         .at("/v1/table/history/{name}", get(handler_service(history)));
     let mut server = HttpServer::serve(app.finish())
         .worker_threads(threads_count)
-        .keep_alive_timeout(KEEP_ALIVE)
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
         .request_head_timeout(HEAD_TIMEOUT)
         .disable_signal()
         .listen(listener)?
@@ -110,12 +110,12 @@
     path.map(|Params(path)| path.name).unwrap_or_default()
 }
 
-fn name_of(field: &str, text: &str) -> Result<Name, Rejection> {
-    Name::new(text).map_err(|error| Rejection::bad(format!("{field}: {text:?} {error}")))
+fn parse_name(field: &str, text: &str) -> Result<Name, Rejection> {
+    Name::new(text).map_err(|error| Rejection::bad_request(format!("{field}: {text:?} {error}")))
 }
 
-fn key_of(field: &str, text: &str) -> Result<Key, Rejection> {
-    Key::new(text).map_err(|error| Rejection::bad(format!("{field}: {text:?} {error}")))
+fn parse_key(field: &str, text: &str) -> Result<Key, Rejection> {
+    Key::new(text).map_err(|error| Rejection::bad_request(format!("{field}: {text:?} {error}")))
 }
 
 /// Reads the body. If it is too large, continues to read and discard it up to
@@ -131,7 +131,7 @@
 }
 
 async fn read_body(ctx: &Context<'_>) -> Result<Vec<u8>, Rejection> {
-    let unreadable = |_| Rejection::bad("body: unreadable".to_owned());
+    let unreadable = |_| Rejection::bad_request("body: unreadable".to_owned());
     let Body(stream) = ctx
         .extract::<Body<RequestBody>>()
         .await
@@ -140,7 +140,7 @@
     let mut body = Vec::new();
     let mut size_bytes = 0;
     while let Some(chunk) = stream.as_mut().data().await {
-        let chunk = chunk.map_err(|_| Rejection::bad("body: broken off".to_owned()))?;
+        let chunk = chunk.map_err(|_| Rejection::bad_request("body: broken off".to_owned()))?;
         size_bytes += chunk.len();
         if size_bytes <= BODY_LIMIT_BYTES {
             body.extend_from_slice(chunk.as_ref());
@@ -157,7 +157,7 @@
 
 async fn json_body<T: DeserializeOwned>(ctx: &Context<'_>) -> Result<T, Rejection> {
     let body = body(ctx).await?;
-    serde_json::from_slice(&body).map_err(|error| Rejection::bad(format!("body: {error}")))
+    serde_json::from_slice(&body).map_err(|error| Rejection::bad_request(format!("body: {error}")))
 }
 
 /// A rejected request: the status and body of the response.
@@ -167,7 +167,7 @@
 }
 
 impl Rejection {
-    fn bad(reason: String) -> Self {
+    fn bad_request(reason: String) -> Self {
         Self::new(StatusCode::BAD_REQUEST, reason, None)
     }
 
@@ -320,7 +320,7 @@
 
 async fn try_cancel(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let query = Query {
-        key: key_of("key", &path(ctx).await)?,
+        key: parse_key("key", &path(ctx).await)?,
     };
     let answer = ctx.state().engine.call(|token| Event::Cancel {
         token,
@@ -370,7 +370,7 @@
 
 async fn try_show_task(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let query = Query {
-        key: key_of("key", &path(ctx).await)?,
+        key: parse_key("key", &path(ctx).await)?,
     };
     let answer = ctx.state().engine.call(|token| Event::Query {
         token,
@@ -397,16 +397,16 @@
 }
 
 async fn try_call(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
-    let row = name_of("row", &path(ctx).await)?;
+    let row = parse_name("row", &path(ctx).await)?;
     let key = header(ctx, REQUEST_KEY)?;
     let key = match key {
-        Some(text) => Some(key_of(REQUEST_KEY, &text)?),
+        Some(text) => Some(parse_key(REQUEST_KEY, &text)?),
         None => None,
     };
     let body = body(ctx).await?;
     match ctx.state().engine.request(row, key, body).await {
         Ok(RequestReply::Answer(answer)) => Ok(answer_response(answer)),
-        Ok(RequestReply::GiveUp(give_up)) => Err(give_up_rejection(give_up)),
+        Ok(RequestReply::GiveUp(give_up)) => Err(rejection_from_give_up(give_up)),
         Err(_) => Err(Rejection::stopping()),
     }
 }
@@ -417,7 +417,7 @@
     };
     match value.to_str() {
         Ok(text) => Ok(Some(text.to_owned())),
-        Err(_) => Err(Rejection::bad(format!("{name}: is not text"))),
+        Err(_) => Err(Rejection::bad_request(format!("{name}: is not text"))),
     }
 }
 
@@ -432,7 +432,7 @@
     )
 }
 
-fn give_up_rejection(give_up: GiveUp) -> Rejection {
+fn rejection_from_give_up(give_up: GiveUp) -> Rejection {
     let status = match (give_up.outcome, give_up.retry_after) {
         (Outcome::NotRun, Some(_)) => StatusCode::SERVICE_UNAVAILABLE,
         (Outcome::NotRun, None) => StatusCode::UNPROCESSABLE_ENTITY,
@@ -453,7 +453,7 @@
 }
 
 async fn try_show_row(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
-    let name = name_of("row", &path(ctx).await)?;
+    let name = parse_name("row", &path(ctx).await)?;
     let edits = ctx.state().edits.clone();
     let read = on_runtime(ctx, async move { edits.read(&name).await }).await?;
     match read {
@@ -467,7 +467,7 @@
 }
 
 async fn try_history(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
-    let name = name_of("row", &path(ctx).await)?;
+    let name = parse_name("row", &path(ctx).await)?;
     let edits = ctx.state().edits.clone();
     let read = on_runtime(ctx, async move { edits.history(&name).await }).await?;
     match read {
@@ -495,16 +495,16 @@
 const NO_WAIT: &str = "wait=no";
 
 async fn edit(ctx: &Context<'_>, row: Option<Row>) -> Result<WebResponse, Rejection> {
-    let name = name_of("row", &path(ctx).await)?;
+    let name = parse_name("row", &path(ctx).await)?;
     if row.as_ref().is_some_and(|row| row.name != name) {
         let reason = format!("body.name: must be {name:?}, as in the path");
-        return Err(Rejection::bad(reason));
+        return Err(Rejection::bad_request(reason));
     }
     let text = header(ctx, IF_MATCH)?;
     let revision = text.as_deref().map(str::parse::<u64>);
     let Some(Ok(revision)) = revision else {
         let reason = "if-match: must be the row's revision, 0 for a new row".to_owned();
-        return Err(Rejection::bad(reason));
+        return Err(Rejection::bad_request(reason));
     };
     let wait_for_all = ctx.req().uri().query() != Some(NO_WAIT);
     let edits = ctx.state().edits.clone();
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -15,9 +15,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Capacity of the engine's message queue.
-const QUEUE_COUNT: usize = 16 * 1024;
+const QUEUE_CAPACITY: usize = 16 * 1024;
 /// The interval between tick events.
-const TICK: std::time::Duration = std::time::Duration::from_millis(50);
+const TICK_PERIOD: std::time::Duration = std::time::Duration::from_millis(50);
 
 /// The outcome of a caller's request.
 #[derive(Debug)]
@@ -81,14 +81,14 @@
 impl EngineHandle {
     /// Creates a handle and the receiver that the engine reads from.
     pub fn new() -> (Self, mpsc::Receiver<Message>) {
-        let (sender, receiver) = mpsc::channel(QUEUE_COUNT);
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
         let next_token = Arc::new(AtomicU64::new(1));
         let handle = Self { sender, next_token };
         (handle, receiver)
     }
 
     /// Returns a new token, unique within this process.
-    pub fn token(&self) -> u64 {
+    pub fn next_token(&self) -> u64 {
         self.next_token.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -114,7 +114,7 @@
     ///
     /// Returns [`EngineGone`] if the daemon is stopping.
     pub async fn call(&self, make: impl FnOnce(u64) -> Event) -> Result<Answer, EngineGone> {
-        let token = self.token();
+        let token = self.next_token();
         let (reply, answer) = oneshot::channel();
         let event = make(token);
         self.send(Message::Call {
@@ -137,7 +137,7 @@
         key: Option<Key>,
         body: Vec<u8>,
     ) -> Result<RequestReply, EngineGone> {
-        let token = self.token();
+        let token = self.next_token();
         let (reply, answer) = oneshot::channel();
         let arrival = Arrival { token, row, key };
         let mut guard = CallerGuard {
@@ -245,7 +245,7 @@
 
     /// Runs until the node has drained, or until `drain_limit` after the drain began.
     pub async fn run(mut self, mut messages: mpsc::Receiver<Message>, drain_limit: Duration) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_PERIOD);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut drain_started_at = None;
         loop {
@@ -335,7 +335,7 @@
 
     fn execute(&mut self, action: Action) {
         match action {
-            Action::Answer { token, answer } => self.answer(token, answer),
+            Action::Answer { token, answer } => self.send_answer(token, answer),
             Action::Forward { to, message } => self.forward(&to, message),
             Action::Ping(to) => {
                 let digest = self.node.table_digest();
@@ -369,7 +369,7 @@
         }
     }
 
-    fn answer(&mut self, token: u64, answer: Answer) {
+    fn send_answer(&mut self, token: u64, answer: Answer) {
         match answer {
             Answer::Deliver => {
                 let open = self.requests.remove(&token);
--- a/crates/daemon/src/layout.rs
+++ b/crates/daemon/src/layout.rs
@@ -88,12 +88,12 @@
     }
 
     /// Returns the sequence number of the batch at `key`, or `None` for other keys.
-    pub fn seq_of(&self, shard: u32, key: &str) -> Option<u64> {
+    pub fn parse_batch_seq(&self, shard: u32, key: &str) -> Option<u64> {
         key.strip_prefix(&self.log(shard))?.parse().ok()
     }
 
     /// Parses a key under `control/` and its value; returns `None` if they are not recognized.
-    pub fn change(&self, found: &KeyValue) -> Option<Change> {
+    pub fn parse_change(&self, found: &KeyValue) -> Option<Change> {
         let path = found.key.strip_prefix(&self.control())?;
         let (kind, rest) = path.split_once('/')?;
         let revision = found.mod_revision;
@@ -104,11 +104,11 @@
             }
             "owners" => Some(Change::Control(ControlChange::Owner {
                 shard: rest.parse().ok()?,
-                owner: identity(found)?,
+                owner: parse_identity(found)?,
             })),
             "seats" => Some(Change::Control(ControlChange::Seat {
                 seat: rest.parse().ok()?,
-                holder: identity(found)?,
+                holder: parse_identity(found)?,
             })),
             "table" => {
                 let stored: StoredRow = serde_json::from_slice(&found.value).ok()?;
@@ -125,7 +125,7 @@
     }
 
     /// Returns the change for a deleted key under `control/`, or `None` if it isn't recognized.
-    pub fn removed(&self, key: &str) -> Option<Change> {
+    pub fn parse_removed(&self, key: &str) -> Option<Change> {
         let path = key.strip_prefix(&self.control())?;
         let (kind, rest) = path.split_once('/')?;
         let key = match kind {
@@ -138,7 +138,7 @@
     }
 }
 
-fn identity(found: &KeyValue) -> Option<Versioned<Option<DaemonIdentity>>> {
+fn parse_identity(found: &KeyValue) -> Option<Versioned<Option<DaemonIdentity>>> {
     Some(Versioned {
         value: serde_json::from_slice(&found.value).ok()?,
         revision: found.mod_revision,
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -4,7 +4,7 @@
 use slog::{o, Drain, Logger};
 
 /// Maximum number of lines that wait to be written; `slog` drops and counts any more.
-const QUEUE_COUNT: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// Creates the root logger, which writes to standard error.
 pub fn logger(format: LogFormat, name: &str) -> Logger {
@@ -16,7 +16,7 @@
         LogFormat::Json => Box::new(slog_json::Json::default(std::io::stderr()).fuse()),
     };
     let drain = slog_async::Async::new(drain)
-        .chan_size(QUEUE_COUNT)
+        .chan_size(QUEUE_CAPACITY)
         .build()
         .fuse();
     Logger::root(drain, o!("daemon" => name.to_owned()))
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -25,7 +25,7 @@
 const PING_TIMEOUT: Duration = Duration::from_millis(1500);
 const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
 /// The retry delay returned to callers if the owner of a shard can't be reached.
-const RETRY_AFTER_MS: u64 = 1000;
+const OWNER_UNREACHABLE_RETRY_AFTER_MS: u64 = 1000;
 /// Number of consecutive refused connections that proves that a process has ended.
 const REFUSALS_TO_PROVE_EXIT: u32 = 2;
 
@@ -196,7 +196,7 @@
             let params = rpc_params![claim];
             let reply = this.call(&to, peer::TAKE_KEY, params, CALL_TIMEOUT).await;
             let reply = reply.unwrap_or(TakeKeyReply::Refused {
-                retry_after_ms: RETRY_AFTER_MS,
+                retry_after_ms: OWNER_UNREACHABLE_RETRY_AFTER_MS,
             });
             this.engine
                 .send_event(Event::KeyAnswered { request, reply })
@@ -273,7 +273,7 @@
         Err(CallError::Unconfirmed) => SubmitReply::Unknown,
         Err(CallError::Refused | CallError::NotSent) => SubmitReply::Refused {
             reason: "the owner of the key's shard can't be reached".to_owned(),
-            retry_after_ms: Some(RETRY_AFTER_MS),
+            retry_after_ms: Some(OWNER_UNREACHABLE_RETRY_AFTER_MS),
         },
     }
 }
--- a/crates/daemon/src/sessions.rs
+++ b/crates/daemon/src/sessions.rs
@@ -23,7 +23,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2000);
 const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
 /// How long sent bytes may stay unacknowledged before the system closes the connection.
-const USER_TIMEOUT: Duration = Duration::from_secs(5);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The number of the next connection; unique within this process.
 static NEXT_SESSION: AtomicU64 = AtomicU64::new(1);
@@ -101,7 +101,7 @@
     client: Arc<WsClient>,
     number: u64,
     incarnation: u64,
-    broken: Arc<tokio::sync::Notify>,
+    connection_failed: Arc<tokio::sync::Notify>,
 }
 
 impl WorkerSession {
@@ -109,9 +109,9 @@
     async fn run(self, mut orders: mpsc::UnboundedReceiver<Order>) {
         let mut backoff = Backoff::new();
         loop {
-            if let Ok((open, ends)) = self.open().await {
+            if let Ok((open, ended_events)) = self.open().await {
                 backoff = Backoff::new();
-                let is_finished = open.serve(ends, &mut orders).await;
+                let is_finished = open.serve(ended_events, &mut orders).await;
                 let worker = self.worker.clone();
                 let session = open.number;
                 let closed = Event::SessionClosed {
@@ -163,7 +163,7 @@
         let client = WsClientBuilder::new()
             .build_with_stream(url, stream)
             .await?;
-        let ends = client
+        let ended_events = client
             .subscribe(
                 worker::SUBSCRIBE_ENDS,
                 rpc_params![],
@@ -176,7 +176,7 @@
             client: Arc::new(client),
             number: NEXT_SESSION.fetch_add(1, Ordering::Relaxed),
             incarnation: report.incarnation,
-            broken: Arc::new(tokio::sync::Notify::new()),
+            connection_failed: Arc::new(tokio::sync::Notify::new()),
         };
         let worker = self.worker.clone();
         self.engine
@@ -187,7 +187,7 @@
                 report,
             })
             .await;
-        Ok((open, ends))
+        Ok((open, ended_events))
     }
 }
 
@@ -196,7 +196,7 @@
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_linger(Some(Duration::ZERO));
-    let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 impl OpenSession {
@@ -204,16 +204,16 @@
     /// returns `true` in the latter case.
     async fn serve(
         &self,
-        mut ends: Subscription<Ended>,
+        mut ended_events: Subscription<Ended>,
         orders: &mut mpsc::UnboundedReceiver<Order>,
     ) -> bool {
         loop {
             tokio::select! {
-                ended = ends.next() => match ended {
+                ended = ended_events.next() => match ended {
                     Some(Ok(ended)) => self.on_ended(ended).await,
                     Some(Err(_)) | None => return false,
                 },
-                () = self.broken.notified() => return false,
+                () = self.connection_failed.notified() => return false,
                 order = orders.recv() => match order {
                     Some(order) => self.execute(order).await,
                     None => return true,
@@ -264,7 +264,7 @@
             // The worker responded that it did not start the attempt.
             Ok(Err(RpcError::Call(_))) => Event::StartNotSent { attempt },
             Ok(Err(_)) | Err(_) => {
-                self.broken.notify_one();
+                self.connection_failed.notify_one();
                 Event::StartInDoubt { attempt }
             }
         };
@@ -276,7 +276,7 @@
             .client
             .request::<(), _>(worker::RENEW, rpc_params![renew]);
         if !matches!(tokio::time::timeout(CALL_TIMEOUT, call).await, Ok(Ok(()))) {
-            self.broken.notify_one();
+            self.connection_failed.notify_one();
         }
     }
 
@@ -285,7 +285,7 @@
             .client
             .request::<(), _>(worker::STOP, rpc_params![stop]);
         if !matches!(tokio::time::timeout(CALL_TIMEOUT, call).await, Ok(Ok(()))) {
-            self.broken.notify_one();
+            self.connection_failed.notify_one();
         }
     }
 
@@ -305,7 +305,7 @@
                 };
                 self.session.engine.send_event(event).await;
             }
-            Ok(Err(_)) | Err(_) => self.broken.notify_one(),
+            Ok(Err(_)) | Err(_) => self.connection_failed.notify_one(),
         }
     }
 }
--- a/crates/daemon/src/store_calls.rs
+++ b/crates/daemon/src/store_calls.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 
 /// Maximum number of batches that a call returns.
-const PAGE_COUNT: u64 = 500;
+const PAGE_SIZE: u64 = 500;
 /// The upper bound of the first delay of a [`Backoff`].
 const BACKOFF_FIRST: Duration = Duration::from_millis(40);
 /// The upper bound of all delays of a [`Backoff`].
@@ -161,7 +161,7 @@
             };
         }
         // An earlier attempt may have taken effect although its response was lost.
-        match first_of(&reply) {
+        match first_key_value(&reply) {
             Some(found) if self.is_own_identity(found) => ClaimOutcome::Won {
                 revision: found.mod_revision,
             },
@@ -181,9 +181,9 @@
         let mut backoff = Backoff::new();
         loop {
             StoreCounts::add(&self.counts.log_reads_count);
-            if let Ok(page) = self.store.range_all(&prefix, PAGE_COUNT).await {
+            if let Ok(page) = self.store.range_all(&prefix, PAGE_SIZE).await {
                 let found = page.key_values.into_iter().filter_map(|found| {
-                    let seq = self.layout.seq_of(shard, &found.key)?;
+                    let seq = self.layout.parse_batch_seq(shard, &found.key)?;
                     Some((seq, found.value))
                 });
                 return ClaimedLog {
@@ -244,7 +244,8 @@
             .txn_until_answered(&txn, &self.counts.commits_count)
             .await;
         // If the batch has this value, an earlier attempt took effect.
-        let is_already_written = first_of(&reply).is_some_and(|found| found.value == commit.value);
+        let is_already_written =
+            first_key_value(&reply).is_some_and(|found| found.value == commit.value);
         if reply.succeeded || is_already_written {
             return CommitOutcome::Done;
         }
@@ -325,7 +326,7 @@
     }
 }
 
-fn first_of(reply: &TxnReply) -> Option<&KeyValue> {
+fn first_key_value(reply: &TxnReply) -> Option<&KeyValue> {
     reply.pages.first()?.key_values.first()
 }
 
--- a/crates/daemon/src/store_poll.rs
+++ b/crates/daemon/src/store_poll.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 
 /// Maximum number of keys that a call returns.
-const PAGE_COUNT: u64 = 1000;
+const PAGE_SIZE: u64 = 1000;
 
 /// Polls the store and sends the changes to the engine.
 pub struct StorePoll {
@@ -73,10 +73,7 @@
         let asked_at = clock::now();
         StoreCounts::add(&self.counts.polls_count);
         let first = self.revision + 1;
-        let page = self
-            .store
-            .range(&prefix, &prefix, first, PAGE_COUNT)
-            .await?;
+        let page = self.store.range(&prefix, &prefix, first, PAGE_SIZE).await?;
         let changed = page.key_values.iter().map(|found| found.key.clone());
         let mut known = self.known.clone();
         known.extend(changed);
@@ -89,7 +86,7 @@
         }
         let asked_at = clock::now();
         StoreCounts::add(&self.counts.polls_count);
-        let whole = self.store.range_all(&prefix, PAGE_COUNT).await?;
+        let whole = self.store.range_all(&prefix, PAGE_SIZE).await?;
         let keys = whole.key_values.iter().map(|found| found.key.clone());
         self.known = keys.collect();
         self.send_event(asked_at, &whole, true).await;
@@ -109,7 +106,7 @@
         let poll = Poll {
             asked_at,
             changes: found
-                .filter_map(|found| self.layout.change(found))
+                .filter_map(|found| self.layout.parse_change(found))
                 .collect(),
             is_whole,
         };
--- a/crates/daemon/src/table_edit.rs
+++ b/crates/daemon/src/table_edit.rs
@@ -27,7 +27,7 @@
 const EDITABLE_TIMEOUT: Duration = Duration::from_secs(4);
 const EDITABLE_CHECK_PERIOD: Duration = Duration::from_millis(20);
 /// Number of edits kept in the history of a row.
-const HISTORY_COUNT: usize = 20;
+const HISTORY_LIMIT: usize = 20;
 
 /// A row with its revision, which an edit must specify.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -125,7 +125,7 @@
     ///
     /// Returns [`EditError::Unavailable`] if the store call fails.
     pub async fn read(&self, name: &Name) -> Result<VersionedRow, EditError> {
-        let stored = self.stored(name).await.map_err(unavailable_error)?;
+        let stored = self.read_stored(name).await.map_err(unavailable_error)?;
         Ok(stored.row)
     }
 
@@ -135,11 +135,11 @@
     ///
     /// Returns [`EditError::Unavailable`] if the store call fails.
     pub async fn history(&self, name: &Name) -> Result<Vec<HistoryEntry>, EditError> {
-        let stored = self.stored(name).await.map_err(unavailable_error)?;
+        let stored = self.read_stored(name).await.map_err(unavailable_error)?;
         Ok(stored.history)
     }
 
-    async fn stored(&self, name: &Name) -> Result<Stored, StoreError> {
+    async fn read_stored(&self, name: &Name) -> Result<Stored, StoreError> {
         let txn = Txn::new()
             .with_then(Op::Get {
                 key: self.layout.row(name),
@@ -174,8 +174,8 @@
         revision: u64,
         wait_for_all: bool,
     ) -> Result<Accepted, EditError> {
-        self.check(name, row.as_ref()).await?;
-        let before = self.stored(name).await.map_err(unavailable_error)?;
+        self.check_edit(name, row.as_ref()).await?;
+        let before = self.read_stored(name).await.map_err(unavailable_error)?;
         if before.row.revision != revision {
             return Err(conflict(before.row, row.as_ref()));
         }
@@ -196,11 +196,11 @@
         self.engine
             .send_event(Event::RowWritten { name, row })
             .await;
-        Ok(self.accepted(revision, wait_for_all).await)
+        Ok(self.wait_until_in_force(revision, wait_for_all).await)
     }
 
     /// Checks an edit; first waits for a while if this or other daemons have just started.
-    async fn check(&self, name: &Name, row: Option<&Row>) -> Result<(), EditError> {
+    async fn check_edit(&self, name: &Name, row: Option<&Row>) -> Result<(), EditError> {
         let editable = self.wait_until_editable();
         // After a timeout, the check below returns the reason.
         let _ = tokio::time::timeout(EDITABLE_TIMEOUT, editable).await;
@@ -244,9 +244,9 @@
         history.push(HistoryEntry {
             unix_s: unix_s(),
             daemon: self.daemon.clone(),
-            changes: changes(before.row.row.as_ref(), stored.row.as_ref()),
+            changes: changed_cells(before.row.row.as_ref(), stored.row.as_ref()),
         });
-        let surplus = history.len().saturating_sub(HISTORY_COUNT);
+        let surplus = history.len().saturating_sub(HISTORY_LIMIT);
         history.drain(..surplus);
         Txn::new()
             .with_compare(Compare::ModRevision {
@@ -301,7 +301,7 @@
 
     /// Returns the accepted edit; with `wait_for_all`, first waits up to [`IN_FORCE_TIMEOUT`]
     /// until all daemons use `revision`.
-    async fn accepted(&self, revision: u64, wait_for_all: bool) -> Accepted {
+    async fn wait_until_in_force(&self, revision: u64, wait_for_all: bool) -> Accepted {
         let until =
             clock::now() + ospreywing_types::Duration::from_ms(IN_FORCE_TIMEOUT.as_millis() as u64);
         loop {
@@ -348,7 +348,7 @@
     EditError::Unavailable(error.to_string())
 }
 
-fn changes(before: Option<&Row>, after: Option<&Row>) -> Vec<CellChange> {
+fn changed_cells(before: Option<&Row>, after: Option<&Row>) -> Vec<CellChange> {
     let table_of = |row: Option<&Row>| {
         let mut table = Table::new();
         row.cloned().into_iter().for_each(|row| table.put(row));
@@ -358,7 +358,7 @@
 }
 
 fn conflict(newer: VersionedRow, row: Option<&Row>) -> EditError {
-    let changes = changes(newer.row.as_ref(), row);
+    let changes = changed_cells(newer.row.as_ref(), row);
     EditError::Conflict {
         newer: Box::new(newer),
         changes,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -190,7 +190,7 @@
         let id = connection.id();
         let (parts, body) = response.into_parts();
         let mut body = Limited::new(body, ANSWER_LIMIT_BYTES);
-        let mut received = Received::default();
+        let mut received = ReceivedBody::default();
         while let Some(frame) = timeouts.await_body_part(body.frame(), &received).await? {
             let frame = frame.map_err(|error| error_from_body(&*error))?;
             if let Ok(data) = frame.into_data() {
@@ -270,7 +270,7 @@
     async fn await_body_part<T>(
         &self,
         part: impl Future<Output = T>,
-        received: &Received,
+        received: &ReceivedBody,
     ) -> Result<T, HttpError> {
         let (until, limit) = match self.body_idle_timeout {
             Some(limit) => (Instant::now() + limit, limit),
@@ -317,12 +317,12 @@
 
 /// The parts of a response body received so far.
 #[derive(Default)]
-struct Received {
+struct ReceivedBody {
     parts: Vec<Bytes>,
     len_bytes: usize,
 }
 
-impl Received {
+impl ReceivedBody {
     fn add(&mut self, part: Bytes) {
         self.len_bytes += part.len();
         self.parts.push(part);
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -16,12 +16,12 @@
 
 /// A connection that no call is using.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
         self.connection.is_open() && now.since(self.since) < IDLE_TIMEOUT
     }
@@ -29,7 +29,7 @@
 
 #[derive(Debug)]
 struct PoolState {
-    by_address: HashMap<String, Vec<Idle>>,
+    by_address: HashMap<String, Vec<IdleConnection>>,
     next_sweep_at: Instant,
 }
 
@@ -65,7 +65,8 @@
         let now = clock::now();
         let mut state = self.lock();
         let idle = state.by_address.get_mut(addr)?;
-        let has_peer = |idle: &Idle| idle.connection.peer() == peer && idle.is_usable(now);
+        let has_peer =
+            |idle: &IdleConnection| idle.connection.peer() == peer && idle.is_usable(now);
         if let Some(index) = peer.and_then(|_| idle.iter().rposition(has_peer)) {
             return Some(idle.remove(index).connection);
         }
@@ -91,7 +92,7 @@
         let idle = state.by_address.entry(addr).or_default();
         if idle.len() < self.limit_count {
             let since = now;
-            idle.push(Idle { connection, since });
+            idle.push(IdleConnection { connection, since });
         }
     }
 
