--- a/crates/daemon/src/store_calls.rs
+++ b/crates/daemon/src/store_calls.rs
@@ -2,7 +2,7 @@
 //!
 //! Claims of shards and commits are transactions that take effect at most once. If a
 //! response is lost, the transaction is retried until the store's reply shows whether it
-//! took effect. Claims of seats and releases are sent once; the next poll shows their result.
+//! took effect. Claims of seats and vacations are sent once; the next poll shows their result.
 
 use crate::engine::EngineHandle;
 use crate::layout::Layout;
@@ -104,12 +104,12 @@
         });
     }
 
-    /// Releases a shard; the next poll shows whether that took effect.
+    /// Vacates a shard; the next poll shows whether that took effect.
     pub fn vacate_shard(&self, shard: u32, revision: u64) {
         self.vacate(self.layout.owner(shard), revision);
     }
 
-    /// Releases a seat; the next poll shows whether that took effect.
+    /// Vacates a seat; the next poll shows whether that took effect.
     pub fn vacate_seat(&self, seat: u32, revision: u64) {
         self.vacate(self.layout.seat(seat), revision);
     }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Idle connections older than this are not reused: the peer may have closed them, and a
+/// Connections idle for longer than this are not reused: the peer may have closed them, and a
 /// request sent on them would be lost. Includes time for which the machine was suspended.
 const IDLE_TIMEOUT: Duration = Duration::from_s(20);
 /// The interval between two scans for connections past [`IDLE_TIMEOUT`].
@@ -18,15 +18,16 @@
 #[derive(Debug)]
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
 impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
-        self.connection.is_open() && now.since(self.since) < IDLE_TIMEOUT
+        self.connection.is_open() && now.since(self.idle_since) < IDLE_TIMEOUT
     }
 }
 
+/// The idle connections by address, most recently used last.
 #[derive(Debug)]
 struct PoolState {
     by_address: HashMap<String, Vec<IdleConnection>>,
@@ -37,15 +38,15 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     /// The maximum number of idle connections to each address.
-    limit_count: usize,
+    max_idle_count: usize,
     state: Mutex<PoolState>,
     next_id: AtomicU64,
 }
 
 impl Pool {
-    pub(crate) fn new(limit_count: usize) -> Self {
+    pub(crate) fn new(max_idle_count: usize) -> Self {
         Self {
-            limit_count,
+            max_idle_count,
             state: Mutex::new(PoolState {
                 by_address: HashMap::new(),
                 next_sweep_at: clock::now() + SWEEP_PERIOD,
@@ -90,9 +91,12 @@
             });
         }
         let idle = state.by_address.entry(addr).or_default();
-        if idle.len() < self.limit_count {
-            let since = now;
-            idle.push(IdleConnection { connection, since });
+        if idle.len() < self.max_idle_count {
+            let idle_since = now;
+            idle.push(IdleConnection {
+                connection,
+                idle_since,
+            });
         }
     }
 
