--- a/crates/daemon/src/minions.rs
+++ b/crates/daemon/src/minions.rs
@@ -35,7 +35,7 @@
     engine: EngineHandle,
 }
 
-/// Idle connections kept to each minion; well below an eighth of the 64 that it accepts.
+/// Idle connections kept to each minion; well below an eighth of its 64 connections.
 const IDLE_CONNECTIONS: usize = 2;
 
 impl Minions {
