--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface for callers and operators.
+//! The HTTP API for callers and operators.
 
 use crate::engine::{EngineHandle, RequestReply};
 use crate::metrics::{self, StoreCounts};
@@ -25,39 +25,42 @@
 use xitca_web::route::{get, post};
 use xitca_web::{App, HttpServer, WebContext};
 
-/// The largest body that is read.
+/// The maximum size of a request body.
 const BODY_LIMIT_BYTES: usize = 1024 * 1024;
-/// A body larger than this is cut off without a further word.
+/// The maximum size of a rejected body that is read and discarded; reading stops beyond it.
 const BODY_DISCARD_LIMIT_BYTES: usize = 8 * BODY_LIMIT_BYTES;
-const BODY_TIME_LIMIT: std::time::Duration = std::time::Duration::from_secs(10);
-/// Tasks that one list returns.
+/// The timeout for receiving a request body.
+const BODY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
+/// Maximum number of tasks in a list.
 const LIST_LIMIT_COUNT: usize = 1000;
-const KEEP_ALIVE: std::time::Duration = std::time::Duration::from_secs(30);
-const HEAD_LIMIT: std::time::Duration = std::time::Duration::from_secs(5);
+/// How long an idle connection is kept open.
+const KEEP_ALIVE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
+/// The timeout for receiving a request head.
+const HEAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// What the handlers need.
+/// The state shared by the handlers.
 #[derive(Clone)]
 pub struct Api {
-    /// The engine.
+    /// Sends events and queries to the engine.
     pub engine: EngineHandle,
-    /// Edits of the table.
+    /// Reads and edits the table.
     pub edits: TableEdits,
-    /// Calls of the store.
+    /// The numbers of store calls, for the metrics.
     pub counts: Arc<StoreCounts>,
-    /// Where calls of the store run.
+    /// The runtime on which store calls run.
     pub runtime: Handle,
 }
 
 type Context<'r> = WebContext<'r, Api>;
 
-/// Stops the interface.
+/// Stops the HTTP server.
 pub type Stop = Box<dyn Fn() + Send>;
 
-/// Starts the interface on threads of its own.
+/// Starts the HTTP server on `threads_count` threads of its own.
 ///
 /// # Errors
 ///
-/// Returns an error where the listener can't be used.
+/// Returns an error if the listener can't be used.
 pub fn start(listener: TcpListener, api: Api, threads_count: usize) -> std::io::Result<Stop> {
     let app = App::new()
         .with_state(api)
@@ -86,8 +89,8 @@
         .at("/v1/table/history/{name}", get(handler_service(history)));
     let mut server = HttpServer::serve(app.finish())
         .worker_threads(threads_count)
-        .keep_alive_timeout(KEEP_ALIVE)
-        .request_head_timeout(HEAD_LIMIT)
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
+        .request_head_timeout(HEAD_TIMEOUT)
         .disable_signal()
         .listen(listener)?
         .run();
@@ -96,7 +99,7 @@
     Ok(Box::new(move || handle.stop(true)))
 }
 
-/// The variable part of a path.
+/// The parameter of a path.
 #[derive(Deserialize)]
 struct Path {
     name: String,
@@ -107,27 +110,28 @@
     path.map(|Params(path)| path.name).unwrap_or_default()
 }
 
-fn name_of(field: &str, text: &str) -> Result<Name, Reject> {
-    Name::new(text).map_err(|error| Reject::bad(format!("{field}: {text:?} {error}")))
+fn parse_name(field: &str, text: &str) -> Result<Name, Rejection> {
+    Name::new(text).map_err(|error| Rejection::bad_request(format!("{field}: {text:?} {error}")))
 }
 
-fn key_of(field: &str, text: &str) -> Result<Key, Reject> {
-    Key::new(text).map_err(|error| Reject::bad(format!("{field}: {text:?} {error}")))
+fn parse_key(field: &str, text: &str) -> Result<Key, Rejection> {
+    Key::new(text).map_err(|error| Rejection::bad_request(format!("{field}: {text:?} {error}")))
 }
 
-/// Reads the body. One that is too large is read on and thrown away for a while,
-/// since a caller that still sends would not see the answer.
-async fn body(ctx: &Context<'_>) -> Result<Vec<u8>, Reject> {
-    let reading = tokio::time::timeout(BODY_TIME_LIMIT, read_body(ctx)).await;
+/// Reads the body. If it is too large, continues to read and discard it up to
+/// [`BODY_DISCARD_LIMIT_BYTES`], because a caller that is still sending would not see the
+/// response.
+async fn body(ctx: &Context<'_>) -> Result<Vec<u8>, Rejection> {
+    let reading = tokio::time::timeout(BODY_TIMEOUT, read_body(ctx)).await;
     reading.unwrap_or_else(|_| {
-        let ms = BODY_TIME_LIMIT.as_millis();
+        let ms = BODY_TIMEOUT.as_millis();
         let reason = format!("body: did not come within {ms} ms");
-        Err(Reject::new(StatusCode::REQUEST_TIMEOUT, reason, None))
+        Err(Rejection::new(StatusCode::REQUEST_TIMEOUT, reason, None))
     })
 }
 
-async fn read_body(ctx: &Context<'_>) -> Result<Vec<u8>, Reject> {
-    let unreadable = |_| Reject::bad("body: unreadable".to_owned());
+async fn read_body(ctx: &Context<'_>) -> Result<Vec<u8>, Rejection> {
+    let unreadable = |_| Rejection::bad_request("body: unreadable".to_owned());
     let Body(stream) = ctx
         .extract::<Body<RequestBody>>()
         .await
@@ -136,7 +140,7 @@
     let mut body = Vec::new();
     let mut size_bytes = 0;
     while let Some(chunk) = stream.as_mut().data().await {
-        let chunk = chunk.map_err(|_| Reject::bad("body: broken off".to_owned()))?;
+        let chunk = chunk.map_err(|_| Rejection::bad_request("body: broken off".to_owned()))?;
         size_bytes += chunk.len();
         if size_bytes <= BODY_LIMIT_BYTES {
             body.extend_from_slice(chunk.as_ref());
@@ -146,24 +150,24 @@
     }
     if size_bytes > BODY_LIMIT_BYTES {
         let reason = format!("body: more than {BODY_LIMIT_BYTES} bytes");
-        return Err(Reject::new(StatusCode::PAYLOAD_TOO_LARGE, reason, None));
+        return Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, reason, None));
     }
     Ok(body)
 }
 
-async fn json_body<T: DeserializeOwned>(ctx: &Context<'_>) -> Result<T, Reject> {
+async fn json_body<T: DeserializeOwned>(ctx: &Context<'_>) -> Result<T, Rejection> {
     let body = body(ctx).await?;
-    serde_json::from_slice(&body).map_err(|error| Reject::bad(format!("body: {error}")))
+    serde_json::from_slice(&body).map_err(|error| Rejection::bad_request(format!("body: {error}")))
 }
 
-/// A request that is answered with a refusal.
-struct Reject {
+/// A rejected request: the status and body of the response.
+struct Rejection {
     status: StatusCode,
     refusal: Refusal,
 }
 
-impl Reject {
-    fn bad(reason: String) -> Self {
+impl Rejection {
+    fn bad_request(reason: String) -> Self {
         Self::new(StatusCode::BAD_REQUEST, reason, None)
     }
 
@@ -194,6 +198,7 @@
     }
 }
 
+/// The retry delay returned to callers while the daemon is stopping.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_s(1);
 
 fn json(status: StatusCode, value: &impl Serialize) -> WebResponse {
@@ -225,8 +230,8 @@
     response
 }
 
-fn finish(result: Result<WebResponse, Reject>) -> WebResponse {
-    result.unwrap_or_else(|reject| reject.response())
+fn into_response(result: Result<WebResponse, Rejection>) -> WebResponse {
+    result.unwrap_or_else(|rejection| rejection.response())
 }
 
 async fn live(_: &Context<'_>) -> WebResponse {
@@ -234,7 +239,11 @@
 }
 
 async fn ready(ctx: &Context<'_>) -> WebResponse {
-    let is_ready = ctx.state().engine.ask(|node, _| node.is_ready()).await;
+    let is_ready = ctx
+        .state()
+        .engine
+        .query_node(|node, _| node.is_ready())
+        .await;
     if is_ready == Ok(true) {
         respond(StatusCode::OK, "text/plain", b"ready\n".to_vec())
     } else {
@@ -245,52 +254,52 @@
 
 async fn metrics_text(ctx: &Context<'_>) -> WebResponse {
     let state = ctx.state();
-    let report = state.engine.ask(|node, now| node.report(now)).await;
+    let report = state.engine.query_node(|node, now| node.report(now)).await;
     match report {
         Ok(report) => {
             let text = metrics::text(&report, &state.counts);
             respond(StatusCode::OK, "text/plain", text.into_bytes())
         }
-        Err(_) => Reject::stopping().response(),
+        Err(_) => Rejection::stopping().response(),
     }
 }
 
-/// Answers with what `question` returns, as JSON.
-async fn ask_json<T: Serialize + Send + 'static>(
+/// Responds with the result of `query` as JSON.
+async fn query_json<T: Serialize + Send + 'static>(
     ctx: &Context<'_>,
-    question: impl FnOnce(&mut ospreywing_node::Node, ospreywing_types::Instant) -> T + Send + 'static,
+    query: impl FnOnce(&mut ospreywing_node::Node, ospreywing_types::Instant) -> T + Send + 'static,
 ) -> WebResponse {
-    match ctx.state().engine.ask(question).await {
+    match ctx.state().engine.query_node(query).await {
         Ok(value) => json(StatusCode::OK, &value),
-        Err(_) => Reject::stopping().response(),
+        Err(_) => Rejection::stopping().response(),
     }
 }
 
 async fn status(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, now| node.report(now)).await
+    query_json(ctx, |node, now| node.report(now)).await
 }
 
 async fn burn(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, now| node.burn(now)).await
+    query_json(ctx, |node, now| node.burn(now)).await
 }
 
 async fn boxes(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, now| node.box_reports(now)).await
+    query_json(ctx, |node, now| node.box_reports(now)).await
 }
 
 async fn table(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, _| (*node.table()).clone()).await
+    query_json(ctx, |node, _| (*node.table()).clone()).await
 }
 
 async fn list_tasks(ctx: &Context<'_>) -> WebResponse {
-    ask_json(ctx, |node, _| node.tasks(LIST_LIMIT_COUNT)).await
+    query_json(ctx, |node, _| node.tasks(LIST_LIMIT_COUNT)).await
 }
 
 async fn submit(ctx: &Context<'_>) -> WebResponse {
-    finish(try_submit(ctx).await)
+    into_response(try_submit(ctx).await)
 }
 
-async fn try_submit(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_submit(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let task: SubmitTask = json_body(ctx).await?;
     let submit = Submit {
         key: task.key,
@@ -306,12 +315,12 @@
 }
 
 async fn cancel(ctx: &Context<'_>) -> WebResponse {
-    finish(try_cancel(ctx).await)
+    into_response(try_cancel(ctx).await)
 }
 
-async fn try_cancel(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_cancel(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let query = Query {
-        key: key_of("key", &path(ctx).await)?,
+        key: parse_key("key", &path(ctx).await)?,
     };
     let answer = ctx.state().engine.call(|token| Event::Cancel {
         token,
@@ -321,7 +330,7 @@
     submit_response(answer.await.ok())
 }
 
-fn submit_response(answer: Option<Answer>) -> Result<WebResponse, Reject> {
+fn submit_response(answer: Option<Answer>) -> Result<WebResponse, Rejection> {
     match answer {
         Some(Answer::Submit(SubmitReply::Accepted(status))) => Ok(task_response(&status)),
         Some(Answer::Submit(SubmitReply::Refused {
@@ -333,9 +342,9 @@
                 None => StatusCode::UNPROCESSABLE_ENTITY,
             };
             let retry_after = retry_after_ms.map(Duration::from_ms);
-            Err(Reject::new(status, reason, retry_after))
+            Err(Rejection::new(status, reason, retry_after))
         }
-        Some(Answer::Submit(SubmitReply::Unknown)) => Err(Reject {
+        Some(Answer::Submit(SubmitReply::Unknown)) => Err(Rejection {
             status: StatusCode::GATEWAY_TIMEOUT,
             refusal: Refusal {
                 outcome: Outcome::Unknown,
@@ -344,10 +353,11 @@
                 retry_after_ms: Some(UNKNOWN_RETRY_AFTER.as_ms()),
             },
         }),
-        _ => Err(Reject::stopping()),
+        _ => Err(Rejection::stopping()),
     }
 }
 
+/// The retry delay returned to callers if an outcome is unknown or temporarily unavailable.
 const UNKNOWN_RETRY_AFTER: Duration = Duration::from_s(2);
 
 fn task_response(status: &TaskStatus) -> WebResponse {
@@ -355,12 +365,12 @@
 }
 
 async fn show_task(ctx: &Context<'_>) -> WebResponse {
-    finish(try_show_task(ctx).await)
+    into_response(try_show_task(ctx).await)
 }
 
-async fn try_show_task(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_show_task(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let query = Query {
-        key: key_of("key", &path(ctx).await)?,
+        key: parse_key("key", &path(ctx).await)?,
     };
     let answer = ctx.state().engine.call(|token| Event::Query {
         token,
@@ -371,43 +381,43 @@
         Ok(Answer::Query(QueryReply::Found(status))) => Ok(task_response(&status)),
         Ok(Answer::Query(QueryReply::Absent)) => {
             let reason = "key: no task of this key is on record".to_owned();
-            Err(Reject::new(StatusCode::NOT_FOUND, reason, None))
+            Err(Rejection::new(StatusCode::NOT_FOUND, reason, None))
         }
         Ok(Answer::Query(QueryReply::NotOwner)) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let reason = "the key's shard is changing hands".to_owned();
-            Err(Reject::new(status, reason, Some(UNKNOWN_RETRY_AFTER)))
+            Err(Rejection::new(status, reason, Some(UNKNOWN_RETRY_AFTER)))
         }
-        Ok(_) | Err(_) => Err(Reject::stopping()),
+        Ok(_) | Err(_) => Err(Rejection::stopping()),
     }
 }
 
 async fn call(ctx: &Context<'_>) -> WebResponse {
-    finish(try_call(ctx).await)
+    into_response(try_call(ctx).await)
 }
 
-async fn try_call(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
-    let row = name_of("row", &path(ctx).await)?;
+async fn try_call(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
+    let row = parse_name("row", &path(ctx).await)?;
     let key = header(ctx, REQUEST_KEY)?;
     let key = match key {
-        Some(text) => Some(key_of(REQUEST_KEY, &text)?),
+        Some(text) => Some(parse_key(REQUEST_KEY, &text)?),
         None => None,
     };
     let body = body(ctx).await?;
     match ctx.state().engine.request(row, key, body).await {
         Ok(RequestReply::Answer(answer)) => Ok(answer_response(answer)),
-        Ok(RequestReply::GiveUp(give_up)) => Err(give_up_reject(give_up)),
-        Err(_) => Err(Reject::stopping()),
+        Ok(RequestReply::GiveUp(give_up)) => Err(rejection_from_give_up(give_up)),
+        Err(_) => Err(Rejection::stopping()),
     }
 }
 
-fn header(ctx: &Context<'_>, name: &str) -> Result<Option<String>, Reject> {
+fn header(ctx: &Context<'_>, name: &str) -> Result<Option<String>, Rejection> {
     let Some(value) = ctx.req().headers().get(name) else {
         return Ok(None);
     };
     match value.to_str() {
         Ok(text) => Ok(Some(text.to_owned())),
-        Err(_) => Err(Reject::bad(format!("{name}: is not text"))),
+        Err(_) => Err(Rejection::bad_request(format!("{name}: is not text"))),
     }
 }
 
@@ -422,13 +432,13 @@
     )
 }
 
-fn give_up_reject(give_up: GiveUp) -> Reject {
+fn rejection_from_give_up(give_up: GiveUp) -> Rejection {
     let status = match (give_up.outcome, give_up.retry_after) {
         (Outcome::NotRun, Some(_)) => StatusCode::SERVICE_UNAVAILABLE,
         (Outcome::NotRun, None) => StatusCode::UNPROCESSABLE_ENTITY,
         (Outcome::Unknown | Outcome::Done, _) => StatusCode::GATEWAY_TIMEOUT,
     };
-    Reject {
+    Rejection {
         status,
         refusal: Refusal {
             outcome: give_up.outcome,
@@ -439,94 +449,94 @@
 }
 
 async fn show_row(ctx: &Context<'_>) -> WebResponse {
-    finish(try_show_row(ctx).await)
+    into_response(try_show_row(ctx).await)
 }
 
-async fn try_show_row(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
-    let name = name_of("row", &path(ctx).await)?;
+async fn try_show_row(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
+    let name = parse_name("row", &path(ctx).await)?;
     let edits = ctx.state().edits.clone();
     let read = on_runtime(ctx, async move { edits.read(&name).await }).await?;
     match read {
         Ok(row) => Ok(json(StatusCode::OK, &row)),
-        Err(error) => Ok(edit_error(&error)),
+        Err(error) => Ok(edit_error_response(&error)),
     }
 }
 
 async fn history(ctx: &Context<'_>) -> WebResponse {
-    finish(try_history(ctx).await)
+    into_response(try_history(ctx).await)
 }
 
-async fn try_history(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
-    let name = name_of("row", &path(ctx).await)?;
+async fn try_history(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
+    let name = parse_name("row", &path(ctx).await)?;
     let edits = ctx.state().edits.clone();
     let read = on_runtime(ctx, async move { edits.history(&name).await }).await?;
     match read {
         Ok(entries) => Ok(json(StatusCode::OK, &entries)),
-        Err(error) => Ok(edit_error(&error)),
+        Err(error) => Ok(edit_error_response(&error)),
     }
 }
 
 async fn put_row(ctx: &Context<'_>) -> WebResponse {
-    finish(try_put_row(ctx).await)
+    into_response(try_put_row(ctx).await)
 }
 
-async fn try_put_row(ctx: &Context<'_>) -> Result<WebResponse, Reject> {
+async fn try_put_row(ctx: &Context<'_>) -> Result<WebResponse, Rejection> {
     let row: Row = json_body(ctx).await?;
     edit(ctx, Some(row)).await
 }
 
 async fn delete_row(ctx: &Context<'_>) -> WebResponse {
-    finish(edit(ctx, None).await)
+    into_response(edit(ctx, None).await)
 }
 
-/// The header that names the revision at which the operator saw the row.
+/// The header with the revision at which the operator read the row.
 const IF_MATCH: &str = "if-match";
-/// The query that makes an edit not wait to be in force everywhere.
+/// The query string that makes an edit not wait until all daemons use it.
 const NO_WAIT: &str = "wait=no";
 
-async fn edit(ctx: &Context<'_>, row: Option<Row>) -> Result<WebResponse, Reject> {
-    let name = name_of("row", &path(ctx).await)?;
+async fn edit(ctx: &Context<'_>, row: Option<Row>) -> Result<WebResponse, Rejection> {
+    let name = parse_name("row", &path(ctx).await)?;
     if row.as_ref().is_some_and(|row| row.name != name) {
         let reason = format!("body.name: must be {name:?}, as in the path");
-        return Err(Reject::bad(reason));
+        return Err(Rejection::bad_request(reason));
     }
     let text = header(ctx, IF_MATCH)?;
     let revision = text.as_deref().map(str::parse::<u64>);
     let Some(Ok(revision)) = revision else {
         let reason = "if-match: must be the row's revision, 0 for a new row".to_owned();
-        return Err(Reject::bad(reason));
+        return Err(Rejection::bad_request(reason));
     };
-    let waits = ctx.req().uri().query() != Some(NO_WAIT);
+    let wait_for_all = ctx.req().uri().query() != Some(NO_WAIT);
     let edits = ctx.state().edits.clone();
-    let edit = async move { edits.edit(&name, row, revision, waits).await };
+    let edit = async move { edits.edit(&name, row, revision, wait_for_all).await };
     match on_runtime(ctx, edit).await? {
         Ok(accepted) => Ok(json(StatusCode::OK, &accepted)),
-        Err(error) => Ok(edit_error(&error)),
+        Err(error) => Ok(edit_error_response(&error)),
     }
 }
 
-/// Runs calls of the store where its connections live.
+/// Runs a store call on the runtime that owns the store's connections.
 async fn on_runtime<T: Send + 'static>(
     ctx: &Context<'_>,
     work: impl core::future::Future<Output = T> + Send + 'static,
-) -> Result<T, Reject> {
+) -> Result<T, Rejection> {
     let done = ctx.state().runtime.spawn(work).await;
-    done.map_err(|_| Reject::stopping())
+    done.map_err(|_| Rejection::stopping())
 }
 
-/// The body of a refused edit.
+/// The body of the response to a failed edit.
 #[derive(Serialize)]
 struct EditRefusal<'a> {
     reason: String,
-    /// The row as it is, where another changed it.
+    /// The current row, if it has changed since the operator read it.
     newer: Option<&'a crate::table_edit::VersionedRow>,
-    /// What differs between it and the row that was not taken.
+    /// The differences from the current row to the rejected one.
     changes: &'a [ospreywing_table::CellChange],
 }
 
-fn edit_error(error: &EditError) -> WebResponse {
+fn edit_error_response(error: &EditError) -> WebResponse {
     let status = match error {
-        EditError::Unsound(_) => StatusCode::UNPROCESSABLE_ENTITY,
+        EditError::Invalid(_) => StatusCode::UNPROCESSABLE_ENTITY,
         EditError::Conflict { .. } => StatusCode::CONFLICT,
         EditError::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
         EditError::Unknown => StatusCode::GATEWAY_TIMEOUT,
@@ -546,7 +556,7 @@
     };
     let retry_after = match error {
         EditError::Unavailable(_) | EditError::Unknown => Some(UNKNOWN_RETRY_AFTER),
-        EditError::Unsound(_) | EditError::Conflict { .. } => None,
+        EditError::Invalid(_) | EditError::Conflict { .. } => None,
     };
     with_outcome(json(status, &refusal), outcome, retry_after)
 }
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -1,4 +1,4 @@
-//! The task that owns the node: events in, actions out.
+//! The task that owns the node: it feeds events to the node and executes its actions.
 
 use crate::clock;
 use crate::minions::{MinionAnswer, Minions};
@@ -14,33 +14,34 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that may wait for the engine.
-const QUEUE_COUNT: usize = 16 * 1024;
-/// How often the node is told that time has passed.
-const TICK: std::time::Duration = std::time::Duration::from_millis(50);
+/// Capacity of the engine's message queue.
+const QUEUE_CAPACITY: usize = 16 * 1024;
+/// The interval between tick events.
+const TICK_PERIOD: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// What became of a caller's request.
+/// The outcome of a caller's request.
 #[derive(Debug)]
 pub enum RequestReply {
-    /// The minion's whole answer.
+    /// The minion's complete response.
     Answer(MinionAnswer),
-    /// There will be no answer.
+    /// The node gave up on the request; there is no response.
     GiveUp(GiveUp),
 }
 
-type Question = Box<dyn FnOnce(&mut Node, Instant) + Send>;
+/// A function that runs on the node, in the engine's task.
+type NodeQuery = Box<dyn FnOnce(&mut Node, Instant) + Send>;
 
 /// A message for the engine.
 pub enum Message {
-    /// Something happened.
+    /// An event that needs no answer.
     Event(Event),
-    /// Something happened, and somebody waits for the answer.
+    /// An event whose sender waits for an answer.
     Call {
-        /// Stands for who waits.
+        /// Identifies the sender in the node's answer.
         token: u64,
-        /// What happened.
+        /// The event.
         event: Event,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: oneshot::Sender<Answer>,
     },
     /// A caller sent a request.
@@ -49,28 +50,28 @@
         arrival: Arrival,
         /// Its body.
         body: Vec<u8>,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: oneshot::Sender<RequestReply>,
     },
-    /// A minion's whole answer is there.
+    /// A minion's complete response arrived.
     MinionAnswered {
         /// The request.
         request: Request,
-        /// The caller.
+        /// The token of the caller's request.
         token: u64,
-        /// The answer.
+        /// The response.
         answer: MinionAnswer,
     },
-    /// A question about the node.
-    Ask(Question),
+    /// Runs a function on the node.
+    QueryNode(NodeQuery),
 }
 
-/// The engine is gone: the daemon is stopping.
+/// The engine has stopped because the daemon is stopping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the daemon is stopping")]
 pub struct EngineGone;
 
-/// A way to the engine, to be cloned freely.
+/// Sends messages to the engine; cheap to clone.
 #[derive(Clone)]
 pub struct EngineHandle {
     sender: mpsc::Sender<Message>,
@@ -78,42 +79,42 @@
 }
 
 impl EngineHandle {
-    /// Creates the handle and the queue that the engine reads.
+    /// Creates a handle and the receiver that the engine reads from.
     pub fn new() -> (Self, mpsc::Receiver<Message>) {
-        let (sender, receiver) = mpsc::channel(QUEUE_COUNT);
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
         let next_token = Arc::new(AtomicU64::new(1));
         let handle = Self { sender, next_token };
         (handle, receiver)
     }
 
-    /// Returns a number that stands for somebody who waits.
-    pub fn token(&self) -> u64 {
+    /// Returns a new token, unique within this process.
+    pub fn next_token(&self) -> u64 {
         self.next_token.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Tells the engine that something happened.
-    pub async fn tell(&self, event: Event) {
-        // An engine that is gone needs to know nothing.
+    /// Sends an event, waiting while the queue is full.
+    pub async fn send_event(&self, event: Event) {
+        // If the engine has stopped, the event no longer matters.
         let _ = self.sender.send(Message::Event(event)).await;
     }
 
-    /// Tells the engine without waiting for room; drops the event without it.
-    pub fn try_tell(&self, event: Event) {
+    /// Sends an event, or drops it if the queue is full.
+    pub fn try_send_event(&self, event: Event) {
         let _ = self.sender.try_send(Message::Event(event));
     }
 
-    /// Sends a message.
+    /// Sends a message, waiting while the queue is full.
     pub async fn send(&self, message: Message) {
         let _ = self.sender.send(message).await;
     }
 
-    /// Tells the engine of `event`, made with a token, and waits for its answer.
+    /// Sends the event that `make` creates for a new token and waits for its answer.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineGone`] where the daemon is stopping.
+    /// Returns [`EngineGone`] if the daemon is stopping.
     pub async fn call(&self, make: impl FnOnce(u64) -> Event) -> Result<Answer, EngineGone> {
-        let token = self.token();
+        let token = self.next_token();
         let (reply, answer) = oneshot::channel();
         let event = make(token);
         self.send(Message::Call {
@@ -125,18 +126,18 @@
         answer.await.map_err(|_| EngineGone)
     }
 
-    /// Sends a caller's request and waits for what becomes of it.
+    /// Sends a caller's request and waits for its outcome.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineGone`] where the daemon is stopping.
+    /// Returns [`EngineGone`] if the daemon is stopping.
     pub async fn request(
         &self,
         row: Name,
         key: Option<Key>,
         body: Vec<u8>,
     ) -> Result<RequestReply, EngineGone> {
-        let token = self.token();
+        let token = self.next_token();
         let (reply, answer) = oneshot::channel();
         let arrival = Arrival { token, row, key };
         let mut guard = CallerGuard {
@@ -154,26 +155,26 @@
         answer
     }
 
-    /// Asks the node a question.
+    /// Runs a function on the node and returns its result.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineGone`] where the daemon is stopping.
-    pub async fn ask<T: Send + 'static>(
+    /// Returns [`EngineGone`] if the daemon is stopping.
+    pub async fn query_node<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&mut Node, Instant) -> T + Send + 'static,
+        query: impl FnOnce(&mut Node, Instant) -> T + Send + 'static,
     ) -> Result<T, EngineGone> {
         let (reply, answer) = oneshot::channel();
-        let question: Question = Box::new(move |node, now| {
-            // Who asked may have gone.
-            let _ = reply.send(question(node, now));
+        let query: NodeQuery = Box::new(move |node, now| {
+            // The receiver may have been dropped.
+            let _ = reply.send(query(node, now));
         });
-        self.send(Message::Ask(question)).await;
+        self.send(Message::QueryNode(query)).await;
         answer.await.map_err(|_| EngineGone)
     }
 }
 
-/// Tells the engine when a caller goes away before its answer.
+/// Notifies the engine when a caller disconnects before its request is answered.
 struct CallerGuard {
     engine: EngineHandle,
     token: Option<u64>,
@@ -182,12 +183,13 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if let Some(token) = self.token {
-            self.engine.try_tell(Event::CallerDisconnected { token });
+            self.engine
+                .try_send_event(Event::CallerDisconnected { token });
         }
     }
 }
 
-/// What the engine keeps of a caller's request.
+/// An open request of a caller.
 struct OpenRequest {
     row: Name,
     key: Option<Key>,
@@ -196,32 +198,32 @@
     answer: Option<MinionAnswer>,
 }
 
-/// The hands of the engine.
-pub struct Hands {
-    /// Calls of the store.
+/// The clients with which the engine executes actions.
+pub struct Effects {
+    /// Writes to the store.
     pub store: StoreCalls,
     /// Connections to workers.
     pub sessions: Sessions,
     /// Connections to other daemons.
     pub peers: PeerClients,
-    /// Calls of minions.
+    /// Requests to minions.
     pub minions: Minions,
 }
 
 /// The task that owns the node.
 pub struct Engine {
     node: Node,
-    hands: Hands,
+    effects: Effects,
     calls: HashMap<u64, oneshot::Sender<Answer>>,
     requests: HashMap<u64, OpenRequest>,
     actions: Vec<Action>,
     log: Logger,
-    said: Said,
+    logged: LoggedState,
 }
 
-/// What was last logged, so that only changes of state are.
+/// The state that was logged last; only changes are logged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Said {
+struct LoggedState {
     freshness: &'static str,
     is_ready: bool,
     shards: Vec<u32>,
@@ -230,23 +232,23 @@
 
 impl Engine {
     /// Creates the engine.
-    pub fn new(node: Node, hands: Hands, log: Logger) -> Self {
+    pub fn new(node: Node, effects: Effects, log: Logger) -> Self {
         Self {
             node,
-            hands,
+            effects,
             calls: HashMap::new(),
             requests: HashMap::new(),
             actions: Vec::new(),
             log,
-            said: Said::default(),
+            logged: LoggedState::default(),
         }
     }
 
-    /// Runs until the node has left, or `drain_limit` after it began to.
+    /// Runs until the node has drained, or until `drain_limit` after the drain began.
     pub async fn run(mut self, mut messages: mpsc::Receiver<Message>, drain_limit: Duration) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_PERIOD);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut leaving_since = None;
+        let mut drain_started_at = None;
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
@@ -254,12 +256,12 @@
                     self.log_changes();
                 }
                 message = messages.recv() => match message {
-                    Some(message) => self.on_message(message, &mut leaving_since),
+                    Some(message) => self.on_message(message, &mut drain_started_at),
                     None => return,
                 },
             }
-            if let Some(since) = leaving_since {
-                let is_overdue = clock::now().since(since) >= drain_limit;
+            if let Some(started_at) = drain_started_at {
+                let is_overdue = clock::now().since(started_at) >= drain_limit;
                 if self.node.is_shutdown_complete() || is_overdue {
                     info!(self.log, "left"; "is_overdue" => is_overdue);
                     return;
@@ -268,11 +270,11 @@
         }
     }
 
-    fn on_message(&mut self, message: Message, leaving_since: &mut Option<Instant>) {
+    fn on_message(&mut self, message: Message, drain_started_at: &mut Option<Instant>) {
         match message {
             Message::Event(event) => {
                 if matches!(event, Event::Leave) {
-                    leaving_since.get_or_insert(clock::now());
+                    drain_started_at.get_or_insert(clock::now());
                 }
                 self.handle(event);
             }
@@ -299,7 +301,7 @@
                 }
                 self.handle(Event::RequestAnswered(request));
             }
-            Message::Ask(question) => question(&mut self.node, clock::now()),
+            Message::QueryNode(query) => query(&mut self.node, clock::now()),
         }
     }
 
@@ -327,48 +329,48 @@
         let mut actions = core::mem::take(&mut self.actions);
         self.node.handle(clock::now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Answer { token, answer } => self.answer(token, answer),
+            Action::Answer { token, answer } => self.send_answer(token, answer),
             Action::Forward { to, message } => self.forward(&to, message),
             Action::Ping(to) => {
                 let digest = self.node.table_digest();
-                self.hands.peers.ping(to, digest);
+                self.effects.peers.ping(to, digest);
             }
             Action::CloseEpoch {
                 shard,
                 epoch,
                 owner,
-            } => self.hands.peers.close_epoch(shard, epoch, owner),
+            } => self.effects.peers.close_epoch(shard, epoch, owner),
             Action::ClaimShard { shard, revision } => {
-                self.hands.store.claim_shard(shard, revision);
+                self.effects.store.claim_shard(shard, revision);
             }
             Action::VacateShard { shard, revision } => {
-                self.hands.store.vacate_shard(shard, revision);
+                self.effects.store.vacate_shard(shard, revision);
             }
             Action::Commit {
                 shard,
                 epoch,
                 commit,
-            } => self.hands.store.commit(shard, epoch, commit),
-            Action::ClaimSeat { seat, revision } => self.hands.store.claim_seat(seat, revision),
-            Action::VacateSeat { seat, revision } => self.hands.store.vacate_seat(seat, revision),
+            } => self.effects.store.commit(shard, epoch, commit),
+            Action::ClaimSeat { seat, revision } => self.effects.store.claim_seat(seat, revision),
+            Action::VacateSeat { seat, revision } => self.effects.store.vacate_seat(seat, revision),
             Action::SendRequest {
                 request,
                 token,
                 addr,
                 timeout,
             } => self.send_request(request, token, addr, timeout),
-            other => self.hands.sessions.carry_out(other),
+            other => self.effects.sessions.execute(other),
         }
     }
 
-    fn answer(&mut self, token: u64, answer: Answer) {
+    fn send_answer(&mut self, token: u64, answer: Answer) {
         match answer {
             Answer::Deliver => {
                 let open = self.requests.remove(&token);
@@ -392,46 +394,46 @@
     fn forward(&mut self, to: &ospreywing_types::DaemonIdentity, message: Forward) {
         match message {
             Forward::Submit { token, submit } => {
-                self.hands.peers.submit(to.clone(), token, submit);
+                self.effects.peers.submit(to.clone(), token, submit);
             }
             Forward::Cancel { token, query } => {
-                self.hands.peers.cancel(to.clone(), token, query);
+                self.effects.peers.cancel(to.clone(), token, query);
             }
             Forward::Query { token, query } => {
                 let reply = self.calls.remove(&token);
                 if let Some(reply) = reply {
-                    self.hands.peers.query(to.clone(), query, reply);
+                    self.effects.peers.query(to.clone(), query, reply);
                 }
             }
             Forward::TakeKey { request, claim } => {
-                self.hands.peers.take_key(to.clone(), request, claim);
+                self.effects.peers.take_key(to.clone(), request, claim);
             }
         }
     }
 
     fn send_request(&mut self, request: Request, token: u64, addr: String, timeout: Duration) {
         let Some(open) = self.requests.get(&token) else {
-            // The caller left in this very moment.
-            self.hands.minions.not_sent(request);
+            // The caller disconnected in the meantime.
+            self.effects.minions.not_sent(request);
             return;
         };
         let body = open.body.clone();
         let (row, key) = (open.row.clone(), open.key.clone());
-        self.hands
+        self.effects
             .minions
             .send(request, token, addr, row, key, body, timeout);
     }
 
-    /// Logs what changed, and nothing else.
+    /// Logs the state if it has changed since it was last logged.
     fn log_changes(&mut self) {
         let shards = 0..self.node.shards_count();
-        let now = Said {
+        let now = LoggedState {
             freshness: self.node.freshness().as_str(),
             is_ready: self.node.is_ready(),
             shards: shards.filter(|&s| self.node.owner(s).is_some()).collect(),
             table_revision: self.node.table().revision,
         };
-        if now == self.said {
+        if now == self.logged {
             return;
         }
         info!(self.log, "state changed";
@@ -439,6 +441,6 @@
             "is_ready" => now.is_ready,
             "shards" => format!("{:?}", now.shards),
             "table_revision" => now.table_revision);
-        self.said = now;
+        self.logged = now;
     }
 }
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls of other daemons, over one WebSocket to each.
+//! RPC calls to other daemons, over one WebSocket to each.
 
 use crate::clock;
 use crate::engine::EngineHandle;
@@ -21,92 +21,96 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(1000);
-const PING_LIMIT: Duration = Duration::from_millis(1500);
-const CALL_LIMIT: Duration = Duration::from_millis(4000);
-/// When to come back where the owner of a shard can't be reached.
-const RETRY_AFTER_MS: u64 = 1000;
-/// Refused connections in a row that prove a process ended.
-const REFUSALS_COUNT: u32 = 2;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const PING_TIMEOUT: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
+/// The retry delay returned to callers if the owner of a shard can't be reached.
+const OWNER_UNREACHABLE_RETRY_AFTER_MS: u64 = 1000;
+/// Number of consecutive refused connections that proves that a process has ended.
+const REFUSALS_TO_PROVE_EXIT: u32 = 2;
 
-/// Why a call of a peer failed.
+/// The reason why a call to a peer failed.
 #[derive(Debug)]
 enum CallError {
-    /// No process listens at the address.
+    /// The connection was refused: no process listens on the address.
     Refused,
-    /// Nothing was sent.
+    /// The call had no effect: it was not sent, or the peer returned an error.
     NotSent,
-    /// The call may have been received.
-    InDoubt,
+    /// The peer may have received the call.
+    Unconfirmed,
 }
 
-/// What is kept of one process.
+/// The connection to one incarnation of a daemon.
 #[derive(Default)]
 struct Link {
     client: Option<Arc<WsClient>>,
     refusals_count: u32,
 }
 
-/// Calls of other daemons.
+/// Sends calls to other daemons.
 #[derive(Clone)]
 pub struct PeerClients {
-    me: DaemonIdentity,
+    own_identity: DaemonIdentity,
     engine: EngineHandle,
     links: Arc<Mutex<HashMap<u64, Link>>>,
 }
 
 impl PeerClients {
-    /// Creates the calls; what becomes of them goes to `engine`.
-    pub fn new(me: DaemonIdentity, engine: EngineHandle) -> Self {
+    /// Creates the client; results are sent to `engine`.
+    pub fn new(own_identity: DaemonIdentity, engine: EngineHandle) -> Self {
         Self {
-            me,
+            own_identity,
             engine,
             links: Arc::new(Mutex::new(HashMap::new())),
         }
     }
 
-    /// Pings a process.
+    /// Pings a daemon.
     pub fn ping(&self, to: DaemonIdentity, table_digest: u64) {
         let this = self.clone();
         let ping = Ping {
-            from: self.me.clone(),
+            from: self.own_identity.clone(),
             table_digest,
         };
         tokio::spawn(async move {
             let asked_at = clock::now();
             let pong: Result<Pong, CallError> = this
-                .call(&to, peer::PING, rpc_params![ping], PING_LIMIT)
+                .call(&to, peer::PING, rpc_params![ping], PING_TIMEOUT)
                 .await;
             match pong {
                 Ok(pong) if pong.from.incarnation == to.incarnation => {
-                    this.engine.tell(Event::Ponged { asked_at, pong }).await;
+                    this.engine
+                        .send_event(Event::Ponged { asked_at, pong })
+                        .await;
                 }
-                // Another process has its address.
-                Ok(_) => this.gone(&to).await,
-                Err(CallError::Refused) => this.refused(&to).await,
-                Err(CallError::NotSent | CallError::InDoubt) => {}
+                // Another process listens on the address.
+                Ok(_) => this.on_process_gone(&to).await,
+                Err(CallError::Refused) => this.on_refused(&to).await,
+                Err(CallError::NotSent | CallError::Unconfirmed) => {}
             }
         });
     }
 
-    async fn refused(&self, to: &DaemonIdentity) {
-        if self.is_proved_gone(to) {
-            self.gone(to).await;
+    async fn on_refused(&self, to: &DaemonIdentity) {
+        if self.record_refusal(to) {
+            self.on_process_gone(to).await;
         } else {
             let incarnation = to.incarnation;
             self.engine
-                .tell(Event::PeerConnectionRefused { incarnation })
+                .send_event(Event::PeerConnectionRefused { incarnation })
                 .await;
         }
     }
 
-    async fn gone(&self, to: &DaemonIdentity) {
+    async fn on_process_gone(&self, to: &DaemonIdentity) {
         let incarnation = to.incarnation;
         self.drop_client(incarnation);
-        self.engine.tell(Event::ProcessGone { incarnation }).await;
+        self.engine
+            .send_event(Event::ProcessGone { incarnation })
+            .await;
     }
 
-    /// Asks a former owner to close its epoch.
+    /// Requests that the former owner of a shard closes its epoch.
     pub fn close_epoch(&self, shard: u32, epoch: u64, owner: DaemonIdentity) {
         let this = self.clone();
         tokio::spawn(async move {
@@ -117,17 +121,17 @@
             };
             let params = rpc_params![message];
             let reply: Result<CloseEpochReply, CallError> = this
-                .call(&owner, peer::CLOSE_EPOCH, params, PING_LIMIT)
+                .call(&owner, peer::CLOSE_EPOCH, params, PING_TIMEOUT)
                 .await;
             let reply = match reply {
                 Ok(reply) => reply,
-                Err(CallError::Refused) if this.is_proved_gone(&owner) => {
+                Err(CallError::Refused) if this.record_refusal(&owner) => {
                     CloseEpochReply::OtherIncarnation
                 }
                 Err(_) => return,
             };
             this.engine
-                .tell(Event::CloseEpochAnswered {
+                .send_event(Event::CloseEpochAnswered {
                     shard,
                     epoch,
                     reply,
@@ -136,46 +140,47 @@
         });
     }
 
-    /// Counts one more refusal and returns whether that is proof.
-    fn is_proved_gone(&self, owner: &DaemonIdentity) -> bool {
+    /// Records a refused connection and returns whether the refusals prove that the process has
+    /// ended.
+    fn record_refusal(&self, owner: &DaemonIdentity) -> bool {
         let mut links = self.links.lock().unwrap_or_else(|e| e.into_inner());
         let link = links.entry(owner.incarnation).or_default();
         link.refusals_count += 1;
-        link.refusals_count >= REFUSALS_COUNT
+        link.refusals_count >= REFUSALS_TO_PROVE_EXIT
     }
 
-    /// Passes a task on to the owner of its shard.
+    /// Forwards a task to the owner of its shard.
     pub fn submit(&self, to: DaemonIdentity, token: u64, submit: Submit) {
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![submit];
-            let reply = this.call(&to, peer::SUBMIT, params, CALL_LIMIT).await;
-            let reply = submit_reply(reply);
+            let reply = this.call(&to, peer::SUBMIT, params, CALL_TIMEOUT).await;
+            let reply = submit_reply_from(reply);
             this.engine
-                .tell(Event::ForwardAnswered { token, reply })
+                .send_event(Event::ForwardAnswered { token, reply })
                 .await;
         });
     }
 
-    /// Passes a cancellation on to the owner of its shard.
+    /// Forwards a cancellation to the owner of the task's shard.
     pub fn cancel(&self, to: DaemonIdentity, token: u64, query: Query) {
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![query];
-            let reply = this.call(&to, peer::CANCEL, params, CALL_LIMIT).await;
-            let reply = submit_reply(reply);
+            let reply = this.call(&to, peer::CANCEL, params, CALL_TIMEOUT).await;
+            let reply = submit_reply_from(reply);
             this.engine
-                .tell(Event::ForwardAnswered { token, reply })
+                .send_event(Event::ForwardAnswered { token, reply })
                 .await;
         });
     }
 
-    /// Passes a question on to the owner of its shard.
+    /// Forwards a query to the owner of the task's shard.
     pub fn query(&self, to: DaemonIdentity, query: Query, reply: oneshot::Sender<Answer>) {
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![query];
-            let answer = this.call(&to, peer::QUERY, params, CALL_LIMIT).await;
+            let answer = this.call(&to, peer::QUERY, params, CALL_TIMEOUT).await;
             let answer = answer.unwrap_or(QueryReply::NotOwner);
             let _ = reply.send(Answer::Query(answer));
         });
@@ -183,18 +188,18 @@
 
     /// Claims a request's key from the owner of its shard.
     ///
-    /// A claim without an answer is as good as refused: the key may be burnt,
-    /// but this daemon, which alone could use it, sends nothing.
+    /// A claim without a reply counts as refused. The owner may have marked the key as used,
+    /// but only this daemon could have used it, and it sends no request.
     pub fn take_key(&self, to: DaemonIdentity, request: Request, claim: TakeKey) {
         let this = self.clone();
         tokio::spawn(async move {
             let params = rpc_params![claim];
-            let reply = this.call(&to, peer::TAKE_KEY, params, CALL_LIMIT).await;
+            let reply = this.call(&to, peer::TAKE_KEY, params, CALL_TIMEOUT).await;
             let reply = reply.unwrap_or(TakeKeyReply::Refused {
-                retry_after_ms: RETRY_AFTER_MS,
+                retry_after_ms: OWNER_UNREACHABLE_RETRY_AFTER_MS,
             });
             this.engine
-                .tell(Event::KeyAnswered { request, reply })
+                .send_event(Event::KeyAnswered { request, reply })
                 .await;
         });
     }
@@ -213,7 +218,7 @@
             Ok(Err(RpcError::Call(_))) => Err(CallError::NotSent),
             Ok(Err(_)) | Err(_) => {
                 self.drop_client(to.incarnation);
-                Err(CallError::InDoubt)
+                Err(CallError::Unconfirmed)
             }
         }
     }
@@ -246,7 +251,7 @@
 }
 
 async fn connect(addr: &str) -> Result<WsClient, CallError> {
-    let stream = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(addr)).await;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
     let stream = match stream {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
@@ -256,19 +261,19 @@
     };
     let _ = stream.set_nodelay(true);
     let built = WsClientBuilder::new().build_with_stream(format!("ws://{addr}"), stream);
-    match tokio::time::timeout(CONNECT_LIMIT, built).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, built).await {
         Ok(Ok(client)) => Ok(client),
         Ok(Err(_)) | Err(_) => Err(CallError::NotSent),
     }
 }
 
-fn submit_reply(reply: Result<SubmitReply, CallError>) -> SubmitReply {
+fn submit_reply_from(reply: Result<SubmitReply, CallError>) -> SubmitReply {
     match reply {
         Ok(reply) => reply,
-        Err(CallError::InDoubt) => SubmitReply::Unknown,
+        Err(CallError::Unconfirmed) => SubmitReply::Unknown,
         Err(CallError::Refused | CallError::NotSent) => SubmitReply::Refused {
             reason: "the owner of the key's shard can't be reached".to_owned(),
-            retry_after_ms: Some(RETRY_AFTER_MS),
+            retry_after_ms: Some(OWNER_UNREACHABLE_RETRY_AFTER_MS),
         },
     }
 }
