--- a/crates/scheduler/src/limits.rs
+++ b/crates/scheduler/src/limits.rs
@@ -43,8 +43,8 @@
                 allowed_count: u32::MAX,
             };
         };
-        let left = self.accounts.get(customer).left() - cycle.claimed_limit(customer);
-        let limit_count = fit_in(&left, &charge.amount);
+        let remaining = self.accounts.get(customer).remaining() - cycle.claimed_limit(customer);
+        let limit_count = fit_in(&remaining, &charge.amount);
         let beside_count = self.count_beside_reservation(now, step, charge, cycle);
         Allowance {
             limit_count,
@@ -70,7 +70,7 @@
             self.note_limit_holds(now, step, charge, cycle);
             return None;
         }
-        if !job.is_waiting_whole(step) {
+        if !job.is_whole_step_waiting(step) {
             // Members of its last run are still there, and count.
             return Some(WaitReason::LastRun);
         }
@@ -101,7 +101,7 @@
         let Some(job) = self.jobs.get_mut(&step.job) else {
             return;
         };
-        if core::mem::replace(&mut job.is_held, true) {
+        if core::mem::replace(&mut job.is_held_by_limit, true) {
             return;
         }
         let reservation = self.limit_reservations.get(customer);
@@ -112,7 +112,7 @@
         let line = Decision::new(DecisionKind::JobHeld, reason.as_str())
             .with_job(step.job)
             .with_figure(u64::from(least_count))
-            .with_customer(self.accounts.get(customer).to_use())
+            .with_customer(self.accounts.get(customer).to_usage())
             .with_reserved(reserved);
         out.push(Action::Log(line));
     }
@@ -153,7 +153,7 @@
         let spec = job.and_then(|job| job.record.spec.steps.get(step.step as usize));
         let needed = charge.amount.times(spec.map_or(0, least_count));
         let is_claimed = !self.config.features.has(Feature::Backfill);
-        is_claimed || !needed.fits_in(&self.accounts.get(customer).left())
+        is_claimed || !needed.fits_in(&self.accounts.get(customer).remaining())
     }
 
     /// Returns whether the limit of a step's customer is reserved for another step.
--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -3,7 +3,9 @@
 
 use crate::support::simulation::{Faults, Simulation};
 use crate::support::{configuration, job, step, QUEUE};
-use ospreywing_scheduler::overload::{Amounts, Demand, LastingRun, Occupancy};
+use ospreywing_scheduler::deadline_selection::{
+    Occupancy, OccupyingRun, ResourceVector, ServiceLoad,
+};
 use ospreywing_scheduler::{
     Feature, Features, Forecast, JobId, JobRecord, QueueForecast, Schedule, StepSpec,
     FORECAST_AGE_LIMIT,
@@ -98,11 +100,11 @@
             for ((at_ms, number), first_ms) in core::mem::replace(&mut callers, later) {
                 let (id, record) = short_job(number, simulation.now_ms);
                 let draw = number * 7919;
-                match refusal(&simulation, &record) {
-                    Some(refusal) => {
+                match rejection(&simulation, &record) {
+                    Some(rejection) => {
                         let since_ms = at_ms - began_ms;
                         outcome.rejected_ms.entry(id).or_insert(since_ms);
-                        let retry_ms = simulation.now_ms + refusal.come_back(draw).as_ms();
+                        let retry_ms = simulation.now_ms + rejection.retry_after(draw).as_ms();
                         outcome.retries_ms.push(retry_ms);
                         callers.insert((retry_ms, number), first_ms);
                     }
@@ -123,9 +125,12 @@
     }
 }
 
-fn refusal(simulation: &Simulation, record: &JobRecord) -> Option<ospreywing_scheduler::Refusal> {
+fn rejection(
+    simulation: &Simulation,
+    record: &JobRecord,
+) -> Option<ospreywing_scheduler::Rejection> {
     let forecast = simulation.forecast()?;
-    forecast.refusal(record, &configuration(None), Duration::ZERO)
+    forecast.rejection(record, &configuration(None), Duration::ZERO)
 }
 
 fn without_admission() -> Features {
@@ -208,7 +213,7 @@
         queues: vec![QueueForecast {
             queue: QUEUE.to_owned(),
             objective_ms: SHORT_OBJECTIVE_MS,
-            work: Amounts::of(&step.demand).times(step.estimate_ms as f64),
+            work: ResourceVector::of(&step.demand).times(step.estimate_ms as f64),
             done_ms,
         }],
     }
@@ -217,8 +222,8 @@
 /// Returns whether a job is rejected by a forecast that was received `since_ms` ago.
 fn is_rejected(forecast: &Forecast, record: &JobRecord, since_ms: u64) -> bool {
     let since = Duration::from_ms(since_ms);
-    let refusal = forecast.refusal(record, &configuration(None), since);
-    refusal.is_some()
+    let rejection = forecast.rejection(record, &configuration(None), since);
+    rejection.is_some()
 }
 
 #[test]
@@ -267,20 +272,21 @@
     for seed in 0..200 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let capacity = Resources::new(16_000, 32_000, 4);
-        let demand: Demand<JobId> = Demand::new(Amounts::of(&capacity), Occupancy::default());
+        let demand: ServiceLoad<JobId> =
+            ServiceLoad::new(ResourceVector::of(&capacity), Occupancy::default());
         let mut runs: Vec<(Resources, u64)> = (0..rng.random_range(0..16))
             .map(|_| {
-                let rate = Resources::new(rng.random_range(1..1000), 2000, 0);
-                (rate, rng.random_range(0..3_000))
+                let usage = Resources::new(rng.random_range(1..1000), 2000, 0);
+                (usage, rng.random_range(0..3_000))
             })
             .collect();
         runs.sort_by_key(|(_, left_ms)| *left_ms);
-        let occupying: Vec<LastingRun> = runs
+        let occupying: Vec<OccupyingRun> = runs
             .iter()
-            .map(|(rate, left_ms)| LastingRun {
+            .map(|(usage, left_ms)| OccupyingRun {
                 priority: 1,
-                rate: Amounts::of(rate),
-                left: Duration::from_ms(*left_ms),
+                usage: ResourceVector::of(usage),
+                remaining: Duration::from_ms(*left_ms),
             })
             .collect();
         let needed = Resources::new(rng.random_range(1..4_000), rng.random_range(1..8_000), 0);
@@ -294,14 +300,14 @@
         while !is_allocated(allocated) {
             let mut free = capacity;
             let alive = runs.iter().filter(|(_, left_ms)| now_ms < *left_ms);
-            alive.for_each(|(rate, _)| free -= *rate);
+            alive.for_each(|(usage, _)| free -= *usage);
             allocated[0] += u64::from(free.cores_milli);
             allocated[1] += u64::from(free.memory_mib);
             now_ms += 1;
         }
-        let amount = Amounts::of(&needed).times(needed_ms as f64);
+        let amount = ResourceVector::of(&needed).times(needed_ms as f64);
         let latest = Duration::from_s(600);
-        let done = demand.done_after(occupying.iter(), amount, latest);
+        let done = demand.earliest_completion(occupying.iter(), amount, latest);
         assert!(
             done.as_ms() <= now_ms && now_ms <= done.as_ms() + 1,
             "seed {seed}"
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -4,9 +4,9 @@
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{deferrable_job, job, placed_state, step};
 use ospreywing_scheduler::{
-    Durations, Ejection, EndKind, Event, Feature, Features, JobId, JobRecord, Learned,
-    LearnedQuantiles, LearnedSize, LearnedSpeed, LengthForecast, LengthKind, Recovered, Speeds,
-    StartReply, StepSpec, TaskStatus, WorkerChange,
+    DurationForecast, Durations, Ejection, EndKind, Event, Feature, Features, JobId, JobRecord,
+    Learned, LearnedQuantiles, LearnedSize, LearnedSpeed, Recovered, Speeds, StartReply, StepClass,
+    StepSpec, TaskStatus, WorkerChange,
 };
 use ospreywing_types::{Duration, Instant};
 use rand::{Rng, SeedableRng};
@@ -31,7 +31,7 @@
 /// A step's class, with its estimate, and its actual duration.
 #[derive(Clone, Copy)]
 struct Sample {
-    kind: LengthKind,
+    kind: StepClass,
     actual: Duration,
 }
 
@@ -39,7 +39,7 @@
     let actual_ms = typical_ms * (LENGTH_SPREAD * normal(rng)).exp();
     let off = estimate_factor.powf(rng.random_range(-1.0..=1.0));
     Sample {
-        kind: LengthKind {
+        kind: StepClass {
             is_gang: false,
             estimate: Duration::from_ms((actual_ms * off) as u64),
         },
@@ -53,7 +53,7 @@
 
 /// Returns the durations learned from `count` steps, and the forecasts for the last half of
 /// them.
-fn learn(count: u64, estimate_factor: f64) -> (Durations, Vec<(Sample, Option<LengthForecast>)>) {
+fn learn(count: u64, estimate_factor: f64) -> (Durations, Vec<(Sample, Option<DurationForecast>)>) {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let mut durations = Durations::default();
     let mut forecasts = Vec::new();
@@ -76,13 +76,13 @@
 #[test]
 fn durations_forecast_better_than_estimate() {
     let (durations, forecasts) = learn(800, ESTIMATE_ERROR_FACTOR);
-    let with_forecast: Vec<(Sample, LengthForecast)> = forecasts
+    let with_forecast: Vec<(Sample, DurationForecast)> = forecasts
         .into_iter()
         .filter_map(|(sample, forecast)| Some((sample, forecast?)))
         .collect();
     assert!(with_forecast.len() >= 380, "forecasts after 400 steps");
     let count = with_forecast.len() as f64;
-    let mean = |duration: fn(&(Sample, LengthForecast)) -> Duration| {
+    let mean = |duration: fn(&(Sample, DurationForecast)) -> Duration| {
         let errors = with_forecast
             .iter()
             .map(|it| error(duration(it), it.0.actual));
@@ -94,7 +94,7 @@
         by_forecast <= 0.8 * by_estimate,
         "{by_forecast} {by_estimate}"
     );
-    let part = |predicate: fn(&(Sample, LengthForecast)) -> bool| {
+    let part = |predicate: fn(&(Sample, DurationForecast)) -> bool| {
         with_forecast.iter().filter(|it| predicate(it)).count() as f64 / count
     };
     let (below, above) = (
@@ -157,7 +157,7 @@
 fn durations_forecast_follows_change() {
     let mut rng = Pcg64::seed_from_u64(SEED);
     let mut durations = Durations::default();
-    let same_estimate = LengthKind {
+    let same_estimate = StepClass {
         is_gang: false,
         estimate: Duration::from_ms(1_500),
     };
--- a/crates/scheduler/tests/scheduler/overload.rs
+++ b/crates/scheduler/tests/scheduler/overload.rs
@@ -2,8 +2,9 @@
 
 use crate::support::harness::{end, workers, Harness};
 use crate::support::{job, step};
-use ospreywing_scheduler::overload::{
-    Amounts, Contender, Demand, Occupancy, Selection, ENTER_LOAD_PERCENT, LEAVE_LOAD_PERCENT,
+use ospreywing_scheduler::deadline_selection::{
+    Occupancy, ResourceVector, Selection, ServiceLoad, WaitingJob, ENTER_LOAD_PERCENT,
+    LEAVE_LOAD_PERCENT,
 };
 use ospreywing_scheduler::{EndKind, EndedRun, Event, Feature, Features};
 use ospreywing_types::{Duration, Instant, Resources};
@@ -13,27 +14,27 @@
 const CAPACITY: Resources = Resources::new(10_000, 10_000, 10);
 
 /// Returns a job that needs the whole capacity for `whole_ms`.
-fn contender(key: u64, whole_ms: u64, time_left_ms: u64) -> Contender<u64> {
-    Contender {
+fn waiting_job(key: u64, whole_ms: u64, time_left_ms: u64) -> WaitingJob<u64> {
+    WaitingJob {
         key,
         priority: 1,
-        work: Amounts::of(&CAPACITY).times(whole_ms as f64),
-        chain: Duration::from_ms(100),
-        time_left: Some(Duration::from_ms(time_left_ms)),
-        worth_left: Some(Duration::from_ms(3 * time_left_ms)),
+        work: ResourceVector::of(&CAPACITY).times(whole_ms as f64),
+        critical_path: Duration::from_ms(100),
+        time_to_objective: Some(Duration::from_ms(time_left_ms)),
+        time_to_worthless: Some(Duration::from_ms(3 * time_left_ms)),
     }
 }
 
-fn demand(occupancy: Occupancy, contenders: &[Contender<u64>]) -> Demand<u64> {
-    let mut demand = Demand::new(Amounts::of(&CAPACITY), occupancy);
-    contenders.iter().for_each(|it| demand.push(*it));
+fn demand(occupancy: Occupancy, waiting_jobs: &[WaitingJob<u64>]) -> ServiceLoad<u64> {
+    let mut demand = ServiceLoad::new(ResourceVector::of(&CAPACITY), occupancy);
+    waiting_jobs.iter().for_each(|it| demand.push(*it));
     demand
 }
 
 /// Returns the keys of the jobs that are selected to finish on time.
-fn on_time(demand: &mut Demand<u64>) -> Vec<u64> {
+fn on_time(demand: &mut ServiceLoad<u64>) -> Vec<u64> {
     let selected = demand.select().into_iter();
-    let is_on_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
+    let is_on_time = |it: &Selection| matches!(it, Selection::OnTime | Selection::OnTimeAfterLate);
     let on_time = selected.filter(|it| is_on_time(&it.selection));
     let mut keys: Vec<u64> = on_time.map(|it| it.key).collect();
     keys.sort_unstable();
@@ -42,7 +43,7 @@
 
 #[test]
 fn select_all_jobs_fit() {
-    let jobs = [contender(1, 400, 1000), contender(2, 400, 1000)];
+    let jobs = [waiting_job(1, 400, 1000), waiting_job(2, 400, 1000)];
     let mut demand = demand(Occupancy::default(), &jobs);
     assert!(demand.load_percent() < ENTER_LOAD_PERCENT);
     assert_eq!(on_time(&mut demand), [1, 2]);
@@ -51,9 +52,9 @@
 #[test]
 fn select_excludes_largest() {
     let jobs = [
-        contender(1, 800, 1000),
-        contender(2, 300, 1100),
-        contender(3, 300, 1200),
+        waiting_job(1, 800, 1000),
+        waiting_job(2, 300, 1100),
+        waiting_job(3, 300, 1200),
     ];
     let mut demand = demand(Occupancy::default(), &jobs);
     assert!(demand.load_percent() > ENTER_LOAD_PERCENT);
@@ -63,7 +64,7 @@
 /// Of jobs of equal size, the one that is most likely to be late is excluded.
 #[test]
 fn select_excludes_soonest_due_of_equals() {
-    let jobs = [1000, 1100, 1200].map(|remaining_ms| contender(remaining_ms, 500, remaining_ms));
+    let jobs = [1000, 1100, 1200].map(|remaining_ms| waiting_job(remaining_ms, 500, remaining_ms));
     assert_eq!(
         on_time(&mut demand(Occupancy::default(), &jobs)),
         [1100, 1200]
@@ -72,18 +73,18 @@
 
 #[test]
 fn select_excludes_lower_priority_first() {
-    let mut important = contender(1, 800, 1000);
+    let mut important = waiting_job(1, 800, 1000);
     important.priority = 0;
-    let jobs = [important, contender(2, 300, 1000)];
+    let jobs = [important, waiting_job(2, 300, 1000)];
     assert_eq!(on_time(&mut demand(Occupancy::default(), &jobs)), [1]);
 }
 
 /// Jobs that need different resources don't compete.
 #[test]
 fn select_different_resources() {
-    let with = |key, resources: Resources| Contender {
-        work: Amounts::of(&resources).times(800.0),
-        ..contender(key, 0, 1000)
+    let with = |key, resources: Resources| WaitingJob {
+        work: ResourceVector::of(&resources).times(800.0),
+        ..waiting_job(key, 0, 1000)
     };
     let jobs = [
         with(1, Resources::new(10_000, 0, 0)),
@@ -96,21 +97,21 @@
 #[test]
 fn select_with_running_tasks() {
     let mut occupancy = Occupancy::default();
-    occupancy.add(Amounts::of(&CAPACITY).times(0.5), None);
+    occupancy.add(ResourceVector::of(&CAPACITY).times(0.5), None);
     occupancy.add(
-        Amounts::of(&CAPACITY).times(0.4),
+        ResourceVector::of(&CAPACITY).times(0.4),
         Some(Duration::from_ms(100)),
     );
-    let jobs = [contender(1, 400, 1000), contender(2, 200, 1000)];
+    let jobs = [waiting_job(1, 400, 1000), waiting_job(2, 200, 1000)];
     assert_eq!(on_time(&mut demand(occupancy, &jobs)), [2]);
 }
 
 #[test]
 fn select_late_before_worthless() {
-    let late = |key, whole_ms| Contender {
-        time_left: None,
-        worth_left: Some(Duration::from_ms(1000)),
-        ..contender(key, whole_ms, 1000)
+    let late = |key, whole_ms| WaitingJob {
+        time_to_objective: None,
+        time_to_worthless: Some(Duration::from_ms(1000)),
+        ..waiting_job(key, whole_ms, 1000)
     };
     let mut demand = demand(Occupancy::default(), &[late(1, 800), late(2, 300)]);
     let selections: Vec<(u64, Selection)> = demand
@@ -124,8 +125,8 @@
 
 #[test]
 fn select_without_capacity() {
-    let mut demand = Demand::new(Amounts::default(), Occupancy::default());
-    demand.push(contender(1, 100, 1000));
+    let mut demand = ServiceLoad::new(ResourceVector::default(), Occupancy::default());
+    demand.push(waiting_job(1, 100, 1000));
     assert!(demand.load_percent() > LEAVE_LOAD_PERCENT);
     assert_eq!(demand.select().len(), 1);
 }
@@ -138,7 +139,7 @@
     /// The job that needs least.
     Smallest,
     /// Of the jobs that the module selects, the one that is due first.
-    Selected,
+    SelectedJob,
 }
 
 /// A job of a load: when it arrives, how long it occupies the whole capacity, and when it is
@@ -195,20 +196,21 @@
     match policy {
         Policy::SoonestDue => indices.min_by_key(|index| waiting[*index].due_ms),
         Policy::Smallest => indices.min_by_key(|index| waiting[*index].whole_ms),
-        Policy::Selected => {
-            let mut demand = Demand::new(Amounts::of(&CAPACITY), Occupancy::default());
+        Policy::SelectedJob => {
+            let mut demand = ServiceLoad::new(ResourceVector::of(&CAPACITY), Occupancy::default());
             for (index, job) in waiting.iter().enumerate() {
                 let remaining_ms = job.due_ms.checked_sub(now_ms);
-                demand.push(Contender {
+                demand.push(WaitingJob {
                     key: index,
                     priority: 1,
-                    work: Amounts::of(&CAPACITY).times(job.whole_ms as f64),
-                    chain: Duration::from_ms(job.whole_ms),
-                    time_left: remaining_ms.map(Duration::from_ms),
-                    worth_left: None,
+                    work: ResourceVector::of(&CAPACITY).times(job.whole_ms as f64),
+                    critical_path: Duration::from_ms(job.whole_ms),
+                    time_to_objective: remaining_ms.map(Duration::from_ms),
+                    time_to_worthless: None,
                 });
             }
-            let is_on_time = |it: &Selection| matches!(it, Selection::InTime | Selection::CanWait);
+            let is_on_time =
+                |it: &Selection| matches!(it, Selection::OnTime | Selection::OnTimeAfterLate);
             let selected = demand.select();
             let first = selected
                 .iter()
@@ -228,7 +230,7 @@
             .sum::<usize>()
     };
     let [due, smallest, selected] =
-        [Policy::SoonestDue, Policy::Smallest, Policy::Selected].map(served);
+        [Policy::SoonestDue, Policy::Smallest, Policy::SelectedJob].map(served);
     let all: usize = (0..20).map(|seed| load(seed).len()).sum();
     println!("of {all}: {due} soonest due, {smallest} smallest, {selected} selected");
     assert!(selected > due);
