--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -52,7 +52,7 @@
 
 struct Scenario {
     features: Features,
-    lengths_percent: core::ops::Range<u64>,
+    durations_percent: core::ops::Range<u64>,
     /// When a new leader takes over, since the start of the load.
     takeover_at_ms: Option<u64>,
 }
@@ -61,7 +61,7 @@
     fn new(features: Features) -> Self {
         Self {
             features,
-            lengths_percent: 80..120,
+            durations_percent: 80..120,
             takeover_at_ms: None,
         }
     }
@@ -69,7 +69,7 @@
     /// Runs a load of short jobs beside long tasks that occupy the whole capacity.
     fn run(&self, seed: u64) -> Outcome {
         let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
-        simulation.run_durations_percent = Some(self.lengths_percent.clone());
+        simulation.run_durations_percent = Some(self.durations_percent.clone());
         simulation.elect_with_features(self.features);
         simulation.run_for(8_000);
         let long = StepSpec {
@@ -169,10 +169,10 @@
 /// have been served in time.
 #[test]
 fn reject_with_wrong_estimates() {
-    for lengths_percent in [40..60, 230..250] {
+    for durations_percent in [40..60, 230..250] {
         for seed in 0..SEEDS_COUNT {
             let scenario = |features| Scenario {
-                lengths_percent: lengths_percent.clone(),
+                durations_percent: durations_percent.clone(),
                 ..Scenario::new(features)
             };
             let with = scenario(Features::default()).run(seed);
@@ -272,7 +272,7 @@
     for seed in 0..200 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let capacity = Resources::new(16_000, 32_000, 4);
-        let demand: ServiceLoad<JobId> =
+        let service_load: ServiceLoad<JobId> =
             ServiceLoad::new(ResourceVector::of(&capacity), Occupancy::default());
         let mut runs: Vec<(Resources, u64)> = (0..rng.random_range(0..16))
             .map(|_| {
@@ -307,7 +307,7 @@
         }
         let amount = ResourceVector::of(&needed).times(needed_ms as f64);
         let latest = Duration::from_s(600);
-        let done = demand.earliest_completion(occupying.iter(), amount, latest);
+        let done = service_load.earliest_completion(occupying.iter(), amount, latest);
         assert!(
             done.as_ms() <= now_ms && now_ms <= done.as_ms() + 1,
             "seed {seed}"
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -137,7 +137,7 @@
 #[rstest]
 #[case::too_long(5, step(1), 0)]
 #[case::brief(5, brief(1), 1)]
-#[case::of_unknown_length(5, StepSpec { estimate_ms: 0, ..step(1) }, 0)]
+#[case::of_unknown_duration(5, StepSpec { estimate_ms: 0, ..step(1) }, 0)]
 #[case::perpetual(5, StepSpec { is_perpetual: true, ..brief(1) }, 0)]
 #[case::fits_beside(4, step(1), 1)]
 #[case::fits_beside_in_part(4, step(2), 1)]
--- a/crates/scheduler/tests/scheduler/learning.rs
+++ b/crates/scheduler/tests/scheduler/learning.rs
@@ -16,7 +16,7 @@
 
 const QUEUE: &str = "render";
 /// The standard deviation of the logarithm of a queue's task durations.
-const LENGTH_SPREAD: f64 = 0.5;
+const DURATION_LOG_STD_DEV: f64 = 0.5;
 /// The factor by which an estimate is wrong at most.
 const ESTIMATE_ERROR_FACTOR: f64 = 2.5;
 const TYPICAL_MS: f64 = 1_500.0;
@@ -36,7 +36,7 @@
 }
 
 fn draw_sample(rng: &mut Pcg64, typical_ms: f64, estimate_factor: f64) -> Sample {
-    let actual_ms = typical_ms * (LENGTH_SPREAD * normal(rng)).exp();
+    let actual_ms = typical_ms * (DURATION_LOG_STD_DEV * normal(rng)).exp();
     let off = estimate_factor.powf(rng.random_range(-1.0..=1.0));
     Sample {
         kind: StepClass {
--- a/crates/scheduler/tests/scheduler/learning_load.rs
+++ b/crates/scheduler/tests/scheduler/learning_load.rs
@@ -83,9 +83,15 @@
         self
     }
 
-    fn submit(&mut self, (id, mut record): (JobId, JobRecord), lengths: core::ops::Range<u64>) {
+    fn submit(
+        &mut self,
+        (id, mut record): (JobId, JobRecord),
+        durations_ms: core::ops::Range<u64>,
+    ) {
         record.accepted_ms = self.simulation.now_ms;
-        self.simulation.job_run_durations_ms.insert(id, lengths);
+        self.simulation
+            .job_run_durations_ms
+            .insert(id, durations_ms);
         self.simulation.submit((id, record));
         self.next_number += 1;
     }
--- a/crates/scheduler/tests/scheduler/overload.rs
+++ b/crates/scheduler/tests/scheduler/overload.rs
@@ -14,26 +14,26 @@
 const CAPACITY: Resources = Resources::new(10_000, 10_000, 10);
 
 /// Returns a job that needs the whole capacity for `whole_ms`.
-fn waiting_job(key: u64, whole_ms: u64, time_left_ms: u64) -> WaitingJob<u64> {
+fn waiting_job(key: u64, whole_ms: u64, time_to_objective_ms: u64) -> WaitingJob<u64> {
     WaitingJob {
         key,
         priority: 1,
         work: ResourceVector::of(&CAPACITY).times(whole_ms as f64),
         critical_path: Duration::from_ms(100),
-        time_to_objective: Some(Duration::from_ms(time_left_ms)),
-        time_to_worthless: Some(Duration::from_ms(3 * time_left_ms)),
+        time_to_objective: Some(Duration::from_ms(time_to_objective_ms)),
+        time_to_worthless: Some(Duration::from_ms(3 * time_to_objective_ms)),
     }
 }
 
-fn demand(occupancy: Occupancy, waiting_jobs: &[WaitingJob<u64>]) -> ServiceLoad<u64> {
-    let mut demand = ServiceLoad::new(ResourceVector::of(&CAPACITY), occupancy);
-    waiting_jobs.iter().for_each(|it| demand.push(*it));
-    demand
+fn service_load(occupancy: Occupancy, waiting_jobs: &[WaitingJob<u64>]) -> ServiceLoad<u64> {
+    let mut service_load = ServiceLoad::new(ResourceVector::of(&CAPACITY), occupancy);
+    waiting_jobs.iter().for_each(|it| service_load.push(*it));
+    service_load
 }
 
 /// Returns the keys of the jobs that are selected to finish on time.
-fn on_time(demand: &mut ServiceLoad<u64>) -> Vec<u64> {
-    let selected = demand.select().into_iter();
+fn on_time(service_load: &mut ServiceLoad<u64>) -> Vec<u64> {
+    let selected = service_load.select().into_iter();
     let is_on_time = |it: &Selection| matches!(it, Selection::OnTime | Selection::OnTimeAfterLate);
     let on_time = selected.filter(|it| is_on_time(&it.selection));
     let mut keys: Vec<u64> = on_time.map(|it| it.key).collect();
@@ -44,9 +44,9 @@
 #[test]
 fn select_all_jobs_fit() {
     let jobs = [waiting_job(1, 400, 1000), waiting_job(2, 400, 1000)];
-    let mut demand = demand(Occupancy::default(), &jobs);
-    assert!(demand.load_percent() < ENTER_LOAD_PERCENT);
-    assert_eq!(on_time(&mut demand), [1, 2]);
+    let mut service_load = service_load(Occupancy::default(), &jobs);
+    assert!(service_load.load_percent() < ENTER_LOAD_PERCENT);
+    assert_eq!(on_time(&mut service_load), [1, 2]);
 }
 
 #[test]
@@ -56,9 +56,9 @@
         waiting_job(2, 300, 1100),
         waiting_job(3, 300, 1200),
     ];
-    let mut demand = demand(Occupancy::default(), &jobs);
-    assert!(demand.load_percent() > ENTER_LOAD_PERCENT);
-    assert_eq!(on_time(&mut demand), [2, 3]);
+    let mut service_load = service_load(Occupancy::default(), &jobs);
+    assert!(service_load.load_percent() > ENTER_LOAD_PERCENT);
+    assert_eq!(on_time(&mut service_load), [2, 3]);
 }
 
 /// Of jobs of equal size, the one that is most likely to be late is excluded.
@@ -66,7 +66,7 @@
 fn select_excludes_soonest_due_of_equals() {
     let jobs = [1000, 1100, 1200].map(|remaining_ms| waiting_job(remaining_ms, 500, remaining_ms));
     assert_eq!(
-        on_time(&mut demand(Occupancy::default(), &jobs)),
+        on_time(&mut service_load(Occupancy::default(), &jobs)),
         [1100, 1200]
     );
 }
@@ -76,7 +76,7 @@
     let mut important = waiting_job(1, 800, 1000);
     important.priority = 0;
     let jobs = [important, waiting_job(2, 300, 1000)];
-    assert_eq!(on_time(&mut demand(Occupancy::default(), &jobs)), [1]);
+    assert_eq!(on_time(&mut service_load(Occupancy::default(), &jobs)), [1]);
 }
 
 /// Jobs that need different resources don't compete.
@@ -90,7 +90,10 @@
         with(1, Resources::new(10_000, 0, 0)),
         with(2, Resources::new(0, 0, 10)),
     ];
-    assert_eq!(on_time(&mut demand(Occupancy::default(), &jobs)), [1, 2]);
+    assert_eq!(
+        on_time(&mut service_load(Occupancy::default(), &jobs)),
+        [1, 2]
+    );
 }
 
 /// Capacity that runs occupy for longer than a job's objective is not available to it.
@@ -103,7 +106,7 @@
         Some(Duration::from_ms(100)),
     );
     let jobs = [waiting_job(1, 400, 1000), waiting_job(2, 200, 1000)];
-    assert_eq!(on_time(&mut demand(occupancy, &jobs)), [2]);
+    assert_eq!(on_time(&mut service_load(occupancy, &jobs)), [2]);
 }
 
 #[test]
@@ -113,8 +116,8 @@
         time_to_worthless: Some(Duration::from_ms(1000)),
         ..waiting_job(key, whole_ms, 1000)
     };
-    let mut demand = demand(Occupancy::default(), &[late(1, 800), late(2, 300)]);
-    let selections: Vec<(u64, Selection)> = demand
+    let mut service_load = service_load(Occupancy::default(), &[late(1, 800), late(2, 300)]);
+    let selections: Vec<(u64, Selection)> = service_load
         .select()
         .iter()
         .map(|it| (it.key, it.selection))
@@ -125,10 +128,10 @@
 
 #[test]
 fn select_without_capacity() {
-    let mut demand = ServiceLoad::new(ResourceVector::default(), Occupancy::default());
-    demand.push(waiting_job(1, 100, 1000));
-    assert!(demand.load_percent() > LEAVE_LOAD_PERCENT);
-    assert_eq!(demand.select().len(), 1);
+    let mut service_load = ServiceLoad::new(ResourceVector::default(), Occupancy::default());
+    service_load.push(waiting_job(1, 100, 1000));
+    assert!(service_load.load_percent() > LEAVE_LOAD_PERCENT);
+    assert_eq!(service_load.select().len(), 1);
 }
 
 /// A policy to choose the next job.
@@ -197,10 +200,11 @@
         Policy::SoonestDue => indices.min_by_key(|index| waiting[*index].due_ms),
         Policy::Smallest => indices.min_by_key(|index| waiting[*index].whole_ms),
         Policy::SelectedJob => {
-            let mut demand = ServiceLoad::new(ResourceVector::of(&CAPACITY), Occupancy::default());
+            let mut service_load =
+                ServiceLoad::new(ResourceVector::of(&CAPACITY), Occupancy::default());
             for (index, job) in waiting.iter().enumerate() {
                 let remaining_ms = job.due_ms.checked_sub(now_ms);
-                demand.push(WaitingJob {
+                service_load.push(WaitingJob {
                     key: index,
                     priority: 1,
                     work: ResourceVector::of(&CAPACITY).times(job.whole_ms as f64),
@@ -211,7 +215,7 @@
             }
             let is_on_time =
                 |it: &Selection| matches!(it, Selection::OnTime | Selection::OnTimeAfterLate);
-            let selected = demand.select();
+            let selected = service_load.select();
             let first = selected
                 .iter()
                 .min_by_key(|it| (!is_on_time(&it.selection), waiting[it.key].due_ms));
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -129,7 +129,7 @@
 struct Scenario {
     features: Features,
     burst_percent: u64,
-    lengths_percent: core::ops::Range<u64>,
+    durations_percent: core::ops::Range<u64>,
     /// Whether the leader is replaced in the middle of the burst.
     has_takeover: bool,
 }
@@ -139,14 +139,14 @@
         Self {
             features,
             burst_percent,
-            lengths_percent: 60..140,
+            durations_percent: 60..140,
             has_takeover: false,
         }
     }
 
-    fn with_lengths(self, lengths_percent: core::ops::Range<u64>) -> Self {
+    fn with_durations(self, durations_percent: core::ops::Range<u64>) -> Self {
         Self {
-            lengths_percent,
+            durations_percent,
             ..self
         }
     }
@@ -160,7 +160,7 @@
 
     fn run(&self, seed: u64) -> Outcome {
         let mut simulation = Simulation::new(seed, WORKERS_COUNT, Faults::default(), None);
-        simulation.run_durations_percent = Some(self.lengths_percent.clone());
+        simulation.run_durations_percent = Some(self.durations_percent.clone());
         simulation.configure(configuration());
         simulation.elect_with_features(self.features);
         // Whatever an earlier leader may have started is over by then.
@@ -247,8 +247,8 @@
 /// without the feature. The number of jobs on time is no measure where all tasks take too long
 /// for that.
 #[rstest]
-fn place_in_burst_wrong_estimates(#[values(24..56, 150..350)] lengths: core::ops::Range<u64>) {
-    let scenario = |features| Scenario::new(features, 200).with_lengths(lengths.clone());
+fn place_in_burst_wrong_estimates(#[values(24..56, 150..350)] durations: core::ops::Range<u64>) {
+    let scenario = |features| Scenario::new(features, 200).with_durations(durations.clone());
     let (before, after) = compare(scenario);
     assert!(after.worth >= before.worth);
 }
