--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -272,7 +272,7 @@
     for seed in 0..200 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let capacity = Resources::new(16_000, 32_000, 4);
-        let demand: ServiceLoad<JobId> =
+        let service_load: ServiceLoad<JobId> =
             ServiceLoad::new(ResourceVector::of(&capacity), Occupancy::default());
         let mut runs: Vec<(Resources, u64)> = (0..rng.random_range(0..16))
             .map(|_| {
@@ -307,7 +307,7 @@
         }
         let amount = ResourceVector::of(&needed).times(needed_ms as f64);
         let latest = Duration::from_s(600);
-        let done = demand.earliest_completion(occupying.iter(), amount, latest);
+        let done = service_load.earliest_completion(occupying.iter(), amount, latest);
         assert!(
             done.as_ms() <= now_ms && now_ms <= done.as_ms() + 1,
             "seed {seed}"
--- a/crates/scheduler/tests/scheduler/overload_load.rs
+++ b/crates/scheduler/tests/scheduler/overload_load.rs
@@ -247,11 +247,8 @@
 /// without the feature. The number of jobs on time is no measure if all tasks take too long
 /// for that.
 #[rstest]
-fn place_in_burst_wrong_estimates(
-    #[values(24..56, 150..350)] durations_percent: core::ops::Range<u64>,
-) {
-    let scenario =
-        |features| Scenario::new(features, 200).with_durations(durations_percent.clone());
+fn place_in_burst_wrong_estimates(#[values(24..56, 150..350)] durations: core::ops::Range<u64>) {
+    let scenario = |features| Scenario::new(features, 200).with_durations(durations.clone());
     let (before, after) = compare(scenario);
     assert!(after.value >= before.value);
 }
