--- a/crates/daemon/tests/processes/cell.rs
+++ b/crates/daemon/tests/processes/cell.rs
@@ -3,7 +3,7 @@
 use http::Method;
 use ospreywing_http::{Call, HttpClient};
 use ospreywing_node::CellReport;
-use ospreywing_standin::drive::{self, Drive, DriveReport};
+use ospreywing_standin::drive::{self, DriveConfig, DriveReport};
 use ospreywing_standin::judge::{self, Judgement};
 use ospreywing_standin::minion::{self, MinionHost};
 use ospreywing_standin::platform::{self, Platform, PlatformLimits};
@@ -268,13 +268,13 @@
     /// Begins to drive the daemons with both deployments' work.
     pub fn drive(&self, run_name: &str) -> tokio::task::JoinHandle<DriveReport> {
         let daemons = self.daemons.iter().map(|daemon| daemon.http_addr.clone());
-        let drive = Drive {
+        let drive = DriveConfig {
             daemons: daemons.collect(),
-            length: Duration::from_secs(10),
+            duration: Duration::from_secs(10),
             rate_per_s: 30,
             tasks_count: 40,
-            finish_limit: Duration::from_secs(90),
-            status_every: Duration::from_millis(200),
+            finish_timeout: Duration::from_secs(90),
+            status_interval: Duration::from_millis(200),
             seed: 7,
             run_name: run_name.to_owned(),
         };
--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     facts: BoxFacts,
-    heard_at_ms: u64,
+    announced_at_ms: u64,
 }
 
 /// The boxes that were heard of.
@@ -40,19 +40,25 @@
     /// Takes in boxes that say they are there.
     pub fn announce(&mut self, announcement: Announcement, now_ms: u64) {
         for facts in announcement.boxes {
-            let heard_at_ms = now_ms;
+            let announced_at_ms = now_ms;
             let name = facts.name.clone();
-            self.entries.insert(name, Entry { facts, heard_at_ms });
+            self.entries.insert(
+                name,
+                Entry {
+                    facts,
+                    announced_at_ms,
+                },
+            );
         }
     }
 
     /// Marks a box as leaving.
-    pub fn leave(&mut self, name: Name) {
+    pub fn mark_leaving(&mut self, name: Name) {
         self.leaving.push(name);
     }
 
     /// Keeps the list as it is, or lets it go on.
-    pub fn freeze(&mut self, is_frozen: bool, now_ms: u64) {
+    pub fn set_frozen(&mut self, is_frozen: bool, now_ms: u64) {
         let list = is_frozen.then(|| self.list(now_ms));
         if self.frozen.is_none() || !is_frozen {
             self.frozen = list;
@@ -64,9 +70,9 @@
         if let Some(frozen) = &self.frozen {
             return frozen.clone();
         }
-        let heard = self.entries.values();
-        let kept = heard.filter(|entry| now_ms < entry.heard_at_ms + self.lag_ms);
-        let with_state = kept.map(|entry| {
+        let entries = self.entries.values();
+        let listed = entries.filter(|entry| now_ms < entry.announced_at_ms + self.lag_ms);
+        let with_state = listed.map(|entry| {
             let mut facts = entry.facts.clone();
             if self.leaving.contains(&facts.name) {
                 facts.state = BoxState::Leaving;
--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -16,19 +16,19 @@
 
 /// What the callers are told.
 #[derive(Clone, Debug)]
-pub struct Drive {
+pub struct DriveConfig {
     /// `IP:port` of the daemons.
     pub daemons: Vec<String>,
     /// How long requests are sent.
-    pub length: Duration,
+    pub duration: Duration,
     /// Requests a second.
     pub rate_per_s: u32,
     /// Tasks submitted, evenly over the time.
     pub tasks_count: u32,
     /// How long tasks may take to finish after that.
-    pub finish_limit: Duration,
+    pub finish_timeout: Duration,
     /// How often each task is asked about.
-    pub status_every: Duration,
+    pub status_interval: Duration,
     /// The seed of all choices.
     pub seed: u64,
     /// Put before every key, so that drives don't share keys.
@@ -126,10 +126,10 @@
 ];
 
 /// A caller gives up on a request after this time.
-const REQUEST_LIMIT: Duration = Duration::from_secs(10);
-const CALL_LIMIT: Duration = Duration::from_secs(12);
-const SUBMIT_LIMIT: Duration = Duration::from_secs(40);
-const PAUSE: Duration = Duration::from_millis(200);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(12);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(40);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 #[derive(Default)]
 struct Tally {
@@ -140,17 +140,17 @@
 
 #[derive(Clone)]
 struct Caller {
-    drive: Arc<Drive>,
+    drive: Arc<DriveConfig>,
     http: HttpClient,
     tally: Arc<Mutex<Tally>>,
 }
 
-const IDLE_CONNECTIONS: usize = 64;
+const IDLE_CONNECTIONS_LIMIT: usize = 64;
 
 /// Drives the daemons and returns what became of the work.
-pub async fn run(drive: Drive) -> DriveReport {
+pub async fn run(drive: DriveConfig) -> DriveReport {
     let caller = Caller {
-        http: HttpClient::new(IDLE_CONNECTIONS),
+        http: HttpClient::new(IDLE_CONNECTIONS_LIMIT),
         tally: Arc::new(Mutex::new(Tally::default())),
         drive: Arc::new(drive),
     };
@@ -162,7 +162,7 @@
 }
 
 impl Caller {
-    fn note(&self, change: impl FnOnce(&mut Tally)) {
+    fn update_tally(&self, change: impl FnOnce(&mut Tally)) {
         change(&mut self.tally.lock().unwrap_or_else(|e| e.into_inner()));
     }
 
@@ -176,20 +176,20 @@
 
     async fn send_requests(self) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.drive.seed);
-        let count = u64::from(self.drive.rate_per_s) * self.drive.length.as_secs();
-        let gap = Duration::from_secs(1) / self.drive.rate_per_s.max(1);
-        let mut ticks = tokio::time::interval(gap);
-        let mut open = Vec::new();
+        let count = u64::from(self.drive.rate_per_s) * self.drive.duration.as_secs();
+        let interval = Duration::from_secs(1) / self.drive.rate_per_s.max(1);
+        let mut ticks = tokio::time::interval(interval);
+        let mut pending = Vec::new();
         for number in 0..count {
             ticks.tick().await;
             let row = &SERVICE_ROWS[number as usize % SERVICE_ROWS.len()];
             let ms = rng.random_range(row.work_ms.clone());
             let caller = self.clone();
-            open.push(tokio::spawn(async move {
+            pending.push(tokio::spawn(async move {
                 caller.request(row, number, ms).await;
             }));
         }
-        for request in open {
+        for request in pending {
             let _ = request.await;
         }
     }
@@ -207,44 +207,49 @@
         };
         let key = format!("{safety}-{}-{number}", self.drive.run_name);
         let body = format!("{ms} payload-{key}");
-        let began = Instant::now();
-        self.note(|tally| tally.report.requests_sent += 1);
-        for turn in 0.. {
-            if began.elapsed() >= REQUEST_LIMIT {
-                self.note(|tally| tally.report.requests_not_run += 1);
+        let started_at = Instant::now();
+        self.update_tally(|tally| tally.report.requests_sent += 1);
+        for attempt in 0.. {
+            if started_at.elapsed() >= REQUEST_TIMEOUT {
+                self.update_tally(|tally| tally.report.requests_not_run += 1);
                 return;
             }
             let path = format!("/v1/call/{}", row.name);
-            let call = Call::new(Method::POST, self.daemon(number + turn), &path, CALL_LIMIT)
-                .with_header(REQUEST_KEY, &key)
-                .with_body(body.clone());
+            let call = Call::new(
+                Method::POST,
+                self.daemon(number + attempt),
+                &path,
+                CALL_TIMEOUT,
+            )
+            .with_header(REQUEST_KEY, &key)
+            .with_body(body.clone());
             match self.http.call(call).await {
                 Ok(answer) if outcome(&answer) == "done" => {
-                    self.note_answer(&answer, &key, row, began);
+                    self.record_answer(&answer, &key, row, started_at);
                     return;
                 }
                 Ok(answer) if outcome(&answer) == "not_run" => {
-                    self.note(|tally| tally.report.refusals += 1);
+                    self.update_tally(|tally| tally.report.refusals += 1);
                     tokio::time::sleep(retry_after(&answer)).await;
                 }
                 Ok(_) => {
-                    self.note(|tally| tally.report.requests_unknown += 1);
+                    self.update_tally(|tally| tally.report.requests_unknown += 1);
                     return;
                 }
                 // The daemon is gone: ask another, with the same key.
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    fn note_answer(&self, answer: &Answer, key: &str, row: &ServiceRow, began: Instant) {
+    fn record_answer(&self, answer: &Answer, key: &str, row: &ServiceRow, started_at: Instant) {
         let reply: Result<MinionReply, HttpError> = answer.json();
         let is_own = reply.is_ok_and(|reply| {
             let is_key = reply.key == key || row.is_repeatable && reply.key.is_empty();
             is_key && reply.row == row.name && reply.text == format!("payload-{key}")
         });
-        let took_us = began.elapsed().as_micros() as u64;
-        self.note(|tally| {
+        let took_us = started_at.elapsed().as_micros() as u64;
+        self.update_tally(|tally| {
             if is_own {
                 tally.report.requests_done += 1;
                 record(&mut tally.request_us, took_us);
@@ -256,18 +261,18 @@
 
     async fn send_tasks(self) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.drive.seed + 1);
-        let gap = self.drive.length / self.drive.tasks_count.max(1);
-        let mut open = Vec::new();
+        let interval = self.drive.duration / self.drive.tasks_count.max(1);
+        let mut pending = Vec::new();
         for number in 0..self.drive.tasks_count {
             let row = &BATCH_ROWS[number as usize % BATCH_ROWS.len()];
             let ms = rng.random_range(row.work_ms.clone());
             let caller = self.clone();
-            open.push(tokio::spawn(async move {
+            pending.push(tokio::spawn(async move {
                 caller.task(row, u64::from(number), ms).await;
             }));
-            tokio::time::sleep(gap).await;
+            tokio::time::sleep(interval).await;
         }
-        for task in open {
+        for task in pending {
             let _ = task.await;
         }
     }
@@ -276,25 +281,25 @@
     async fn task(&self, row: &BatchRow, number: u64, ms: u64) {
         let key = format!("task-{}-{number}", self.drive.run_name);
         if !self.submit(row, &key, number, ms).await {
-            self.note(|tally| tally.report.tasks_refused += 1);
+            self.update_tally(|tally| tally.report.tasks_refused += 1);
             return;
         }
-        self.note(|tally| tally.report.tasks_submitted += 1);
-        let until = Instant::now() + self.drive.finish_limit;
-        let mut turn = number;
-        while Instant::now() < until {
-            tokio::time::sleep(self.drive.status_every).await;
-            turn += 1;
-            let Some(status) = self.status(&key, turn).await else {
+        self.update_tally(|tally| tally.report.tasks_submitted += 1);
+        let deadline = Instant::now() + self.drive.finish_timeout;
+        let mut attempt = number;
+        while Instant::now() < deadline {
+            tokio::time::sleep(self.drive.status_interval).await;
+            attempt += 1;
+            let Some(status) = self.status(&key, attempt).await else {
                 continue;
             };
             match status.phase {
                 TaskPhase::Finished if status.result == Some(format!("result-{key}")) => {
-                    self.note(|tally| tally.report.tasks_finished += 1);
+                    self.update_tally(|tally| tally.report.tasks_finished += 1);
                     return;
                 }
                 TaskPhase::Unknown => {
-                    self.note(|tally| tally.report.tasks_unknown += 1);
+                    self.update_tally(|tally| tally.report.tasks_unknown += 1);
                     return;
                 }
                 _ => {}
@@ -314,33 +319,33 @@
             },
             key,
         };
-        let began = Instant::now();
-        for turn in 0.. {
-            if began.elapsed() >= SUBMIT_LIMIT {
+        let started_at = Instant::now();
+        for attempt in 0.. {
+            if started_at.elapsed() >= SUBMIT_TIMEOUT {
                 return false;
             }
-            let daemon = self.daemon(number + turn);
-            let call = Call::new(Method::POST, daemon, "/v1/tasks", CALL_LIMIT).with_json(&task);
+            let daemon = self.daemon(number + attempt);
+            let call = Call::new(Method::POST, daemon, "/v1/tasks", CALL_TIMEOUT).with_json(&task);
             let Ok(call) = call else { return false };
             match self.http.call(call).await {
                 Ok(answer) if outcome(&answer) == "done" => {
-                    let took_us = began.elapsed().as_micros() as u64;
-                    self.note(|tally| record(&mut tally.submit_us, took_us));
+                    let took_us = started_at.elapsed().as_micros() as u64;
+                    self.update_tally(|tally| record(&mut tally.submit_us, took_us));
                     return true;
                 }
                 Ok(answer) => {
-                    self.note(|tally| tally.report.refusals += 1);
+                    self.update_tally(|tally| tally.report.refusals += 1);
                     tokio::time::sleep(retry_after(&answer)).await;
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
         false
     }
 
-    async fn status(&self, key: &str, turn: u64) -> Option<TaskStatus> {
+    async fn status(&self, key: &str, attempt: u64) -> Option<TaskStatus> {
         let path = format!("/v1/tasks/{key}");
-        let call = Call::new(Method::GET, self.daemon(turn), &path, CALL_LIMIT);
+        let call = Call::new(Method::GET, self.daemon(attempt), &path, CALL_TIMEOUT);
         self.http.call(call).await.ok()?.json().ok()
     }
 }
@@ -352,16 +357,16 @@
 fn retry_after(answer: &Answer) -> Duration {
     let refusal: Result<Refusal, HttpError> = answer.json();
     let ms = refusal.ok().and_then(|refusal| refusal.retry_after_ms);
-    ms.map_or(PAUSE, Duration::from_millis)
+    ms.map_or(RETRY_DELAY, Duration::from_millis)
 }
 
 const SIGNIFICANT_DIGITS: u8 = 3;
 /// Longer times count as this: ten minutes.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_RECORDED_US: u64 = 600_000_000;
 
 fn record(histogram: &mut Option<Histogram<u64>>, value_us: u64) {
     if histogram.is_none() {
-        *histogram = Histogram::new_with_max(LONGEST_US, SIGNIFICANT_DIGITS).ok();
+        *histogram = Histogram::new_with_max(MAX_RECORDED_US, SIGNIFICANT_DIGITS).ok();
     }
     if let Some(histogram) = histogram {
         histogram.saturating_record(value_us);
--- a/crates/standin/src/judge.rs
+++ b/crates/standin/src/judge.rs
@@ -55,7 +55,7 @@
     for (key, runs) in &mut tasks {
         runs.sort_by_key(|run| run.began_at_ms);
         let finished_count = runs.iter().filter(|run| run.is_finished).count();
-        if finished_count > 1 || overlap(runs) {
+        if finished_count > 1 || has_overlap(runs) {
             judgement.tasks_run_twice += 1;
             let name = format!("shard{}/{}", key.shard, key.task);
             judgement.tasks_at_fault.push(name);
@@ -78,14 +78,14 @@
 }
 
 /// Returns whether two of the runs, in the order of their beginnings, overlap.
-fn overlap(runs: &[&Run]) -> bool {
+fn has_overlap(runs: &[&Run]) -> bool {
     let now = clock::now().as_ms();
-    let mut until = 0;
+    let mut latest_end_ms = 0;
     for run in runs {
-        if run.began_at_ms < until {
+        if run.began_at_ms < latest_end_ms {
             return true;
         }
-        until = until.max(run.ended_at_ms.unwrap_or(now));
+        latest_end_ms = latest_end_ms.max(run.ended_at_ms.unwrap_or(now));
     }
     false
 }
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default)]
 struct Lease {
     ttl_ms: u64,
-    lapses_at_ms: u64,
+    expires_at_ms: u64,
     keys: BTreeSet<Vec<u8>>,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    fn holds(&self, compare: &CompareRequest) -> bool {
+    fn condition_holds(&self, compare: &CompareRequest) -> bool {
         let found = self.keys.get(&compare.key.0);
         match compare.target {
             CompareTarget::Version => found.map_or(Int64(0), |kv| kv.version) == compare.version,
@@ -98,7 +98,10 @@
 
     /// Runs a transaction.
     pub fn txn(&mut self, txn: &TxnRequest) -> TxnReply {
-        let succeeded = txn.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = txn
+            .compare
+            .iter()
+            .all(|compare| self.condition_holds(compare));
         let ops = if succeeded {
             &txn.success
         } else {
@@ -133,10 +136,10 @@
     }
 
     fn put(&mut self, put: &PutRequest, revision: u64) {
-        let before = self.keys.get(&put.key.0);
-        let created = before.map_or(Int64::from(revision), |kv| kv.create_revision);
-        let version = before.map_or(0, |kv| kv.version.0) + 1;
-        let old_lease = before.map_or(0, |kv| kv.lease.0);
+        let previous = self.keys.get(&put.key.0);
+        let created = previous.map_or(Int64::from(revision), |kv| kv.create_revision);
+        let version = previous.map_or(0, |kv| kv.version.0) + 1;
+        let old_lease = previous.map_or(0, |kv| kv.lease.0);
         if let Some(lease) = self.leases.get_mut(&old_lease) {
             lease.keys.remove(&put.key.0);
         }
@@ -159,8 +162,8 @@
         if is_empty(&bounds) {
             return 0;
         }
-        let gone: Vec<Vec<u8>> = self.keys.range(bounds).map(|(k, _)| k.clone()).collect();
-        for key in &gone {
+        let removed_keys: Vec<Vec<u8>> = self.keys.range(bounds).map(|(k, _)| k.clone()).collect();
+        for key in &removed_keys {
             let removed = self.keys.remove(key);
             let lease = removed.map_or(0, |kv| kv.lease.0);
             // A key that is put again later does not live by the old lease.
@@ -168,7 +171,7 @@
                 lease.keys.remove(key);
             }
         }
-        gone.len()
+        removed_keys.len()
     }
 
     /// Grants a lease.
@@ -177,7 +180,7 @@
         let ttl_ms = ttl_s * 1000;
         let lease = Lease {
             ttl_ms,
-            lapses_at_ms: now_ms + ttl_ms,
+            expires_at_ms: now_ms + ttl_ms,
             keys: BTreeSet::new(),
         };
         self.leases.insert(self.next_lease, lease);
@@ -186,11 +189,11 @@
 
     /// Renews a lease and returns its length in seconds, zero where it lapsed.
     pub fn keep_alive(&mut self, id: i64, now_ms: u64) -> u64 {
-        self.lapse(now_ms);
+        self.expire_leases(now_ms);
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
         };
-        lease.lapses_at_ms = now_ms + lease.ttl_ms;
+        lease.expires_at_ms = now_ms + lease.ttl_ms;
         lease.ttl_ms / 1000
     }
 
@@ -207,10 +210,13 @@
     }
 
     /// Drops the leases that have lapsed, and their keys.
-    pub fn lapse(&mut self, now_ms: u64) {
-        let lapsed = self.leases.iter().filter(|(_, l)| l.lapses_at_ms <= now_ms);
-        let lapsed: Vec<i64> = lapsed.map(|(&id, _)| id).collect();
-        for id in lapsed {
+    pub fn expire_leases(&mut self, now_ms: u64) {
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, l)| l.expires_at_ms <= now_ms);
+        let expired: Vec<i64> = expired.map(|(&id, _)| id).collect();
+        for id in expired {
             self.revoke(id);
         }
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,7 +1,7 @@
 //! The program `ospreywing-standin`.
 
 use clap::{value_parser, Arg, ArgMatches, Command};
-use ospreywing_standin::drive::{self, Drive};
+use ospreywing_standin::drive::{self, DriveConfig};
 use ospreywing_standin::judge;
 use ospreywing_standin::minion::{self, MinionHost};
 use ospreywing_standin::platform::{self, Platform, PlatformLimits};
@@ -45,21 +45,21 @@
                         .value_parser(["swaramala", "gallery", "letter"])
                         .help("The deployment"),
                 )
-                .arg(number("seed", "1", "The seed of all choices")),
+                .arg(number_arg("seed", "1", "The seed of all choices")),
         )
         .subcommand(
             Command::new("judge")
                 .about("Judges the records of workers and minions")
-                .arg(list("workers", "IP:port of worker hosts' switches"))
-                .arg(list("minions", "IP:port of minion hosts' switches")),
+                .arg(list_arg("workers", "IP:port of worker hosts' switches"))
+                .arg(list_arg("minions", "IP:port of minion hosts' switches")),
         )
 }
 
-fn list(name: &'static str, help: &'static str) -> Arg {
+fn list_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).value_delimiter(',').help(help)
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .default_value(default)
@@ -67,17 +67,17 @@
         .help(help)
 }
 
-fn text(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn text_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).default_value(default).help(help)
 }
 
 fn platform_command() -> Command {
     Command::new("platform")
         .about("The store and the box list")
-        .arg(list("listen", "IP:port, one or more"))
-        .arg(number("writes-per-s", "100", "Writes a second"))
-        .arg(number("reads-per-s", "2000", "Reads a second"))
-        .arg(number(
+        .arg(list_arg("listen", "IP:port, one or more"))
+        .arg(number_arg("writes-per-s", "100", "Writes a second"))
+        .arg(number_arg("reads-per-s", "2000", "Reads a second"))
+        .arg(number_arg(
             "box-lag-ms",
             "5000",
             "How long a box that is gone stays listed",
@@ -87,60 +87,68 @@
 fn workers_command() -> Command {
     Command::new("workers")
         .about("Workers, in one process")
-        .arg(text("listen", "127.0.0.1:0", "IP:port of the switches"))
-        .arg(text(
+        .arg(text_arg("listen", "127.0.0.1:0", "IP:port of the switches"))
+        .arg(text_arg(
             "platform",
             "127.0.0.1:7400",
             "IP:port of the platform",
         ))
-        .arg(text("prefix", "w", "The beginning of the workers' names"))
-        .arg(number("count", "8", "How many"))
-        .arg(number("cores-milli", "64000", "Processors of each"))
-        .arg(number("memory-mib", "131072", "Memory of each"))
-        .arg(number(
+        .arg(text_arg(
+            "prefix",
+            "w",
+            "The beginning of the workers' names",
+        ))
+        .arg(number_arg("count", "8", "How many"))
+        .arg(number_arg("cores-milli", "64000", "Processors of each"))
+        .arg(number_arg("memory-mib", "131072", "Memory of each"))
+        .arg(number_arg(
             "accelerators",
             "4",
             "Accelerators of the accelerated",
         ))
-        .arg(number("accelerated", "2", "How many have accelerators"))
-        .arg(number("rack-size", "8", "Workers in a rack"))
-        .arg(list("data-centres", "Data centres to spread racks over").default_value("dc-a"))
+        .arg(number_arg("accelerated", "2", "How many have accelerators"))
+        .arg(number_arg("rack-size", "8", "Workers in a rack"))
+        .arg(list_arg("data-centres", "Data centres to spread racks over").default_value("dc-a"))
 }
 
 fn minions_command() -> Command {
     Command::new("minions")
         .about("Minions, in one process")
-        .arg(text("listen", "127.0.0.1:0", "IP:port of the switches"))
-        .arg(text(
+        .arg(text_arg("listen", "127.0.0.1:0", "IP:port of the switches"))
+        .arg(text_arg(
             "platform",
             "127.0.0.1:7400",
             "IP:port of the platform",
         ))
-        .arg(text("prefix", "m", "The beginning of the minions' names"))
-        .arg(number("count", "8", "How many"))
-        .arg(list("serves", "The rows that they serve").required(true))
-        .arg(list("data-centres", "Data centres to spread over").default_value("dc-a"))
+        .arg(text_arg(
+            "prefix",
+            "m",
+            "The beginning of the minions' names",
+        ))
+        .arg(number_arg("count", "8", "How many"))
+        .arg(list_arg("serves", "The rows that they serve").required(true))
+        .arg(list_arg("data-centres", "Data centres to spread over").default_value("dc-a"))
 }
 
 fn drive_command() -> Command {
     Command::new("drive")
         .about("Callers of both deployments")
-        .arg(list("daemons", "IP:port of the daemons").required(true))
-        .arg(number("seconds", "10", "How long requests are sent"))
-        .arg(number("rate", "50", "Requests a second"))
-        .arg(number("tasks", "50", "Tasks"))
-        .arg(number(
+        .arg(list_arg("daemons", "IP:port of the daemons").required(true))
+        .arg(number_arg("seconds", "10", "How long requests are sent"))
+        .arg(number_arg("rate", "50", "Requests a second"))
+        .arg(number_arg("tasks", "50", "Tasks"))
+        .arg(number_arg(
             "finish-seconds",
             "60",
             "How long tasks may take after that",
         ))
-        .arg(number(
+        .arg(number_arg(
             "status-every-ms",
             "200",
             "How often each task is asked about",
         ))
-        .arg(number("seed", "1", "The seed of all choices"))
-        .arg(text("run-name", "drive", "Put into every key"))
+        .arg(number_arg("seed", "1", "The seed of all choices"))
+        .arg(text_arg("run-name", "drive", "Put into every key"))
 }
 
 async fn run(matches: &ArgMatches) -> std::io::Result<()> {
@@ -158,22 +166,22 @@
     }
 }
 
-fn texts(matches: &ArgMatches, name: &str) -> Vec<String> {
+fn get_strings(matches: &ArgMatches, name: &str) -> Vec<String> {
     let values = matches.get_many::<String>(name).into_iter().flatten();
     values.cloned().collect()
 }
 
-fn one(matches: &ArgMatches, name: &str) -> String {
+fn get_string(matches: &ArgMatches, name: &str) -> String {
     let value = matches.get_one::<String>(name);
     value.cloned().unwrap_or_default()
 }
 
-fn count(matches: &ArgMatches, name: &str) -> u32 {
+fn get_number(matches: &ArgMatches, name: &str) -> u32 {
     matches.get_one::<u32>(name).copied().unwrap_or_default()
 }
 
-fn names(matches: &ArgMatches, name: &str) -> std::io::Result<Vec<Name>> {
-    let texts = texts(matches, name);
+fn get_names(matches: &ArgMatches, name: &str) -> std::io::Result<Vec<Name>> {
+    let texts = get_strings(matches, name);
     let names = texts.iter().map(|text| Name::new(text));
     let names: Result<Vec<Name>, _> = names.collect();
     names.map_err(std::io::Error::other)
@@ -191,69 +199,69 @@
 }
 
 fn make_trace(matches: &ArgMatches) {
-    let seed = u64::from(count(matches, "seed"));
-    if let Some(shape) = trace_maker::shape(&one(matches, "shape")) {
+    let seed = u64::from(get_number(matches, "seed"));
+    if let Some(shape) = trace_maker::shape(&get_string(matches, "shape")) {
         print!("{}", trace_maker::make(&shape, seed));
     }
 }
 
 fn run_platform(matches: &ArgMatches) -> std::io::Result<()> {
     let mut listeners = Vec::new();
-    for addr in texts(matches, "listen") {
+    for addr in get_strings(matches, "listen") {
         let listener = bind(&addr)?;
         say_addr(&listener)?;
         listeners.push(listener);
     }
     let limits = PlatformLimits {
-        writes_per_s: u64::from(count(matches, "writes-per-s")),
-        reads_per_s: u64::from(count(matches, "reads-per-s")),
-        box_lag_ms: u64::from(count(matches, "box-lag-ms")),
+        writes_per_s: u64::from(get_number(matches, "writes-per-s")),
+        reads_per_s: u64::from(get_number(matches, "reads-per-s")),
+        box_lag_ms: u64::from(get_number(matches, "box-lag-ms")),
     };
     platform::serve(listeners, Platform::new(limits))
 }
 
 async fn run_workers(matches: &ArgMatches) -> std::io::Result<()> {
-    let listener = bind(&one(matches, "listen"))?;
+    let listener = bind(&get_string(matches, "listen"))?;
     say_addr(&listener)?;
     let host = WorkerHost {
-        prefix: one(matches, "prefix"),
-        count: count(matches, "count"),
+        prefix: get_string(matches, "prefix"),
+        count: get_number(matches, "count"),
         capacity: Resources::new(
-            count(matches, "cores-milli"),
-            count(matches, "memory-mib"),
-            count(matches, "accelerators"),
+            get_number(matches, "cores-milli"),
+            get_number(matches, "memory-mib"),
+            get_number(matches, "accelerators"),
         ),
-        accelerated_count: count(matches, "accelerated"),
-        rack_size: count(matches, "rack-size").max(1),
-        data_centres: names(matches, "data-centres")?,
-        platform_addr: one(matches, "platform"),
+        accelerated_count: get_number(matches, "accelerated"),
+        rack_size: get_number(matches, "rack-size").max(1),
+        data_centres: get_names(matches, "data-centres")?,
+        platform_addr: get_string(matches, "platform"),
     };
     worker::run(host, listener).await
 }
 
 async fn run_minions(matches: &ArgMatches) -> std::io::Result<()> {
-    let listener = bind(&one(matches, "listen"))?;
+    let listener = bind(&get_string(matches, "listen"))?;
     say_addr(&listener)?;
     let host = MinionHost {
-        prefix: one(matches, "prefix"),
-        count: count(matches, "count"),
-        serves: names(matches, "serves")?,
-        data_centres: names(matches, "data-centres")?,
-        platform_addr: one(matches, "platform"),
+        prefix: get_string(matches, "prefix"),
+        count: get_number(matches, "count"),
+        serves: get_names(matches, "serves")?,
+        data_centres: get_names(matches, "data-centres")?,
+        platform_addr: get_string(matches, "platform"),
     };
     minion::run(host, listener).await
 }
 
 async fn run_drive(matches: &ArgMatches) -> std::io::Result<()> {
-    let report = drive::run(Drive {
-        daemons: texts(matches, "daemons"),
-        length: Duration::from_secs(u64::from(count(matches, "seconds"))),
-        rate_per_s: count(matches, "rate"),
-        tasks_count: count(matches, "tasks"),
-        finish_limit: Duration::from_secs(u64::from(count(matches, "finish-seconds"))),
-        status_every: Duration::from_millis(u64::from(count(matches, "status-every-ms"))),
-        seed: u64::from(count(matches, "seed")),
-        run_name: one(matches, "run-name"),
+    let report = drive::run(DriveConfig {
+        daemons: get_strings(matches, "daemons"),
+        duration: Duration::from_secs(u64::from(get_number(matches, "seconds"))),
+        rate_per_s: get_number(matches, "rate"),
+        tasks_count: get_number(matches, "tasks"),
+        finish_timeout: Duration::from_secs(u64::from(get_number(matches, "finish-seconds"))),
+        status_interval: Duration::from_millis(u64::from(get_number(matches, "status-every-ms"))),
+        seed: u64::from(get_number(matches, "seed")),
+        run_name: get_string(matches, "run-name"),
     })
     .await;
     println!("{}", serde_json::to_string(&report)?);
@@ -261,7 +269,10 @@
 }
 
 async fn run_judge(matches: &ArgMatches) -> std::io::Result<()> {
-    let (workers, minions) = (texts(matches, "workers"), texts(matches, "minions"));
+    let (workers, minions) = (
+        get_strings(matches, "workers"),
+        get_strings(matches, "minions"),
+    );
     let judgement = judge::fetch(&workers, &minions).await;
     let judgement = judgement.map_err(std::io::Error::other)?;
     println!("{}", serde_json::to_string(&judgement)?);
--- a/crates/standin/src/minion.rs
+++ b/crates/standin/src/minion.rs
@@ -7,7 +7,7 @@
 use crate::faults::MinionFaults;
 use crate::record::{KeyRuns, MinionRecord};
 use crate::web::{body, json, json_body, path, text};
-use crate::worker::announce_for_ever;
+use crate::worker::announce_periodically;
 use ospreywing_types::api::REQUEST_KEY;
 use ospreywing_types::{BoxFacts, BoxKind, BoxState, Name, Resources};
 use rand::Rng;
@@ -54,7 +54,7 @@
 #[derive(Default)]
 struct State {
     keys: BTreeMap<String, u64>,
-    busy: BTreeMap<String, u64>,
+    busy_slots: BTreeMap<String, u64>,
     record: MinionRecord,
     faults: MinionFaults,
 }
@@ -80,7 +80,7 @@
 /// Returns an error where a socket can't be opened.
 pub async fn run(host: MinionHost, listener: TcpListener) -> std::io::Result<()> {
     let boxes = serve(&host, listener)?;
-    announce_for_ever(&host.platform_addr, boxes).await;
+    announce_periodically(&host.platform_addr, boxes).await;
     Ok(())
 }
 
@@ -98,7 +98,7 @@
     let mut boxes = Vec::new();
     for index in 0..host.count {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        boxes.push(facts(host, index, listener.local_addr()?.to_string()));
+        boxes.push(box_facts(host, index, listener.local_addr()?.to_string()));
         server = server.listen(listener)?;
     }
     let server = server.run();
@@ -106,7 +106,7 @@
     Ok(boxes)
 }
 
-fn facts(host: &MinionHost, index: u32, addr: String) -> BoxFacts {
+fn box_facts(host: &MinionHost, index: u32, addr: String) -> BoxFacts {
     let name = Name::new(&format!("{}{index:03}", host.prefix));
     let rack = Name::new(&format!("{}rack{}", host.prefix, index / 8));
     let data_centre = &host.data_centres[index as usize % host.data_centres.len()];
@@ -137,20 +137,20 @@
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         let mut state = self.minions.lock();
-        if let Some(busy) = state.busy.get_mut(&self.host) {
-            *busy -= 1;
+        if let Some(busy_slots) = state.busy_slots.get_mut(&self.host) {
+            *busy_slots -= 1;
         }
     }
 }
 
-fn take_slot(minions: &Minions, host: &str, key: &str) -> SlotGuard {
+fn occupy_slot(minions: &Minions, host: &str, key: &str) -> SlotGuard {
     let mut state = minions.lock();
-    let busy = state.busy.entry(host.to_owned()).or_default();
-    *busy += 1;
-    let busy = *busy;
+    let busy_slots = state.busy_slots.entry(host.to_owned()).or_default();
+    *busy_slots += 1;
+    let busy_slots = *busy_slots;
     state.record.runs_count += 1;
-    state.record.overcommits_count += u64::from(busy > SLOTS_COUNT);
-    state.record.peak_slots_count = state.record.peak_slots_count.max(busy);
+    state.record.overcommits_count += u64::from(busy_slots > SLOTS_COUNT);
+    state.record.peak_slots_count = state.record.peak_slots_count.max(busy_slots);
     if !key.is_empty() {
         *state.keys.entry(key.to_owned()).or_default() += 1;
     }
@@ -177,7 +177,7 @@
         let state = minions.lock();
         (state.faults.slow_ms, state.faults.lose_answers_permille)
     };
-    let slot = take_slot(&minions, &host, &key);
+    let slot = occupy_slot(&minions, &host, &key);
     // The work goes on when the connection breaks.
     let work = tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(ms + slow_ms)).await;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Second {
+struct SecondCounts {
     number: u64,
     writes_count: u64,
     reads_count: u64,
@@ -68,7 +68,7 @@
     writes: RateLimit,
     reads: RateLimit,
     counts: PlatformCounts,
-    second: Second,
+    current_second: SecondCounts,
 }
 
 /// The platform, shared by its handlers.
@@ -78,7 +78,7 @@
 }
 
 /// A store that is down keeps a call open for this long.
-const DOWN_FOR: Duration = Duration::from_secs(10);
+const DOWN_DELAY: Duration = Duration::from_secs(10);
 
 impl Platform {
     /// Creates an empty platform.
@@ -90,7 +90,7 @@
             writes: RateLimit::new(limits.writes_per_s),
             reads: RateLimit::new(limits.reads_per_s),
             counts: PlatformCounts::default(),
-            second: Second::default(),
+            current_second: SecondCounts::default(),
         };
         Self {
             state: Arc::new(Mutex::new(state)),
@@ -112,28 +112,30 @@
         } else {
             &mut self.reads
         };
-        if !limit.take(now) {
+        if !limit.try_take(now) {
             self.counts.limited_count += 1;
             return false;
         }
-        self.count(now / 1000, is_write);
+        self.record_call(now / 1000, is_write);
         true
     }
 
-    fn count(&mut self, second: u64, is_write: bool) {
-        if self.second.number != second {
-            self.second = Second {
-                number: second,
-                ..Second::default()
+    fn record_call(&mut self, current_second: u64, is_write: bool) {
+        if self.current_second.number != current_second {
+            self.current_second = SecondCounts {
+                number: current_second,
+                ..SecondCounts::default()
             };
         }
         self.counts.writes_count += u64::from(is_write);
         self.counts.reads_count += u64::from(!is_write);
-        self.second.writes_count += u64::from(is_write);
-        self.second.reads_count += u64::from(!is_write);
+        self.current_second.writes_count += u64::from(is_write);
+        self.current_second.reads_count += u64::from(!is_write);
         let counts = &mut self.counts;
-        counts.peak_writes_per_s = counts.peak_writes_per_s.max(self.second.writes_count);
-        counts.peak_reads_per_s = counts.peak_reads_per_s.max(self.second.reads_count);
+        counts.peak_writes_per_s = counts
+            .peak_writes_per_s
+            .max(self.current_second.writes_count);
+        counts.peak_reads_per_s = counts.peak_reads_per_s.max(self.current_second.reads_count);
     }
 }
 
@@ -170,7 +172,7 @@
 }
 
 /// Holds a call up as the faults say; returns whether it goes on.
-async fn pass_faults(ctx: &Context<'_>) -> bool {
+async fn apply_faults(ctx: &Context<'_>) -> bool {
     let port = port_of(ctx);
     let (is_down, slow_ms) = {
         let state = ctx.state().lock();
@@ -179,7 +181,7 @@
         (faults.is_down || is_port_down, faults.slow_ms)
     };
     if is_down {
-        tokio::time::sleep(DOWN_FOR).await;
+        tokio::time::sleep(DOWN_DELAY).await;
         return false;
     }
     if slow_ms > 0 {
@@ -209,11 +211,11 @@
 }
 
 /// Runs a call under the faults and limits.
-async fn run<Q, A>(
+async fn handle_call<Q, A>(
     ctx: &Context<'_>,
     path: &str,
     is_write: impl FnOnce(&Q) -> bool,
-    work: impl FnOnce(&mut State, &Q) -> A,
+    apply: impl FnOnce(&mut State, &Q) -> A,
 ) -> WebResponse
 where
     Q: for<'de> Deserialize<'de>,
@@ -223,7 +225,7 @@
         Ok(request) => request,
         Err(error) => return invalid(error),
     };
-    if !pass_faults(ctx).await {
+    if !apply_faults(ctx).await {
         return unavailable();
     }
     let is_write = is_write(&request);
@@ -232,8 +234,8 @@
         if !state.admit(path, is_write) {
             return limited();
         }
-        state.kv.lapse(clock::now().as_ms());
-        let reply = work(&mut state, &request);
+        state.kv.expire_leases(clock::now().as_ms());
+        let reply = apply(&mut state, &request);
         let permille = state.faults.lose_answers_permille;
         let is_lost = is_write && rand::rng().random_range(0..1000) < permille;
         (reply, is_lost)
@@ -245,12 +247,12 @@
 }
 
 async fn range(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &RangeRequest| state.kv.range(request);
-    run(ctx, wire::RANGE, |_| false, work).await
+    let apply = |state: &mut State, request: &RangeRequest| state.kv.range(request);
+    handle_call(ctx, wire::RANGE, |_| false, apply).await
 }
 
 async fn txn(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &TxnRequest| {
+    let apply = |state: &mut State, request: &TxnRequest| {
         let puts = request
             .success
             .iter()
@@ -264,41 +266,41 @@
         }
         state.kv.txn(request)
     };
-    run(ctx, wire::TXN, Kv::is_write, work).await
+    handle_call(ctx, wire::TXN, Kv::is_write, apply).await
 }
 
 async fn grant(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &LeaseGrantRequest| LeaseReply {
+    let apply = |state: &mut State, request: &LeaseGrantRequest| LeaseReply {
         id: Int64(state.kv.grant(request.ttl.as_u64(), clock::now().as_ms())),
         ttl: request.ttl,
     };
-    run(ctx, wire::LEASE_GRANT, |_| true, work).await
+    handle_call(ctx, wire::LEASE_GRANT, |_| true, apply).await
 }
 
 async fn keep_alive(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &LeaseRequest| Streamed {
+    let apply = |state: &mut State, request: &LeaseRequest| Streamed {
         result: LeaseReply {
             id: request.id,
             ttl: Int64::from(state.kv.keep_alive(request.id.0, clock::now().as_ms())),
         },
     };
-    run(ctx, wire::LEASE_KEEPALIVE, |_| true, work).await
+    handle_call(ctx, wire::LEASE_KEEPALIVE, |_| true, apply).await
 }
 
 async fn revoke(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &LeaseRequest| {
+    let apply = |state: &mut State, request: &LeaseRequest| {
         state.kv.revoke(request.id.0);
         Header::default()
     };
-    run(ctx, wire::LEASE_REVOKE, |_| true, work).await
+    handle_call(ctx, wire::LEASE_REVOKE, |_| true, apply).await
 }
 
 async fn boxes(ctx: &Context<'_>) -> WebResponse {
     let list = ctx.state().lock().boxes.list(clock::now().as_ms());
     let text = serde_json::to_string(&list).unwrap_or_default();
     let tag = format!("\"{:016x}\"", stable_hash(&text));
-    let known = ctx.req().headers().get(IF_NONE_MATCH);
-    if known.is_some_and(|known| known.as_bytes() == tag.as_bytes()) {
+    let known_tag = ctx.req().headers().get(IF_NONE_MATCH);
+    if known_tag.is_some_and(|known_tag| known_tag.as_bytes() == tag.as_bytes()) {
         let mut response = WebResponse::new(String::new().into());
         *response.status_mut() = StatusCode::NOT_MODIFIED;
         return response;
@@ -324,7 +326,7 @@
 async fn leave(ctx: &Context<'_>) -> WebResponse {
     match Name::new(&path(ctx).await) {
         Ok(name) => {
-            ctx.state().lock().boxes.leave(name);
+            ctx.state().lock().boxes.mark_leaving(name);
             text(StatusCode::OK, "ok")
         }
         Err(error) => invalid(error.to_string()),
@@ -337,7 +339,7 @@
             let mut state = ctx.state().lock();
             state
                 .boxes
-                .freeze(faults.is_box_list_frozen, clock::now().as_ms());
+                .set_frozen(faults.is_box_list_frozen, clock::now().as_ms());
             state.faults = faults;
             text(StatusCode::OK, "ok")
         }
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -19,7 +19,7 @@
     }
 
     /// Takes a token, if one is there.
-    pub fn take(&mut self, now_ms: u64) -> bool {
+    pub fn try_take(&mut self, now_ms: u64) -> bool {
         let elapsed_ms = now_ms.saturating_sub(self.filled_at_ms);
         let gained_milli = elapsed_ms.saturating_mul(self.rate_per_s);
         let full_milli = self.rate_per_s * 1000;
--- a/crates/standin/src/trace_maker.rs
+++ b/crates/standin/src/trace_maker.rs
@@ -18,11 +18,11 @@
     /// Its part of the arrivals.
     pub weight: u32,
     /// What each task needs.
-    pub need: Resources,
+    pub demand: Resources,
     /// The median duration.
     pub median_ms: f64,
     /// The spread of the duration: the standard deviation of its logarithm.
-    pub spread: f64,
+    pub log_std_dev: f64,
 }
 
 /// What a trace is made from.
@@ -37,11 +37,11 @@
     /// Workers in a rack.
     pub rack_size: u32,
     /// The trace's length.
-    pub length_ms: u64,
+    pub duration_ms: u64,
     /// Arrivals a second at the peak, which is in the middle.
     pub peak_per_s: f64,
     /// The rate at both ends, as a part of the peak's.
-    pub floor: f64,
+    pub floor_fraction: f64,
     /// Whether a rack is lost at the peak and back after a tenth of the trace.
     pub loses_rack: bool,
     /// The rows.
@@ -61,16 +61,16 @@
 const fn row(
     row: &'static str,
     weight: u32,
-    need: Resources,
+    demand: Resources,
     median_ms: f64,
-    spread: f64,
+    log_std_dev: f64,
 ) -> RowShape {
     RowShape {
         row,
         weight,
-        need,
+        demand,
         median_ms,
-        spread,
+        log_std_dev,
     }
 }
 
@@ -81,9 +81,9 @@
         accelerated_count: 0,
         capacity: Resources::new(64_000, 131_072, 0),
         rack_size: 8,
-        length_ms: 2 * 3600 * 1000,
+        duration_ms: 2 * 3600 * 1000,
         peak_per_s: 1.0,
-        floor: 0.2,
+        floor_fraction: 0.2,
         loses_rack: false,
         rows: vec![
             row(
@@ -111,9 +111,9 @@
         accelerated_count: 30,
         capacity: Resources::new(64_000, 262_144, 4),
         rack_size: 6,
-        length_ms: 2 * 3600 * 1000,
+        duration_ms: 2 * 3600 * 1000,
         peak_per_s: 0.75,
-        floor: 0.1,
+        floor_fraction: 0.1,
         loses_rack: false,
         rows: vec![
             row(
@@ -141,9 +141,9 @@
         accelerated_count: 175,
         capacity: Resources::new(64_000, 262_144, 4),
         rack_size: 8,
-        length_ms: 3 * 60 * 1000,
+        duration_ms: 3 * 60 * 1000,
         peak_per_s: 60.0,
-        floor: 0.7,
+        floor_fraction: 0.7,
         loses_rack: true,
         rows: vec![
             row(
@@ -173,18 +173,21 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut text = format!("ospreywing-trace 1\n# made with seed {seed}\n");
     for index in 0..shape.workers_count {
-        let mut holds = shape.capacity;
+        let mut capacity = shape.capacity;
         if index >= shape.accelerated_count {
-            holds.accelerators_count = 0;
+            capacity.accelerators_count = 0;
         }
         let rack = index / shape.rack_size;
-        let line = format!("0 worker w{index:03} rack{rack} {}", words(&holds));
-        push(&mut text, &line);
+        let line = format!(
+            "0 worker w{index:03} rack{rack} {}",
+            format_resources(&capacity)
+        );
+        push_line(&mut text, &line);
     }
-    let gap = Exp::new(shape.peak_per_s / 1000.0).expect("there are arrivals");
-    let middle_ms = shape.length_ms / 2;
-    let back_ms = middle_ms + shape.length_ms / 10;
-    let mut losses = if shape.loses_rack {
+    let interarrival = Exp::new(shape.peak_per_s / 1000.0).expect("there are arrivals");
+    let middle_ms = shape.duration_ms / 2;
+    let back_ms = middle_ms + shape.duration_ms / 10;
+    let mut rack_events = if shape.loses_rack {
         vec![(back_ms, "back"), (middle_ms, "lost")]
     } else {
         Vec::new()
@@ -192,18 +195,21 @@
     let mut at_ms = 0.0;
     let mut number = 0;
     loop {
-        at_ms += gap.sample(&mut rng);
-        while losses.last().is_some_and(|&(ms, _)| ms as f64 <= at_ms) {
-            if let Some((ms, word)) = losses.pop() {
-                push_rack(&mut text, shape, ms, word);
+        at_ms += interarrival.sample(&mut rng);
+        while rack_events
+            .last()
+            .is_some_and(|&(ms, _)| ms as f64 <= at_ms)
+        {
+            if let Some((ms, event)) = rack_events.pop() {
+                push_rack_event(&mut text, shape, ms, event);
             }
         }
-        if at_ms >= shape.length_ms as f64 {
+        if at_ms >= shape.duration_ms as f64 {
             return text;
         }
         // Thinning: an arrival of the peak's rate is kept with the shape's odds.
-        let odds = rate(shape, at_ms);
-        if rng.random_range(0.0..1.0) < odds {
+        let probability = relative_rate(shape, at_ms);
+        if rng.random_range(0.0..1.0) < probability {
             number += 1;
             push_task(&mut text, shape, at_ms as u64, number, &mut rng);
         }
@@ -211,36 +217,37 @@
 }
 
 /// The rate at a time, as a part of the peak's: a triangle over the floor.
-fn rate(shape: &TraceShape, at_ms: f64) -> f64 {
-    let place = at_ms / shape.length_ms as f64;
-    let from_peak = (place - 0.5).abs() * 2.0;
-    shape.floor + (1.0 - shape.floor) * (1.0 - from_peak)
+fn relative_rate(shape: &TraceShape, at_ms: f64) -> f64 {
+    let position = at_ms / shape.duration_ms as f64;
+    let from_peak = (position - 0.5).abs() * 2.0;
+    shape.floor_fraction + (1.0 - shape.floor_fraction) * (1.0 - from_peak)
 }
 
 fn push_task(text: &mut String, shape: &TraceShape, at_ms: u64, number: u64, rng: &mut Pcg64Mcg) {
     let weights: u32 = shape.rows.iter().map(|row| row.weight).sum();
     let mut pick = rng.random_range(0..weights);
     let row = shape.rows.iter().find(|row| {
-        let is_it = pick < row.weight;
+        let is_picked = pick < row.weight;
         pick = pick.saturating_sub(row.weight);
-        is_it
+        is_picked
     });
     let row = row.expect("there are rows");
-    let durations = LogNormal::new(row.median_ms.ln(), row.spread).expect("the spread is sound");
+    let durations =
+        LogNormal::new(row.median_ms.ln(), row.log_std_dev).expect("the spread is sound");
     let duration_ms = durations.sample(rng).max(1.0) as u64;
-    let need = words(&row.need);
-    let line = format!("{at_ms} task t{number} {} {need} {duration_ms}", row.row);
-    push(text, &line);
+    let demand = format_resources(&row.demand);
+    let line = format!("{at_ms} task t{number} {} {demand} {duration_ms}", row.row);
+    push_line(text, &line);
 }
 
 /// Writes what happens to every worker of one rack.
-fn push_rack(text: &mut String, shape: &TraceShape, at_ms: u64, word: &str) {
+fn push_rack_event(text: &mut String, shape: &TraceShape, at_ms: u64, event: &str) {
     for index in 0..shape.rack_size {
-        push(text, &format!("{at_ms} {word} w{index:03}"));
+        push_line(text, &format!("{at_ms} {event} w{index:03}"));
     }
 }
 
-fn words(resources: &Resources) -> String {
+fn format_resources(resources: &Resources) -> String {
     let Resources {
         cores_milli,
         memory_mib,
@@ -249,7 +256,7 @@
     format!("{cores_milli} {memory_mib} {accelerators_count}")
 }
 
-fn push(text: &mut String, line: &str) {
+fn push_line(text: &mut String, line: &str) {
     // Writing to memory does not fail.
     let _ = writeln!(text, "{line}");
 }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -32,7 +32,7 @@
     resources: Resources,
     lease_until_ms: u64,
     /// When it ends by itself, and how; `None` for a service.
-    done: Option<(u64, TaskEnd)>,
+    planned_end: Option<(u64, TaskEnd)>,
     /// Its place in the record.
     run_index: usize,
 }
@@ -54,9 +54,9 @@
     shared.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-const TICK: Duration = Duration::from_millis(5);
-const ENDS_QUEUE_COUNT: usize = 4096;
-const CUT_OFF_FOR: Duration = Duration::from_secs(3600);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+const ENDS_QUEUE_LIMIT: usize = 4096;
+const CUT_OFF_DELAY: Duration = Duration::from_secs(3600);
 
 impl State {
     fn start(&mut self, start: Start) {
@@ -78,7 +78,7 @@
         let running = Running {
             resources: start.resources,
             lease_until_ms: now + start.lease_ms,
-            done: done_of(&start.command, now),
+            planned_end: planned_end(&start.command, now),
             run_index,
         };
         // No guard: a second start of the same attempt runs a second time.
@@ -102,9 +102,16 @@
     fn tick(&mut self) {
         let now = clock::now().as_ms();
         let due = |running: &Running| -> Option<(u64, TaskEnd)> {
-            let lapse = (running.lease_until_ms, TaskEnd::LeaseLapsed);
-            let done = running.done.clone().unwrap_or_else(|| lapse.clone());
-            let first = if done.0 <= lapse.0 { done } else { lapse };
+            let expiry = (running.lease_until_ms, TaskEnd::LeaseLapsed);
+            let planned_end = running
+                .planned_end
+                .clone()
+                .unwrap_or_else(|| expiry.clone());
+            let first = if planned_end.0 <= expiry.0 {
+                planned_end
+            } else {
+                expiry
+            };
             (first.0 <= now).then_some(first)
         };
         let ends = self.running.iter();
@@ -140,7 +147,7 @@
 }
 
 /// Reads a command; one that is not known fails at once.
-fn done_of(command: &str, now: u64) -> Option<(u64, TaskEnd)> {
+fn planned_end(command: &str, now: u64) -> Option<(u64, TaskEnd)> {
     let mut words = command.splitn(3, ' ');
     let verb = words.next().unwrap_or_default();
     let ms = words.next().and_then(|ms| ms.parse::<u64>().ok());
@@ -158,14 +165,14 @@
     let registered = [
         module
             .register_async_method(worker::REPORT, |_, shared, _| async move {
-                pass(&shared).await;
+                delay_if_cut_off(&shared).await;
                 Ok::<_, ErrorObjectOwned>(lock(&shared).report())
             })
             .is_ok(),
         module
             .register_async_method(worker::START, |params, shared, _| async move {
                 let start: Start = params.one()?;
-                pass(&shared).await;
+                delay_if_cut_off(&shared).await;
                 lock(&shared).start(start);
                 Ok::<_, ErrorObjectOwned>(())
             })
@@ -173,15 +180,15 @@
         module
             .register_async_method(worker::RENEW, |params, shared, _| async move {
                 let renew: Renew = params.one()?;
-                pass(&shared).await;
-                send_due_polls(&shared, &renew);
+                delay_if_cut_off(&shared).await;
+                renew_leases(&shared, &renew);
                 Ok::<_, ErrorObjectOwned>(())
             })
             .is_ok(),
         module
             .register_async_method(worker::STOP, |params, shared, _| async move {
                 let stop: Stop = params.one()?;
-                pass(&shared).await;
+                delay_if_cut_off(&shared).await;
                 lock(&shared).end(stop.attempt, clock::now().as_ms(), TaskEnd::Stopped);
                 Ok::<_, ErrorObjectOwned>(())
             })
@@ -200,7 +207,7 @@
                         tokio::select! {
                             ended = ends.recv() => {
                                 let Ok(ended) = ended else { return };
-                                pass(&shared).await;
+                                delay_if_cut_off(&shared).await;
                                 let raw = serde_json::value::to_raw_value(&ended);
                                 let Ok(raw) = raw else { return };
                                 let message = SubscriptionMessage::from(raw);
@@ -220,18 +227,18 @@
 }
 
 /// Holds a call up while the worker is cut off.
-async fn pass(shared: &Shared) {
+async fn delay_if_cut_off(shared: &Shared) {
     let is_cut_off = {
         let state = lock(shared);
         lock(&state.record).calls_count += 1;
         state.is_cut_off
     };
     if is_cut_off {
-        tokio::time::sleep(CUT_OFF_FOR).await;
+        tokio::time::sleep(CUT_OFF_DELAY).await;
     }
 }
 
-fn send_due_polls(shared: &Shared, renew: &Renew) {
+fn renew_leases(shared: &Shared, renew: &Renew) {
     let mut state = lock(shared);
     // What has lapsed is over before the renewal is looked at.
     state.tick();
@@ -276,24 +283,24 @@
     let mut boxes = Vec::new();
     for index in 0..host.count {
         let (shared, addr) = start_worker(&host, index, &record).await?;
-        boxes.push(facts(&host, index, addr));
+        boxes.push(box_facts(&host, index, addr));
         workers.push(shared);
     }
     let admin = Admin { workers, record };
-    let ticking = admin.workers.clone();
+    let tick_workers = admin.workers.clone();
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(TICK).await;
-            ticking.iter().for_each(|shared| lock(shared).tick());
+            tokio::time::sleep(TICK_INTERVAL).await;
+            tick_workers.iter().for_each(|shared| lock(shared).tick());
         }
     });
-    serve_switches(admin, listener)?;
-    announce_for_ever(&host.platform_addr, boxes).await;
+    serve_admin(admin, listener)?;
+    announce_periodically(&host.platform_addr, boxes).await;
     Ok(())
 }
 
 /// Serves the switches on threads of their own.
-fn serve_switches(admin: Admin, listener: TcpListener) -> std::io::Result<()> {
+fn serve_admin(admin: Admin, listener: TcpListener) -> std::io::Result<()> {
     let app = App::new()
         .with_state(admin)
         .at("/admin/record", get(handler_service(show_record)))
@@ -312,7 +319,7 @@
     index: u32,
     record: &Arc<Mutex<WorkerRecord>>,
 ) -> std::io::Result<(Shared, SocketAddr)> {
-    let (ends, _) = broadcast::channel(ENDS_QUEUE_COUNT);
+    let (ends, _) = broadcast::channel(ENDS_QUEUE_LIMIT);
     let shared = Arc::new(Mutex::new(State {
         name: name(host, index),
         capacity: capacity(host, index),
@@ -348,7 +355,7 @@
     capacity
 }
 
-fn facts(host: &WorkerHost, index: u32, addr: SocketAddr) -> BoxFacts {
+fn box_facts(host: &WorkerHost, index: u32, addr: SocketAddr) -> BoxFacts {
     let rack_number = index / host.rack_size;
     let data_centre = &host.data_centres[rack_number as usize % host.data_centres.len()];
     let rack = Name::new(&format!("{}rack{rack_number}", host.prefix));
@@ -365,7 +372,7 @@
 }
 
 /// Tells the platform every second that boxes are there.
-pub async fn announce_for_ever(platform_addr: &str, boxes: Vec<BoxFacts>) {
+pub async fn announce_periodically(platform_addr: &str, boxes: Vec<BoxFacts>) {
     let http = HttpClient::new(1);
     let limit = Duration::from_secs(2);
     let announcement = Announcement { boxes };
--- a/crates/standin/tests/kv.rs
+++ b/crates/standin/tests/kv.rs
@@ -49,32 +49,32 @@
 }
 
 #[test]
-fn lapse_drops_keys_of_the_lease() {
+fn expire_leases_drops_keys_of_the_lease() {
     let mut kv = Kv::new();
     let lease = kv.grant(10, 0);
     run(&mut kv, vec![put("a", lease)]);
-    kv.lapse(9_999);
+    kv.expire_leases(9_999);
     assert_eq!(count(&kv, "a"), 1);
-    kv.lapse(10_000);
+    kv.expire_leases(10_000);
     assert_eq!(count(&kv, "a"), 0);
 }
 
 /// Found in a real run: a daemon deleted its entry, its successor put it again
 /// under another lease, and the entry was gone when the first lease lapsed.
 #[test]
-fn lapse_key_put_again_lives_by_its_new_lease() {
+fn expire_leases_key_put_again_keeps_its_new_lease() {
     let mut kv = Kv::new();
     let first = kv.grant(10, 0);
     run(&mut kv, vec![put("a", first)]);
     run(&mut kv, vec![delete("a")]);
     let second = kv.grant(100, 0);
     run(&mut kv, vec![put("a", second)]);
-    kv.lapse(10_000);
+    kv.expire_leases(10_000);
     assert_eq!(count(&kv, "a"), 1);
 }
 
 #[test]
-fn keep_alive_lapsed_lease_is_zero() {
+fn keep_alive_expired_lease_is_zero() {
     let mut kv = Kv::new();
     let lease = kv.grant(10, 0);
     assert_eq!(kv.keep_alive(lease, 9_000), 10);
--- a/crates/types/src/instant.rs
+++ b/crates/types/src/instant.rs
@@ -76,16 +76,16 @@
 impl Add<Duration> for Instant {
     type Output = Self;
 
-    fn add(self, length: Duration) -> Self {
-        Self(self.0.saturating_add(length.0))
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(duration.0))
     }
 }
 
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    fn sub(self, length: Duration) -> Self {
-        Self(self.0.saturating_sub(length.0))
+    fn sub(self, duration: Duration) -> Self {
+        Self(self.0.saturating_sub(duration.0))
     }
 }
 
@@ -98,8 +98,8 @@
 }
 
 impl From<Duration> for core::time::Duration {
-    fn from(length: Duration) -> Self {
-        Self::from_millis(length.0)
+    fn from(duration: Duration) -> Self {
+        Self::from_millis(duration.0)
     }
 }
 
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -31,10 +31,10 @@
     }
 
     /// Returns whether this amount fits in `room`.
-    pub const fn fits_in(&self, room: &Self) -> bool {
-        self.cores_milli <= room.cores_milli
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators_count <= room.accelerators_count
+    pub const fn fits_in(&self, capacity: &Self) -> bool {
+        self.cores_milli <= capacity.cores_milli
+            && self.memory_mib <= capacity.memory_mib
+            && self.accelerators_count <= capacity.accelerators_count
     }
 
     /// Returns `self - other`, or `None` where a part would be negative.
--- a/crates/types/src/retry_budget.rs
+++ b/crates/types/src/retry_budget.rs
@@ -1,7 +1,7 @@
 //! A bound on how much load retries may add.
 
 /// What one retry costs, in hundredths.
-const RETRY_CENTI: u32 = 100;
+const RETRY_COST_CENTI: u32 = 100;
 
 /// A token bucket: each first call earns a part of a retry, each retry spends one.
 ///
@@ -9,30 +9,30 @@
 /// overloaded, retries without such a bound multiply the load that made them fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
-    left_centi: u32,
-    full_centi: u32,
+    remaining_centi: u32,
+    max_centi: u32,
 }
 
 impl RetryBudget {
     /// Creates a full budget of so many retries.
-    pub const fn new(full_count: u32) -> Self {
-        let full_centi = full_count * RETRY_CENTI;
+    pub const fn new(max_retries_count: u32) -> Self {
+        let max_centi = max_retries_count * RETRY_COST_CENTI;
         Self {
-            left_centi: full_centi,
-            full_centi,
+            remaining_centi: max_centi,
+            max_centi,
         }
     }
 
     /// Adds what a first call earns, in hundredths of a retry.
     pub fn earn(&mut self, percent: u32) {
-        self.left_centi = (self.left_centi + percent).min(self.full_centi);
+        self.remaining_centi = (self.remaining_centi + percent).min(self.max_centi);
     }
 
     /// Takes one retry; returns whether there was one.
     pub const fn spend(&mut self) -> bool {
-        let has_one = self.left_centi >= RETRY_CENTI;
+        let has_one = self.remaining_centi >= RETRY_COST_CENTI;
         if has_one {
-            self.left_centi -= RETRY_CENTI;
+            self.remaining_centi -= RETRY_COST_CENTI;
         }
         has_one
     }
