--- a/crates/types/src/api.rs
+++ b/crates/types/src/api.rs
@@ -3,30 +3,30 @@
 use crate::{Key, Name, Outcome, TaskSpec};
 use serde::{Deserialize, Serialize};
 
-/// Header that carries the caller's request key.
+/// Request header with the caller's request key.
 pub const REQUEST_KEY: &str = "request-key";
-/// Header that carries an [`Outcome`].
+/// Response header with the [`Outcome`].
 pub const OUTCOME: &str = "ospreywing-outcome";
 
 /// The body of `POST /v1/tasks`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmitTask {
-    /// The caller's key: the same key always means the same task.
+    /// The caller's key; submissions with the same key are the same task.
     pub key: Key,
-    /// The workload row.
+    /// The workload row that the task belongs to.
     pub row: Name,
-    /// What to run.
+    /// The resources and the command.
     pub spec: TaskSpec,
 }
 
-/// The body of every answer that is not a plain result.
+/// The body of every reply that is not a plain result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What is known of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// Why it was refused, naming the field at fault where there is one.
+    /// Why it was rejected, with the name of the invalid field if there is one.
     pub reason: String,
-    /// When to come back, in milliseconds.
+    /// The delay before the caller may retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/types/src/boxes.rs
+++ b/crates/types/src/boxes.rs
@@ -1,28 +1,28 @@
-//! Boxes as the platform's list gives them.
+//! Entries of the platform's box list, and the identity of a daemon process.
 
 use crate::{Name, Resources};
 use core::fmt;
 use serde::{Deserialize, Serialize};
 
-/// What a box is for.
+/// The role of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BoxKind {
-    /// An entry box, which runs a daemon.
+    /// Runs a daemon.
     Entry,
-    /// A worker, which runs tasks.
+    /// Runs tasks.
     Worker,
-    /// A minion, which answers requests.
+    /// Answers requests.
     Minion,
 }
 
-/// Whether a box stays in service.
+/// Whether a box accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BoxState {
-    /// In service.
+    /// The box is in service.
     Live,
-    /// Leaving: it gets no new work.
+    /// The box is being removed and gets no new work.
     Leaving,
 }
 
@@ -31,17 +31,17 @@
 pub struct BoxFacts {
     /// The box's name.
     pub name: Name,
-    /// What it is for.
+    /// The role of the box.
     pub kind: BoxKind,
-    /// Whether it stays.
+    /// Whether the box accepts new work.
     pub state: BoxState,
-    /// `IP:port` of its service.
+    /// `IP:port` of the service on the box.
     pub addr: String,
-    /// The data centre it stands in.
+    /// The data centre of the box.
     pub data_centre: Name,
-    /// The rack it stands in.
+    /// The rack of the box.
     pub rack: Name,
-    /// What a worker holds; zero for other kinds.
+    /// The capacity of a worker; zero for other kinds.
     #[serde(default)]
     pub resources: Resources,
     /// The workload rows that a minion serves.
@@ -49,17 +49,17 @@
     pub serves: Vec<Name>,
 }
 
-/// Which process of which box a daemon is.
+/// The identity of one daemon process.
 ///
-/// Two processes never share an identity: the incarnation is drawn at random
-/// when a daemon starts.
+/// A restarted daemon has a new identity: the incarnation is a random number
+/// generated at each start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DaemonIdentity {
-    /// The daemon's name from its settings.
+    /// The daemon's configured name.
     pub name: Name,
-    /// The random number of this process.
+    /// The random number generated when this process started.
     pub incarnation: u64,
-    /// `IP:port` of its endpoint for other daemons.
+    /// `IP:port` of the endpoint for other daemons.
     pub rpc_addr: String,
 }
 
--- a/crates/types/src/instant.rs
+++ b/crates/types/src/instant.rs
@@ -1,63 +1,63 @@
-//! The instant that decision code is given in place of a clock.
+//! Time values that are passed to decision code, which never reads a clock.
 
 use core::fmt;
 use core::ops::{Add, Sub};
 use serde::{Deserialize, Serialize};
 
-/// A point on a monotonic clock that runs through a suspend, in milliseconds.
+/// A point in time in milliseconds, on a monotonic clock that also advances while
+/// the machine is suspended.
 ///
-/// The decision crates never read a clock. The daemon stamps each event with
-/// the boot-time clock, and traces carry the instant as data.
+/// The decision crates never read a clock: the daemon stamps each event with the
+/// boot-time clock, and traces contain the instants as data.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Instant(u64);
 
-/// A length of time in milliseconds.
+/// A span of time in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Duration(u64);
 
 impl Instant {
-    /// Creates an instant from milliseconds since the clock's start.
+    /// Creates an instant from the milliseconds since the clock's origin.
     pub const fn from_ms(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// Returns the milliseconds since the clock's start.
+    /// Returns the milliseconds since the clock's origin.
     pub const fn as_ms(self) -> u64 {
         self.0
     }
 
-    /// Returns the time since `earlier`, or zero where `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is after `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Duration {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Self = Self(0);
 
-    /// Creates a length from milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_ms(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// Creates a length from seconds.
+    /// Creates a duration from seconds.
     pub const fn from_s(s: u64) -> Self {
         Self(s * 1000)
     }
 
-    /// Returns the length in milliseconds.
+    /// Returns the duration in milliseconds.
     pub const fn as_ms(self) -> u64 {
         self.0
     }
 
-    /// Returns the length in whole seconds, rounded up and at least one.
-    ///
-    /// This is the unit of HTTP's `Retry-After`.
+    /// Returns the duration in whole seconds, rounded up, at least one, as used in
+    /// HTTP's `Retry-After` header.
     pub const fn as_retry_after_s(self) -> u64 {
         let s = self.0.div_ceil(1000);
         if s == 0 {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the length multiplied by `factor`.
+    /// Returns the duration multiplied by `factor`, saturating at the maximum.
     pub const fn times(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,9 +1,8 @@
-//! Names, quantities and messages that the other crates share.
+//! Data types shared by the other crates.
 //!
-//! Nothing here decides anything. The crate holds the typed vocabulary of the
-//! workspace: identities of boxes and tasks, resources, the instant that the
-//! decision crates are given in place of a clock, and the messages that the
-//! system's processes exchange.
+//! Identities of boxes and tasks, resources, the instants that are passed to the
+//! decision crates so that these never read a clock, and the messages exchanged
+//! between the system's processes. The crate contains no scheduling or routing logic.
 
 pub mod api;
 mod boxes;
--- a/crates/types/src/name.rs
+++ b/crates/types/src/name.rs
@@ -1,28 +1,29 @@
-//! Checked names and request keys.
+//! Validated names and request keys.
 
 use core::fmt;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The longest name of a row, team, box or data centre, in bytes.
+/// The maximum length of a name, in bytes.
 pub const NAME_LIMIT_BYTES: usize = 64;
 
-/// The longest request key, in bytes.
+/// The maximum length of a request key, in bytes.
 pub const KEY_LIMIT_BYTES: usize = 96;
 
-/// Why a name or key was refused.
+/// Why a text is not a valid name or key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NameError {
-    /// The text has no characters.
+    /// The text is empty.
     Empty,
-    /// The text is longer than the limit, both in bytes.
+    /// The text is longer than the limit.
     TooLong {
-        /// The length of the text.
+        /// The length of the text, in bytes.
         len_bytes: usize,
-        /// The greatest length allowed.
+        /// The maximum length, in bytes.
         limit_bytes: usize,
     },
-    /// The text has a character outside letters, digits and `-_.:`.
+    /// The text contains this character, which is not an ASCII letter, a digit or one
+    /// of `-_.:`.
     Character(char),
 }
 
@@ -73,11 +74,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes it a value of this type.
+            /// Validates `text` and creates a value from it.
             ///
             /// # Errors
             ///
-            /// Returns what is wrong with the text.
+            /// Returns an error if the text is empty, too long or contains a character
+            /// that is not allowed.
             pub fn new(text: &str) -> Result<Self, NameError> {
                 check(text, $limit)?;
                 Ok(Self(Arc::from(text)))
@@ -118,11 +120,11 @@
 }
 
 checked_text! {
-    /// A name of a row, team, box, rack or data centre.
+    /// The name of a row, team, box, rack or data centre.
     Name, NAME_LIMIT_BYTES
 }
 
 checked_text! {
-    /// A caller's request key: the same key always means the same request.
+    /// A caller's request key; calls with the same key are the same request.
     Key, KEY_LIMIT_BYTES
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,22 +1,22 @@
-//! What a caller is told about its request.
+//! The outcome of a request as reported to its caller.
 
 use core::fmt;
 use serde::{Deserialize, Serialize};
 
-/// What became of a request.
+/// Whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The request ran and its whole answer is given.
+    /// The request ran and the reply contains its complete result.
     Done,
-    /// The request certainly did not run and will not run.
+    /// The request did not run and will not run.
     NotRun,
-    /// Whether the request ran can't be proved.
+    /// The request may or may not have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Returns the word used on the wire.
+    /// Returns the name used on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
--- a/crates/types/src/peer.rs
+++ b/crates/types/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between daemons (JSON-RPC over one WebSocket each way).
+//! Messages between daemons (JSON-RPC over one WebSocket in each direction).
 
 use crate::{DaemonIdentity, Key, Name, TaskPhase, TaskSpec};
 use serde::{Deserialize, Serialize};
@@ -16,139 +16,140 @@
 /// Method that takes a [`CloseEpoch`] and returns a [`CloseEpochReply`].
 pub const CLOSE_EPOCH: &str = "peer_close_epoch";
 
-/// A heartbeat, with what the sender knows of the store.
+/// A heartbeat, with a digest of the sender's copy of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ping {
-    /// Who asks.
+    /// The sender.
     pub from: DaemonIdentity,
-    /// A hash of the versions of all rows of the table that the sender has.
+    /// A hash of the versions of all rows in the sender's copy of the table.
     pub table_digest: u64,
 }
 
-/// The answer to a heartbeat.
+/// The reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pong {
-    /// Who answers.
+    /// The replying daemon.
     pub from: DaemonIdentity,
-    /// How long ago the answerer heard from the store, in milliseconds.
+    /// The time since the replying daemon's last reply from the store, in milliseconds.
     pub store_age_ms: u64,
-    /// The newest version of the table that the answerer has.
+    /// The revision of the replying daemon's copy of the table.
     pub table_revision: u64,
-    /// A hash of the versions of all rows of that table.
+    /// A hash of the versions of all rows in that copy.
     pub table_digest: u64,
-    /// The rows with their versions as JSON, where the asker's digest differs.
+    /// The rows with their versions as JSON, if the digests differ.
     pub table_json: Option<String>,
-    /// Whether the answerer is stopping.
+    /// Whether the replying daemon is shutting down.
     pub is_leaving: bool,
 }
 
-/// A task handed to the owner of its shard.
+/// A task submitted to the owner of its shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submit {
     /// The caller's key.
     pub key: Key,
     /// The workload row.
     pub row: Name,
-    /// What to run.
+    /// The resources and the command.
     pub spec: TaskSpec,
 }
 
-/// What became of a submission.
+/// The result of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SubmitReply {
-    /// On record, now or by an earlier submission of the same key.
+    /// The task is recorded, by this or an earlier submission with the same key.
     Accepted(TaskStatus),
-    /// Not accepted and never will be by this call.
+    /// The task was rejected; this call will not lead to a run.
     Refused {
-        /// Why.
+        /// Why it was rejected.
         reason: String,
-        /// When to come back, in milliseconds; `None` where never.
+        /// The delay before a retry, in milliseconds; `None` if a retry can't succeed.
         retry_after_ms: Option<u64>,
     },
-    /// Whether it is on record can't be said.
+    /// It is unknown whether the task is recorded.
     Unknown,
 }
 
-/// A question about a task.
+/// A query for the status of a task, or a request to cancel it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query {
     /// The caller's key.
     pub key: Key,
 }
 
-/// The answer to a question about a task.
+/// The reply to a query for a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueryReply {
-    /// The task.
+    /// The status of the task.
     Found(TaskStatus),
-    /// No task of this key is on record.
+    /// No task with this key is recorded.
     Absent,
-    /// The answerer does not own the shard.
+    /// The replying daemon does not own the shard.
     NotOwner,
 }
 
-/// A task as callers see it.
+/// The status of a task as reported to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The caller's key.
     pub key: Key,
     /// The workload row.
     pub row: Name,
-    /// Where it stands.
+    /// The state of the task.
     pub phase: TaskPhase,
     /// The number of attempts so far.
     pub attempts_count: u32,
-    /// The worker of the present attempt.
+    /// The worker of the current attempt.
     pub worker: Option<Name>,
-    /// The result or the reason of failure.
+    /// The result or the reason for the failure.
     pub result: Option<String>,
 }
 
-/// A claim on the one run of a request that is unsafe to repeat.
+/// A claim on the only run of a request that is unsafe to repeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeKey {
     /// The caller's key.
     pub key: Key,
-    /// The random number of the claim; a repeat of the call carries it again.
+    /// A random number that identifies the claim; a retried call sends the same one.
     pub nonce: u64,
 }
 
-/// Whether the claim holds.
+/// Whether the claim was granted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TakeKeyReply {
-    /// The claimant, and no other, may send the request.
+    /// Only this claimant may send the request.
     Granted,
-    /// Another claim came first; the request may have run.
+    /// Another claim was granted earlier; the request may have run.
     Taken,
-    /// Nothing is on record, and nothing was granted.
+    /// No claim was recorded or granted.
     Refused {
-        /// When to come back, in milliseconds.
+        /// The delay before a retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// Asks a former owner to act no more under an epoch.
+/// Asks a former owner of a shard to stop acting under its epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloseEpoch {
     /// The shard.
     pub shard: u32,
-    /// The epoch that the former owner held.
+    /// The epoch of the former owner.
     pub epoch: u64,
-    /// The process that held it.
+    /// The incarnation of the former owner's process.
     pub incarnation: u64,
 }
 
-/// What a former owner says of its epoch.
+/// A former owner's reply about its epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CloseEpochReply {
-    /// No start of this epoch is on its way or will be sent.
+    /// No start of this epoch is in flight, and none will be sent.
     Closed,
-    /// Starts are still on their way.
+    /// Starts of this epoch are still in flight.
     Busy,
-    /// The process that answers is not the one asked for, which has ended.
+    /// The replying process has another incarnation: the former owner's process has
+    /// ended.
     OtherIncarnation,
 }
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -1,27 +1,27 @@
-//! Processors, memory and accelerators.
+//! Amounts of CPU, memory and accelerators.
 
 use core::fmt;
 use core::ops::{Add, AddAssign, Sub, SubAssign};
 use serde::{Deserialize, Serialize};
 
-/// An amount of processors, memory and accelerators.
+/// An amount of CPU, memory and accelerators: a demand or a capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
-    /// Processors, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cores_milli: u32,
     /// Memory, in mebibytes.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// The number of accelerators.
     #[serde(default)]
     pub accelerators_count: u32,
 }
 
 impl Resources {
-    /// Nothing.
+    /// Zero of each resource.
     pub const ZERO: Self = Self::new(0, 0, 0);
 
-    /// Creates an amount.
+    /// Creates an amount from its parts.
     pub const fn new(cores_milli: u32, memory_mib: u32, accelerators_count: u32) -> Self {
         Self {
             cores_milli,
@@ -37,7 +37,7 @@
             && self.accelerators_count <= capacity.accelerators_count
     }
 
-    /// Returns `self - other`, or `None` where a part would be negative.
+    /// Returns `self - other`, or `None` if any resource would be negative.
     pub fn checked_sub(&self, other: &Self) -> Option<Self> {
         Some(Self {
             cores_milli: self.cores_milli.checked_sub(other.cores_milli)?,
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Returns so many times the amount, stopping each part at the largest number.
+    /// Returns the amount multiplied by `count`; each resource saturates at `u32::MAX`.
     pub const fn times(&self, count: u32) -> Self {
         Self {
             cores_milli: self.cores_milli.saturating_mul(count),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the larger of both in each part.
+    /// Returns the maximum of both amounts for each resource.
     pub fn max(&self, other: Self) -> Self {
         Self {
             cores_milli: self.cores_milli.max(other.cores_milli),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns whether every part is zero.
+    /// Returns whether every resource is zero.
     pub fn is_zero(&self) -> bool {
         *self == Self::ZERO
     }
@@ -95,7 +95,7 @@
 impl Sub for Resources {
     type Output = Self;
 
-    /// Subtracts, stopping each part at zero.
+    /// Subtracts `other`; each resource saturates at zero.
     fn sub(self, other: Self) -> Self {
         Self {
             cores_milli: self.cores_milli.saturating_sub(other.cores_milli),
--- a/crates/types/src/retry_budget.rs
+++ b/crates/types/src/retry_budget.rs
@@ -1,12 +1,13 @@
-//! A bound on how much load retries may add.
+//! A limit on the additional load that retries cause.
 
-/// What one retry costs, in hundredths.
+/// The cost of one retry, in hundredths of a retry.
 const RETRY_COST_CENTI: u32 = 100;
 
-/// A token bucket: each first call earns a part of a retry, each retry spends one.
+/// A token bucket for retries: each first call adds a fraction of a retry, and each
+/// retry uses up one.
 ///
-/// When everything fails at once, as calls do where a network or the caller itself is
-/// overloaded, retries without such a bound multiply the load that made them fail.
+/// When all calls fail at once, as they do when the network or the caller itself is
+/// overloaded, unlimited retries would multiply the load that made the calls fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     remaining_centi: u32,
@@ -14,7 +15,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a full budget of so many retries.
+    /// Creates a full budget of `max_retries_count` retries.
     pub const fn new(max_retries_count: u32) -> Self {
         let max_centi = max_retries_count * RETRY_COST_CENTI;
         Self {
@@ -23,12 +24,12 @@
         }
     }
 
-    /// Adds what a first call earns, in hundredths of a retry.
+    /// Adds `percent` hundredths of a retry for a first call, up to the full budget.
     pub fn earn(&mut self, percent: u32) {
         self.remaining_centi = (self.remaining_centi + percent).min(self.max_centi);
     }
 
-    /// Takes one retry; returns whether there was one.
+    /// Uses up one retry and returns true, or returns false if less than one is left.
     pub const fn spend(&mut self) -> bool {
         let has_one = self.remaining_centi >= RETRY_COST_CENTI;
         if has_one {
--- a/crates/types/src/task.rs
+++ b/crates/types/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks as callers describe them and as the log keeps them.
+//! Tasks as callers submit them and as they are stored in the shard's log.
 
 use crate::Resources;
 use core::fmt;
@@ -14,14 +14,15 @@
     }
 }
 
-/// One attempt at a task, the unit that a worker starts, renews and reports.
+/// Identifies one attempt at a task. Workers start attempts, renew their leases and
+/// report them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The shard that the task belongs to.
     pub shard: u32,
     /// The task within the shard.
     pub task: TaskId,
-    /// The attempt's number, from one.
+    /// The number of the attempt, starting at one.
     pub number: u32,
 }
 
@@ -31,13 +32,13 @@
     }
 }
 
-/// What a caller asks to have run.
+/// The work that a caller submits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskSpec {
-    /// What the task needs while it runs.
+    /// The resources that the task occupies while it runs.
     pub resources: Resources,
-    /// The work itself, as the worker understands it.
+    /// The command, interpreted by the worker.
     pub command: String,
 }
 
@@ -45,35 +46,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskEnd {
-    /// The work finished; the text is its result.
+    /// The work finished with this result.
     Finished(String),
-    /// The work ran and reported a failure.
+    /// The work ran and failed with this reason.
     Failed(String),
-    /// The worker stopped it because its lease lapsed.
+    /// The worker stopped the attempt because its lease expired.
     LeaseLapsed,
-    /// It was stopped on request.
+    /// The attempt was stopped on request.
     Stopped,
-    /// Its worker is gone, and with it the attempt.
+    /// The attempt was lost with its worker.
     WorkerLost,
 }
 
-/// Where a task stands, as callers see it.
+/// The state of a task as reported to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
-    /// Accepted and waiting for room.
+    /// Accepted and waiting for capacity.
     Waiting,
-    /// A start is recorded; the worker has not confirmed it.
+    /// A start is recorded but the worker has not confirmed it.
     Starting,
-    /// A worker has confirmed that it runs.
+    /// The worker has confirmed that the task runs.
     Running,
-    /// Finished, with its result.
+    /// Finished with a result.
     Finished,
-    /// Failed for good.
+    /// Failed and will not be retried.
     Failed,
     /// Cancelled by a caller.
     Cancelled,
-    /// Marked unsafe to repeat, and whether it finished can't be proved.
+    /// Unsafe to repeat, and it is unknown whether it finished.
     Unknown,
 }
 
@@ -86,7 +87,7 @@
         )
     }
 
-    /// Returns the word used on the wire.
+    /// Returns the name used on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
--- a/crates/types/src/worker.rs
+++ b/crates/types/src/worker.rs
@@ -1,7 +1,8 @@
 //! Messages between a daemon and a worker (JSON-RPC over one WebSocket).
 //!
-//! A connection is bound to one incarnation of the worker: it ends with it.
-//! The worker has no guards; it does what it is told.
+//! A connection belongs to one incarnation of the worker and ends with it. The
+//! worker executes every order without checking for duplicates or overcommitment;
+//! the sender must avoid both.
 
 use crate::{AttemptId, Resources, TaskEnd};
 use serde::{Deserialize, Serialize};
@@ -14,21 +15,21 @@
 pub const RENEW: &str = "worker_renew";
 /// Method that takes a [`Stop`] and returns nothing.
 pub const STOP: &str = "worker_stop";
-/// Subscription that yields an [`Ended`] as each attempt ends.
+/// Subscription that sends an [`Ended`] whenever an attempt ends.
 pub const SUBSCRIBE_ENDS: &str = "worker_subscribe_ends";
-/// Name of the notifications of [`SUBSCRIBE_ENDS`].
+/// Name of the notifications sent for [`SUBSCRIBE_ENDS`].
 pub const ENDS: &str = "worker_ends";
-/// Method that ends [`SUBSCRIBE_ENDS`].
+/// Method that cancels the subscription of [`SUBSCRIBE_ENDS`].
 pub const UNSUBSCRIBE_ENDS: &str = "worker_unsubscribe_ends";
 
-/// All that a worker knows of its attempts.
+/// The state of all attempts on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The random number of this run of the worker.
+    /// The random number of this incarnation of the worker.
     pub incarnation: u64,
-    /// The attempts that run now.
+    /// The attempts that are running.
     pub running: Vec<AttemptId>,
-    /// The attempts that ended and were not yet forgotten.
+    /// The ended attempts that no [`Renew`] has told the worker to forget.
     pub ended: Vec<Ended>,
 }
 
@@ -46,20 +47,20 @@
 pub struct Start {
     /// The attempt.
     pub attempt: AttemptId,
-    /// What it needs.
+    /// The resources that the attempt occupies.
     pub resources: Resources,
-    /// The work itself.
+    /// The command to run.
     pub command: String,
-    /// How long it may run without a renewal, in milliseconds.
+    /// The lease from the worker's receipt of the order, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// An order that renews leases and drops reports that are on record.
+/// An order to renew leases and to forget ended attempts whose end is recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renew {
     /// The attempts whose leases are renewed.
     pub attempts: Vec<AttemptId>,
-    /// The lease from the worker's receipt on, in milliseconds.
+    /// The new lease from the worker's receipt of the order, in milliseconds.
     pub lease_ms: u64,
     /// The ended attempts that the worker may forget.
     pub forget: Vec<AttemptId>,
@@ -72,21 +73,21 @@
     pub attempt: AttemptId,
 }
 
-/// One thing that an owner wants of a worker.
+/// An order from a shard's owner to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Start an attempt: over the open connection, to this run of the worker
-    /// and no other, once.
+    /// Start an attempt. The order is sent at most once, over the open connection,
+    /// and only to this incarnation of the worker.
     Start {
-        /// The run of the worker that alone may receive it.
+        /// The only incarnation of the worker that may receive the order.
         incarnation: u64,
-        /// The order itself.
+        /// The attempt to start.
         start: Start,
     },
-    /// Renew leases and drop reports.
+    /// Renew leases and forget ended attempts.
     Renew(Renew),
     /// Stop an attempt.
     Stop(Stop),
-    /// Give a report.
+    /// Request a report.
     Report,
 }
