--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -1,13 +1,14 @@
-//! The platform's box list, which lags behind.
+//! The platform's box list, from which a removed box disappears with a delay.
 
 use ospreywing_types::{BoxFacts, BoxState, Name};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A box that says it is there; stand-ins send this every second.
+/// The body of an announcement; each host of workers or minions sends one every
+/// second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The boxes of the sender.
+    /// The boxes that run on the sender.
     pub boxes: Vec<BoxFacts>,
 }
 
@@ -17,7 +18,7 @@
     announced_at_ms: u64,
 }
 
-/// The boxes that were heard of.
+/// The boxes that have announced themselves.
 #[derive(Clone, Debug)]
 pub struct BoxList {
     entries: BTreeMap<Name, Entry>,
@@ -27,7 +28,7 @@
 }
 
 impl BoxList {
-    /// Creates a list that drops a box `lag_ms` after its last word.
+    /// Creates a list that drops a box `lag_ms` after its last announcement.
     pub const fn new(lag_ms: u64) -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Takes in boxes that say they are there.
+    /// Records an announcement.
     pub fn announce(&mut self, announcement: Announcement, now_ms: u64) {
         for facts in announcement.boxes {
             let announced_at_ms = now_ms;
@@ -57,7 +58,7 @@
         self.leaving.push(name);
     }
 
-    /// Keeps the list as it is, or lets it go on.
+    /// Freezes the list at its current content, or resumes updates.
     pub fn set_frozen(&mut self, is_frozen: bool, now_ms: u64) {
         let list = is_frozen.then(|| self.list(now_ms));
         if self.frozen.is_none() || !is_frozen {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Returns the list.
+    /// Returns the listed boxes.
     pub fn list(&self, now_ms: u64) -> Vec<BoxFacts> {
         if let Some(frozen) = &self.frozen {
             return frozen.clone();
--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -1,5 +1,5 @@
-//! Callers: they send both deployments' work through all daemons and check
-//! every answer.
+//! Load driver: sends the requests and tasks of both deployments to all daemons and
+//! checks every answer.
 
 use crate::minion::MinionReply;
 use hdrhistogram::Histogram;
@@ -14,75 +14,75 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What the callers are told.
+/// The configuration of the load driver.
 #[derive(Clone, Debug)]
 pub struct DriveConfig {
     /// `IP:port` of the daemons.
     pub daemons: Vec<String>,
-    /// How long requests are sent.
+    /// How long requests and tasks are sent.
     pub duration: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: u32,
-    /// Tasks submitted, evenly over the time.
+    /// The number of tasks, submitted evenly over the duration.
     pub tasks_count: u32,
-    /// How long tasks may take to finish after that.
+    /// How long a task may take to finish after its submission.
     pub finish_timeout: Duration,
-    /// How often each task is asked about.
+    /// The interval of status polls for each task.
     pub status_interval: Duration,
-    /// The seed of all choices.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Put before every key, so that drives don't share keys.
+    /// Part of every key, so that separate runs of the driver don't share keys.
     pub run_name: String,
 }
 
-/// What became of the work.
+/// The outcomes of the requests and tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DriveReport {
-    /// Tasks that a daemon said are on record.
+    /// Tasks that a daemon acknowledged as recorded.
     pub tasks_submitted: u64,
-    /// Tasks that finished with the right result.
+    /// Tasks that finished with the expected result.
     pub tasks_finished: u64,
     /// Tasks that were never accepted.
     pub tasks_refused: u64,
-    /// Tasks of rows unsafe to repeat whose end is unknown.
+    /// Tasks that are unsafe to repeat and whose end is unknown.
     pub tasks_unknown: u64,
     /// Requests sent.
     pub requests_sent: u64,
-    /// Requests with the right and whole answer.
+    /// Requests with the correct and complete answer.
     pub requests_done: u64,
-    /// Requests with an answer that is not theirs.
+    /// Requests with an answer that doesn't match the request.
     pub requests_wrong: u64,
-    /// Requests that gave up after being told that they did not run.
+    /// Requests that got no final answer before the timeout.
     pub requests_not_run: u64,
-    /// Requests that were told that nothing is known.
+    /// Requests whose outcome the daemon doesn't know.
     pub requests_unknown: u64,
-    /// Times a daemon said "not run", first tries and later ones.
+    /// Answers without success that were retried, for requests and tasks.
     pub refusals: u64,
-    /// How long requests took, in milliseconds.
+    /// Latency of requests, retries included, in milliseconds.
     pub request_ms: Quantiles,
-    /// How long the acknowledgement of tasks took, in milliseconds.
+    /// Latency of task acknowledgements, retries included, in milliseconds.
     pub submit_ms: Quantiles,
 }
 
-/// Quantiles of a length of time.
+/// Quantiles of a duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Half took at most this.
+    /// The median.
     pub p50: f64,
-    /// Of a hundred, ninety-nine took at most this.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     pub max: f64,
 }
 
-/// A service row that is driven.
+/// A service row that requests are sent to.
 struct ServiceRow {
     name: &'static str,
     is_repeatable: bool,
     work_ms: std::ops::Range<u64>,
 }
 
-/// A batch row that is driven.
+/// A batch row that tasks are submitted to.
 struct BatchRow {
     name: &'static str,
     resources: Resources,
@@ -125,7 +125,7 @@
     },
 ];
 
-/// A caller gives up on a request after this time.
+/// A caller gives up on a request after this time, over all its calls.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(40);
@@ -147,7 +147,7 @@
 
 const IDLE_CONNECTIONS_LIMIT: usize = 64;
 
-/// Drives the daemons and returns what became of the work.
+/// Sends the load and returns the outcomes.
 pub async fn run(drive: DriveConfig) -> DriveReport {
     let caller = Caller {
         http: HttpClient::new(IDLE_CONNECTIONS_LIMIT),
@@ -198,7 +198,8 @@
         &self.drive.daemons[number as usize % self.drive.daemons.len()]
     }
 
-    /// Sends one request, with one key, until it has a final answer.
+    /// Sends a request, with the same key on each retry, until a final answer or the
+    /// timeout.
     async fn request(&self, row: &ServiceRow, number: u64, ms: u64) {
         let safety = if row.is_repeatable {
             "repeatable"
@@ -236,7 +237,7 @@
                     self.update_tally(|tally| tally.report.requests_unknown += 1);
                     return;
                 }
-                // The daemon is gone: ask another, with the same key.
+                // The daemon is unreachable: retry at the next one, with the same key.
                 Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Submits one task and waits for its end.
+    /// Submits a task and polls its status until it ends or the timeout is reached.
     async fn task(&self, row: &BatchRow, number: u64, ms: u64) {
         let key = format!("task-{}-{number}", self.drive.run_name);
         if !self.submit(row, &key, number, ms).await {
@@ -361,7 +362,7 @@
 }
 
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Longer times count as this: ten minutes.
+/// Longer durations are recorded as this value, ten minutes.
 const MAX_RECORDED_US: u64 = 600_000_000;
 
 fn record(histogram: &mut Option<Histogram<u64>>, value_us: u64) {
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that a stand-in can be told to have.
+//! The faults that can be injected into a stand-in.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,15 +6,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// The store answers nobody.
+    /// The store answers no calls.
     pub is_down: bool,
-    /// The store answers nobody who calls at these ports.
+    /// The store answers no calls at these ports.
     pub down_ports: Vec<u16>,
-    /// Each answer of the store comes this much later.
+    /// Additional latency of each answer of the store, in milliseconds.
     pub slow_ms: u64,
-    /// Of a thousand writes, so many take effect and lose their answer.
+    /// Writes per thousand that take effect but whose answer is lost.
     pub lose_answers_permille: u32,
-    /// The box list stays as it is.
+    /// The box list is frozen.
     pub is_box_list_frozen: bool,
 }
 
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MinionFaults {
-    /// Each answer comes this much later.
+    /// Additional duration of each request, in milliseconds.
     pub slow_ms: u64,
-    /// Of a thousand requests, so many run and lose their answer.
+    /// Requests per thousand that run but whose answer is lost.
     pub lose_answers_permille: u32,
 }
 
@@ -32,8 +32,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorkerFaults {
-    /// The workers of these names lose all their tasks and begin a new run.
+    /// Names of workers to restart: they lose all tasks and get a new incarnation.
     pub restart: Vec<String>,
-    /// The workers of these names take calls and answer none, as cut off.
+    /// Names of workers to partition: they accept calls but delay each one by an hour.
     pub cut_off: Vec<String>,
 }
--- a/crates/standin/src/judge.rs
+++ b/crates/standin/src/judge.rs
@@ -1,4 +1,4 @@
-//! Judges the records: what ran twice, what was given too much.
+//! Checks the records for work that ran twice and for overcommitted boxes.
 
 use crate::record::{MinionRecord, Run, WorkerRecord};
 use http::Method;
@@ -9,37 +9,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What the records show.
+/// The findings from the records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Judgement {
-    /// Runs of tasks.
+    /// The number of task runs.
     pub task_runs_count: u64,
-    /// Runs that finished.
+    /// The number of task runs that finished.
     pub task_runs_finished_count: u64,
-    /// Tasks that ran in two places at once, or finished twice.
+    /// Tasks with overlapping runs or more than one finished run.
     pub tasks_run_twice: u64,
-    /// The tasks at fault.
+    /// The names of these tasks.
     pub tasks_at_fault: Vec<String>,
-    /// Starts and requests that gave a box more than it holds.
+    /// Starts and requests that exceeded the capacity of a box.
     pub overcommits: u64,
-    /// Requests that minions ran.
+    /// The number of requests that minions ran.
     pub request_runs_count: u64,
-    /// Keys of requests that are unsafe to repeat and ran more than once.
+    /// Keys that are unsafe to repeat and ran more than once.
     pub unsafe_run_twice: u64,
-    /// The most requests that one minion had at once.
+    /// The maximum number of concurrent requests on one minion.
     pub peak_slots_count: u64,
 }
 
-/// The task of a run, over all shards.
+/// Identifies a task among all shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TaskKey {
     shard: u32,
     task: TaskId,
 }
 
-/// Judges records of workers and minions.
+/// Checks the records of workers and minions.
 ///
-/// Keys of rows that are safe to repeat start with `repeatable-`.
+/// Keys that start with `repeatable-` are safe to repeat and may run more than once.
 pub fn judge(workers: &[WorkerRecord], minions: &[MinionRecord]) -> Judgement {
     let mut judgement = Judgement::default();
     let mut tasks: BTreeMap<TaskKey, Vec<&Run>> = BTreeMap::new();
@@ -77,7 +77,7 @@
     judgement
 }
 
-/// Returns whether two of the runs, in the order of their beginnings, overlap.
+/// Returns whether any two runs overlap. The runs must be sorted by start time.
 fn has_overlap(runs: &[&Run]) -> bool {
     let now = clock::now().as_ms();
     let mut latest_end_ms = 0;
@@ -90,11 +90,11 @@
     false
 }
 
-/// Fetches the records and judges them.
+/// Fetches the records from the hosts' admin endpoints and checks them.
 ///
 /// # Errors
 ///
-/// Returns an error where a host does not answer.
+/// Returns an error if a host does not answer or its record can't be parsed.
 pub async fn fetch(workers: &[String], minions: &[String]) -> Result<Judgement, HttpError> {
     let http = HttpClient::new(1);
     let limit = Duration::from_secs(10);
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,4 +1,4 @@
-//! The store's data: keys, revisions, leases.
+//! The store's data model: keys, revisions and leases.
 
 use ospreywing_store::wire::{
     Bytes, CompareRequest, CompareTarget, DeleteRangeRequest, Header, Int64, KeyValue, PutRequest,
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// A lease and the keys that live by it.
+/// A lease and the keys attached to it.
 #[derive(Clone, Debug, Default)]
 struct Lease {
     ttl_ms: u64,
@@ -15,10 +15,10 @@
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// The largest value, as the brief says.
+/// The maximum size of a value, as specified for the platform's store.
 pub const VALUE_LIMIT_BYTES: usize = 1024 * 1024;
 
-/// Keys with their history's end, and leases.
+/// The latest version of each key, and the leases.
 #[derive(Clone, Debug, Default)]
 pub struct Kv {
     revision: u64,
@@ -52,7 +52,10 @@
         (first, end)
     }
 
-    /// Reads a range.
+    /// Returns the keys of a range.
+    ///
+    /// The count is that of all keys in the range; `min_mod_revision` and `limit`
+    /// restrict the returned keys only.
     pub fn range(&self, request: &RangeRequest) -> RangeReply {
         let bounds = Self::bounds(&request.key, &request.range_end);
         if is_empty(&bounds) {
@@ -90,13 +93,13 @@
         }
     }
 
-    /// Returns whether a transaction would write.
+    /// Returns whether either branch of a transaction contains a write.
     pub fn is_write(txn: &TxnRequest) -> bool {
         let writes = |op: &RequestOp| op.request_range.is_none();
         txn.success.iter().chain(&txn.failure).any(writes)
     }
 
-    /// Runs a transaction.
+    /// Executes a transaction.
     pub fn txn(&mut self, txn: &TxnRequest) -> TxnReply {
         let succeeded = txn
             .compare
@@ -107,7 +110,7 @@
         } else {
             &txn.failure
         };
-        // All writes of a transaction share one revision.
+        // All writes of a transaction have the same revision.
         let revision = self.revision + 1;
         let mut has_written = false;
         let mut responses = Vec::new();
@@ -166,7 +169,7 @@
         for key in &removed_keys {
             let removed = self.keys.remove(key);
             let lease = removed.map_or(0, |kv| kv.lease.0);
-            // A key that is put again later does not live by the old lease.
+            // Detach the key, so that it survives the old lease if it is put again.
             if let Some(lease) = self.leases.get_mut(&lease) {
                 lease.keys.remove(key);
             }
@@ -174,7 +177,7 @@
         removed_keys.len()
     }
 
-    /// Grants a lease.
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self, ttl_s: u64, now_ms: u64) -> i64 {
         self.next_lease += 1;
         let ttl_ms = ttl_s * 1000;
@@ -187,7 +190,7 @@
         self.next_lease
     }
 
-    /// Renews a lease and returns its length in seconds, zero where it lapsed.
+    /// Renews a lease and returns its TTL in seconds, or zero if it has expired.
     pub fn keep_alive(&mut self, id: i64, now_ms: u64) -> u64 {
         self.expire_leases(now_ms);
         let Some(lease) = self.leases.get_mut(&id) else {
@@ -197,7 +200,7 @@
         lease.ttl_ms / 1000
     }
 
-    /// Revokes a lease.
+    /// Revokes a lease and deletes its keys.
     pub fn revoke(&mut self, id: i64) {
         let Some(lease) = self.leases.remove(&id) else {
             return;
@@ -209,7 +212,7 @@
         self.revision += u64::from(is_changed);
     }
 
-    /// Drops the leases that have lapsed, and their keys.
+    /// Revokes the leases that have expired and deletes their keys.
     pub fn expire_leases(&mut self, now_ms: u64) {
         let expired = self
             .leases
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what the system meets: the platform, workers, minions, callers.
+//! Stand-ins for the processes around the system: the platform, workers, minions
+//! and callers. None of them is part of the product.
 //!
-//! They are small and honest: a worker and a minion do what they are told and
-//! keep a record of what really ran; the platform's store keeps its promises
-//! and its limits. Each has switches for the faults of the brief, reachable
-//! over HTTP while it runs. None of them is part of the product.
+//! Workers and minions execute every order and record what was run. The platform's
+//! store implements compare-and-swap, leases and rate limits. Faults are injected
+//! over HTTP (`/admin/faults`) while a stand-in runs.
 
 pub mod boxes;
 pub mod drive;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `ospreywing-standin`.
+//! The program `ospreywing-standin`: runs one stand-in per subcommand.
 
 use clap::{value_parser, Arg, ArgMatches, Command};
 use ospreywing_standin::drive::{self, DriveConfig};
@@ -38,20 +38,26 @@
         .subcommand(drive_command())
         .subcommand(
             Command::new("make-trace")
-                .about("Prints a trace for replay")
+                .about("Prints a generated trace for replay")
                 .arg(
                     Arg::new("shape")
                         .required(true)
                         .value_parser(["swaramala", "gallery", "letter"])
-                        .help("The deployment"),
+                        .help("The deployment to generate the trace for"),
                 )
-                .arg(number_arg("seed", "1", "The seed of all choices")),
+                .arg(number_arg("seed", "1", "Seed of the random numbers")),
         )
         .subcommand(
             Command::new("judge")
-                .about("Judges the records of workers and minions")
-                .arg(list_arg("workers", "IP:port of worker hosts' switches"))
-                .arg(list_arg("minions", "IP:port of minion hosts' switches")),
+                .about("Checks the records of workers and minions")
+                .arg(list_arg(
+                    "workers",
+                    "IP:port of the worker hosts' admin endpoints",
+                ))
+                .arg(list_arg(
+                    "minions",
+                    "IP:port of the minion hosts' admin endpoints",
+                )),
         )
 }
 
@@ -75,80 +81,105 @@
     Command::new("platform")
         .about("The store and the box list")
         .arg(list_arg("listen", "IP:port, one or more"))
-        .arg(number_arg("writes-per-s", "100", "Writes a second"))
-        .arg(number_arg("reads-per-s", "2000", "Reads a second"))
+        .arg(number_arg("writes-per-s", "100", "Writes per second"))
+        .arg(number_arg("reads-per-s", "2000", "Reads per second"))
         .arg(number_arg(
             "box-lag-ms",
             "5000",
-            "How long a box that is gone stays listed",
+            "How long a removed box stays listed, in milliseconds",
         ))
 }
 
 fn workers_command() -> Command {
     Command::new("workers")
         .about("Workers, in one process")
-        .arg(text_arg("listen", "127.0.0.1:0", "IP:port of the switches"))
+        .arg(text_arg(
+            "listen",
+            "127.0.0.1:0",
+            "IP:port of the admin endpoint",
+        ))
         .arg(text_arg(
             "platform",
             "127.0.0.1:7400",
             "IP:port of the platform",
         ))
-        .arg(text_arg(
-            "prefix",
-            "w",
-            "The beginning of the workers' names",
+        .arg(text_arg("prefix", "w", "The prefix of the workers' names"))
+        .arg(number_arg("count", "8", "Number of workers"))
+        .arg(number_arg(
+            "cores-milli",
+            "64000",
+            "CPU of each worker, in thousandths of a core",
+        ))
+        .arg(number_arg(
+            "memory-mib",
+            "131072",
+            "Memory of each worker, in MiB",
         ))
-        .arg(number_arg("count", "8", "How many"))
-        .arg(number_arg("cores-milli", "64000", "Processors of each"))
-        .arg(number_arg("memory-mib", "131072", "Memory of each"))
         .arg(number_arg(
             "accelerators",
             "4",
-            "Accelerators of the accelerated",
+            "Accelerators of each accelerated worker",
+        ))
+        .arg(number_arg(
+            "accelerated",
+            "2",
+            "Number of workers with accelerators",
         ))
-        .arg(number_arg("accelerated", "2", "How many have accelerators"))
-        .arg(number_arg("rack-size", "8", "Workers in a rack"))
-        .arg(list_arg("data-centres", "Data centres to spread racks over").default_value("dc-a"))
+        .arg(number_arg("rack-size", "8", "Workers per rack"))
+        .arg(
+            list_arg("data-centres", "Data centres to distribute the racks over")
+                .default_value("dc-a"),
+        )
 }
 
 fn minions_command() -> Command {
     Command::new("minions")
         .about("Minions, in one process")
-        .arg(text_arg("listen", "127.0.0.1:0", "IP:port of the switches"))
+        .arg(text_arg(
+            "listen",
+            "127.0.0.1:0",
+            "IP:port of the admin endpoint",
+        ))
         .arg(text_arg(
             "platform",
             "127.0.0.1:7400",
             "IP:port of the platform",
         ))
-        .arg(text_arg(
-            "prefix",
-            "m",
-            "The beginning of the minions' names",
-        ))
-        .arg(number_arg("count", "8", "How many"))
-        .arg(list_arg("serves", "The rows that they serve").required(true))
-        .arg(list_arg("data-centres", "Data centres to spread over").default_value("dc-a"))
+        .arg(text_arg("prefix", "m", "The prefix of the minions' names"))
+        .arg(number_arg("count", "8", "Number of minions"))
+        .arg(list_arg("serves", "The workload rows that the minions serve").required(true))
+        .arg(
+            list_arg(
+                "data-centres",
+                "Data centres to distribute the minions over",
+            )
+            .default_value("dc-a"),
+        )
 }
 
 fn drive_command() -> Command {
     Command::new("drive")
-        .about("Callers of both deployments")
+        .about("Sends the requests and tasks of both deployments")
         .arg(list_arg("daemons", "IP:port of the daemons").required(true))
-        .arg(number_arg("seconds", "10", "How long requests are sent"))
-        .arg(number_arg("rate", "50", "Requests a second"))
-        .arg(number_arg("tasks", "50", "Tasks"))
+        .arg(number_arg(
+            "seconds",
+            "10",
+            "How long requests are sent, in seconds",
+        ))
+        .arg(number_arg("rate", "50", "Requests per second"))
+        .arg(number_arg("tasks", "50", "Number of tasks"))
         .arg(number_arg(
             "finish-seconds",
             "60",
-            "How long tasks may take after that",
+            "How long each task may take to finish, in seconds",
         ))
         .arg(number_arg(
             "status-every-ms",
             "200",
-            "How often each task is asked about",
+            "Interval of status polls for each task, in milliseconds",
         ))
-        .arg(number_arg("seed", "1", "The seed of all choices"))
-        .arg(text_arg("run-name", "drive", "Put into every key"))
+        .arg(number_arg("seed", "1", "Seed of the random numbers"))
+        .arg(text_arg("run-name", "drive", "Part of every request key"))
 }
 
 async fn run(matches: &ArgMatches) -> std::io::Result<()> {
@@ -192,7 +223,7 @@
     TcpListener::bind(addr)
 }
 
-/// Prints where the switches are, as the first line.
+/// Prints the listener's address. Scripts read it from the first line.
 fn say_addr(listener: &TcpListener) -> std::io::Result<()> {
     println!("{}", listener.local_addr()?);
     Ok(())
--- a/crates/standin/src/minion.rs
+++ b/crates/standin/src/minion.rs
@@ -1,8 +1,8 @@
-//! Minions: they answer requests, eight at a time.
+//! Minions: they answer requests and have eight slots each.
 //!
-//! `POST /run/ROW` with a body of `MS TEXT` takes so many milliseconds and
-//! answers with the key, the row and the text. All minions of a host share one
-//! server; the port of the `Host` header tells them apart.
+//! `POST /run/ROW` with the body `MS TEXT` takes `MS` milliseconds and returns the
+//! key, the row and the text. All minions of a host share one server, which
+//! distinguishes them by the port in the `Host` header.
 
 use crate::faults::MinionFaults;
 use crate::record::{KeyRuns, MinionRecord};
@@ -22,13 +22,14 @@
 use xitca_web::route::{get, post};
 use xitca_web::{App, HttpServer, WebContext};
 
-/// The slots of a minion, as the brief says.
+/// The number of slots of a minion, as specified. Requests beyond it still run and
+/// are counted as overcommits.
 pub const SLOTS_COUNT: u64 = 8;
 
-/// A minion's answer.
+/// A minion's reply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionReply {
-    /// The request's key, empty where it had none.
+    /// The request's key, or empty if it had none.
     pub key: String,
     /// The row.
     pub row: String,
@@ -36,16 +37,16 @@
     pub text: String,
 }
 
-/// What a host of minions is told once.
+/// The configuration of a process that hosts minions.
 #[derive(Clone, Debug)]
 pub struct MinionHost {
-    /// Minions are named by this and a number.
+    /// The prefix of the minions' names; a number follows.
     pub prefix: String,
-    /// How many.
+    /// The number of minions.
     pub count: u32,
-    /// The rows that they serve.
+    /// The workload rows that the minions serve.
     pub serves: Vec<Name>,
-    /// The data centres that they are spread over.
+    /// The data centres that the minions are distributed over.
     pub data_centres: Vec<Name>,
     /// `IP:port` of the platform.
     pub platform_addr: String,
@@ -59,7 +60,7 @@
     faults: MinionFaults,
 }
 
-/// The minions, shared by their handlers.
+/// The state of all minions, shared by the HTTP handlers.
 #[derive(Clone, Default)]
 struct Minions {
     state: Arc<Mutex<State>>,
@@ -73,18 +74,18 @@
 
 type Context<'r> = WebContext<'r, Minions>;
 
-/// Runs minions until the process ends; `listener` is for the switches.
+/// Runs minions until the process ends. `listener` serves the admin endpoint.
 ///
 /// # Errors
 ///
-/// Returns an error where a socket can't be opened.
+/// Returns an error if a socket can't be opened.
 pub async fn run(host: MinionHost, listener: TcpListener) -> std::io::Result<()> {
     let boxes = serve(&host, listener)?;
     announce_periodically(&host.platform_addr, boxes).await;
     Ok(())
 }
 
-/// Serves the minions on threads of their own and returns their boxes.
+/// Starts the minions' server on separate threads and returns the minions' boxes.
 fn serve(host: &MinionHost, listener: TcpListener) -> std::io::Result<Vec<BoxFacts>> {
     let app = App::new()
         .with_state(Minions::default())
@@ -128,7 +129,8 @@
     text.unwrap_or_default().to_owned()
 }
 
-/// Frees a slot when the work is over, whether or not anyone still waits.
+/// Frees a slot when dropped: when the work ends, even if the caller has
+/// disconnected.
 struct SlotGuard {
     minions: Minions,
     host: String,
@@ -178,7 +180,7 @@
         (state.faults.slow_ms, state.faults.lose_answers_permille)
     };
     let slot = occupy_slot(&minions, &host, &key);
-    // The work goes on when the connection breaks.
+    // A separate task, so that the work continues if the connection breaks.
     let work = tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(ms + slow_ms)).await;
         drop(slot);
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: the store and the box list.
+//! The platform: an HTTP server with the store and the box list.
 
 use crate::boxes::{Announcement, BoxList};
 
@@ -24,33 +24,33 @@
 use xitca_web::route::{get, post};
 use xitca_web::{App, HttpServer, WebContext};
 
-/// The limits of the platform.
+/// The rate limits and the box list's delay.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformLimits {
-    /// Writes a second.
+    /// Writes per second.
     pub writes_per_s: u64,
-    /// Reads a second.
+    /// Reads per second.
     pub reads_per_s: u64,
-    /// How long after its last word a box stays on the list.
+    /// How long a box stays listed after its last announcement, in milliseconds.
     pub box_lag_ms: u64,
 }
 
-/// Calls by kind, as counted by the platform itself.
+/// Call counters of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Calls by path.
+    /// Calls per path.
     pub calls: BTreeMap<String, u64>,
-    /// Writes.
+    /// Writes that passed the rate limit.
     pub writes_count: u64,
-    /// Reads.
+    /// Reads that passed the rate limit.
     pub reads_count: u64,
-    /// Calls refused by the rate limits.
+    /// Calls rejected by the rate limits.
     pub limited_count: u64,
     /// Bytes received and sent in bodies.
     pub bytes: u64,
-    /// The most writes that were taken in one second.
+    /// The maximum number of writes in one second.
     pub peak_writes_per_s: u64,
-    /// The most reads that were taken in one second.
+    /// The maximum number of reads in one second.
     pub peak_reads_per_s: u64,
 }
 
@@ -71,13 +71,13 @@
     current_second: SecondCounts,
 }
 
-/// The platform, shared by its handlers.
+/// The platform's state, shared by the HTTP handlers.
 #[derive(Clone)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
 }
 
-/// A store that is down keeps a call open for this long.
+/// How long a store that is down holds a call before it answers "unavailable".
 const DOWN_DELAY: Duration = Duration::from_secs(10);
 
 impl Platform {
@@ -103,7 +103,7 @@
 }
 
 impl State {
-    /// Counts a call and returns whether its rate limit lets it pass.
+    /// Counts a call and returns whether the rate limit permits it.
     fn admit(&mut self, path: &str, is_write: bool) -> bool {
         let now = clock::now().as_ms();
         *self.counts.calls.entry(path.to_owned()).or_default() += 1;
@@ -141,11 +141,11 @@
 
 type Context<'r> = WebContext<'r, Platform>;
 
-/// Serves the platform at each of the listeners until the process ends.
+/// Serves the platform on all listeners until the process ends.
 ///
 /// # Errors
 ///
-/// Returns an error where a listener can't be used.
+/// Returns an error if the server can't use a listener.
 pub fn serve(listeners: Vec<TcpListener>, platform: Platform) -> std::io::Result<()> {
     let app = App::new()
         .with_state(platform)
@@ -171,7 +171,7 @@
     host.rsplit_once(':')?.1.parse().ok()
 }
 
-/// Holds a call up as the faults say; returns whether it goes on.
+/// Delays a call according to the faults. Returns false if the store is down.
 async fn apply_faults(ctx: &Context<'_>) -> bool {
     let port = port_of(ctx);
     let (is_down, slow_ms) = {
@@ -210,7 +210,7 @@
     json(StatusCode::BAD_REQUEST, &ErrorReply { code: 3, message })
 }
 
-/// Runs a call under the faults and limits.
+/// Handles a call to the store, subject to the faults and rate limits.
 async fn handle_call<Q, A>(
     ctx: &Context<'_>,
     path: &str,
@@ -261,7 +261,8 @@
             .into_iter()
             .any(|put| put.value.0.len() > VALUE_LIMIT_BYTES);
         if is_too_large {
-            // A value over the limit is a fault of the caller: nothing is written.
+            // A value over the limit is the caller's error: write nothing and report that
+            // the transaction did not succeed.
             return wire::TxnReply::default();
         }
         state.kv.txn(request)
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -1,6 +1,6 @@
-//! A rate limit on calls.
+//! A rate limit for calls.
 
-/// A token bucket that holds a second's worth.
+/// A token bucket with a capacity of one second of calls.
 #[derive(Clone, Debug)]
 pub struct RateLimit {
     rate_per_s: u64,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Takes a token, if one is there.
+    /// Takes a token and returns true, or returns false if none is left.
     pub fn try_take(&mut self, now_ms: u64) -> bool {
         let elapsed_ms = now_ms.saturating_sub(self.filled_at_ms);
         let gained_milli = elapsed_ms.saturating_mul(self.rate_per_s);
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,4 +1,4 @@
-//! What really ran where and when, as the stand-ins saw it.
+//! Records of what the stand-ins ran, where and when.
 
 use ospreywing_types::{AttemptId, Resources};
 use serde::{Deserialize, Serialize};
@@ -8,15 +8,15 @@
 pub struct Run {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The worker.
+    /// The worker's name.
     pub worker: String,
-    /// What it was said to need.
+    /// The resources given in the start order.
     pub resources: Resources,
-    /// When it began, on the machine's clock.
+    /// When it began, in milliseconds on the machine's monotonic clock.
     pub began_at_ms: u64,
-    /// When it ended; `None` while it runs.
+    /// When it ended, on the same clock; `None` while it runs.
     pub ended_at_ms: Option<u64>,
-    /// Whether it finished its work.
+    /// Whether the work finished, as opposed to failing or being stopped.
     pub is_finished: bool,
 }
 
@@ -25,32 +25,32 @@
 pub struct WorkerRecord {
     /// Every run.
     pub runs: Vec<Run>,
-    /// Starts that gave a worker more than it holds.
+    /// Starts that exceeded the worker's capacity.
     pub overcommits_count: u64,
     /// Calls received.
     pub calls_count: u64,
 }
 
-/// How often a request key ran.
+/// The number of runs of a request key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRuns {
     /// The key.
     pub key: String,
-    /// How often it ran.
+    /// The number of runs.
     pub runs_count: u64,
 }
 
 /// The record of a minion host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionRecord {
-    /// Every key that ran, of rows that are unsafe to repeat.
+    /// The runs of each request key that arrived with a request.
     pub keys: Vec<KeyRuns>,
     /// Requests that ran.
     pub runs_count: u64,
-    /// Requests that came while all eight slots were in use.
+    /// Requests that arrived while all eight slots of the minion were in use.
     pub overcommits_count: u64,
-    /// The most requests that one minion had at once.
+    /// The maximum number of concurrent requests on one minion.
     pub peak_slots_count: u64,
-    /// Requests that came on a connection.
+    /// Requests that arrived on a connection.
     pub connections_count: u64,
 }
--- a/crates/standin/src/trace_maker.rs
+++ b/crates/standin/src/trace_maker.rs
@@ -1,8 +1,8 @@
-//! Makes traces for replay, from stated distributions and a seed.
+//! Generates traces for replay from distributions and a seed.
 //!
-//! Arrivals are a Poisson process whose rate follows a shape over the trace; the
-//! durations of each row are log-normal, so that a few tasks take most of the
-//! time. The trace of the letter's size has a rack lost at its peak.
+//! Arrivals are a Poisson process whose rate rises to a peak in the middle of the
+//! trace and falls again. Durations are log-normal for each row, so that a few tasks
+//! take most of the time. In the `letter` trace a rack is lost at the peak.
 
 use ospreywing_types::Resources;
 use rand::{Rng, SeedableRng};
@@ -10,45 +10,45 @@
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
 
-/// One row's tasks.
+/// The distribution of one row's tasks.
 #[derive(Clone, Debug)]
 pub struct RowShape {
-    /// The row.
+    /// The workload row.
     pub row: &'static str,
-    /// Its part of the arrivals.
+    /// The row's relative share of the arrivals.
     pub weight: u32,
-    /// What each task needs.
+    /// The resources of each task.
     pub demand: Resources,
-    /// The median duration.
+    /// The median duration, in milliseconds.
     pub median_ms: f64,
-    /// The spread of the duration: the standard deviation of its logarithm.
+    /// The standard deviation of the logarithm of the duration.
     pub log_std_dev: f64,
 }
 
-/// What a trace is made from.
+/// The parameters of a trace.
 #[derive(Clone, Debug)]
 pub struct TraceShape {
-    /// Workers, in the order of their racks.
+    /// The number of workers; consecutive ones share a rack.
     pub workers_count: u32,
-    /// How many of them have accelerators.
+    /// The number of workers with accelerators.
     pub accelerated_count: u32,
-    /// What each holds.
+    /// The capacity of each worker.
     pub capacity: Resources,
-    /// Workers in a rack.
+    /// The number of workers per rack.
     pub rack_size: u32,
-    /// The trace's length.
+    /// The duration of the trace, in milliseconds.
     pub duration_ms: u64,
-    /// Arrivals a second at the peak, which is in the middle.
+    /// Arrivals per second at the peak, in the middle of the trace.
     pub peak_per_s: f64,
-    /// The rate at both ends, as a part of the peak's.
+    /// The rate at both ends, as a fraction of the peak rate.
     pub floor_fraction: f64,
-    /// Whether a rack is lost at the peak and back after a tenth of the trace.
+    /// Whether a rack is lost at the peak and returns after a tenth of the duration.
     pub loses_rack: bool,
     /// The rows.
     pub rows: Vec<RowShape>,
 }
 
-/// Returns the shape of a deployment: `swaramala`, `gallery` or `letter`.
+/// Returns the parameters for a deployment: `swaramala`, `gallery` or `letter`.
 pub fn shape(name: &str) -> Option<TraceShape> {
     match name {
         "swaramala" => Some(swaramala()),
@@ -74,7 +74,7 @@
     }
 }
 
-/// An evening on which leaders hand in season plans, and a venue that cancels.
+/// An evening when leaders submit season plans and a venue cancels.
 fn swaramala() -> TraceShape {
     TraceShape {
         workers_count: 50,
@@ -104,7 +104,7 @@
     }
 }
 
-/// A Saturday evening: albums and bundles after many weddings.
+/// A Saturday evening with album and bundle jobs after many weddings.
 fn gallery() -> TraceShape {
     TraceShape {
         workers_count: 50,
@@ -134,7 +134,7 @@
     }
 }
 
-/// One region at the size to design for, at its peak, with a rack lost.
+/// One region of the design size at its peak, with the loss of a rack.
 fn letter() -> TraceShape {
     TraceShape {
         workers_count: 340,
@@ -164,11 +164,11 @@
     }
 }
 
-/// Makes a trace.
+/// Generates a trace.
 ///
 /// # Panics
 ///
-/// Panics where the shape has no rows or no arrivals.
+/// Panics if the shape has no rows or no arrivals.
 pub fn make(shape: &TraceShape, seed: u64) -> String {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut text = format!("ospreywing-trace 1\n# made with seed {seed}\n");
@@ -207,7 +207,8 @@
         if at_ms >= shape.duration_ms as f64 {
             return text;
         }
-        // Thinning: an arrival of the peak's rate is kept with the shape's odds.
+        // Thinning: keep each arrival of the peak rate with a probability equal to the
+        // relative rate.
         let probability = relative_rate(shape, at_ms);
         if rng.random_range(0.0..1.0) < probability {
             number += 1;
@@ -216,7 +217,8 @@
     }
 }
 
-/// The rate at a time, as a part of the peak's: a triangle over the floor.
+/// Returns the rate at a time as a fraction of the peak rate: a triangle above the
+/// floor.
 fn relative_rate(shape: &TraceShape, at_ms: f64) -> f64 {
     let position = at_ms / shape.duration_ms as f64;
     let from_peak = (position - 0.5).abs() * 2.0;
@@ -240,7 +242,7 @@
     push_line(text, &line);
 }
 
-/// Writes what happens to every worker of one rack.
+/// Writes an event for every worker of the first rack.
 fn push_rack_event(text: &mut String, shape: &TraceShape, at_ms: u64, event: &str) {
     for index in 0..shape.rack_size {
         push_line(text, &format!("{at_ms} {event} w{index:03}"));
@@ -257,6 +259,6 @@
 }
 
 fn push_line(text: &mut String, line: &str) {
-    // Writing to memory does not fail.
+    // Writing to a `String` can't fail.
     let _ = writeln!(text, "{line}");
 }
--- a/crates/standin/src/web.rs
+++ b/crates/standin/src/web.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' HTTP handlers share.
+//! Helpers for the stand-ins' HTTP handlers.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 use xitca_web::http::{StatusCode, WebResponse};
 use xitca_web::WebContext;
 
-/// The largest body that is read: a transaction with a value of a megabyte.
+/// The maximum size of a request body; a transaction may hold a value of one MiB.
 pub const BODY_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
 /// The variable part of a path.
@@ -23,19 +23,23 @@
     path.map(|Params(path)| path.name).unwrap_or_default()
 }
 
-/// Reads the body; `None` where it is too large.
+/// Reads the body; returns `None` if it is too large.
 pub async fn body<C>(ctx: &WebContext<'_, C>) -> Option<Vec<u8>> {
     let body = ctx.extract::<(Vec<u8>, Limit<BODY_LIMIT_BYTES>)>().await;
     body.ok().map(|(body, _)| body)
 }
 
 /// Reads the body as JSON.
+///
+/// # Errors
+///
+/// Returns an error if the body is too large or isn't valid JSON for `T`.
 pub async fn json_body<C, T: DeserializeOwned>(ctx: &WebContext<'_, C>) -> Result<T, String> {
     let body = body(ctx).await.ok_or("body: too large")?;
     serde_json::from_slice(&body).map_err(|error| format!("body: {error}"))
 }
 
-/// Answers with JSON.
+/// Returns a JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> WebResponse {
     let body = serde_json::to_string(value).unwrap_or_default();
     let mut response = WebResponse::new(body.into());
@@ -45,7 +49,7 @@
     response
 }
 
-/// Answers with a status and a line of text.
+/// Returns a response with a status and a line of text.
 pub fn text(status: StatusCode, text: &str) -> WebResponse {
     let mut response = WebResponse::new(format!("{text}\n").into());
     *response.status_mut() = status;
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,7 +1,8 @@
-//! Workers: they run what they are told, under leases, and report.
+//! Workers: they run attempts under leases and report their ends.
 //!
-//! The command `work MS TEXT` takes so many milliseconds and gives the text;
-//! `fail MS TEXT` fails with it; `serve` runs until it is stopped.
+//! The command `work MS TEXT` takes `MS` milliseconds and returns `TEXT` as its
+//! result; `fail MS TEXT` fails with `TEXT` after `MS` milliseconds; `serve` runs
+//! until it is stopped or its lease expires. Other commands fail at once.
 
 use crate::boxes::Announcement;
 
@@ -26,14 +27,14 @@
 use xitca_web::route::{get, post};
 use xitca_web::{App, HttpServer, WebContext};
 
-/// What a running attempt will do.
+/// A running attempt.
 #[derive(Clone, Debug)]
 struct Running {
     resources: Resources,
     lease_until_ms: u64,
-    /// When it ends by itself, and how; `None` for a service.
+    /// When and how the attempt ends by itself, in milliseconds; `None` for `serve`.
     planned_end: Option<(u64, TaskEnd)>,
-    /// Its place in the record.
+    /// The index of the run in the record.
     run_index: usize,
 }
 
@@ -81,7 +82,7 @@
             planned_end: planned_end(&start.command, now),
             run_index,
         };
-        // No guard: a second start of the same attempt runs a second time.
+        // Duplicates are not rejected: a second start of an attempt runs it again.
         self.running.insert(start.attempt, running);
     }
 
@@ -94,11 +95,11 @@
             run.is_finished = matches!(end, TaskEnd::Finished(_));
         }
         self.ended.insert(attempt, end.clone());
-        // Nobody may be listening.
+        // Fails if there is no subscriber.
         let _ = self.ends.send(Ended { attempt, end });
     }
 
-    /// Ends what has lapsed or is done, whichever came first.
+    /// Ends attempts whose lease has expired or whose work is done, whichever is first.
     fn tick(&mut self) {
         let now = clock::now().as_ms();
         let due = |running: &Running| -> Option<(u64, TaskEnd)> {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Loses everything, as a box that starts anew.
+    /// Simulates a restart: loses all attempts and starts a new incarnation.
     fn restart(&mut self) {
         let attempts: Vec<AttemptId> = self.running.keys().copied().collect();
         for attempt in attempts {
@@ -146,7 +147,7 @@
     }
 }
 
-/// Reads a command; one that is not known fails at once.
+/// Parses a command and returns when and how it ends; an unknown one fails at once.
 fn planned_end(command: &str, now: u64) -> Option<(u64, TaskEnd)> {
     let mut words = command.splitn(3, ' ');
     let verb = words.next().unwrap_or_default();
@@ -226,7 +227,7 @@
     module
 }
 
-/// Holds a call up while the worker is cut off.
+/// Counts a call, and delays it if the worker is cut off.
 async fn delay_if_cut_off(shared: &Shared) {
     let is_cut_off = {
         let state = lock(shared);
@@ -240,7 +241,7 @@
 
 fn renew_leases(shared: &Shared, renew: &Renew) {
     let mut state = lock(shared);
-    // What has lapsed is over before the renewal is looked at.
+    // End expired attempts first: a late renewal must not revive them.
     state.tick();
     let until_ms = clock::now().as_ms() + renew.lease_ms;
     for attempt in &renew.attempts {
@@ -253,30 +254,30 @@
     }
 }
 
-/// What a host of workers is told once.
+/// The configuration of a process that hosts workers.
 #[derive(Clone, Debug)]
 pub struct WorkerHost {
-    /// Workers are named by this and a number.
+    /// The prefix of the workers' names; a number follows.
     pub prefix: String,
-    /// How many.
+    /// The number of workers.
     pub count: u32,
-    /// What each holds.
+    /// The capacity of each worker.
     pub capacity: Resources,
-    /// How many of them have accelerators; the rest have none.
+    /// The number of workers with accelerators; the others have none.
     pub accelerated_count: u32,
-    /// Workers in a rack.
+    /// The number of workers per rack.
     pub rack_size: u32,
-    /// The data centres that the racks are spread over.
+    /// The data centres that the racks are distributed over.
     pub data_centres: Vec<Name>,
     /// `IP:port` of the platform.
     pub platform_addr: String,
 }
 
-/// Runs workers until the process ends; `listener` is for the switches.
+/// Runs workers until the process ends. `listener` serves the admin endpoint.
 ///
 /// # Errors
 ///
-/// Returns an error where a socket can't be opened.
+/// Returns an error if a socket can't be opened.
 pub async fn run(host: WorkerHost, listener: TcpListener) -> std::io::Result<()> {
     let record = Arc::new(Mutex::new(WorkerRecord::default()));
     let mut workers = Vec::new();
@@ -299,7 +300,7 @@
     Ok(())
 }
 
-/// Serves the switches on threads of their own.
+/// Starts the server of the admin endpoint on separate threads.
 fn serve_admin(admin: Admin, listener: TcpListener) -> std::io::Result<()> {
     let app = App::new()
         .with_state(admin)
@@ -371,7 +372,7 @@
     }
 }
 
-/// Tells the platform every second that boxes are there.
+/// Announces boxes to the platform every second until the process ends.
 pub async fn announce_periodically(platform_addr: &str, boxes: Vec<BoxFacts>) {
     let http = HttpClient::new(1);
     let limit = Duration::from_secs(2);
@@ -379,7 +380,7 @@
     loop {
         let call = Call::new(Method::POST, platform_addr, "/admin/announce", limit);
         if let Ok(call) = call.with_json(&announcement) {
-            // The next announcement makes up for a lost one.
+            // A lost announcement is covered by the next one.
             let _ = http.call(call).await;
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/standin/tests/kv.rs
+++ b/crates/standin/tests/kv.rs
@@ -1,4 +1,5 @@
-//! The stand-in store keeps the promises that the daemons rest on.
+//! Tests of the stand-in store's leases, transactions and ranges, on which the
+//! daemons depend.
 
 use ospreywing_standin::kv::Kv;
 use ospreywing_store::wire::{
@@ -59,8 +60,9 @@
     assert_eq!(count(&kv, "a"), 0);
 }
 
-/// Found in a real run: a daemon deleted its entry, its successor put it again
-/// under another lease, and the entry was gone when the first lease lapsed.
+/// Guards against losing a key that was put again under a new lease: a daemon deletes
+/// its entry, its successor puts it again under another lease, and the expiry of the
+/// first lease must not delete it.
 #[test]
 fn expire_leases_key_put_again_keeps_its_new_lease() {
     let mut kv = Kv::new();
