--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -301,7 +301,7 @@
     let text = serde_json::to_string(&list).unwrap_or_default();
     let tag = format!("\"{:016x}\"", stable_hash(&text));
     let known_tag = ctx.req().headers().get(IF_NONE_MATCH);
-    if known_tag.is_some_and(|known_tag| known_tag.as_bytes() == tag.as_bytes()) {
+    if known_tag.is_some_and(|known| known.as_bytes() == tag.as_bytes()) {
         let mut response = WebResponse::new(String::new().into());
         *response.status_mut() = StatusCode::NOT_MODIFIED;
         return response;
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -161,7 +161,7 @@
     }
 }
 
-fn module(shared: Shared) -> RpcModule<Shared> {
+fn rpc_module(shared: Shared) -> RpcModule<Shared> {
     let mut module = RpcModule::new(shared);
     let registered = [
         module
@@ -338,7 +338,7 @@
     let server = Server::builder().set_config(config);
     let server = server.build("127.0.0.1:0").await?;
     let addr = server.local_addr()?;
-    let handle = server.start(module(Arc::clone(&shared)));
+    let handle = server.start(rpc_module(Arc::clone(&shared)));
     tokio::spawn(handle.stopped());
     Ok((shared, addr))
 }
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns whether this amount fits in `room`.
+    /// Returns whether this amount fits in `capacity`.
     pub const fn fits_in(&self, capacity: &Self) -> bool {
         self.cores_milli <= capacity.cores_milli
             && self.memory_mib <= capacity.memory_mib
