--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -1,5 +1,5 @@
-//! Callers: they send both deployments' work through all daemons and check
-//! every answer.
+//! Load driver: sends the requests and tasks of both deployments to all daemons and
+//! checks every answer.
 
 use crate::minion::MinionReply;
 use hdrhistogram::Histogram;
@@ -14,75 +14,75 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What the callers are told.
+/// The configuration of the load driver.
 #[derive(Clone, Debug)]
-pub struct Drive {
+pub struct DriveConfig {
     /// `IP:port` of the daemons.
     pub daemons: Vec<String>,
-    /// How long requests are sent.
-    pub length: Duration,
-    /// Requests a second.
+    /// How long requests and tasks are sent.
+    pub duration: Duration,
+    /// Requests per second.
     pub rate_per_s: u32,
-    /// Tasks submitted, evenly over the time.
+    /// The number of tasks, submitted evenly over the duration.
     pub tasks_count: u32,
-    /// How long tasks may take to finish after that.
-    pub finish_limit: Duration,
-    /// How often each task is asked about.
-    pub status_every: Duration,
-    /// The seed of all choices.
+    /// How long a task may take to finish after its submission.
+    pub finish_timeout: Duration,
+    /// The interval of status polls for each task.
+    pub status_interval: Duration,
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Put before every key, so that drives don't share keys.
+    /// Part of every key, so that separate runs of the driver don't share keys.
     pub run_name: String,
 }
 
-/// What became of the work.
+/// The outcomes of the requests and tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DriveReport {
-    /// Tasks that a daemon said are on record.
+    /// Tasks that a daemon acknowledged as recorded.
     pub tasks_submitted: u64,
-    /// Tasks that finished with the right result.
+    /// Tasks that finished with the expected result.
     pub tasks_finished: u64,
     /// Tasks that were never accepted.
     pub tasks_refused: u64,
-    /// Tasks of rows unsafe to repeat whose end is unknown.
+    /// Tasks that are unsafe to repeat and whose end is unknown.
     pub tasks_unknown: u64,
     /// Requests sent.
     pub requests_sent: u64,
-    /// Requests with the right and whole answer.
+    /// Requests with the correct and complete answer.
     pub requests_done: u64,
-    /// Requests with an answer that is not theirs.
+    /// Requests with an answer that doesn't match the request.
     pub requests_wrong: u64,
-    /// Requests that gave up after being told that they did not run.
+    /// Requests that got no final answer before the timeout.
     pub requests_not_run: u64,
-    /// Requests that were told that nothing is known.
+    /// Requests whose outcome the daemon doesn't know.
     pub requests_unknown: u64,
-    /// Times a daemon said "not run", first tries and later ones.
+    /// Answers without success that were retried, for requests and tasks.
     pub refusals: u64,
-    /// How long requests took, in milliseconds.
+    /// Latency of requests, retries included, in milliseconds.
     pub request_ms: Quantiles,
-    /// How long the acknowledgement of tasks took, in milliseconds.
+    /// Latency of task acknowledgements, retries included, in milliseconds.
     pub submit_ms: Quantiles,
 }
 
-/// Quantiles of a length of time.
+/// Quantiles of a duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Half took at most this.
+    /// The median.
     pub p50: f64,
-    /// Of a hundred, ninety-nine took at most this.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     pub max: f64,
 }
 
-/// A service row that is driven.
+/// A service row that requests are sent to.
 struct ServiceRow {
     name: &'static str,
     is_repeatable: bool,
     work_ms: std::ops::Range<u64>,
 }
 
-/// A batch row that is driven.
+/// A batch row that tasks are submitted to.
 struct BatchRow {
     name: &'static str,
     resources: Resources,
@@ -125,11 +125,11 @@
     },
 ];
 
-/// A caller gives up on a request after this time.
-const REQUEST_LIMIT: Duration = Duration::from_secs(10);
-const CALL_LIMIT: Duration = Duration::from_secs(12);
-const SUBMIT_LIMIT: Duration = Duration::from_secs(40);
-const PAUSE: Duration = Duration::from_millis(200);
+/// A caller gives up on a request after this time, over all its calls.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(12);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(40);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 #[derive(Default)]
 struct Tally {
@@ -140,17 +140,17 @@
 
 #[derive(Clone)]
 struct Caller {
-    drive: Arc<Drive>,
+    drive: Arc<DriveConfig>,
     http: HttpClient,
     tally: Arc<Mutex<Tally>>,
 }
 
-const IDLE_CONNECTIONS: usize = 64;
+const IDLE_CONNECTIONS_LIMIT: usize = 64;
 
-/// Drives the daemons and returns what became of the work.
-pub async fn run(drive: Drive) -> DriveReport {
+/// Sends the load and returns the outcomes.
+pub async fn run(drive: DriveConfig) -> DriveReport {
     let caller = Caller {
-        http: HttpClient::new(IDLE_CONNECTIONS),
+        http: HttpClient::new(IDLE_CONNECTIONS_LIMIT),
         tally: Arc::new(Mutex::new(Tally::default())),
         drive: Arc::new(drive),
     };
@@ -162,7 +162,7 @@
 }
 
 impl Caller {
-    fn note(&self, change: impl FnOnce(&mut Tally)) {
+    fn update_tally(&self, change: impl FnOnce(&mut Tally)) {
         change(&mut self.tally.lock().unwrap_or_else(|e| e.into_inner()));
     }
 
@@ -176,20 +176,20 @@
 
     async fn send_requests(self) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.drive.seed);
-        let count = u64::from(self.drive.rate_per_s) * self.drive.length.as_secs();
-        let gap = Duration::from_secs(1) / self.drive.rate_per_s.max(1);
-        let mut ticks = tokio::time::interval(gap);
-        let mut open = Vec::new();
+        let count = u64::from(self.drive.rate_per_s) * self.drive.duration.as_secs();
+        let interval = Duration::from_secs(1) / self.drive.rate_per_s.max(1);
+        let mut ticks = tokio::time::interval(interval);
+        let mut pending = Vec::new();
         for number in 0..count {
             ticks.tick().await;
             let row = &SERVICE_ROWS[number as usize % SERVICE_ROWS.len()];
             let ms = rng.random_range(row.work_ms.clone());
             let caller = self.clone();
-            open.push(tokio::spawn(async move {
+            pending.push(tokio::spawn(async move {
                 caller.request(row, number, ms).await;
             }));
         }
-        for request in open {
+        for request in pending {
             let _ = request.await;
         }
     }
@@ -198,7 +198,8 @@
         &self.drive.daemons[number as usize % self.drive.daemons.len()]
     }
 
-    /// Sends one request, with one key, until it has a final answer.
+    /// Sends a request, with the same key on each retry, until a final answer or the
+    /// timeout.
     async fn request(&self, row: &ServiceRow, number: u64, ms: u64) {
         let safety = if row.is_repeatable {
             "repeatable"
@@ -207,44 +208,49 @@
         };
         let key = format!("{safety}-{}-{number}", self.drive.run_name);
         let body = format!("{ms} payload-{key}");
-        let began = Instant::now();
-        self.note(|tally| tally.report.requests_sent += 1);
-        for turn in 0.. {
-            if began.elapsed() >= REQUEST_LIMIT {
-                self.note(|tally| tally.report.requests_not_run += 1);
+        let started_at = Instant::now();
+        self.update_tally(|tally| tally.report.requests_sent += 1);
+        for attempt in 0.. {
+            if started_at.elapsed() >= REQUEST_TIMEOUT {
+                self.update_tally(|tally| tally.report.requests_not_run += 1);
                 return;
             }
             let path = format!("/v1/call/{}", row.name);
-            let call = Call::new(Method::POST, self.daemon(number + turn), &path, CALL_LIMIT)
-                .with_header(REQUEST_KEY, &key)
-                .with_body(body.clone());
+            let call = Call::new(
+                Method::POST,
+                self.daemon(number + attempt),
+                &path,
+                CALL_TIMEOUT,
+            )
+            .with_header(REQUEST_KEY, &key)
+            .with_body(body.clone());
             match self.http.call(call).await {
                 Ok(answer) if outcome(&answer) == "done" => {
-                    self.note_answer(&answer, &key, row, began);
+                    self.record_answer(&answer, &key, row, started_at);
                     return;
                 }
                 Ok(answer) if outcome(&answer) == "not_run" => {
-                    self.note(|tally| tally.report.refusals += 1);
+                    self.update_tally(|tally| tally.report.refusals += 1);
                     tokio::time::sleep(retry_after(&answer)).await;
                 }
                 Ok(_) => {
-                    self.note(|tally| tally.report.requests_unknown += 1);
+                    self.update_tally(|tally| tally.report.requests_unknown += 1);
                     return;
                 }
-                // The daemon is gone: ask another, with the same key.
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                // The daemon is unreachable: retry at the next one, with the same key.
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    fn note_answer(&self, answer: &Answer, key: &str, row: &ServiceRow, began: Instant) {
+    fn record_answer(&self, answer: &Answer, key: &str, row: &ServiceRow, started_at: Instant) {
         let reply: Result<MinionReply, HttpError> = answer.json();
         let is_own = reply.is_ok_and(|reply| {
             let is_key = reply.key == key || row.is_repeatable && reply.key.is_empty();
             is_key && reply.row == row.name && reply.text == format!("payload-{key}")
         });
-        let took_us = began.elapsed().as_micros() as u64;
-        self.note(|tally| {
+        let took_us = started_at.elapsed().as_micros() as u64;
+        self.update_tally(|tally| {
             if is_own {
                 tally.report.requests_done += 1;
                 record(&mut tally.request_us, took_us);
@@ -256,45 +262,45 @@
 
     async fn send_tasks(self) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.drive.seed + 1);
-        let gap = self.drive.length / self.drive.tasks_count.max(1);
-        let mut open = Vec::new();
+        let interval = self.drive.duration / self.drive.tasks_count.max(1);
+        let mut pending = Vec::new();
         for number in 0..self.drive.tasks_count {
             let row = &BATCH_ROWS[number as usize % BATCH_ROWS.len()];
             let ms = rng.random_range(row.work_ms.clone());
             let caller = self.clone();
-            open.push(tokio::spawn(async move {
+            pending.push(tokio::spawn(async move {
                 caller.task(row, u64::from(number), ms).await;
             }));
-            tokio::time::sleep(gap).await;
+            tokio::time::sleep(interval).await;
         }
-        for task in open {
+        for task in pending {
             let _ = task.await;
         }
     }
 
-    /// Submits one task and waits for its end.
+    /// Submits a task and polls its status until it ends or the timeout is reached.
     async fn task(&self, row: &BatchRow, number: u64, ms: u64) {
         let key = format!("task-{}-{number}", self.drive.run_name);
         if !self.submit(row, &key, number, ms).await {
-            self.note(|tally| tally.report.tasks_refused += 1);
+            self.update_tally(|tally| tally.report.tasks_refused += 1);
             return;
         }
-        self.note(|tally| tally.report.tasks_submitted += 1);
-        let until = Instant::now() + self.drive.finish_limit;
-        let mut turn = number;
-        while Instant::now() < until {
-            tokio::time::sleep(self.drive.status_every).await;
-            turn += 1;
-            let Some(status) = self.status(&key, turn).await else {
+        self.update_tally(|tally| tally.report.tasks_submitted += 1);
+        let deadline = Instant::now() + self.drive.finish_timeout;
+        let mut attempt = number;
+        while Instant::now() < deadline {
+            tokio::time::sleep(self.drive.status_interval).await;
+            attempt += 1;
+            let Some(status) = self.status(&key, attempt).await else {
                 continue;
             };
             match status.phase {
                 TaskPhase::Finished if status.result == Some(format!("result-{key}")) => {
-                    self.note(|tally| tally.report.tasks_finished += 1);
+                    self.update_tally(|tally| tally.report.tasks_finished += 1);
                     return;
                 }
                 TaskPhase::Unknown => {
-                    self.note(|tally| tally.report.tasks_unknown += 1);
+                    self.update_tally(|tally| tally.report.tasks_unknown += 1);
                     return;
                 }
                 _ => {}
@@ -314,33 +320,33 @@
             },
             key,
         };
-        let began = Instant::now();
-        for turn in 0.. {
-            if began.elapsed() >= SUBMIT_LIMIT {
+        let started_at = Instant::now();
+        for attempt in 0.. {
+            if started_at.elapsed() >= SUBMIT_TIMEOUT {
                 return false;
             }
-            let daemon = self.daemon(number + turn);
-            let call = Call::new(Method::POST, daemon, "/v1/tasks", CALL_LIMIT).with_json(&task);
+            let daemon = self.daemon(number + attempt);
+            let call = Call::new(Method::POST, daemon, "/v1/tasks", CALL_TIMEOUT).with_json(&task);
             let Ok(call) = call else { return false };
             match self.http.call(call).await {
                 Ok(answer) if outcome(&answer) == "done" => {
-                    let took_us = began.elapsed().as_micros() as u64;
-                    self.note(|tally| record(&mut tally.submit_us, took_us));
+                    let took_us = started_at.elapsed().as_micros() as u64;
+                    self.update_tally(|tally| record(&mut tally.submit_us, took_us));
                     return true;
                 }
                 Ok(answer) => {
-                    self.note(|tally| tally.report.refusals += 1);
+                    self.update_tally(|tally| tally.report.refusals += 1);
                     tokio::time::sleep(retry_after(&answer)).await;
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
         false
     }
 
-    async fn status(&self, key: &str, turn: u64) -> Option<TaskStatus> {
+    async fn status(&self, key: &str, attempt: u64) -> Option<TaskStatus> {
         let path = format!("/v1/tasks/{key}");
-        let call = Call::new(Method::GET, self.daemon(turn), &path, CALL_LIMIT);
+        let call = Call::new(Method::GET, self.daemon(attempt), &path, CALL_TIMEOUT);
         self.http.call(call).await.ok()?.json().ok()
     }
 }
@@ -352,16 +358,16 @@
 fn retry_after(answer: &Answer) -> Duration {
     let refusal: Result<Refusal, HttpError> = answer.json();
     let ms = refusal.ok().and_then(|refusal| refusal.retry_after_ms);
-    ms.map_or(PAUSE, Duration::from_millis)
+    ms.map_or(RETRY_DELAY, Duration::from_millis)
 }
 
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Longer times count as this: ten minutes.
-const LONGEST_US: u64 = 600_000_000;
+/// Longer durations are recorded as this value, ten minutes.
+const MAX_RECORDED_US: u64 = 600_000_000;
 
 fn record(histogram: &mut Option<Histogram<u64>>, value_us: u64) {
     if histogram.is_none() {
-        *histogram = Histogram::new_with_max(LONGEST_US, SIGNIFICANT_DIGITS).ok();
+        *histogram = Histogram::new_with_max(MAX_RECORDED_US, SIGNIFICANT_DIGITS).ok();
     }
     if let Some(histogram) = histogram {
         histogram.saturating_record(value_us);
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,7 +1,8 @@
-//! Workers: they run what they are told, under leases, and report.
+//! Workers: they run attempts under leases and report their ends.
 //!
-//! The command `work MS TEXT` takes so many milliseconds and gives the text;
-//! `fail MS TEXT` fails with it; `serve` runs until it is stopped.
+//! The command `work MS TEXT` takes `MS` milliseconds and returns `TEXT` as its
+//! result; `fail MS TEXT` fails with `TEXT` after `MS` milliseconds; `serve` runs
+//! until it is stopped or its lease expires. Other commands fail at once.
 
 use crate::boxes::Announcement;
 
@@ -26,14 +27,14 @@
 use xitca_web::route::{get, post};
 use xitca_web::{App, HttpServer, WebContext};
 
-/// What a running attempt will do.
+/// A running attempt.
 #[derive(Clone, Debug)]
 struct Running {
     resources: Resources,
     lease_until_ms: u64,
-    /// When it ends by itself, and how; `None` for a service.
-    done: Option<(u64, TaskEnd)>,
-    /// Its place in the record.
+    /// When and how the attempt ends by itself, in milliseconds; `None` for `serve`.
+    planned_end: Option<(u64, TaskEnd)>,
+    /// The index of the run in the record.
     run_index: usize,
 }
 
@@ -54,9 +55,9 @@
     shared.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-const TICK: Duration = Duration::from_millis(5);
-const ENDS_QUEUE_COUNT: usize = 4096;
-const CUT_OFF_FOR: Duration = Duration::from_secs(3600);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+const ENDS_QUEUE_LIMIT: usize = 4096;
+const CUT_OFF_DELAY: Duration = Duration::from_secs(3600);
 
 impl State {
     fn start(&mut self, start: Start) {
@@ -78,10 +79,10 @@
         let running = Running {
             resources: start.resources,
             lease_until_ms: now + start.lease_ms,
-            done: done_of(&start.command, now),
+            planned_end: planned_end(&start.command, now),
             run_index,
         };
-        // No guard: a second start of the same attempt runs a second time.
+        // Duplicates are not rejected: a second start of an attempt runs it again.
         self.running.insert(start.attempt, running);
     }
 
@@ -94,17 +95,24 @@
             run.is_finished = matches!(end, TaskEnd::Finished(_));
         }
         self.ended.insert(attempt, end.clone());
-        // Nobody may be listening.
+        // Fails if there is no subscriber.
         let _ = self.ends.send(Ended { attempt, end });
     }
 
-    /// Ends what has lapsed or is done, whichever came first.
+    /// Ends attempts whose lease has expired or whose work is done, whichever is first.
     fn tick(&mut self) {
         let now = clock::now().as_ms();
         let due = |running: &Running| -> Option<(u64, TaskEnd)> {
-            let lapse = (running.lease_until_ms, TaskEnd::LeaseLapsed);
-            let done = running.done.clone().unwrap_or_else(|| lapse.clone());
-            let first = if done.0 <= lapse.0 { done } else { lapse };
+            let expiry = (running.lease_until_ms, TaskEnd::LeaseLapsed);
+            let planned_end = running
+                .planned_end
+                .clone()
+                .unwrap_or_else(|| expiry.clone());
+            let first = if planned_end.0 <= expiry.0 {
+                planned_end
+            } else {
+                expiry
+            };
             (first.0 <= now).then_some(first)
         };
         let ends = self.running.iter();
@@ -116,7 +124,7 @@
         }
     }
 
-    /// Loses everything, as a box that starts anew.
+    /// Simulates a restart: loses all attempts and starts a new incarnation.
     fn restart(&mut self) {
         let attempts: Vec<AttemptId> = self.running.keys().copied().collect();
         for attempt in attempts {
@@ -139,8 +147,8 @@
     }
 }
 
-/// Reads a command; one that is not known fails at once.
-fn done_of(command: &str, now: u64) -> Option<(u64, TaskEnd)> {
+/// Parses a command and returns when and how it ends; an unknown one fails at once.
+fn planned_end(command: &str, now: u64) -> Option<(u64, TaskEnd)> {
     let mut words = command.splitn(3, ' ');
     let verb = words.next().unwrap_or_default();
     let ms = words.next().and_then(|ms| ms.parse::<u64>().ok());
@@ -153,19 +161,19 @@
     }
 }
 
-fn module(shared: Shared) -> RpcModule<Shared> {
+fn rpc_module(shared: Shared) -> RpcModule<Shared> {
     let mut module = RpcModule::new(shared);
     let registered = [
         module
             .register_async_method(worker::REPORT, |_, shared, _| async move {
-                pass(&shared).await;
+                delay_if_cut_off(&shared).await;
                 Ok::<_, ErrorObjectOwned>(lock(&shared).report())
             })
             .is_ok(),
         module
             .register_async_method(worker::START, |params, shared, _| async move {
                 let start: Start = params.one()?;
-                pass(&shared).await;
+                delay_if_cut_off(&shared).await;
                 lock(&shared).start(start);
                 Ok::<_, ErrorObjectOwned>(())
             })
@@ -173,15 +181,15 @@
         module
             .register_async_method(worker::RENEW, |params, shared, _| async move {
                 let renew: Renew = params.one()?;
-                pass(&shared).await;
-                send_due_polls(&shared, &renew);
+                delay_if_cut_off(&shared).await;
+                renew_leases(&shared, &renew);
                 Ok::<_, ErrorObjectOwned>(())
             })
             .is_ok(),
         module
             .register_async_method(worker::STOP, |params, shared, _| async move {
                 let stop: Stop = params.one()?;
-                pass(&shared).await;
+                delay_if_cut_off(&shared).await;
                 lock(&shared).end(stop.attempt, clock::now().as_ms(), TaskEnd::Stopped);
                 Ok::<_, ErrorObjectOwned>(())
             })
@@ -200,7 +208,7 @@
                         tokio::select! {
                             ended = ends.recv() => {
                                 let Ok(ended) = ended else { return };
-                                pass(&shared).await;
+                                delay_if_cut_off(&shared).await;
                                 let raw = serde_json::value::to_raw_value(&ended);
                                 let Ok(raw) = raw else { return };
                                 let message = SubscriptionMessage::from(raw);
@@ -219,21 +227,21 @@
     module
 }
 
-/// Holds a call up while the worker is cut off.
-async fn pass(shared: &Shared) {
+/// Counts a call, and delays it if the worker is cut off.
+async fn delay_if_cut_off(shared: &Shared) {
     let is_cut_off = {
         let state = lock(shared);
         lock(&state.record).calls_count += 1;
         state.is_cut_off
     };
     if is_cut_off {
-        tokio::time::sleep(CUT_OFF_FOR).await;
+        tokio::time::sleep(CUT_OFF_DELAY).await;
     }
 }
 
-fn send_due_polls(shared: &Shared, renew: &Renew) {
+fn renew_leases(shared: &Shared, renew: &Renew) {
     let mut state = lock(shared);
-    // What has lapsed is over before the renewal is looked at.
+    // End expired attempts first: a late renewal must not revive them.
     state.tick();
     let until_ms = clock::now().as_ms() + renew.lease_ms;
     for attempt in &renew.attempts {
@@ -246,54 +254,54 @@
     }
 }
 
-/// What a host of workers is told once.
+/// The configuration of a process that hosts workers.
 #[derive(Clone, Debug)]
 pub struct WorkerHost {
-    /// Workers are named by this and a number.
+    /// The prefix of the workers' names; a number follows.
     pub prefix: String,
-    /// How many.
+    /// The number of workers.
     pub count: u32,
-    /// What each holds.
+    /// The capacity of each worker.
     pub capacity: Resources,
-    /// How many of them have accelerators; the rest have none.
+    /// The number of workers with accelerators; the others have none.
     pub accelerated_count: u32,
-    /// Workers in a rack.
+    /// The number of workers per rack.
     pub rack_size: u32,
-    /// The data centres that the racks are spread over.
+    /// The data centres that the racks are distributed over.
     pub data_centres: Vec<Name>,
     /// `IP:port` of the platform.
     pub platform_addr: String,
 }
 
-/// Runs workers until the process ends; `listener` is for the switches.
+/// Runs workers until the process ends. `listener` serves the admin endpoint.
 ///
 /// # Errors
 ///
-/// Returns an error where a socket can't be opened.
+/// Returns an error if a socket can't be opened.
 pub async fn run(host: WorkerHost, listener: TcpListener) -> std::io::Result<()> {
     let record = Arc::new(Mutex::new(WorkerRecord::default()));
     let mut workers = Vec::new();
     let mut boxes = Vec::new();
     for index in 0..host.count {
         let (shared, addr) = start_worker(&host, index, &record).await?;
-        boxes.push(facts(&host, index, addr));
+        boxes.push(box_facts(&host, index, addr));
         workers.push(shared);
     }
     let admin = Admin { workers, record };
-    let ticking = admin.workers.clone();
+    let tick_workers = admin.workers.clone();
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(TICK).await;
-            ticking.iter().for_each(|shared| lock(shared).tick());
+            tokio::time::sleep(TICK_INTERVAL).await;
+            tick_workers.iter().for_each(|shared| lock(shared).tick());
         }
     });
-    serve_switches(admin, listener)?;
-    announce_for_ever(&host.platform_addr, boxes).await;
+    serve_admin(admin, listener)?;
+    announce_periodically(&host.platform_addr, boxes).await;
     Ok(())
 }
 
-/// Serves the switches on threads of their own.
-fn serve_switches(admin: Admin, listener: TcpListener) -> std::io::Result<()> {
+/// Starts the server of the admin endpoint on separate threads.
+fn serve_admin(admin: Admin, listener: TcpListener) -> std::io::Result<()> {
     let app = App::new()
         .with_state(admin)
         .at("/admin/record", get(handler_service(show_record)))
@@ -312,7 +320,7 @@
     index: u32,
     record: &Arc<Mutex<WorkerRecord>>,
 ) -> std::io::Result<(Shared, SocketAddr)> {
-    let (ends, _) = broadcast::channel(ENDS_QUEUE_COUNT);
+    let (ends, _) = broadcast::channel(ENDS_QUEUE_LIMIT);
     let shared = Arc::new(Mutex::new(State {
         name: name(host, index),
         capacity: capacity(host, index),
@@ -330,7 +338,7 @@
     let server = Server::builder().set_config(config);
     let server = server.build("127.0.0.1:0").await?;
     let addr = server.local_addr()?;
-    let handle = server.start(module(Arc::clone(&shared)));
+    let handle = server.start(rpc_module(Arc::clone(&shared)));
     tokio::spawn(handle.stopped());
     Ok((shared, addr))
 }
@@ -348,7 +356,7 @@
     capacity
 }
 
-fn facts(host: &WorkerHost, index: u32, addr: SocketAddr) -> BoxFacts {
+fn box_facts(host: &WorkerHost, index: u32, addr: SocketAddr) -> BoxFacts {
     let rack_number = index / host.rack_size;
     let data_centre = &host.data_centres[rack_number as usize % host.data_centres.len()];
     let rack = Name::new(&format!("{}rack{rack_number}", host.prefix));
@@ -364,15 +372,15 @@
     }
 }
 
-/// Tells the platform every second that boxes are there.
-pub async fn announce_for_ever(platform_addr: &str, boxes: Vec<BoxFacts>) {
+/// Announces boxes to the platform every second until the process ends.
+pub async fn announce_periodically(platform_addr: &str, boxes: Vec<BoxFacts>) {
     let http = HttpClient::new(1);
     let limit = Duration::from_secs(2);
     let announcement = Announcement { boxes };
     loop {
         let call = Call::new(Method::POST, platform_addr, "/admin/announce", limit);
         if let Ok(call) = call.with_json(&announcement) {
-            // The next announcement makes up for a lost one.
+            // A lost announcement is covered by the next one.
             let _ = http.call(call).await;
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
