--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-const TIME_LIMIT: Duration = Duration::from_secs(15);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Daemons, any of which will do.
 #[derive(Clone, Debug)]
@@ -41,12 +41,12 @@
     ) -> Result<Answer, CliError> {
         let mut last = HttpError::Invalid("no daemon is named".to_owned());
         for addr in &self.addrs {
-            let call = Call::new(method.clone(), addr, path, TIME_LIMIT);
+            let call = Call::new(method.clone(), addr, path, CALL_TIMEOUT);
             let call = prepare(call).map_err(|error| CliError::Usage(error.to_string()))?;
             match self.http.call(call).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) if error.is_not_sent() => last = error,
-                Err(error) => return Err(CliError::Lost(error)),
+                Err(error) => return Err(CliError::ResponseLost(error)),
             }
         }
         Err(CliError::Unreachable(last))
@@ -59,14 +59,14 @@
     /// Returns an error where no daemon gave such an answer.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CliError> {
         let answer = self.call(Method::GET, path, Ok).await?;
-        read(&answer)
+        parse_answer(&answer)
     }
 
     /// Reads JSON from every daemon that answers, with its address.
     pub async fn get_all<T: DeserializeOwned>(&self, path: &str) -> Vec<T> {
         let mut found = Vec::new();
         for addr in &self.addrs {
-            let call = Call::new(Method::GET, addr, path, TIME_LIMIT);
+            let call = Call::new(Method::GET, addr, path, CALL_TIMEOUT);
             let answer = self.http.call(call).await;
             found.extend(answer.ok().and_then(|answer| answer.json().ok()));
         }
@@ -79,15 +79,15 @@
 /// # Errors
 ///
 /// Returns what a bad answer says.
-pub fn read<T: DeserializeOwned>(answer: &Answer) -> Result<T, CliError> {
+pub fn parse_answer<T: DeserializeOwned>(answer: &Answer) -> Result<T, CliError> {
     if !answer.status.is_success() {
-        return Err(refusal(answer));
+        return Err(refusal_error(answer));
     }
-    answer.json().map_err(CliError::Lost)
+    answer.json().map_err(CliError::ResponseLost)
 }
 
 /// Turns an answer without success into an error.
-pub fn refusal(answer: &Answer) -> CliError {
+pub fn refusal_error(answer: &Answer) -> CliError {
     let refusal: Result<Refusal, HttpError> = answer.json();
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     let (reason, retry_after_ms) = match refusal {
--- a/crates/cli/src/delays.rs
+++ b/crates/cli/src/delays.rs
@@ -49,7 +49,7 @@
         self.outcome_ms += other.outcome_ms;
     }
 
-    const fn share_of(&self, count: u64) -> Self {
+    const fn divided_by(&self, count: u64) -> Self {
         Self {
             handing_over_ms: self.handing_over_ms / count,
             advice_ms: self.advice_ms / count,
@@ -66,7 +66,7 @@
 pub struct QueueDelays {
     /// The queue.
     pub queue: String,
-    /// Jobs that were shown complete within their objective.
+    /// Jobs that were shown complete overlaps their objective.
     pub in_time_count: u64,
     /// Jobs that were shown complete later.
     pub late_count: u64,
@@ -82,7 +82,7 @@
 
 /// A line of a log, as far as it is needed here.
 #[derive(Deserialize)]
-struct Line {
+struct LogLine {
     msg: String,
     wall_ms: u64,
     #[serde(default)]
@@ -113,31 +113,31 @@
     queue: String,
     objective_ms: u64,
     accepted_ms: Option<u64>,
-    taken_ms: Option<u64>,
+    received_ms: Option<u64>,
     shown_ms: Option<u64>,
-    /// When calls for advice began and ended.
-    calls: Vec<(u64, u64)>,
-    asked_ms: Option<u64>,
+    /// When advice_calls for advice began and ended.
+    advice_calls: Vec<(u64, u64)>,
+    requested_ms: Option<u64>,
     steps: BTreeMap<String, StepTimes>,
     lost_runs_count: u64,
 }
 
 impl JobTimes {
-    fn take(&mut self, line: &Line) {
+    fn record_line(&mut self, line: &LogLine) {
         let at_ms = line.wall_ms;
         match line.msg.as_str() {
             "job answered" if line.outcome == "accepted" => {
                 self.accepted_ms.get_or_insert(at_ms);
             }
             "job taken" => {
-                self.taken_ms.get_or_insert(at_ms);
+                self.received_ms.get_or_insert(at_ms);
                 self.queue.clone_from(&line.queue);
                 self.objective_ms = line.figure;
             }
-            "advice asked" => self.asked_ms = Some(at_ms),
+            "advice asked" => self.requested_ms = Some(at_ms),
             "advice answered" => {
-                if let Some(asked_ms) = self.asked_ms.take() {
-                    self.calls.push((asked_ms, at_ms));
+                if let Some(requested_ms) = self.requested_ms.take() {
+                    self.advice_calls.push((requested_ms, at_ms));
                 }
             }
             "placed" => self.step(&line.task).placed_ms = at_ms,
@@ -159,18 +159,18 @@
         self.steps.entry(step.to_owned()).or_default()
     }
 
-    /// Returns how long calls for advice were open between two moments.
-    fn open_calls_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
-        let within = self.calls.iter().map(|(asked_ms, answered_ms)| {
-            let begun_ms = (*asked_ms).max(from_ms);
-            (*answered_ms).min(until_ms).saturating_sub(begun_ms)
+    /// Returns how long advice_calls for advice were open between two moments.
+    fn advice_calls_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
+        let overlaps = self.advice_calls.iter().map(|(requested_ms, answered_ms)| {
+            let start_ms = (*requested_ms).max(from_ms);
+            (*answered_ms).min(until_ms).saturating_sub(start_ms)
         });
-        within.sum::<u64>().min(until_ms - from_ms)
+        overlaps.sum::<u64>().min(until_ms - from_ms)
     }
 
     /// Returns the parts of the job's time, where it was shown complete.
     fn delays(&self) -> Option<Delays> {
-        let accepted_ms = self.accepted_ms.or(self.taken_ms)?;
+        let accepted_ms = self.accepted_ms.or(self.received_ms)?;
         let shown_ms = self.shown_ms?;
         let mut delays = Delays::default();
         let mut at_ms = accepted_ms;
@@ -180,13 +180,13 @@
             let from_ms = core::mem::replace(&mut at_ms, to_ms);
             (from_ms, to_ms)
         };
-        let (from_ms, to_ms) = advance(self.taken_ms.unwrap_or(accepted_ms));
+        let (from_ms, to_ms) = advance(self.received_ms.unwrap_or(accepted_ms));
         delays.handing_over_ms = to_ms - from_ms;
         let mut steps: Vec<&StepTimes> = self.steps.values().collect();
         steps.sort_by_key(|step| step.ended_ms);
         for step in steps {
             let (from_ms, to_ms) = advance(step.placed_ms);
-            let advice_ms = self.open_calls_ms(from_ms, to_ms);
+            let advice_ms = self.advice_calls_ms(from_ms, to_ms);
             delays.advice_ms += advice_ms;
             delays.room_ms += to_ms - from_ms - advice_ms;
             let (from_ms, to_ms) = advance(step.sent_ms);
@@ -203,7 +203,7 @@
 /// Gathers the delays of all jobs from logs, by queue; lines that are no JSON are
 /// passed over.
 pub fn delays_by_queue<'a>(logs: impl IntoIterator<Item = &'a str>) -> Vec<QueueDelays> {
-    let mut lines: Vec<Line> = logs
+    let mut lines: Vec<LogLine> = logs
         .into_iter()
         .flat_map(str::lines)
         .filter_map(|line| serde_json::from_str(line).ok())
@@ -217,18 +217,18 @@
             &line.job
         };
         if !id.is_empty() {
-            jobs.entry(id.to_owned()).or_default().take(line);
+            jobs.entry(id.to_owned()).or_default().record_line(line);
         }
     }
     let mut queues: BTreeMap<&str, QueueDelays> = BTreeMap::new();
     // A cancel for a job that no leader took names no queue.
     for job in jobs.values().filter(|job| !job.queue.is_empty()) {
-        count_job(queues.entry(&job.queue).or_default(), job);
+        add_job(queues.entry(&job.queue).or_default(), job);
     }
-    queues.into_values().map(means_of).collect()
+    queues.into_values().map(with_means).collect()
 }
 
-fn count_job(queue: &mut QueueDelays, job: &JobTimes) {
+fn add_job(queue: &mut QueueDelays, job: &JobTimes) {
     queue.queue.clone_from(&job.queue);
     queue.lost_runs_count += job.lost_runs_count;
     let Some(delays) = job.delays() else {
@@ -244,14 +244,14 @@
     }
 }
 
-fn means_of(mut queue: QueueDelays) -> QueueDelays {
+fn with_means(mut queue: QueueDelays) -> QueueDelays {
     let shown_count = queue.in_time_count + queue.late_count;
-    queue.mean = queue.mean.share_of(shown_count.max(1));
-    queue.mean_late = queue.mean_late.share_of(queue.late_count.max(1));
+    queue.mean = queue.mean.divided_by(shown_count.max(1));
+    queue.mean_late = queue.mean_late.divided_by(queue.late_count.max(1));
     queue
 }
 
-fn line_of(name: String, jobs_count: u64, delays: &Delays) -> Vec<String> {
+fn table_line(name: String, jobs_count: u64, delays: &Delays) -> Vec<String> {
     let numbers = [
         jobs_count,
         delays.total_ms(),
@@ -281,9 +281,9 @@
     let mut lines = Vec::new();
     for queue in queues {
         let shown_count = queue.in_time_count + queue.late_count;
-        lines.push(line_of(queue.queue.clone(), shown_count, &queue.mean));
+        lines.push(table_line(queue.queue.clone(), shown_count, &queue.mean));
         let late = format!("  late of these ({} open)", queue.open_count);
-        lines.push(line_of(late, queue.late_count, &queue.mean_late));
+        lines.push(table_line(late, queue.late_count, &queue.mean_late));
     }
     columns(&heading, &lines)
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -37,7 +37,7 @@
     Unreachable(HttpError),
     /// The answer was lost.
     #[error("the answer was lost: {0}")]
-    Lost(HttpError),
+    ResponseLost(HttpError),
     /// A daemon refused.
     #[error("{reason}{}", retry_hint(*.retry_after_ms))]
     Refused {
@@ -53,7 +53,7 @@
     Conflict(String),
     /// A soak found a broken promise, or could not be played.
     #[error("{0}")]
-    Broken(String),
+    SoakFailed(String),
     /// Nothing is known of what became of the request.
     #[error("unknown: {0}")]
     Unknown(String),
@@ -71,8 +71,8 @@
         match self {
             Self::Usage(_) | Self::File { .. } => ExitKind::Usage,
             Self::Unreachable(_) => ExitKind::NotRun,
-            Self::Lost(_) | Self::Unknown(_) => ExitKind::Unknown,
-            Self::Broken(_) => ExitKind::Failure,
+            Self::ResponseLost(_) | Self::Unknown(_) => ExitKind::Unknown,
+            Self::SoakFailed(_) => ExitKind::Failure,
             Self::Refused { retry_after_ms, .. } => match retry_after_ms {
                 Some(_) => ExitKind::NotRun,
                 None => ExitKind::Failure,
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the story of one request, from the logs of several nodes.
+//! `explain`: the timeline of one request, from the logs of several nodes.
 
 use crate::input::read_text;
 use crate::print::{print, Format};
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 
 /// A change of a node's time of day against its steady clock that is named.
-const CLOCK_DOUBT_MS: i64 = 250;
+const MIN_CLOCK_JUMP_MS: i64 = 250;
 /// A time without a line that is named.
-const GAP_MS: u64 = 1000;
+const MIN_GAP_MS: u64 = 1000;
 /// Fields that every line has.
 const COMMON_FIELDS: [&str; 5] = ["at_ms", "wall_ms", "node", "msg", "level"];
 
-/// One line of the story.
+/// One line of the timeline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Entry {
     /// The time of day, in milliseconds since 1970.
@@ -30,20 +30,20 @@
 
 /// A node whose time of day jumped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct ClockDoubt {
+pub struct ClockJump {
     /// The node.
     pub node: String,
     /// By how much, in milliseconds.
     pub jump_ms: i64,
 }
 
-/// The story of one request.
+/// The timeline of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Story {
+pub struct RequestTimeline {
     /// The lines that name the request, in the order of the time of day.
     pub entries: Vec<Entry>,
     /// Clocks that make the order doubtful.
-    pub clock_doubts: Vec<ClockDoubt>,
+    pub clock_doubts: Vec<ClockJump>,
     /// Lines that nodes dropped, so that something may be missing.
     pub dropped_count: u64,
     /// Lines that can't be read.
@@ -51,30 +51,30 @@
 }
 
 #[derive(Default)]
-struct Clock {
+struct NodeClock {
     offset_ms: Option<i64>,
 }
 
-impl Story {
+impl RequestTimeline {
     /// Gathers the lines that name a job, or one of its tasks, from logs.
     pub fn new<'a>(id: &str, logs: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut story = Self::default();
-        let mut clocks: BTreeMap<String, Clock> = BTreeMap::new();
+        let mut timeline = Self::default();
+        let mut clocks: BTreeMap<String, NodeClock> = BTreeMap::new();
         for line in logs.into_iter().flat_map(str::lines) {
             match serde_json::from_str::<Map<String, Value>>(line) {
-                Ok(fields) => story.take(id, &fields, &mut clocks),
-                Err(_) => story.unread_count += 1,
+                Ok(fields) => timeline.record_line(id, &fields, &mut clocks),
+                Err(_) => timeline.unread_count += 1,
             }
         }
-        story.entries.sort_by_key(|entry| entry.wall_ms);
-        story
+        timeline.entries.sort_by_key(|entry| entry.wall_ms);
+        timeline
     }
 
-    fn take(
+    fn record_line(
         &mut self,
         id: &str,
         fields: &Map<String, Value>,
-        clocks: &mut BTreeMap<String, Clock>,
+        clocks: &mut BTreeMap<String, NodeClock>,
     ) {
         let number = |name: &str| fields.get(name).and_then(Value::as_u64).unwrap_or_default();
         let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or_default();
@@ -95,34 +95,39 @@
                 wall_ms,
                 node: node.to_owned(),
                 message: text("msg").to_owned(),
-                fields: words_of(fields),
+                fields: format_fields(fields),
             });
         }
     }
 
-    fn check_clock(&mut self, node: &str, offset_ms: i64, clocks: &mut BTreeMap<String, Clock>) {
+    fn check_clock(
+        &mut self,
+        node: &str,
+        offset_ms: i64,
+        clocks: &mut BTreeMap<String, NodeClock>,
+    ) {
         let clock = clocks.entry(node.to_owned()).or_default();
         let before_ms = clock.offset_ms.replace(offset_ms).unwrap_or(offset_ms);
         let jump_ms = offset_ms - before_ms;
-        if jump_ms.abs() >= CLOCK_DOUBT_MS {
-            self.clock_doubts.push(ClockDoubt {
+        if jump_ms.abs() >= MIN_CLOCK_JUMP_MS {
+            self.clock_doubts.push(ClockJump {
                 node: node.to_owned(),
                 jump_ms,
             });
         }
     }
 
-    /// Returns the story as text, with its gaps.
+    /// Returns the timeline as text, with its gaps.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
-        let begun_ms = self.entries.first().map_or(0, |entry| entry.wall_ms);
-        let mut last_ms = begun_ms;
+        let first_ms = self.entries.first().map_or(0, |entry| entry.wall_ms);
+        let mut last_ms = first_ms;
         for entry in &self.entries {
-            if entry.wall_ms - last_ms >= GAP_MS {
+            if entry.wall_ms - last_ms >= MIN_GAP_MS {
                 text.push_str(&format!("          ... {} ms\n", entry.wall_ms - last_ms));
             }
             last_ms = entry.wall_ms;
-            let after_ms = entry.wall_ms - begun_ms;
+            let after_ms = entry.wall_ms - first_ms;
             let Entry {
                 node,
                 message,
@@ -134,8 +139,8 @@
         if self.entries.is_empty() {
             text.push_str("no line names it\n");
         }
-        for doubt in &self.clock_doubts {
-            let ClockDoubt { node, jump_ms } = doubt;
+        for jump in &self.clock_doubts {
+            let ClockJump { node, jump_ms } = jump;
             text.push_str(&format!(
                 "doubt: the time of day of {node} moved by {jump_ms} ms\n"
             ));
@@ -150,7 +155,7 @@
     }
 }
 
-fn words_of(fields: &Map<String, Value>) -> String {
+fn format_fields(fields: &Map<String, Value>) -> String {
     let others = fields
         .iter()
         .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
@@ -163,12 +168,12 @@
     words.join(" ")
 }
 
-/// Prints the story of one request.
+/// Prints the timeline of one request.
 pub(crate) fn run(format: Format, matches: &ArgMatches) -> Result<(), CliError> {
     let id = matches.get_one::<String>("id").cloned().unwrap_or_default();
     let paths = matches.get_many::<String>("log").into_iter().flatten();
     let logs: Result<Vec<String>, CliError> = paths.map(|path| read_text(path)).collect();
-    let story = Story::new(&id, logs?.iter().map(String::as_str));
-    print(format, &story, || story.to_text());
+    let timeline = RequestTimeline::new(&id, logs?.iter().map(String::as_str));
+    print(format, &timeline, || timeline.to_text());
     Ok(())
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -18,6 +18,6 @@
 pub use client::Daemons;
 pub use delays::{delays_by_queue, Delays, QueueDelays};
 pub use error::{CliError, ExitKind};
-pub use explain::{ClockDoubt, Entry, Story};
+pub use explain::{ClockJump, Entry, RequestTimeline};
 pub use run::run;
 pub use soak::Seeds;
--- a/crates/cli/src/print.rs
+++ b/crates/cli/src/print.rs
@@ -28,16 +28,16 @@
             *width = (*width).max(cell.chars().count());
         }
     }
-    let lay = |cells: Vec<&str>| {
+    let pad = |cells: Vec<&str>| {
         let padded = cells.iter().zip(&widths);
         let padded: Vec<String> = padded
             .map(|(cell, &width)| format!("{cell:width$}"))
             .collect();
         padded.join("  ").trim_end().to_owned()
     };
-    let mut laid = vec![lay(heading.to_vec())];
+    let mut rows = vec![pad(heading.to_vec())];
     for line in lines {
-        laid.push(lay(line.iter().map(String::as_str).collect()));
+        rows.push(pad(line.iter().map(String::as_str).collect()));
     }
-    laid.join("\n")
+    rows.join("\n")
 }
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -4,12 +4,12 @@
 use crate::print::{columns, print, Format};
 use crate::CliError;
 use clap::ArgMatches;
-use ospreywing_replay::{play, play_first_fit, Quantiles, ReplayReport, Trace};
+use ospreywing_replay::{replay_first_fit, replay_trace, Quantiles, ReplayReport, Trace};
 use serde::Serialize;
 
-/// One replay with what it was played under.
+/// One replay with the name of its table or policy.
 #[derive(Clone, Debug, Serialize)]
-struct Played {
+struct LabelledReport {
     under: String,
     #[serde(flatten)]
     report: ReplayReport,
@@ -21,23 +21,23 @@
     let trace_path = path("trace").unwrap_or_default();
     let trace = Trace::parse(&read_text(&trace_path)?)
         .map_err(|error| CliError::Usage(format!("{trace_path}: {error}")))?;
-    let mut played = Vec::new();
+    let mut reports = Vec::new();
     for table_path in [path("table"), path("other-table")].into_iter().flatten() {
         let table = read_table(&table_path)?;
-        played.push(Played {
+        reports.push(LabelledReport {
             under: table_path,
-            report: play(&trace, &table),
+            report: replay_trace(&trace, &table),
         });
     }
     if matches.get_flag("baseline") {
-        played.push(Played {
+        reports.push(LabelledReport {
             under: "first fit".to_owned(),
-            report: play_first_fit(&trace),
+            report: replay_first_fit(&trace),
         });
     }
-    match (format, played.as_slice()) {
+    match (format, reports.as_slice()) {
         (Format::Json, [one]) => print(format, one, String::new),
-        _ => print(format, &played, || text(&played)),
+        _ => print(format, &reports, || to_text(&reports)),
     }
     Ok(())
 }
@@ -47,12 +47,12 @@
     format!("{p50:.0} / {p99:.0} / {max:.0}")
 }
 
-fn text(played: &[Played]) -> String {
+fn to_text(reports: &[LabelledReport]) -> String {
     let mut heading = vec!["MEASURE"];
-    heading.extend(played.iter().map(|played| played.under.as_str()));
+    heading.extend(reports.iter().map(|labelled| labelled.under.as_str()));
     let line = |name: &str, cell: &dyn Fn(&ReplayReport) -> String| {
         let mut line = vec![name.to_owned()];
-        line.extend(played.iter().map(|played| cell(&played.report)));
+        line.extend(reports.iter().map(|labelled| cell(&labelled.report)));
         line
     };
     let mut lines = vec![
@@ -84,7 +84,7 @@
             format!("{:.0}", r.store_bytes_per_start)
         }),
     ];
-    let rows = played.first().map(|played| &played.report.wait_by_row);
+    let rows = reports.first().map(|labelled| &labelled.report.wait_by_row);
     for row in rows.into_iter().flatten() {
         lines.push(line(&format!("wait ms of {}", row.row), &|r| {
             let same = r.wait_by_row.iter().find(|other| other.row == row.row);
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -131,9 +131,9 @@
 }
 
 /// A burn above this in the short window will use a month's budget in days.
-const BURN_FAST: f64 = 14.0;
+const FAST_BURN_RATE: f64 = 14.0;
 /// The budget is used faster than it comes back.
-const BURN_SLOW: f64 = 1.0;
+const SLOW_BURN_RATE: f64 = 1.0;
 
 /// `report burn`.
 pub(crate) async fn burn(daemons: &Daemons, format: Format) -> Result<(), CliError> {
@@ -145,8 +145,8 @@
     for part in parts.into_iter().flatten() {
         match merged.get_mut(&part.row) {
             Some(sum) => {
-                add(&mut sum.short, part.short);
-                add(&mut sum.long, part.long);
+                add_window(&mut sum.short, part.short);
+                add_window(&mut sum.long, part.long);
             }
             None => {
                 merged.insert(part.row.clone(), part);
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-fn add(sum: &mut Window, part: Window) {
+fn add_window(sum: &mut Window, part: Window) {
     sum.total_count += part.total_count;
     sum.good_count += part.good_count;
 }
@@ -187,11 +187,11 @@
 }
 
 fn advice(burn_short: f64, burn_long: f64) -> &'static str {
-    if burn_short >= BURN_FAST && burn_long >= BURN_FAST {
+    if burn_short >= FAST_BURN_RATE && burn_long >= FAST_BURN_RATE {
         "act now: add minions, raise the row's priority or cap its neighbours"
-    } else if burn_short >= BURN_FAST {
+    } else if burn_short >= FAST_BURN_RATE {
         "just began: look at `ospreywing status` and the minions of the row"
-    } else if burn_long >= BURN_SLOW {
+    } else if burn_long >= SLOW_BURN_RATE {
         "too slow a leak to wake for: raise the row's share or its deadline"
     } else {
         "nothing to do"
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -61,7 +61,7 @@
             println!("{}", report::short_violation_report(&verdict));
             let run_count = passed_count + 1;
             let not_run_count = plans_count - run_count;
-            return Err(CliError::Broken(format!(
+            return Err(CliError::SoakFailed(format!(
                 "seed {} violated an invariant; {passed_count} passed before, {not_run_count} not run",
                 verdict.seed
             )));
@@ -79,7 +79,7 @@
 fn failed(error: &SoakError) -> CliError {
     match error {
         SoakError::Invalid { .. } => usage(error),
-        _ => CliError::Broken(error.to_string()),
+        _ => CliError::SoakFailed(error.to_string()),
     }
 }
 
--- a/crates/cli/src/table_commands.rs
+++ b/crates/cli/src/table_commands.rs
@@ -1,6 +1,6 @@
 //! The table: get, set, export, apply, remove, history, columns.
 
-use crate::client::{read, refusal, Daemons};
+use crate::client::{parse_answer, refusal_error, Daemons};
 use crate::input::read_table;
 use crate::print::{columns, print, Format};
 use crate::CliError;
@@ -112,18 +112,18 @@
     };
     (column.set)(&mut row, &value)
         .map_err(|error| CliError::Usage(format!("row {name:?}, column {column_name}: {error}")))?;
-    let accepted = put(daemons, &row, found.revision, true).await?;
+    let accepted = put_row(daemons, &row, found.revision, true).await?;
     print_accepted(format, &accepted);
     Ok(())
 }
 
-async fn put(
+async fn put_row(
     daemons: &Daemons,
     row: &Row,
     revision: u64,
-    waits: bool,
+    should_wait: bool,
 ) -> Result<Accepted, CliError> {
-    let path = format!("/v1/table/rows/{}{}", row.name, wait_query(waits));
+    let path = format!("/v1/table/rows/{}{}", row.name, wait_query(should_wait));
     let revision = revision.to_string();
     let answer = daemons
         .call(Method::PUT, &path, |call| {
@@ -133,13 +133,13 @@
     accepted(&answer)
 }
 
-async fn delete(
+async fn delete_row(
     daemons: &Daemons,
     name: &Name,
     revision: u64,
-    waits: bool,
+    should_wait: bool,
 ) -> Result<Accepted, CliError> {
-    let path = format!("/v1/table/rows/{name}{}", wait_query(waits));
+    let path = format!("/v1/table/rows/{name}{}", wait_query(should_wait));
     let revision = revision.to_string();
     let answer = daemons
         .call(Method::DELETE, &path, |call| {
@@ -149,8 +149,8 @@
     accepted(&answer)
 }
 
-const fn wait_query(waits: bool) -> &'static str {
-    if waits {
+const fn wait_query(should_wait: bool) -> &'static str {
+    if should_wait {
         ""
     } else {
         "?wait=no"
@@ -159,10 +159,10 @@
 
 fn accepted(answer: &Answer) -> Result<Accepted, CliError> {
     if answer.status != StatusCode::CONFLICT {
-        return read(answer);
+        return parse_answer(answer);
     }
     let Ok(conflict) = answer.json::<Conflict>() else {
-        return Err(refusal(answer));
+        return Err(refusal_error(answer));
     };
     let lines = conflict
         .changes
@@ -196,11 +196,11 @@
 async fn apply(daemons: &Daemons, format: Format, matches: &ArgMatches) -> Result<(), CliError> {
     let path = matches.get_one::<String>("file").cloned();
     let path = path.unwrap_or_default();
-    let wanted = read_table(&path)?;
-    let there: Table = daemons.get("/v1/table").await?;
-    let target = target(&there, &wanted, matches.get_flag("prune"));
+    let desired = read_table(&path)?;
+    let current: Table = daemons.get("/v1/table").await?;
+    let target = target(&current, &desired, matches.get_flag("prune"));
     let mut applied = Applied {
-        changes: differences(&there, &target),
+        changes: differences(&current, &target),
         is_written: false,
         is_in_force: true,
         lagging: Vec::new(),
@@ -212,7 +212,7 @@
             .for_each(|change| println!("{change}"));
     }
     if !matches.get_flag("dry-run") {
-        write(daemons, &there, &target, &mut applied).await?;
+        write(daemons, &current, &target, &mut applied).await?;
     }
     print(format, &applied, || {
         if applied.is_written {
@@ -227,17 +227,17 @@
 }
 
 /// Returns the table as it is to be.
-fn target(there: &Table, wanted: &Table, prunes: bool) -> Table {
+fn target(current: &Table, desired: &Table, should_prune: bool) -> Table {
     let mut target = Table::new();
-    if !prunes {
-        there.rows().for_each(|row| target.put(row.clone()));
+    if !should_prune {
+        current.rows().for_each(|row| target.put(row.clone()));
     }
-    wanted.rows().for_each(|row| target.put(row.clone()));
+    desired.rows().for_each(|row| target.put(row.clone()));
     target
 }
 
 /// Teams go before the workloads that name them, and leave after them.
-fn order(row: &Row) -> u8 {
+fn write_order(row: &Row) -> u8 {
     match row.kind {
         RowKind::Cell => 0,
         RowKind::Team => 1,
@@ -247,33 +247,33 @@
 
 async fn write(
     daemons: &Daemons,
-    there: &Table,
+    current: &Table,
     target: &Table,
     applied: &mut Applied,
 ) -> Result<(), CliError> {
     let changed = target
         .rows()
-        .filter(|row| there.get(&row.name) != Some(row));
+        .filter(|row| current.get(&row.name) != Some(row));
     let mut changed: Vec<&Row> = changed.collect();
-    changed.sort_by_key(|row| order(row));
-    let gone = there.rows().filter(|row| target.get(&row.name).is_none());
-    let mut gone: Vec<&Row> = gone.collect();
-    gone.sort_by_key(|row| core::cmp::Reverse(order(row)));
-    let last = changed.len() + gone.len();
+    changed.sort_by_key(|row| write_order(row));
+    let removed = current.rows().filter(|row| target.get(&row.name).is_none());
+    let mut removed: Vec<&Row> = removed.collect();
+    removed.sort_by_key(|row| core::cmp::Reverse(write_order(row)));
+    let last = changed.len() + removed.len();
     for (number, row) in (1..).zip(&changed) {
         let revision = read_row(daemons, &row.name).await?.revision;
-        let accepted = put(daemons, row, revision, number == last).await?;
-        note(applied, accepted);
+        let accepted = put_row(daemons, row, revision, number == last).await?;
+        record_accepted(applied, accepted);
     }
-    for (number, row) in (changed.len() + 1..).zip(&gone) {
+    for (number, row) in (changed.len() + 1..).zip(&removed) {
         let revision = read_row(daemons, &row.name).await?.revision;
-        let accepted = delete(daemons, &row.name, revision, number == last).await?;
-        note(applied, accepted);
+        let accepted = delete_row(daemons, &row.name, revision, number == last).await?;
+        record_accepted(applied, accepted);
     }
     Ok(())
 }
 
-fn note(applied: &mut Applied, accepted: Accepted) {
+fn record_accepted(applied: &mut Applied, accepted: Accepted) {
     applied.is_written = true;
     applied.is_in_force = accepted.is_in_force;
     applied.lagging = accepted.lagging;
@@ -284,7 +284,7 @@
     if found.row.is_none() {
         return Err(CliError::Usage(format!("row {name:?}: there is none")));
     }
-    let accepted = delete(daemons, name, found.revision, true).await?;
+    let accepted = delete_row(daemons, name, found.revision, true).await?;
     print_accepted(format, &accepted);
     Ok(())
 }
--- a/crates/cli/src/task_commands.rs
+++ b/crates/cli/src/task_commands.rs
@@ -1,6 +1,6 @@
 //! Tasks and requests.
 
-use crate::client::{read, refusal, Daemons};
+use crate::client::{parse_answer, refusal_error, Daemons};
 use crate::print::{columns, print, Format};
 use crate::CliError;
 use clap::ArgMatches;
@@ -10,7 +10,7 @@
 use ospreywing_types::{Key, Name, Resources, TaskSpec};
 use std::time::Duration;
 
-const WAIT_EVERY: Duration = Duration::from_millis(300);
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 fn name_of(matches: &ArgMatches) -> Result<Name, CliError> {
     let name = matches.get_one::<Name>("row").cloned();
@@ -53,9 +53,9 @@
     let answer = daemons
         .call(Method::POST, "/v1/tasks", |call| call.with_json(&task))
         .await?;
-    let mut status: TaskStatus = read(&answer)?;
+    let mut status: TaskStatus = parse_answer(&answer)?;
     while matches.get_flag("wait") && !status.phase.is_final() {
-        tokio::time::sleep(WAIT_EVERY).await;
+        tokio::time::sleep(STATUS_POLL_INTERVAL).await;
         status = daemons.get(&format!("/v1/tasks/{key}")).await?;
     }
     print_status(format, &status);
@@ -78,7 +78,7 @@
         Some(("cancel", matches)) => {
             let path = format!("/v1/tasks/{}", key_of(matches)?);
             let answer = daemons.call(Method::DELETE, &path, Ok).await?;
-            let status: TaskStatus = read(&answer)?;
+            let status: TaskStatus = parse_answer(&answer)?;
             print_status(format, &status);
             Ok(())
         }
@@ -133,7 +133,7 @@
     };
     let answer = daemons.call(Method::POST, &path, prepare).await?;
     if answer.header(OUTCOME) != Some("done") {
-        return Err(refusal(&answer));
+        return Err(refusal_error(&answer));
     }
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     print(format, &text, || text.clone());
--- a/crates/cli/tests/delays.rs
+++ b/crates/cli/tests/delays.rs
@@ -57,8 +57,8 @@
 
 #[test]
 fn delays_by_queue_lines_of_two_logs() {
-    let (taker, leader) = JOB.split_once('\n').expect("more than one line");
-    assert_eq!(delays_by_queue([leader, taker]), delays_by_queue([JOB]));
+    let (receiver, leader) = JOB.split_once('\n').expect("more than one line");
+    assert_eq!(delays_by_queue([leader, receiver]), delays_by_queue([JOB]));
 }
 
 #[test]
--- a/crates/filetest/src/lib.rs
+++ b/crates/filetest/src/lib.rs
@@ -8,14 +8,17 @@
 /// A step that can't be taken, or an outcome that is not as stated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
-pub struct Broken(pub String);
+pub struct StepError(pub String);
 
 /// Plays `text`, giving the words of each line to `step`.
 ///
 /// # Errors
 ///
 /// Returns the first line whose step broke, with its number.
-pub fn play(text: &str, mut step: impl FnMut(&[&str]) -> Result<(), Broken>) -> Result<(), Broken> {
+pub fn run_script(
+    text: &str,
+    mut step: impl FnMut(&[&str]) -> Result<(), StepError>,
+) -> Result<(), StepError> {
     for (number, line) in (1..).zip(text.lines()) {
         let line = line.split('#').next().unwrap_or("").trim();
         if line.is_empty() {
@@ -23,7 +26,7 @@
         }
         let words: Vec<&str> = line.split_whitespace().collect();
         step(&words)
-            .map_err(|Broken(reason)| Broken(format!("line {number}: {line}: {reason}")))?;
+            .map_err(|StepError(reason)| StepError(format!("line {number}: {line}: {reason}")))?;
     }
     Ok(())
 }
@@ -33,11 +36,11 @@
 /// # Errors
 ///
 /// Returns what was found, where it is something else.
-pub fn expect(found: &str, wanted: &str) -> Result<(), Broken> {
+pub fn expect(found: &str, wanted: &str) -> Result<(), StepError> {
     if found == wanted {
         Ok(())
     } else {
-        Err(Broken(format!("found {found}")))
+        Err(StepError(format!("found {found}")))
     }
 }
 
--- a/crates/node/tests/cell/search.rs
+++ b/crates/node/tests/cell/search.rs
@@ -1,6 +1,6 @@
 //! Searches the interleavings of several daemons, the store and minions.
 
-use crate::world::{Broken, Op, Tally, World, DAEMONS_COUNT};
+use crate::world::{Op, StepError, Tally, World, DAEMONS_COUNT};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use std::sync::Mutex;
@@ -56,7 +56,7 @@
     proptest::collection::vec(step, 1..STEPS_COUNT)
 }
 
-fn play(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
+fn play(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), StepError> {
     let mut world = World::new();
     world.step(&Op::Run { steps: 60 })?;
     for op in ops {
@@ -86,7 +86,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let tally = Mutex::new(Tally::default());
     let found = runner.run(&steps(), |ops| {
-        play(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
+        play(&ops, &tally).map_err(|StepError(reason)| TestCaseError::fail(reason))
     });
     println!("{:?}", tally.lock().unwrap_or_else(|e| e.into_inner()));
     if let Err(error) = found {
--- a/crates/node/tests/cell/traces.rs
+++ b/crates/node/tests/cell/traces.rs
@@ -2,7 +2,7 @@
 //!
 //! One step a line; `#` begins a comment. Daemons are `d0` to `d2`.
 
-use crate::world::{Broken, Op, World};
+use crate::world::{Op, StepError, World};
 use ospreywing_filetest::{index, ms};
 use rstest::rstest;
 use std::path::PathBuf;
@@ -10,17 +10,17 @@
 #[rstest]
 fn trace_has_its_outcome(#[files("tests/traces/*.trace")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("the trace can be read");
-    if let Err(broken) = play(&text) {
+    if let Err(broken) = run_script(&text) {
         panic!("{}: {}", path.display(), broken.0);
     }
 }
 
-fn play(text: &str) -> Result<(), Broken> {
+fn run_script(text: &str) -> Result<(), StepError> {
     let mut world = World::new();
-    ospreywing_filetest::play(text, |words| step(&mut world, words))
+    ospreywing_filetest::run_script(text, |words| step(&mut world, words))
 }
 
-fn step(world: &mut World, words: &[&str]) -> Result<(), Broken> {
+fn step(world: &mut World, words: &[&str]) -> Result<(), StepError> {
     match words {
         ["expect", rest @ ..] => expect(world, rest),
         ["heal"] => world.heal(),
@@ -30,7 +30,7 @@
 
 const STEP_MS: u64 = 100;
 
-fn op(words: &[&str]) -> Result<Op, Broken> {
+fn op(words: &[&str]) -> Result<Op, StepError> {
     Ok(match *words {
         ["run", length] => Op::Run {
             steps: ms(length) / STEP_MS,
@@ -75,11 +75,11 @@
         ["leave", daemon] => Op::Leave {
             daemon: index(daemon),
         },
-        _ => return Err(Broken("no such step".to_owned())),
+        _ => return Err(StepError("no such step".to_owned())),
     })
 }
 
-fn expect(world: &World, words: &[&str]) -> Result<(), Broken> {
+fn expect(world: &World, words: &[&str]) -> Result<(), StepError> {
     let (found, wanted) = match *words {
         ["said", wanted] => (world.said().to_owned(), wanted),
         ["ready", daemon, wanted] => (world.is_ready(index(daemon)).to_string(), wanted),
@@ -89,7 +89,7 @@
         ["current", daemon, wanted] => (world.is_current(index(daemon)).to_string(), wanted),
         ["working", wanted] => (world.working_count().to_string(), wanted),
         ["left", daemon, wanted] => (world.has_left(index(daemon)).to_string(), wanted),
-        _ => return Err(Broken("no such outcome".to_owned())),
+        _ => return Err(StepError("no such outcome".to_owned())),
     };
     ospreywing_filetest::expect(&found, wanted)
 }
--- a/crates/node/tests/cell/world.rs
+++ b/crates/node/tests/cell/world.rs
@@ -149,7 +149,7 @@
 }
 
 /// A promise that was broken, with the entity at fault.
-pub use ospreywing_filetest::Broken;
+pub use ospreywing_filetest::StepError;
 
 pub struct World {
     pub now: Instant,
@@ -301,7 +301,7 @@
     }
 
     /// Takes one step and checks every promise.
-    pub fn step(&mut self, op: &Op) -> Result<(), Broken> {
+    pub fn step(&mut self, op: &Op) -> Result<(), StepError> {
         self.tally.steps_count += 1;
         self.apply(op);
         self.check()
@@ -849,32 +849,34 @@
         }
     }
 
-    fn check(&mut self) -> Result<(), Broken> {
+    fn check(&mut self) -> Result<(), StepError> {
         self.note_edits();
         if let Some(broken) = self.broken.take() {
-            return Err(Broken(broken));
+            return Err(StepError(broken));
         }
         self.check_slots()?;
         self.check_keys()?;
         self.check_tables()
     }
 
-    fn check_slots(&mut self) -> Result<(), Broken> {
+    fn check_slots(&mut self) -> Result<(), StepError> {
         for minion in 0..MINIONS_COUNT {
             let busy = self.work.iter().filter(|work| work.minion == minion);
             let count = busy.count();
             self.tally.peak_slots_count = self.tally.peak_slots_count.max(count);
             if count > SLOTS_COUNT {
-                return Err(Broken(format!("minion {minion}: {count} requests at once")));
+                return Err(StepError(format!(
+                    "minion {minion}: {count} requests at once"
+                )));
             }
         }
         Ok(())
     }
 
-    fn check_keys(&self) -> Result<(), Broken> {
+    fn check_keys(&self) -> Result<(), StepError> {
         let mut twice = self.runs.iter().filter(|(_, &count)| count > 1);
         match twice.next() {
-            Some((key, count)) => Err(Broken(format!("{key}: ran {count} times"))),
+            Some((key, count)) => Err(StepError(format!("{key}: ran {count} times"))),
             None => Ok(()),
         }
     }
@@ -884,16 +886,16 @@
     }
 
     /// No table goes back, and who decides goes by every change of 7 s ago.
-    fn check_tables(&mut self) -> Result<(), Broken> {
+    fn check_tables(&mut self) -> Result<(), StepError> {
         let (now, store) = (self.now, &self.store);
         for (index, daemon) in self.daemons.iter_mut().enumerate() {
             let revision = daemon.node.table().revision;
             if revision < daemon.table_revision {
-                return Err(Broken(format!("daemon {index}: its table went back")));
+                return Err(StepError(format!("daemon {index}: its table went back")));
             }
             daemon.table_revision = revision;
             if revision > store.revision {
-                return Err(Broken(format!("daemon {index}: table from nowhere")));
+                return Err(StepError(format!("daemon {index}: table from nowhere")));
             }
             if daemon.is_paused || !daemon.node.may_decide(now) {
                 continue;
@@ -901,7 +903,7 @@
             let missed = missed_edit(&self.edits, now, revision);
             if let Some(edit) = missed {
                 let age = now.since(edit.at);
-                return Err(Broken(format!(
+                return Err(StepError(format!(
                     "daemon {index}: decides without a change of {age} ago"
                 )));
             }
@@ -910,7 +912,7 @@
     }
 
     /// Mends everything and checks that the cell serves again.
-    pub fn heal(&mut self) -> Result<(), Broken> {
+    pub fn heal(&mut self) -> Result<(), StepError> {
         self.is_store_down = false;
         for daemon in &mut self.daemons {
             daemon.is_paused = false;
@@ -927,7 +929,7 @@
         self.step(&Op::Run { steps: 400 })?;
         for daemon in 0..DAEMONS_COUNT {
             if !self.daemons[daemon].node.is_ready() {
-                return Err(Broken(format!("daemon {daemon}: does not serve again")));
+                return Err(StepError(format!("daemon {daemon}: does not serve again")));
             }
         }
         let owned = |shard: u32| {
@@ -935,7 +937,7 @@
             nodes.any(|node| node.owner(shard).is_some())
         };
         match (0..SHARDS_COUNT).find(|&shard| !owned(shard)) {
-            Some(shard) => Err(Broken(format!("shard {shard}: has no owner"))),
+            Some(shard) => Err(StepError(format!("shard {shard}: has no owner"))),
             None => Ok(()),
         }
     }
--- a/crates/replay/src/baseline.rs
+++ b/crates/replay/src/baseline.rs
@@ -1,7 +1,7 @@
 //! The baseline: first fit, in the order of arrival, with neither shares nor
 //! priorities nor caps, and the first task that fits nowhere holds up the rest.
 
-use crate::gauge::Gauge;
+use crate::measurements::Measurements;
 use crate::report::ReplayReport;
 use crate::trace::{TaskArrival, Trace, TraceStep};
 use ospreywing_types::{Name, Resources};
@@ -13,18 +13,18 @@
     free: Resources,
     run: u64,
     is_up: bool,
-    running: BTreeMap<u64, Waiting>,
+    running: BTreeMap<u64, QueuedTask>,
 }
 
 #[derive(Clone)]
-struct Waiting {
+struct QueuedTask {
     arrival: TaskArrival,
     at_ms: u64,
     has_started: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct End {
+struct TaskEnd {
     at_ms: u64,
     worker: Name,
     run: u64,
@@ -33,9 +33,9 @@
 
 struct FirstFit {
     workers: BTreeMap<Name, Worker>,
-    queue: VecDeque<Waiting>,
-    ends: BinaryHeap<Reverse<End>>,
-    gauge: Gauge,
+    queue: VecDeque<QueuedTask>,
+    ends: BinaryHeap<Reverse<TaskEnd>>,
+    measurements: Measurements,
     report: ReplayReport,
     now_ms: u64,
     next_number: u64,
@@ -43,28 +43,28 @@
 }
 
 /// Plays `trace` by first fit in arrival order and returns what was measured.
-pub fn play_first_fit(trace: &Trace) -> ReplayReport {
-    let mut player = FirstFit {
+pub fn replay_first_fit(trace: &Trace) -> ReplayReport {
+    let mut replayer = FirstFit {
         workers: BTreeMap::new(),
         queue: VecDeque::new(),
         ends: BinaryHeap::new(),
-        gauge: Gauge::new(),
+        measurements: Measurements::new(),
         report: ReplayReport::default(),
         now_ms: 0,
         next_number: 0,
         ended_count: 0,
     };
     for event in &trace.events {
-        player.run_until(event.at_ms);
-        player.take_step(&event.step);
-        player.place();
+        replayer.run_until(event.at_ms);
+        replayer.handle_step(&event.step);
+        replayer.place();
     }
-    while let Some(at_ms) = player.ends.peek().map(|end| end.0.at_ms) {
-        player.run_until(at_ms);
+    while let Some(at_ms) = replayer.ends.peek().map(|end| end.0.at_ms) {
+        replayer.run_until(at_ms);
     }
-    player.report.lost = player.report.tasks - player.ended_count;
-    player.gauge.fill(&mut player.report);
-    player.report
+    replayer.report.lost = replayer.report.tasks - replayer.ended_count;
+    replayer.measurements.fill_report(&mut replayer.report);
+    replayer.report
 }
 
 impl FirstFit {
@@ -74,18 +74,18 @@
                 break;
             };
             self.advance(end.at_ms);
-            self.end(&end);
+            self.end_task(&end);
             self.place();
         }
         self.advance(until_ms);
     }
 
     fn advance(&mut self, at_ms: u64) {
-        self.gauge.advance(at_ms);
+        self.measurements.advance(at_ms);
         self.now_ms = self.now_ms.max(at_ms);
     }
 
-    fn end(&mut self, end: &End) {
+    fn end_task(&mut self, end: &TaskEnd) {
         let Some(worker) = self.workers.get_mut(&end.worker) else {
             return;
         };
@@ -95,13 +95,13 @@
         if let Some(task) = worker.running.remove(&end.number) {
             let need = task.arrival.resources;
             worker.free += need;
-            self.gauge.end(&need);
-            self.gauge.leave(&need);
+            self.measurements.remove_used(&need);
+            self.measurements.remove_demand(&need);
             self.ended_count += 1;
         }
     }
 
-    fn take_step(&mut self, step: &TraceStep) {
+    fn handle_step(&mut self, step: &TraceStep) {
         match step {
             TraceStep::Worker {
                 name, resources, ..
@@ -114,23 +114,23 @@
                     running: BTreeMap::new(),
                 };
                 self.workers.insert(name.clone(), worker);
-                self.gauge.add_worker(resources);
+                self.measurements.add_worker(resources);
             }
             TraceStep::Task(arrival) => {
                 self.report.tasks += 1;
-                self.gauge.arrive(&arrival.resources);
-                self.queue.push_back(Waiting {
+                self.measurements.add_demand(&arrival.resources);
+                self.queue.push_back(QueuedTask {
                     arrival: arrival.clone(),
                     at_ms: self.now_ms,
                     has_started: false,
                 });
             }
-            TraceStep::Lost(name) => self.lose(name),
-            TraceStep::Back(name) => self.bring_back(name),
+            TraceStep::Lost(name) => self.lose_worker(name),
+            TraceStep::Back(name) => self.restore_worker(name),
         }
     }
 
-    fn lose(&mut self, name: &Name) {
+    fn lose_worker(&mut self, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -138,20 +138,20 @@
         worker.run += 1;
         let running = core::mem::take(&mut worker.running);
         let resources = worker.resources;
-        self.gauge.remove_worker(&resources);
+        self.measurements.remove_worker(&resources);
         for task in running.into_values() {
-            self.gauge.end(&task.arrival.resources);
+            self.measurements.remove_used(&task.arrival.resources);
             self.report.restarted += 1;
             self.queue.push_front(task);
         }
     }
 
-    fn bring_back(&mut self, name: &Name) {
+    fn restore_worker(&mut self, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.is_up = true;
             worker.free = worker.resources;
             let resources = worker.resources;
-            self.gauge.add_worker(&resources);
+            self.measurements.add_worker(&resources);
         }
     }
 
@@ -162,21 +162,21 @@
             let fits = |worker: &&mut Worker| worker.is_up && need.fits_in(&worker.free);
             let mut workers = self.workers.iter_mut();
             let found = workers.find(|(_, worker)| fits(worker));
-            let length = began.elapsed();
+            let elapsed = began.elapsed();
             let Some((name, worker)) = found else { return };
             let Some(mut task) = self.queue.pop_front() else {
                 return;
             };
-            self.gauge.note_decisions(length, 1);
+            self.measurements.record_decisions(elapsed, 1);
             self.next_number += 1;
             worker.free -= need;
-            self.gauge.begin(&need);
+            self.measurements.add_used(&need);
             if !task.has_started {
                 task.has_started = true;
                 let waited_ms = self.now_ms - task.at_ms;
-                self.gauge.note_wait(&task.arrival.row, waited_ms);
+                self.measurements.record_wait(&task.arrival.row, waited_ms);
             }
-            self.ends.push(Reverse(End {
+            self.ends.push(Reverse(TaskEnd {
                 at_ms: self.now_ms + task.arrival.duration_ms,
                 worker: name.clone(),
                 run: worker.run,
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -5,13 +5,13 @@
 
 mod baseline;
 mod error;
-mod gauge;
-mod player;
+mod measurements;
+mod replayer;
 mod report;
 mod trace;
 
-pub use baseline::play_first_fit;
+pub use baseline::replay_first_fit;
 pub use error::TraceError;
-pub use player::play;
+pub use replayer::replay_trace;
 pub use report::{Packing, Quantiles, ReplayReport, RowWait};
 pub use trace::{TaskArrival, Trace, TraceEvent, TraceStep, FORMAT};
--- a/crates/replay/src/gauge.rs
+++ b/crates/replay/src/measurements.rs
@@ -8,13 +8,13 @@
 
 const SIGNIFICANT_DIGITS: u8 = 3;
 /// A week; longer waits count as this.
-const LONGEST_MS: u64 = 7 * 24 * 3600 * 1000;
+const MAX_WAIT_MS: u64 = 7 * 24 * 3600 * 1000;
 /// A minute, in nanoseconds.
-const LONGEST_NS: u64 = 60_000_000_000;
+const MAX_DECISION_NS: u64 = 60_000_000_000;
 
-fn histogram(longest: u64) -> Histogram<u64> {
+fn histogram(max: u64) -> Histogram<u64> {
     // The bounds are constants that the library takes.
-    Histogram::new_with_max(longest, SIGNIFICANT_DIGITS).expect("the bounds are sound")
+    Histogram::new_with_max(max, SIGNIFICANT_DIGITS).expect("the bounds are sound")
 }
 
 /// Sums over time, in units of a resource times milliseconds.
@@ -58,7 +58,7 @@
 }
 
 /// The gauges of one replay.
-pub(crate) struct Gauge {
+pub(crate) struct Measurements {
     last_ms: u64,
     capacity: Amount,
     used: Amount,
@@ -70,13 +70,13 @@
     wait_ms: Histogram<u64>,
     wait_by_row: BTreeMap<Name, Histogram<u64>>,
     decision_ns: Histogram<u64>,
-    deciding: Duration,
+    deciding_time: Duration,
     starts_count: u64,
     commits_count: u64,
     commit_bytes: u64,
 }
 
-impl Gauge {
+impl Measurements {
     pub(crate) fn new() -> Self {
         Self {
             last_ms: 0,
@@ -86,10 +86,10 @@
             capacity_sums: Sums::default(),
             used_sums: Sums::default(),
             bound_sums: Sums::default(),
-            wait_ms: histogram(LONGEST_MS),
+            wait_ms: histogram(MAX_WAIT_MS),
             wait_by_row: BTreeMap::new(),
-            decision_ns: histogram(LONGEST_NS),
-            deciding: Duration::ZERO,
+            decision_ns: histogram(MAX_DECISION_NS),
+            deciding_time: Duration::ZERO,
             starts_count: 0,
             commits_count: 0,
             commit_bytes: 0,
@@ -119,50 +119,50 @@
         self.capacity.add(resources, -1.0);
     }
 
-    pub(crate) fn arrive(&mut self, need: &Resources) {
+    pub(crate) fn add_demand(&mut self, need: &Resources) {
         self.demand.add(need, 1.0);
     }
 
-    pub(crate) fn leave(&mut self, need: &Resources) {
+    pub(crate) fn remove_demand(&mut self, need: &Resources) {
         self.demand.add(need, -1.0);
     }
 
-    pub(crate) fn begin(&mut self, need: &Resources) {
+    pub(crate) fn add_used(&mut self, need: &Resources) {
         self.used.add(need, 1.0);
     }
 
-    pub(crate) fn end(&mut self, need: &Resources) {
+    pub(crate) fn remove_used(&mut self, need: &Resources) {
         self.used.add(need, -1.0);
     }
 
     /// Notes how long a task waited for its first start.
-    pub(crate) fn note_wait(&mut self, row: &Name, ms: u64) {
+    pub(crate) fn record_wait(&mut self, row: &Name, ms: u64) {
         self.wait_ms.saturating_record(ms);
         let by_row = self.wait_by_row.entry(row.clone());
-        let by_row = by_row.or_insert_with(|| histogram(LONGEST_MS));
+        let by_row = by_row.or_insert_with(|| histogram(MAX_WAIT_MS));
         by_row.saturating_record(ms);
     }
 
     /// Notes a round of deciding that took `length` and made `starts_count` starts.
-    pub(crate) fn note_decisions(&mut self, length: Duration, starts_count: u64) {
+    pub(crate) fn record_decisions(&mut self, elapsed: Duration, starts_count: u64) {
         if starts_count == 0 {
             return;
         }
-        self.deciding += length;
+        self.deciding_time += elapsed;
         self.starts_count += starts_count;
-        let each_ns = length.as_nanos() as u64 / starts_count;
+        let each_ns = elapsed.as_nanos() as u64 / starts_count;
         for _ in 0..starts_count {
             self.decision_ns.saturating_record(each_ns.max(1));
         }
     }
 
-    pub(crate) fn note_commit(&mut self, size_bytes: usize) {
+    pub(crate) fn record_commit(&mut self, size_bytes: usize) {
         self.commits_count += 1;
         self.commit_bytes += size_bytes as u64;
     }
 
     /// Fills in what was measured.
-    pub(crate) fn fill(&self, report: &mut ReplayReport) {
+    pub(crate) fn fill_report(&self, report: &mut ReplayReport) {
         report.length_ms = self.last_ms;
         report.wait_ms = Quantiles::new(&self.wait_ms, 1.0);
         let rows = self.wait_by_row.iter();
@@ -181,7 +181,7 @@
         report.packing_ratio = report.packing.cores;
         report.packing_bound_ratio = ratio(self.bound_sums.cores, self.capacity_sums.cores);
         report.decision_us = Quantiles::new(&self.decision_ns, 1000.0);
-        report.decisions_per_s = ratio(self.starts_count as f64, self.deciding.as_secs_f64());
+        report.decisions_per_s = ratio(self.starts_count as f64, self.deciding_time.as_secs_f64());
         let length_s = self.last_ms as f64 / 1000.0;
         report.store_calls_per_s = ratio(self.commits_count as f64, length_s);
         report.store_bytes_per_start = ratio(self.commit_bytes as f64, self.starts_count as f64);
--- a/crates/replay/src/player.rs
+++ b/crates/replay/src/replayer.rs
@@ -1,6 +1,6 @@
 //! Plays a trace through an owner.
 
-use crate::gauge::Gauge;
+use crate::measurements::Measurements;
 use crate::report::ReplayReport;
 use crate::trace::{TaskArrival, Trace, TraceStep};
 use ospreywing_shard::{Action, Event, Owner, OwnerConfig, Recovery, Reply, Token};
@@ -21,9 +21,10 @@
 const COMMIT_EVERY_MS: u64 = 50;
 const TICK_MS: u64 = 250;
 /// A replay ends this long after its last event at the latest.
-const TAIL_MS: u64 = 24 * 3600 * 1000;
+const MAX_TAIL_MS: u64 = 24 * 3600 * 1000;
 /// What is decided in a trace is not to be dropped before its end.
-const KEEP: ospreywing_types::Duration = ospreywing_types::Duration::from_s(u64::MAX / 2000);
+const RESULT_RETENTION: ospreywing_types::Duration =
+    ospreywing_types::Duration::from_s(u64::MAX / 2000);
 
 /// Something that is due.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +40,7 @@
 }
 
 /// A worker of the trace.
-struct WorkerFake {
+struct FakeWorker {
     rack: Name,
     resources: Resources,
     incarnation: u64,
@@ -48,14 +49,14 @@
     running: BTreeMap<AttemptId, Resources>,
 }
 
-struct Player {
+struct Replayer {
     owner: Owner,
-    gauge: Gauge,
+    measurements: Measurements,
     report: ReplayReport,
     now_ms: u64,
     due: BinaryHeap<Reverse<(u64, Due)>>,
-    workers: BTreeMap<Name, WorkerFake>,
-    tasks: BTreeMap<Key, Arrived>,
+    workers: BTreeMap<Name, FakeWorker>,
+    tasks: BTreeMap<Key, SubmittedTask>,
     tokens: BTreeMap<u64, Key>,
     running: BTreeMap<TaskId, u32>,
     next_session: u64,
@@ -67,24 +68,24 @@
     inbox: VecDeque<Event>,
 }
 
-struct Arrived {
+struct SubmittedTask {
     arrival: TaskArrival,
     at_ms: u64,
     has_started: bool,
 }
 
 /// Plays `trace` under `table` and returns what was measured.
-pub fn play(trace: &Trace, table: &Table) -> ReplayReport {
-    let mut player = Player::new(table);
+pub fn replay_trace(trace: &Trace, table: &Table) -> ReplayReport {
+    let mut replayer = Replayer::new(table);
     for event in &trace.events {
-        player.run_until(event.at_ms);
-        player.take_step(&event.step);
+        replayer.run_until(event.at_ms);
+        replayer.handle_step(&event.step);
     }
-    player.run_to_end();
-    player.finish()
+    replayer.run_to_end();
+    replayer.finish()
 }
 
-impl Player {
+impl Replayer {
     fn new(table: &Table) -> Self {
         let identity = DaemonIdentity {
             name: Name::new("replay").expect("a name"),
@@ -92,12 +93,12 @@
             rpc_addr: String::new(),
         };
         let mut config = OwnerConfig::new(0, 1, 1, identity);
-        config.result_retention = KEEP;
+        config.result_retention = RESULT_RETENTION;
         config.waiting_limit_count = usize::MAX;
         let owner = Recovery::new(config).finish(Instant::from_ms(0));
-        let mut player = Self {
+        let mut replayer = Self {
             owner,
-            gauge: Gauge::new(),
+            measurements: Measurements::new(),
             report: ReplayReport::default(),
             now_ms: 0,
             due: BinaryHeap::new(),
@@ -112,12 +113,12 @@
             actions: Vec::new(),
             inbox: VecDeque::new(),
         };
-        player.tell(Event::Table(Arc::new(table.clone())));
-        player.at(TICK_MS, Due::Tick);
-        player
+        replayer.send_event(Event::Table(Arc::new(table.clone())));
+        replayer.schedule(TICK_MS, Due::Tick);
+        replayer
     }
 
-    fn at(&mut self, at_ms: u64, due: Due) {
+    fn schedule(&mut self, at_ms: u64, due: Due) {
         self.due.push(Reverse((at_ms, due)));
     }
 
@@ -127,13 +128,13 @@
                 break;
             };
             self.advance(at_ms);
-            self.take_due(due);
+            self.handle_due(due);
         }
         self.advance(until_ms);
     }
 
     fn run_to_end(&mut self) {
-        let limit_ms = self.now_ms + TAIL_MS;
+        let limit_ms = self.now_ms + MAX_TAIL_MS;
         while self.ended_count + self.report.refused < self.report.tasks {
             let next = self.due.peek().map_or(limit_ms, |due| due.0 .0);
             if next >= limit_ms {
@@ -144,40 +145,40 @@
     }
 
     fn advance(&mut self, at_ms: u64) {
-        self.gauge.advance(at_ms);
+        self.measurements.advance(at_ms);
         self.now_ms = self.now_ms.max(at_ms);
     }
 
-    fn take_due(&mut self, due: Due) {
+    fn handle_due(&mut self, due: Due) {
         match due {
             Due::Tick => {
-                self.tell(Event::OwnershipConfirmed {
+                self.send_event(Event::OwnershipConfirmed {
                     asked_at: Instant::from_ms(self.now_ms),
                 });
-                self.tell(Event::Tick);
-                self.at(self.now_ms + TICK_MS, Due::Tick);
+                self.send_event(Event::Tick);
+                self.schedule(self.now_ms + TICK_MS, Due::Tick);
             }
             Due::Commit => {
                 self.is_commit_due = false;
                 self.commit();
             }
-            Due::Committed => self.tell(Event::CommitDone),
+            Due::Committed => self.send_event(Event::CommitDone),
             Due::Ended {
                 worker,
                 attempt,
                 incarnation,
-            } => self.end(&worker, attempt, incarnation),
+            } => self.end_attempt(&worker, attempt, incarnation),
         }
     }
 
-    fn take_step(&mut self, step: &TraceStep) {
+    fn handle_step(&mut self, step: &TraceStep) {
         match step {
             TraceStep::Worker {
                 name,
                 rack,
                 resources,
             } => {
-                let worker = WorkerFake {
+                let worker = FakeWorker {
                     rack: rack.clone(),
                     resources: *resources,
                     incarnation: 0,
@@ -186,17 +187,17 @@
                     running: BTreeMap::new(),
                 };
                 self.workers.insert(name.clone(), worker);
-                self.tell_boxes();
-                self.connect(name);
+                self.send_box_list();
+                self.connect_worker(name);
             }
-            TraceStep::Task(arrival) => self.arrive(arrival),
-            TraceStep::Lost(name) => self.lose(name),
-            TraceStep::Back(name) => self.connect(name),
+            TraceStep::Task(arrival) => self.submit(arrival),
+            TraceStep::Lost(name) => self.lose_worker(name),
+            TraceStep::Back(name) => self.connect_worker(name),
         }
     }
 
-    fn tell_boxes(&mut self) {
-        let facts = |(name, worker): (&Name, &WorkerFake)| BoxFacts {
+    fn send_box_list(&mut self) {
+        let facts = |(name, worker): (&Name, &FakeWorker)| BoxFacts {
             name: name.clone(),
             kind: BoxKind::Worker,
             state: BoxState::Live,
@@ -207,10 +208,10 @@
             serves: Vec::new(),
         };
         let boxes = self.workers.iter().map(facts).collect();
-        self.tell(Event::Boxes(boxes));
+        self.send_event(Event::Boxes(boxes));
     }
 
-    fn connect(&mut self, name: &Name) {
+    fn connect_worker(&mut self, name: &Name) {
         self.next_session += 1;
         let session = self.next_session;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -223,21 +224,21 @@
         worker.session = session;
         worker.incarnation = session;
         let resources = worker.resources;
-        self.gauge.add_worker(&resources);
+        self.measurements.add_worker(&resources);
         let report = Report {
             incarnation: session,
             running: Vec::new(),
             ended: Vec::new(),
         };
         let worker = name.clone();
-        self.tell(Event::SessionOpened {
+        self.send_event(Event::SessionOpened {
             worker,
             session,
             report,
         });
     }
 
-    fn lose(&mut self, name: &Name) {
+    fn lose_worker(&mut self, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -248,33 +249,33 @@
         let session = worker.session;
         let resources = worker.resources;
         let running = core::mem::take(&mut worker.running);
-        self.gauge.remove_worker(&resources);
+        self.measurements.remove_worker(&resources);
         for (attempt, need) in running {
-            self.gauge.end(&need);
-            self.stop_counting(attempt);
+            self.measurements.remove_used(&need);
+            self.decrement_running(attempt);
         }
         let worker = name.clone();
-        self.tell(Event::SessionClosed { worker, session });
+        self.send_event(Event::SessionClosed { worker, session });
     }
 
-    fn stop_counting(&mut self, attempt: AttemptId) {
+    fn decrement_running(&mut self, attempt: AttemptId) {
         if let Some(count) = self.running.get_mut(&attempt.task) {
             *count -= 1;
         }
     }
 
-    fn arrive(&mut self, arrival: &TaskArrival) {
+    fn submit(&mut self, arrival: &TaskArrival) {
         self.report.tasks += 1;
         let token = Token(self.report.tasks);
-        self.gauge.arrive(&arrival.resources);
-        let arrived = Arrived {
+        self.measurements.add_demand(&arrival.resources);
+        let submitted = SubmittedTask {
             arrival: arrival.clone(),
             at_ms: self.now_ms,
             has_started: false,
         };
-        self.tasks.insert(arrival.key.clone(), arrived);
+        self.tasks.insert(arrival.key.clone(), submitted);
         self.tokens.insert(token.0, arrival.key.clone());
-        self.tell(Event::Submit {
+        self.send_event(Event::Submit {
             token,
             key: arrival.key.clone(),
             row: arrival.row.clone(),
@@ -292,58 +293,60 @@
         let before = self.owner.counts().started_count;
         let began = std::time::Instant::now();
         let commit = self.owner.next_commit(Instant::from_ms(self.now_ms));
-        let length = began.elapsed();
+        let elapsed = began.elapsed();
         let starts_count = self.owner.counts().started_count - before;
-        self.gauge.note_decisions(length, starts_count);
+        self.measurements.record_decisions(elapsed, starts_count);
         if let Some(commit) = commit {
-            self.gauge.note_commit(commit.value.len());
+            self.measurements.record_commit(commit.value.len());
             self.committed_at_ms = self.now_ms;
-            self.at(self.now_ms + COMMIT_MS, Due::Committed);
+            self.schedule(self.now_ms + COMMIT_MS, Due::Committed);
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn send_event(&mut self, event: Event) {
         self.inbox.push_back(event);
         let now = Instant::from_ms(self.now_ms);
         while let Some(event) = self.inbox.pop_front() {
             let mut actions = core::mem::take(&mut self.actions);
             self.owner.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
             self.actions = actions;
         }
         if self.owner.wants_commit() && !self.is_commit_due {
             self.is_commit_due = true;
             let earliest_ms = self.committed_at_ms + COMMIT_EVERY_MS;
-            self.at(self.now_ms.max(earliest_ms), Due::Commit);
+            self.schedule(self.now_ms.max(earliest_ms), Due::Commit);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Reply {
                 reply: Reply::Submit(SubmitReply::Refused { .. }),
                 token,
-            } => self.refuse(token),
+            } => self.record_refusal(token),
             Action::Order { worker, order } => match order {
-                Order::Start { incarnation, start } => self.begin(&worker, incarnation, &start),
-                Order::Report => self.send_report(&worker),
+                Order::Start { incarnation, start } => {
+                    self.start_attempt(&worker, incarnation, &start)
+                }
+                Order::Report => self.report_running(&worker),
                 Order::Renew(_) | Order::Stop(_) => {}
             },
             _ => {}
         }
     }
 
-    fn refuse(&mut self, token: Token) {
+    fn record_refusal(&mut self, token: Token) {
         self.report.refused += 1;
         let key = self.tokens.get(&token.0);
         if let Some(task) = key.and_then(|key| self.tasks.get(key)) {
-            self.gauge.leave(&task.arrival.resources);
+            self.measurements.remove_demand(&task.arrival.resources);
         }
     }
 
-    fn begin(&mut self, name: &Name, incarnation: u64, start: &Start) {
+    fn start_attempt(&mut self, name: &Name, incarnation: u64, start: &Start) {
         let (attempt, need) = (start.attempt, start.resources);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -359,7 +362,7 @@
         *count += 1;
         self.report.run_twice += u64::from(*count > 1);
         self.report.restarted += u64::from(attempt.number > 1);
-        self.gauge.begin(&need);
+        self.measurements.add_used(&need);
         let Some(task) = Key::new(&start.command)
             .ok()
             .and_then(|key| self.tasks.get_mut(&key))
@@ -370,11 +373,11 @@
             task.has_started = true;
             let waited_ms = self.now_ms - task.at_ms;
             let row = task.arrival.row.clone();
-            self.gauge.note_wait(&row, waited_ms);
+            self.measurements.record_wait(&row, waited_ms);
         }
         let ends_at_ms = self.now_ms + task.arrival.duration_ms;
         let worker = name.clone();
-        self.at(
+        self.schedule(
             ends_at_ms,
             Due::Ended {
                 worker,
@@ -385,7 +388,7 @@
         self.inbox.push_back(Event::StartAcked { attempt });
     }
 
-    fn send_report(&mut self, name: &Name) {
+    fn report_running(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
@@ -405,7 +408,7 @@
         });
     }
 
-    fn end(&mut self, name: &Name, attempt: AttemptId, incarnation: u64) {
+    fn end_attempt(&mut self, name: &Name, attempt: AttemptId, incarnation: u64) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -415,21 +418,21 @@
         let Some(need) = worker.running.remove(&attempt) else {
             return;
         };
-        self.gauge.end(&need);
-        self.gauge.leave(&need);
-        self.stop_counting(attempt);
+        self.measurements.remove_used(&need);
+        self.measurements.remove_demand(&need);
+        self.decrement_running(attempt);
         self.ended_count += 1;
         let worker = name.clone();
         let ended = Ended {
             attempt,
             end: TaskEnd::Finished(String::new()),
         };
-        self.tell(Event::Ended { worker, ended });
+        self.send_event(Event::Ended { worker, ended });
     }
 
     fn finish(mut self) -> ReplayReport {
         self.report.lost = self.report.tasks - self.report.refused - self.ended_count;
-        self.gauge.fill(&mut self.report);
+        self.measurements.fill_report(&mut self.report);
         self.report
     }
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -1,6 +1,6 @@
 //! The trace's format, and the samples replayed with stated outcomes.
 
-use ospreywing_replay::{play, play_first_fit, ReplayReport, Trace};
+use ospreywing_replay::{replay_first_fit, replay_trace, ReplayReport, Trace};
 use ospreywing_table::from_csv;
 use rstest::rstest;
 
@@ -23,7 +23,7 @@
     "line 2: memory_mib: \"-1\""
 )]
 #[case::name("ospreywing-trace 1\n5 lost a/b\n", "line 2: name: \"a/b\"")]
-fn parse_names_the_line(#[case] text: &str, #[case] expected: &str) {
+fn parse_names_invalid_line(#[case] text: &str, #[case] expected: &str) {
     let error = Trace::parse(text).expect_err("the trace is wrong");
     assert!(error.to_string().starts_with(expected), "{error}");
 }
@@ -31,14 +31,14 @@
 fn replay(trace: &str, table: &str) -> ReplayReport {
     let trace = Trace::parse(trace).expect("the trace is sound");
     let table = from_csv(table).expect("the table is sound");
-    play(&trace, &table)
+    replay_trace(&trace, &table)
 }
 
 #[rstest]
 #[case::swaramala(SWARAMALA, SWARAMALA_TABLE)]
 #[case::gallery(GALLERY, GALLERY_TABLE)]
 #[case::letter(LETTER, LETTER_TABLE)]
-fn play_sample_keeps_the_promises(#[case] trace: &str, #[case] table: &str) {
+fn replay_trace_sample_keeps_invariants(#[case] trace: &str, #[case] table: &str) {
     let report = replay(trace, table);
     assert!(report.tasks > 1000, "{report:?}");
     assert_eq!(report.refused, 0);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn play_same_trace_decides_the_same() {
+fn replay_trace_is_deterministic() {
     let (first, second) = (
         replay(GALLERY, GALLERY_TABLE),
         replay(GALLERY, GALLERY_TABLE),
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn play_row_that_is_held_up_holds_up_no_other() {
+fn replay_trace_waiting_row_does_not_delay_others() {
     let report = replay(GALLERY, GALLERY_TABLE);
-    let baseline = play_first_fit(&Trace::parse(GALLERY).expect("sound"));
+    let baseline = replay_first_fit(&Trace::parse(GALLERY).expect("sound"));
     let longest = |report: &ReplayReport, row: &str| {
         let mut rows = report.wait_by_row.iter();
         let row = rows.find(|wait| wait.row == row).expect("the row is there");
@@ -85,7 +85,7 @@
 ";
 
 #[test]
-fn play_lost_worker_restarts_its_task() {
+fn replay_trace_lost_worker_restarts_task() {
     let report = replay(TINY, "row,kind\nplan,batch\n");
     assert_eq!(report.restarted, 1);
     assert_eq!(report.lost, 0);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn play_row_that_is_not_in_the_table_is_refused() {
+fn replay_trace_row_not_in_table_is_refused() {
     let report = replay(TINY, "row,kind\nother,batch\n");
     assert_eq!(report.refused, 3);
     assert_eq!(report.lost, 0);
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -5,7 +5,7 @@
 use ospreywing_types::Duration;
 use rstest::rstest;
 
-const SOUND: [(&str, &str); 7] = [
+const VALID_SETTINGS: [(&str, &str); 7] = [
     ("--name", "d1"),
     ("--data-centre", "dc-a"),
     ("--cell", "test"),
@@ -17,7 +17,7 @@
 
 /// Parses sound settings with some changed or added; an error as its text.
 fn parse(changes: &[(&str, &str)]) -> Result<Settings, String> {
-    let kept = SOUND
+    let kept = VALID_SETTINGS
         .iter()
         .filter(|(flag, _)| !changes.iter().any(|(changed, _)| changed == flag));
     let pairs = kept
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn new_takes_defaults() {
+fn new_uses_defaults() {
     let settings = parse(&[]).expect("the settings are sound");
     assert_eq!(settings.shards_count, 2);
     assert_eq!(settings.task_lease, Duration::from_s(30));
@@ -52,13 +52,13 @@
 #[case::slow_poll("--poll-every", "3s", "--poll-every: 3000ms is not allowed")]
 #[case::format("--log-format", "xml", "--log-format")]
 #[case::rate("--commit-rate", "0", "--commit-rate")]
-fn new_names_setting_at_fault(#[case] flag: &str, #[case] value: &str, #[case] expected: &str) {
+fn new_names_invalid_setting(#[case] flag: &str, #[case] value: &str, #[case] expected: &str) {
     let error = parse(&[(flag, value)]).expect_err("the setting is wrong");
     assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn new_same_address_twice_is_refused() {
+fn new_same_address_is_rejected() {
     let changes = [
         ("--http-addr", "127.0.0.1:5"),
         ("--rpc-addr", "127.0.0.1:5"),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn check_variables_unknown_is_named() {
+fn check_variables_names_unknown_variable() {
     let names = ["PATH", "OSPREYWINGD_NAME", "OSPREYWINGD_NAEM"];
     let error = Settings::check_variables(names.into_iter().map(str::to_owned));
     let Err(SettingsError::UnknownVariable { name, .. }) = error else {
--- a/crates/shard/tests/owner/search.rs
+++ b/crates/shard/tests/owner/search.rs
@@ -2,7 +2,7 @@
 //! breaks a promise: message delay, loss and reordering, pauses between a check
 //! and its send, deaths, takeovers, lost answers. Seeds are fixed.
 
-use crate::support::world::{Broken, Op, Tally, World, DAEMONS_COUNT, WORKERS_COUNT};
+use crate::support::world::{Op, StepError, Tally, World, DAEMONS_COUNT, WORKERS_COUNT};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use std::sync::Mutex;
@@ -69,7 +69,7 @@
     proptest::collection::vec(step, 1..STEPS_COUNT)
 }
 
-fn play(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
+fn play(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), StepError> {
     let mut world = World::new();
     world.step(&Op::Claim { daemon: 0 })?;
     for op in ops {
@@ -99,7 +99,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let tally = Mutex::new(Tally::default());
     let found = runner.run(&steps(), |ops| {
-        play(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
+        play(&ops, &tally).map_err(|StepError(reason)| TestCaseError::fail(reason))
     });
     println!("{:?}", tally.lock().unwrap_or_else(|e| e.into_inner()));
     if let Err(error) = found {
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -1,21 +1,21 @@
 //! What must always hold in a world, and the way back to health.
 
-use super::world::{reader, Broken, Op, World, DAEMONS_COUNT, WORKERS_COUNT};
+use super::world::{reader, Op, StepError, World, DAEMONS_COUNT, WORKERS_COUNT};
 use ospreywing_shard::{verify, Owner, Position};
 use ospreywing_types::{Key, Resources, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl World {
     /// Checks what must always hold, in the owners and in the world.
-    pub(super) fn check(&mut self) -> Result<(), Broken> {
+    pub(super) fn check(&mut self) -> Result<(), StepError> {
         for (daemon, state) in self.daemons.iter().enumerate() {
             let Some(owner) = &state.owner else { continue };
             if let Err(errors) = verify(owner) {
-                return Err(Broken(format!("daemon {daemon}: {}", errors[0])));
+                return Err(StepError(format!("daemon {daemon}: {}", errors[0])));
             }
         }
         if let Some(attempt) = self.off_log.take() {
-            return Err(Broken(format!(
+            return Err(StepError(format!(
                 "{attempt}: began while the log was past it"
             )));
         }
@@ -26,20 +26,20 @@
     }
 
     /// The one run of a request is granted to one claim.
-    fn check_granted(&self) -> Result<(), Broken> {
+    fn check_granted(&self) -> Result<(), StepError> {
         match self.granted.iter().find(|(_, nonces)| nonces.len() > 1) {
-            Some((key, nonces)) => Err(Broken(format!("{key}: granted to {nonces:?}"))),
+            Some((key, nonces)) => Err(StepError(format!("{key}: granted to {nonces:?}"))),
             None => Ok(()),
         }
     }
 
-    fn check_runs(&self) -> Result<(), Broken> {
+    fn check_runs(&self) -> Result<(), StepError> {
         let mut places: BTreeMap<TaskId, usize> = BTreeMap::new();
         for (worker, state) in self.workers.iter().enumerate() {
             for running in state.live(self.now) {
                 let task = running.attempt.task;
                 if let Some(other) = places.insert(task, worker) {
-                    return Err(Broken(format!(
+                    return Err(StepError(format!(
                         "{task}: runs on worker {other} and on worker {worker}"
                     )));
                 }
@@ -48,18 +48,18 @@
         Ok(())
     }
 
-    fn check_capacity(&self) -> Result<(), Broken> {
+    fn check_capacity(&self) -> Result<(), StepError> {
         for (worker, state) in self.workers.iter().enumerate() {
             let needs = state.live(self.now).map(|running| running.resources);
             let used = needs.fold(Resources::ZERO, |sum, need| sum + need);
             if !used.fits_in(&state.capacity) {
-                return Err(Broken(format!("worker {worker}: runs {used}")));
+                return Err(StepError(format!("worker {worker}: runs {used}")));
             }
         }
         Ok(())
     }
 
-    fn check_unsafe(&self) -> Result<(), Broken> {
+    fn check_unsafe(&self) -> Result<(), StepError> {
         let mut begun: BTreeMap<TaskId, u32> = BTreeMap::new();
         for state in &self.workers {
             for attempt in &state.begun {
@@ -75,7 +75,9 @@
                 // A failed run is not repeated either.
                 if is_unsafe && count > 1 {
                     let id = data.image.id;
-                    return Err(Broken(format!("{id}: unsafe to repeat, ran {count} times")));
+                    return Err(StepError(format!(
+                        "{id}: unsafe to repeat, ran {count} times"
+                    )));
                 }
             }
         }
@@ -83,20 +85,20 @@
     }
 
     /// What was refused is not on record: "not run" means that it will not run.
-    fn check_refused(&self, reader: &Owner) -> Result<(), Broken> {
+    fn check_refused(&self, reader: &Owner) -> Result<(), StepError> {
         let waits: BTreeSet<&Key> = self.tokens.values().collect();
         let mut refused = self.said.iter().filter(|(key, &word)| {
             let is_settled = !self.doubtful.contains(key) && !self.accepted.contains(key);
             word == "refused" && is_settled && !waits.contains(key)
         });
         match refused.find(|(key, _)| reader.state().by_key(key).is_some()) {
-            Some((key, _)) => Err(Broken(format!("{key}: was refused and is on record"))),
+            Some((key, _)) => Err(StepError(format!("{key}: was refused and is on record"))),
             None => Ok(()),
         }
     }
 
     /// Every task that was acknowledged is in the log with an end.
-    fn check_accepted(&mut self) -> Result<(), Broken> {
+    fn check_accepted(&mut self) -> Result<(), StepError> {
         let reader = reader(&self.store);
         self.check_refused(&reader)?;
         self.tally.requeues_count += self
@@ -107,18 +109,18 @@
             .sum::<u64>();
         for key in &self.accepted {
             let Some(task) = reader.state().by_key(key) else {
-                return Err(Broken(format!("{key}: was acknowledged and is lost")));
+                return Err(StepError(format!("{key}: was acknowledged and is lost")));
             };
             let position = &reader.state().tasks[task].image.position;
             if !matches!(position, Position::Ended { .. }) {
-                return Err(Broken(format!("{key}: has no end on record")));
+                return Err(StepError(format!("{key}: has no end on record")));
             }
         }
         Ok(())
     }
 
     /// Mends everything and lets the world run until all tasks have ended.
-    pub fn heal(&mut self) -> Result<(), Broken> {
+    pub fn heal(&mut self) -> Result<(), StepError> {
         for worker in 0..WORKERS_COUNT {
             self.step(&Op::Thaw { worker })?;
         }
@@ -140,10 +142,10 @@
             let task = tasks.find(|(_, data)| !data.is_ended())?;
             Some(format!("{}: {:?}", task.1.image.id, task.1.image.position))
         });
-        Err(Broken(format!("stuck: {stuck:?}")))
+        Err(StepError(format!("stuck: {stuck:?}")))
     }
 
-    fn heal_round(&mut self) -> Result<(), Broken> {
+    fn heal_round(&mut self) -> Result<(), StepError> {
         for daemon in 0..DAEMONS_COUNT {
             self.step(&Op::Poll { daemon })?;
             self.step(&Op::Commit { daemon })?;
--- a/crates/shard/tests/owner/support/script.rs
+++ b/crates/shard/tests/owner/support/script.rs
@@ -4,7 +4,7 @@
 //! Daemons are `d0` to `d2`, workers `w0` to `w2`, tasks `k0`, `k1` and so on
 //! in the order of their submission.
 
-use super::world::{Broken, Op, World};
+use super::world::{Op, StepError, World};
 use ospreywing_filetest::{index, ms};
 
 /// Plays a trace.
@@ -12,12 +12,12 @@
 /// # Errors
 ///
 /// Returns what went wrong, with the line's number.
-pub fn play(text: &str) -> Result<(), Broken> {
+pub fn run_script(text: &str) -> Result<(), StepError> {
     let mut world = World::new();
-    ospreywing_filetest::play(text, |words| step(&mut world, words))
+    ospreywing_filetest::run_script(text, |words| step(&mut world, words))
 }
 
-fn step(world: &mut World, words: &[&str]) -> Result<(), Broken> {
+fn step(world: &mut World, words: &[&str]) -> Result<(), StepError> {
     match words {
         ["expect", rest @ ..] => expect(world, rest),
         ["heal"] => world.heal(),
@@ -29,7 +29,7 @@
     }
 }
 
-fn op(words: &[&str]) -> Result<Op, Broken> {
+fn op(words: &[&str]) -> Result<Op, StepError> {
     Ok(match *words {
         ["submit", "safe"] => Op::Submit { row: true },
         ["submit", "unsafe"] => Op::Submit { row: false },
@@ -112,11 +112,11 @@
             number: index(key) as u64,
             nonce: nonce.parse().expect("a nonce"),
         },
-        _ => return Err(Broken("no such step".to_owned())),
+        _ => return Err(StepError("no such step".to_owned())),
     })
 }
 
-fn expect(world: &World, words: &[&str]) -> Result<(), Broken> {
+fn expect(world: &World, words: &[&str]) -> Result<(), StepError> {
     let (found, wanted) = match *words {
         ["said", key, wanted] => (world.said(key).to_owned(), wanted),
         ["phase", key, wanted] => (world.phase(key), wanted),
@@ -126,7 +126,7 @@
             (world.held_starts_count(index(daemon)).to_string(), wanted)
         }
         ["batches", wanted] => (world.batches_count().to_string(), wanted),
-        _ => return Err(Broken("no such outcome".to_owned())),
+        _ => return Err(StepError("no such outcome".to_owned())),
     };
     ospreywing_filetest::expect(&found, wanted)
 }
--- a/crates/shard/tests/owner/support/world.rs
+++ b/crates/shard/tests/owner/support/world.rs
@@ -148,7 +148,7 @@
 }
 
 /// A promise that was broken, with the entity at fault.
-pub use ospreywing_filetest::Broken;
+pub use ospreywing_filetest::StepError;
 
 pub struct World {
     pub now: Instant,
@@ -259,7 +259,7 @@
     }
 
     /// Takes one step and checks every promise.
-    pub fn step(&mut self, op: &Op) -> Result<(), Broken> {
+    pub fn step(&mut self, op: &Op) -> Result<(), StepError> {
         self.tally.steps_count += 1;
         self.apply(op);
         self.settle_inboxes();
