--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the daemons.
+//! HTTP client for the daemons.
 
 use crate::CliError;
 use http::Method;
@@ -7,9 +7,10 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
+/// Timeout of one call to a daemon.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Daemons, any of which will do.
+/// The daemons to call. All are equivalent.
 #[derive(Clone, Debug)]
 pub struct Daemons {
     addrs: Vec<String>,
@@ -17,7 +18,7 @@
 }
 
 impl Daemons {
-    /// Creates a client of the daemons at `addrs` (`IP:port`).
+    /// Creates a client for the daemons at `addrs` (`IP:port`).
     pub fn new(addrs: Vec<String>) -> Self {
         Self {
             addrs,
@@ -27,19 +28,19 @@
 
     /// Calls the first daemon that can be reached.
     ///
-    /// `prepare` completes the call. A call that may have been received is not
-    /// made again.
+    /// `prepare` adds the headers and the body. A call that may have been received is not
+    /// retried at another daemon.
     ///
     /// # Errors
     ///
-    /// Returns an error where no daemon gave a whole answer.
+    /// Returns an error if no daemon sent a complete response.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         prepare: impl Fn(Call) -> Result<Call, HttpError>,
     ) -> Result<Answer, CliError> {
-        let mut last = HttpError::Invalid("no daemon is named".to_owned());
+        let mut last = HttpError::Invalid("no daemon address given".to_owned());
         for addr in &self.addrs {
             let call = Call::new(method.clone(), addr, path, CALL_TIMEOUT);
             let call = prepare(call).map_err(|error| CliError::Usage(error.to_string()))?;
@@ -56,13 +57,14 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where no daemon gave such an answer.
+    /// Returns an error if no daemon sent a complete response, or if the response is a
+    /// failure or not valid JSON.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CliError> {
         let answer = self.call(Method::GET, path, Ok).await?;
         parse_answer(&answer)
     }
 
-    /// Reads JSON from every daemon that answers, with its address.
+    /// Reads JSON from every daemon. Daemons that fail to answer are skipped.
     pub async fn get_all<T: DeserializeOwned>(&self, path: &str) -> Vec<T> {
         let mut found = Vec::new();
         for addr in &self.addrs {
@@ -74,11 +76,12 @@
     }
 }
 
-/// Reads the JSON of a good answer.
+/// Parses the JSON body of a successful response.
 ///
 /// # Errors
 ///
-/// Returns what a bad answer says.
+/// Returns the reason in the response if its status is not a success, or
+/// [`CliError::ResponseLost`] if the body can't be parsed.
 pub fn parse_answer<T: DeserializeOwned>(answer: &Answer) -> Result<T, CliError> {
     if !answer.status.is_success() {
         return Err(refusal_error(answer));
@@ -86,7 +89,7 @@
     answer.json().map_err(CliError::ResponseLost)
 }
 
-/// Turns an answer without success into an error.
+/// Converts an unsuccessful response into an error.
 pub fn refusal_error(answer: &Answer) -> CliError {
     let refusal: Result<Refusal, HttpError> = answer.json();
     let text = String::from_utf8_lossy(&answer.body).into_owned();
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Declares the command line.
 
 use crate::soak::Seeds;
 use clap::{value_parser, Arg, ArgAction, Command};
@@ -6,7 +6,8 @@
 use ospreywing_types::{Key, Name};
 use std::path::PathBuf;
 
-const DAEMONS_HELP: &str = "IP:port of daemons, any of which will do, with commas between them";
+const DAEMONS_HELP: &str =
+    "Comma-separated IP:port addresses of daemons; the first reachable one is used";
 
 fn name(text: &str) -> Result<Name, String> {
     Name::new(text).map_err(|error| error.to_string())
@@ -38,7 +39,7 @@
         .help(help)
 }
 
-/// Returns the whole command line.
+/// Returns the command-line parser with all subcommands.
 pub fn command() -> Command {
     Command::new("ospreywing")
         .version(env!("CARGO_PKG_VERSION"))
@@ -91,11 +92,11 @@
     let prune = Arg::new("prune")
         .long("prune")
         .action(ArgAction::SetTrue)
-        .help("Remove the rows that the file does not have");
+        .help("Remove the rows that are not in the file");
     let dry_run = Arg::new("dry-run")
         .long("dry-run")
         .action(ArgAction::SetTrue)
-        .help("Show the difference and write nothing");
+        .help("Show the differences without writing them");
     let column = Arg::new("column").required(true).help("The column's name");
     let value = Arg::new("value").required(true).help("The cell's new text");
     Command::new("table")
@@ -112,7 +113,7 @@
         .subcommand(Command::new("export").about("Prints the table as CSV"))
         .subcommand(
             Command::new("apply")
-                .about("Makes the table as a CSV file says, after showing what differs")
+                .about("Shows the differences between the table and a CSV file, then applies them")
                 .arg(file)
                 .arg(prune)
                 .arg(dry_run),
@@ -128,13 +129,13 @@
 
 fn submit() -> Command {
     Command::new("submit")
-        .about("Hands in a task")
+        .about("Submits a task")
         .arg(row())
         .arg(key_arg())
         .arg(
             Arg::new("command")
                 .required(true)
-                .help("The work, as the workers understand it"),
+                .help("The command for the worker to run"),
         )
         .arg(number(
             "cores-milli",
@@ -153,11 +154,15 @@
 
 fn task() -> Command {
     Command::new("task")
-        .about("Shows and stops tasks")
+        .about("Shows and cancels tasks")
         .subcommand_required(true)
         .subcommand(Command::new("list").about("Lists tasks"))
         .subcommand(Command::new("show").about("Shows a task").arg(key_arg()))
-        .subcommand(Command::new("cancel").about("Stops a task").arg(key_arg()))
+        .subcommand(
+            Command::new("cancel")
+                .about("Cancels a task")
+                .arg(key_arg()),
+        )
 }
 
 fn call() -> Command {
@@ -178,11 +183,11 @@
         .about("Prints reports")
         .subcommand_required(true)
         .subcommand(
-            Command::new("burn").about("How fast each service row uses up its error budget"),
+            Command::new("burn").about("Shows how fast each service row uses its error budget"),
         )
         .subcommand(
             Command::new("delays")
-                .about("Where the time of jobs goes, by queue, from the logs of the nodes")
+                .about("Shows the mean delays of jobs by queue, from the logs of the nodes")
                 .arg(logs()),
         )
 }
@@ -191,12 +196,12 @@
     Arg::new("log")
         .required(true)
         .num_args(1..)
-        .help("The nodes' logs, JSON lines")
+        .help("Log files of the nodes, in JSON lines")
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tells the story of one request from the logs of the nodes")
+        .about("Shows the timeline of one request from the logs of the nodes")
         .arg(Arg::new("id").required(true).help("The job's id"))
         .arg(logs())
 }
@@ -204,18 +209,20 @@
 fn replay() -> Command {
     let table = |name: &'static str, help: &'static str| Arg::new(name).long(name).help(help);
     Command::new("replay")
-        .about("Replays a recorded trace through the same decisions, under a table or two")
-        .arg(Arg::new("trace").required(true).help("The trace's file"))
+        .about(
+            "Replays a recorded trace through the daemon's placement code, under one or two tables",
+        )
+        .arg(Arg::new("trace").required(true).help("The trace file"))
         .arg(table("table", "The table's CSV file").required(true))
         .arg(table(
             "other-table",
-            "A second table, whose figures are printed beside the first's",
+            "A second table to compare with the first",
         ))
         .arg(
             Arg::new("baseline")
                 .long("baseline")
                 .action(ArgAction::SetTrue)
-                .help("Print first fit in arrival order beside it"),
+                .help("Also replay with first fit in arrival order, for comparison"),
         )
 }
 
@@ -242,7 +249,7 @@
             .help(help)
     };
     Command::new("soak")
-        .about("Starts nodes on this machine, injects faults, and checks the promises")
+        .about("Starts nodes on this machine, injects faults, and checks the invariants")
         .arg(number("seed", "1", "The seed of the run"))
         .arg(
             Arg::new("seeds")
@@ -250,33 +257,44 @@
                 .value_name("A..B")
                 .value_parser(Seeds::parse)
                 .conflicts_with("seed")
-                .help("Play one run after the other, A and B among them"),
+                .help("Run the seeds A to B in turn, both included"),
         )
-        .arg(number("seconds", "20", "How long faults go on in each run"))
-        .arg(number("boxes", "4", "Nodes, each a process"))
-        .arg(number("workers", "8", "Workers of the stand-in"))
+        .arg(number(
+            "seconds",
+            "20",
+            "Duration of the fault phase of each run, in seconds",
+        ))
+        .arg(number("boxes", "4", "Number of nodes, each a process"))
+        .arg(number("workers", "8", "Number of fake workers"))
         .arg(
             Arg::new("crashes")
                 .long("crashes")
                 .action(ArgAction::SetTrue)
-                .help("Also play tasks that crash their workers, and rooms that change")
+                .help("Also run tasks that crash their workers, and change worker capacities")
                 .conflicts_with("plan"),
         )
         .arg(
             Arg::new("restarts")
                 .long("restarts")
                 .action(ArgAction::SetTrue)
-                .help("Also play workers that start again under their ids")
+                .help("Also restart workers under the same ids")
                 .conflicts_with("plan"),
         )
         .arg(
-            path("plan", "FILE", "Play this plan instead of drawing one")
+            path("plan", "FILE", "Run this plan instead of generating one")
                 .conflicts_with_all(["seed", "seeds"]),
         )
-        .arg(path("report", "DIR", "Where logs, plans and stories go").default_value("target/soak"))
+        .arg(
+            path(
+                "report",
+                "DIR",
+                "Output directory for logs, plans and violation reports",
+            )
+            .default_value("target/soak"),
+        )
         .arg(path(
             "binary",
             "FILE",
-            "The nodes' program [default: ospreywing-platformd beside this one]",
+            "The node program [default: ospreywing-platformd in the directory of this program]",
         ))
 }
--- a/crates/cli/src/delays.rs
+++ b/crates/cli/src/delays.rs
@@ -1,9 +1,9 @@
-//! `report delays`: where the time of jobs goes, from the logs of the nodes.
+//! The command `report delays`: reports the delays of jobs by queue, from the logs of the
+//! nodes.
 //!
-//! The time from a job's acceptance until it is shown complete is cut into parts
-//! that follow one another and add up to the whole, by queue. A job is late where
-//! that time exceeds its objective, which the leader reckons from the estimates
-//! that the client gave.
+//! The time from a job's acceptance until it is shown as complete is split into consecutive
+//! parts that add up to the total. A job is late if that time exceeds its objective, which
+//! the leader computes from the estimates of the client.
 
 use crate::input::read_text;
 use crate::print::{columns, print, Format};
@@ -12,25 +12,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The parts of a job's time, in milliseconds.
+/// The parts of a job's total time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Delays {
-    /// Until the leader knew of it.
+    /// From acceptance until the leader received the job.
     pub handing_over_ms: u64,
-    /// Its steps waited for an answer of the adviser.
+    /// Steps waited for a response of the adviser.
     pub advice_ms: u64,
-    /// Its steps waited for room, or for their turn.
+    /// Steps waited for free capacity or for their turn.
     pub room_ms: u64,
-    /// Starts waited for their record in the store.
+    /// Starts waited for their commit to the store.
     pub record_ms: u64,
-    /// Tasks ran, or were sent to their workers, or had ended unheard.
+    /// Tasks were sent to their workers, ran, or had ended without the leader knowing yet.
     pub running_ms: u64,
-    /// The outcome waited for its record in the store.
+    /// The outcome waited for its commit to the store.
     pub outcome_ms: u64,
 }
 
 impl Delays {
-    /// Returns the whole time.
+    /// Returns the sum of all parts.
     pub const fn total_ms(&self) -> u64 {
         self.handing_over_ms
             + self.advice_ms
@@ -61,26 +61,26 @@
     }
 }
 
-/// The jobs of one queue.
+/// The delays of the jobs of one queue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct QueueDelays {
-    /// The queue.
+    /// The name of the queue.
     pub queue: String,
-    /// Jobs that were shown complete overlaps their objective.
+    /// Jobs that were shown as complete within their objective.
     pub in_time_count: u64,
-    /// Jobs that were shown complete later.
+    /// Jobs that were shown as complete after their objective.
     pub late_count: u64,
-    /// Jobs that the logs do not show complete.
+    /// Jobs without a line in the logs that shows them as complete.
     pub open_count: u64,
-    /// Runs that ended in another way than well.
+    /// Runs that did not end successfully.
     pub lost_runs_count: u64,
-    /// The parts of the mean job's time, of those shown complete.
+    /// The mean parts of the jobs that were shown as complete.
     pub mean: Delays,
-    /// The parts of the mean late job's time.
+    /// The mean parts of the late jobs.
     pub mean_late: Delays,
 }
 
-/// A line of a log, as far as it is needed here.
+/// The fields of a log line that the report needs.
 #[derive(Deserialize)]
 struct LogLine {
     msg: String,
@@ -99,7 +99,7 @@
     figure: u64,
 }
 
-/// The moments of one step.
+/// Wall-clock times of the events of one step; 0 if the event is not in the logs.
 #[derive(Clone, Copy, Debug, Default)]
 struct StepTimes {
     placed_ms: u64,
@@ -107,7 +107,7 @@
     ended_ms: u64,
 }
 
-/// The moments of one job.
+/// Wall-clock times of the events of one job.
 #[derive(Debug, Default)]
 struct JobTimes {
     queue: String,
@@ -115,7 +115,7 @@
     accepted_ms: Option<u64>,
     received_ms: Option<u64>,
     shown_ms: Option<u64>,
-    /// When advice_calls for advice began and ended.
+    /// Start and end of each call to the adviser.
     advice_calls: Vec<(u64, u64)>,
     requested_ms: Option<u64>,
     steps: BTreeMap<String, StepTimes>,
@@ -153,13 +153,13 @@
         }
     }
 
-    /// Returns the moments of a task's step.
+    /// Returns the times of the step that `task` belongs to, and adds the step if needed.
     fn step(&mut self, task: &str) -> &mut StepTimes {
         let step = task.rsplit_once('.').map_or(task, |(step, _)| step);
         self.steps.entry(step.to_owned()).or_default()
     }
 
-    /// Returns how long advice_calls for advice were open between two moments.
+    /// Returns how long calls to the adviser were open between `from_ms` and `until_ms`.
     fn advice_calls_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
         let overlaps = self.advice_calls.iter().map(|(requested_ms, answered_ms)| {
             let start_ms = (*requested_ms).max(from_ms);
@@ -168,14 +168,14 @@
         overlaps.sum::<u64>().min(until_ms - from_ms)
     }
 
-    /// Returns the parts of the job's time, where it was shown complete.
+    /// Returns the parts of the job's time, or `None` if it was not shown as complete.
     fn delays(&self) -> Option<Delays> {
         let accepted_ms = self.accepted_ms.or(self.received_ms)?;
         let shown_ms = self.shown_ms?;
         let mut delays = Delays::default();
         let mut at_ms = accepted_ms;
         let mut advance = |to_ms: u64| {
-            // Clocks of two nodes may differ a little.
+            // The wall clocks of two nodes may differ slightly.
             let to_ms = to_ms.clamp(at_ms, shown_ms.max(at_ms));
             let from_ms = core::mem::replace(&mut at_ms, to_ms);
             (from_ms, to_ms)
@@ -200,8 +200,8 @@
     }
 }
 
-/// Gathers the delays of all jobs from logs, by queue; lines that are no JSON are
-/// passed over.
+/// Computes the delays of all jobs in `logs`, by queue. Lines that can't be parsed are
+/// skipped.
 pub fn delays_by_queue<'a>(logs: impl IntoIterator<Item = &'a str>) -> Vec<QueueDelays> {
     let mut lines: Vec<LogLine> = logs
         .into_iter()
@@ -221,7 +221,7 @@
         }
     }
     let mut queues: BTreeMap<&str, QueueDelays> = BTreeMap::new();
-    // A cancel for a job that no leader took names no queue.
+    // A job that was cancelled before a leader received it has no queue.
     for job in jobs.values().filter(|job| !job.queue.is_empty()) {
         add_job(queues.entry(&job.queue).or_default(), job);
     }
@@ -288,7 +288,7 @@
     columns(&heading, &lines)
 }
 
-/// Prints the delays of all jobs in the logs.
+/// Runs `report delays`: prints the delays of all jobs in the logs.
 pub(crate) fn run(format: Format, matches: &ArgMatches) -> Result<(), CliError> {
     let paths = matches.get_many::<String>("log").into_iter().flatten();
     let logs: Result<Vec<String>, CliError> = paths.map(|path| read_text(path)).collect();
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,18 +1,18 @@
-//! Errors of the tool and the exit codes they lead to.
+//! The errors of the tool and their exit codes.
 
 use ospreywing_http::HttpError;
 use thiserror::Error;
 
-/// What an exit code means.
+/// The exit code of a failed command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitKind {
-    /// Something else went wrong.
+    /// The command failed for another reason.
     Failure = 1,
-    /// The command line, a file or a setting is wrong.
+    /// The command line, a file or a setting is invalid.
     Usage = 2,
-    /// The request was certainly not carried out; try again later.
+    /// The request was not executed and can be retried later.
     NotRun = 3,
-    /// Whether the request was carried out is unknown.
+    /// It is unknown whether the request was executed.
     Unknown = 4,
     /// Another operator changed the row first.
     Conflict = 5,
@@ -21,52 +21,50 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// What was given is wrong.
+    /// The command line or the content of a file is invalid.
     #[error("{0}")]
     Usage(String),
     /// A file can't be read.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// No daemon could be reached.
-    #[error("no daemon answers: {0}")]
+    #[error("can't reach any daemon: {0}")]
     Unreachable(HttpError),
-    /// The answer was lost.
-    #[error("the answer was lost: {0}")]
+    /// The request may have been received, but no usable response arrived.
+    #[error("no usable response; the request may have been executed: {0}")]
     ResponseLost(HttpError),
-    /// A daemon refused.
+    /// A daemon refused the request.
     #[error("{reason}{}", retry_hint(*.retry_after_ms))]
     Refused {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// Why.
+        /// The reason that the daemon gave.
         reason: String,
-        /// When to come back, in milliseconds.
+        /// The delay after which to retry, in milliseconds, if the request was not run.
         retry_after_ms: Option<u64>,
     },
     /// Another operator changed the row first.
     #[error("{0}")]
     Conflict(String),
-    /// A soak found a broken promise, or could not be played.
+    /// A soak found an invariant violation, or could not be run.
     #[error("{0}")]
     SoakFailed(String),
-    /// Nothing is known of what became of the request.
+    /// The daemon doesn't know whether the request was executed.
     #[error("unknown: {0}")]
     Unknown(String),
 }
 
 fn retry_hint(retry_after_ms: Option<u64>) -> String {
-    retry_after_ms.map_or(String::new(), |ms| {
-        format!(" (not run; come back in {ms} ms)")
-    })
+    retry_after_ms.map_or(String::new(), |ms| format!(" (not run; retry in {ms} ms)"))
 }
 
 impl CliError {
-    /// Returns the kind of exit.
+    /// Returns the exit code for this error.
     pub const fn exit_kind(&self) -> ExitKind {
         match self {
             Self::Usage(_) | Self::File { .. } => ExitKind::Usage,
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the timeline of one request, from the logs of several nodes.
+//! The command `explain`: shows the timeline of one request from the logs of several nodes.
 
 use crate::input::read_text;
 use crate::print::{print, Format};
@@ -8,45 +8,45 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// A change of a node's time of day against its steady clock that is named.
+/// Smallest jump of a node's wall clock against its monotonic clock that is reported.
 const MIN_CLOCK_JUMP_MS: i64 = 250;
-/// A time without a line that is named.
+/// Shortest time without a log line that is shown as a gap.
 const MIN_GAP_MS: u64 = 1000;
-/// Fields that every line has.
+/// Fields that every log line has.
 const COMMON_FIELDS: [&str; 5] = ["at_ms", "wall_ms", "node", "msg", "level"];
 
-/// One line of the timeline.
+/// One log line of the timeline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Entry {
-    /// The time of day, in milliseconds since 1970.
+    /// The wall-clock time, in milliseconds since 1970.
     pub wall_ms: u64,
-    /// The node.
+    /// The node that wrote the line.
     pub node: String,
-    /// What happened.
+    /// The log message.
     pub message: String,
-    /// The other fields, in words.
+    /// The other fields, as `name=value` separated by spaces.
     pub fields: String,
 }
 
-/// A node whose time of day jumped.
+/// A jump of a node's wall clock, after which the order of its lines is uncertain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ClockJump {
     /// The node.
     pub node: String,
-    /// By how much, in milliseconds.
+    /// The size of the jump, in milliseconds; negative if the clock went back.
     pub jump_ms: i64,
 }
 
-/// The timeline of one request.
+/// The log lines of one request, in time order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RequestTimeline {
-    /// The lines that name the request, in the order of the time of day.
+    /// The lines that name the request, sorted by wall-clock time.
     pub entries: Vec<Entry>,
-    /// Clocks that make the order doubtful.
+    /// Clock jumps that make the order uncertain.
     pub clock_doubts: Vec<ClockJump>,
-    /// Lines that nodes dropped, so that something may be missing.
+    /// Number of lines that nodes dropped. Entries may be missing.
     pub dropped_count: u64,
-    /// Lines that can't be read.
+    /// Number of lines that can't be parsed.
     pub unread_count: u64,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl RequestTimeline {
-    /// Gathers the lines that name a job, or one of its tasks, from logs.
+    /// Collects the lines that name the job `id` or one of its tasks.
     pub fn new<'a>(id: &str, logs: impl IntoIterator<Item = &'a str>) -> Self {
         let mut timeline = Self::default();
         let mut clocks: BTreeMap<String, NodeClock> = BTreeMap::new();
@@ -84,7 +84,7 @@
         }
         let (wall_ms, node) = (number("wall_ms"), text("node"));
         if text("msg") == "started" && fields.contains_key("version") {
-            // A process that starts may be on another machine.
+            // The new process may run on another machine, with another clock.
             clocks.remove(node);
         }
         let offset_ms = wall_ms as i64 - number("at_ms") as i64;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Returns the timeline as text, with its gaps.
+    /// Formats the timeline as text, with its gaps.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
         let first_ms = self.entries.first().map_or(0, |entry| entry.wall_ms);
@@ -142,13 +142,13 @@
         for jump in &self.clock_doubts {
             let ClockJump { node, jump_ms } = jump;
             text.push_str(&format!(
-                "doubt: the time of day of {node} moved by {jump_ms} ms\n"
+                "warning: the wall clock of {node} jumped by {jump_ms} ms\n"
             ));
         }
         if self.dropped_count + self.unread_count > 0 {
             let (dropped, unread) = (self.dropped_count, self.unread_count);
             text.push_str(&format!(
-                "doubt: {dropped} lines were dropped, {unread} can't be read\n"
+                "warning: {dropped} lines were dropped, {unread} can't be parsed\n"
             ));
         }
         text
--- a/crates/cli/src/input.rs
+++ b/crates/cli/src/input.rs
@@ -1,4 +1,4 @@
-//! Files that operators give.
+//! Reads the files that are named on the command line.
 
 use crate::CliError;
 use ospreywing_table::{from_csv, Table};
@@ -11,7 +11,7 @@
     })
 }
 
-/// Reads a table from a CSV file; an error names each cell at fault.
+/// Reads a table from a CSV file. The error lists every invalid cell.
 pub(crate) fn read_table(path: &str) -> Result<Table, CliError> {
     from_csv(&read_text(path)?).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(|f| format!("{path}: {f}")).collect();
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' tool: talks to any daemon over HTTP.
+//! The command-line tool for operators. It calls the daemons over HTTP.
 
 mod client;
 pub mod command;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,9 +1,10 @@
-//! The program `ospreywing`.
+//! The entry point of the program `ospreywing`.
 
 use ospreywing_cli::{command, run, ExitKind};
 use std::process::ExitCode;
 
-/// A soak plays the platform for many nodes at once; the other commands need one.
+/// Threads of the runtime. `soak` serves the fake platform to many nodes at once; the other
+/// commands need one thread.
 const THREADS_COUNT: usize = 4;
 
 fn main() -> ExitCode {
--- a/crates/cli/src/print.rs
+++ b/crates/cli/src/print.rs
@@ -1,17 +1,17 @@
-//! Printing for people and for programs.
+//! Prints results as text or JSON.
 
 use serde::Serialize;
 
-/// How results are printed.
+/// The output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// Prints `value` as JSON, or `text` for people.
+/// Prints `value` as JSON, or the result of `text`, depending on `format`.
 pub(crate) fn print(format: Format, value: &impl Serialize, text: impl FnOnce() -> String) {
     let printed = match format {
         Format::Json => serde_json::to_string_pretty(value).unwrap_or_default(),
@@ -20,7 +20,7 @@
     println!("{}", printed.trim_end());
 }
 
-/// Lays lines of cells out in columns.
+/// Formats lines of cells as aligned columns under a heading.
 pub(crate) fn columns(heading: &[&str], lines: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = heading.iter().map(|cell| cell.len()).collect();
     for line in lines {
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -1,4 +1,4 @@
-//! `replay`.
+//! The command `replay`.
 
 use crate::input::{read_table, read_text};
 use crate::print::{columns, print, Format};
@@ -15,7 +15,7 @@
     report: ReplayReport,
 }
 
-/// Replays a trace under one or two tables, and the baseline where asked.
+/// Replays a trace under one or two tables and, on request, under the baseline.
 pub(crate) fn run(format: Format, matches: &ArgMatches) -> Result<(), CliError> {
     let path = |name: &str| matches.get_one::<String>(name).cloned();
     let trace_path = path("trace").unwrap_or_default();
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports: boxes, status, service-level burn.
+//! The commands `boxes`, `status` and `report burn`.
 
 use crate::client::Daemons;
 use crate::print::{columns, print, Format};
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// `boxes`.
+/// Runs `boxes`: lists the boxes and whether they are connected.
 pub(crate) async fn boxes(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let parts: Vec<Vec<BoxReport>> = daemons.get_all("/v1/boxes").await;
     let mut merged: BTreeMap<String, BoxReport> = BTreeMap::new();
@@ -43,11 +43,11 @@
     ]
 }
 
-/// `status`.
+/// Runs `status`: prints the cell as each daemon sees it.
 pub(crate) async fn status(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let reports: Vec<CellReport> = daemons.get_all("/v1/status").await;
     if reports.is_empty() {
-        // Say why no daemon answers.
+        // Returns the error that explains why no daemon answered.
         let _: CellReport = daemons.get("/v1/status").await?;
     }
     print(format, &reports, || {
@@ -116,7 +116,7 @@
     format!("{head}\n{members}\n{}", columns(&shards_heading, &shards))
 }
 
-/// One row of the burn report, over all daemons.
+/// One row of the burn report, summed over all daemons.
 #[derive(Clone, Debug, Serialize)]
 struct BurnLine {
     row: String,
@@ -130,12 +130,12 @@
     advice: &'static str,
 }
 
-/// A burn above this in the short window will use a month's budget in days.
+/// Burn rate that, in the short window, would use up a month's error budget within days.
 const FAST_BURN_RATE: f64 = 14.0;
-/// The budget is used faster than it comes back.
+/// Burn rate above which the error budget is used faster than it is replenished.
 const SLOW_BURN_RATE: f64 = 1.0;
 
-/// `report burn`.
+/// Runs `report burn`: prints how fast each service row uses its error budget.
 pub(crate) async fn burn(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let parts: Vec<Vec<BurnReport>> = daemons.get_all("/v1/burn").await;
     if parts.is_empty() {
@@ -188,13 +188,13 @@
 
 fn advice(burn_short: f64, burn_long: f64) -> &'static str {
     if burn_short >= FAST_BURN_RATE && burn_long >= FAST_BURN_RATE {
-        "act now: add minions, raise the row's priority or cap its neighbours"
+        "act now: add minions, raise the row's priority or cap other rows"
     } else if burn_short >= FAST_BURN_RATE {
-        "just began: look at `ospreywing status` and the minions of the row"
+        "started recently: check `ospreywing status` and the minions of the row"
     } else if burn_long >= SLOW_BURN_RATE {
-        "too slow a leak to wake for: raise the row's share or its deadline"
+        "not urgent: raise the row's share or its deadline"
     } else {
-        "nothing to do"
+        "no action needed"
     }
 }
 
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,4 +1,4 @@
-//! Carrying out a command.
+//! Dispatches a parsed command line to its command.
 
 use crate::client::Daemons;
 use crate::print::Format;
@@ -8,11 +8,11 @@
 use clap::ArgMatches;
 use clap_complete::{generate, Shell};
 
-/// Carries out the command of a parsed command line.
+/// Runs the command of a parsed command line.
 ///
 /// # Errors
 ///
-/// Returns why it failed; [`CliError::exit_kind`] says how to exit.
+/// Returns the reason for the failure; [`CliError::exit_kind`] gives the exit code.
 pub async fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let addrs = matches.get_many::<String>("daemons").into_iter().flatten();
     let daemons = Daemons::new(addrs.cloned().collect());
--- a/crates/cli/src/table_commands.rs
+++ b/crates/cli/src/table_commands.rs
@@ -1,4 +1,4 @@
-//! The table: get, set, export, apply, remove, history, columns.
+//! The command `table` with its subcommands.
 
 use crate::client::{parse_answer, refusal_error, Daemons};
 use crate::input::read_table;
@@ -11,14 +11,14 @@
 use ospreywing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// A row with the revision that an edit must name.
+/// A row and the revision that an edit of it must name.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct VersionedRow {
     row: Option<Row>,
     revision: u64,
 }
 
-/// An edit that was taken.
+/// The response to an accepted edit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Accepted {
     revision: u64,
@@ -26,14 +26,14 @@
     lagging: Vec<Name>,
 }
 
-/// An edit that was refused because another came first.
+/// The response to an edit that was refused because another edit came first.
 #[derive(Clone, Debug, Deserialize)]
 struct Conflict {
     reason: String,
     changes: Vec<CellChange>,
 }
 
-/// One remembered edit.
+/// One edit in the history of a row.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct HistoryEntry {
     unix_s: u64,
@@ -41,7 +41,7 @@
     changes: Vec<CellChange>,
 }
 
-/// What `apply` did.
+/// The result of `apply`.
 #[derive(Clone, Debug, Serialize)]
 struct Applied {
     changes: Vec<CellChange>,
@@ -50,7 +50,7 @@
     lagging: Vec<Name>,
 }
 
-/// `table`.
+/// Runs `table`.
 pub(crate) async fn run(
     daemons: &Daemons,
     format: Format,
@@ -82,7 +82,7 @@
 async fn get(daemons: &Daemons, format: Format, name: &Name) -> Result<(), CliError> {
     let found = read_row(daemons, name).await?;
     let Some(row) = &found.row else {
-        return Err(CliError::Usage(format!("row {name:?}: there is none")));
+        return Err(CliError::Usage(format!("row {name:?} does not exist")));
     };
     print(format, &found, || {
         let cells = COLUMNS.iter().filter(|column| column.is_for(row.kind));
@@ -100,12 +100,12 @@
     let (column_name, value) = (text("column"), text("value"));
     let found = read_row(daemons, &name).await?;
     let Some(mut row) = found.row else {
-        return Err(CliError::Usage(format!("row {name:?}: there is none")));
+        return Err(CliError::Usage(format!("row {name:?} does not exist")));
     };
     let column = Column::named(&column_name).filter(|column| column.is_for(row.kind));
     let Some(column) = column.filter(|column| !matches!(column.name, "row" | "kind")) else {
         let reason = format!(
-            "column {column_name:?}: a {} row has none",
+            "column {column_name:?} can't be set in a {} row",
             row.kind.as_str()
         );
         return Err(CliError::Usage(reason));
@@ -169,7 +169,10 @@
         .iter()
         .map(|change| format!("\n  {change}"));
     let differs: String = lines.collect();
-    let reason = format!("{}; from it to yours:{differs}", conflict.reason);
+    let reason = format!(
+        "{}; differences from the current row to yours:{differs}",
+        conflict.reason
+    );
     Err(CliError::Conflict(reason))
 }
 
@@ -184,7 +187,10 @@
         return "in force everywhere".to_owned();
     }
     let names: Vec<&str> = lagging.iter().map(Name::as_str).collect();
-    format!("written; not known to be in force at: {}", names.join(", "))
+    format!(
+        "written; not confirmed to be in force at: {}",
+        names.join(", ")
+    )
 }
 
 async fn export(daemons: &Daemons, format: Format) -> Result<(), CliError> {
@@ -218,7 +224,7 @@
         if applied.is_written {
             in_force_text(applied.is_in_force, &applied.lagging)
         } else if applied.changes.is_empty() {
-            "nothing differs".to_owned()
+            "no differences".to_owned()
         } else {
             "not written".to_owned()
         }
@@ -226,7 +232,8 @@
     Ok(())
 }
 
-/// Returns the table as it is to be.
+/// Returns the table after `apply`: the rows of `desired`, and without `should_prune` also
+/// the other rows of `current`.
 fn target(current: &Table, desired: &Table, should_prune: bool) -> Table {
     let mut target = Table::new();
     if !should_prune {
@@ -236,7 +243,8 @@
     target
 }
 
-/// Teams go before the workloads that name them, and leave after them.
+/// Returns the position of a row in the write order. Teams are written before the workloads
+/// that reference them, and removed after them.
 fn write_order(row: &Row) -> u8 {
     match row.kind {
         RowKind::Cell => 0,
@@ -282,7 +290,7 @@
 async fn remove(daemons: &Daemons, format: Format, name: &Name) -> Result<(), CliError> {
     let found = read_row(daemons, name).await?;
     if found.row.is_none() {
-        return Err(CliError::Usage(format!("row {name:?}: there is none")));
+        return Err(CliError::Usage(format!("row {name:?} does not exist")));
     }
     let accepted = delete_row(daemons, name, found.revision, true).await?;
     print_accepted(format, &accepted);
--- a/crates/cli/src/task_commands.rs
+++ b/crates/cli/src/task_commands.rs
@@ -1,4 +1,4 @@
-//! Tasks and requests.
+//! The commands `submit`, `task` and `call`.
 
 use crate::client::{parse_answer, refusal_error, Daemons};
 use crate::print::{columns, print, Format};
@@ -10,6 +10,7 @@
 use ospreywing_types::{Key, Name, Resources, TaskSpec};
 use std::time::Duration;
 
+/// Interval at which `submit --wait` polls the status of the task.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 fn name_of(matches: &ArgMatches) -> Result<Name, CliError> {
@@ -31,7 +32,7 @@
     matches.get_one::<u32>(name).copied().unwrap_or_default()
 }
 
-/// `submit`.
+/// Runs `submit`: submits a task and optionally waits for its end.
 pub(crate) async fn submit(
     daemons: &Daemons,
     format: Format,
@@ -62,7 +63,7 @@
     Ok(())
 }
 
-/// `task`.
+/// Runs `task`: lists, shows or cancels tasks.
 pub(crate) async fn run(
     daemons: &Daemons,
     format: Format,
@@ -86,7 +87,7 @@
     }
 }
 
-/// Each daemon lists the tasks of its own shards.
+/// Lists the tasks of all daemons. Each daemon returns only the tasks of its own shards.
 async fn list(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let parts: Vec<Vec<TaskStatus>> = daemons.get_all("/v1/tasks").await;
     let tasks: Vec<TaskStatus> = parts.into_iter().flatten().collect();
@@ -115,7 +116,7 @@
     print(format, status, || columns(&HEADING, &[cells(status)]));
 }
 
-/// `call`.
+/// Runs `call`: sends a request to a service row and prints the response.
 pub(crate) async fn call(
     daemons: &Daemons,
     format: Format,
--- a/crates/cli/tests/delays.rs
+++ b/crates/cli/tests/delays.rs
@@ -1,10 +1,11 @@
-//! Where the time of jobs goes.
+//! Tests of the delays of jobs by queue.
 
 use ospreywing_cli::{delays_by_queue, Delays};
 
-/// One job of two steps: 5 ms to the leader; advice for 20 ms, 75 ms for room,
-/// 30 ms for the record, 500 ms running; 10 ms for room, 25 ms for the record,
-/// 300 ms running; 35 ms for the outcome.
+/// One job with two steps. It takes 5 ms to reach the leader. The first step waits 20 ms for
+/// advice, 75 ms for capacity and 30 ms for the commit, and runs for 500 ms. The second waits
+/// 10 ms for capacity and 25 ms for the commit, and runs for 300 ms. The outcome takes 35 ms
+/// to be committed.
 const JOB: &str = r#"{"msg":"job answered","wall_ms":1000,"node":"n2","job":"5c0e7a21d94b36f8","outcome":"accepted"}
 {"msg":"job taken","wall_ms":1005,"node":"n1","job":"5c0e7a21d94b36f8","queue":"post","figure":1200}
 {"msg":"advice asked","wall_ms":1005,"node":"n1","job":"5c0e7a21d94b36f8"}
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The timeline of one request.
+//! Tests of the timeline of one request.
 
 use ospreywing_cli::{ClockJump, RequestTimeline};
 
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The arguments of the command `soak`.
+//! Tests of the arguments of the command `soak`.
 
 use ospreywing_cli::command::command;
 use ospreywing_cli::Seeds;
