--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,8 @@
 //! The clocks of a process.
 //!
-//! The kernel's monotonic clock stands still while the machine is suspended. A leader
-//! that counted its lease by it would wake up and still believe that it leads. So the
-//! clock of all bounds is the boot-time clock, which runs on.
+//! The kernel's monotonic clock stops while the machine is suspended. A leader that measured
+//! its lease with that clock would still consider itself the leader after a resume. All
+//! deadlines therefore use the boot-time clock, which keeps running.
 
 use ospreywing_types::Instant;
 use rustix::time::{clock_gettime, ClockId};
@@ -11,7 +11,7 @@
 #[cfg(feature = "simulation")]
 pub mod simulation;
 
-/// Returns the time since the machine's start, time in suspend included.
+/// Returns the time since the machine booted, including time in suspend.
 pub fn now() -> Instant {
     stopped_at().unwrap_or_else(boot_time) + suspended()
 }
@@ -22,7 +22,7 @@
     Instant::from_ms(ms)
 }
 
-/// Returns the time of day in milliseconds since 1970; it may jump.
+/// Returns the wall-clock time in milliseconds since 1970. It may jump.
 pub fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64) + suspended().as_ms()
--- a/crates/clock/src/simulation.rs
+++ b/crates/clock/src/simulation.rs
@@ -1,27 +1,27 @@
-//! Clocks that tests set: they move on as in a suspend, or stand still, while the
-//! runtime's timers do neither.
+//! Control of the clocks in tests: advances them as a suspend does, or stops them. The timers
+//! of the runtime are not affected.
 
 use ospreywing_types::{Duration, Instant};
 use std::cell::Cell;
 
 thread_local! {
-    /// For how long this thread has been suspended so far.
+    /// The total simulated time in suspend of this thread.
     static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
-    /// Where this thread's clock stands still.
+    /// The time at which this thread's clock is stopped, if it is.
     static STOPPED_AT: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// Moves this thread's clocks on, as a suspend of so long does.
-pub fn suspend(length: Duration) {
-    SUSPENDED.set(SUSPENDED.get() + length);
+/// Advances this thread's clocks as a suspend of `duration` does.
+pub fn suspend(duration: Duration) {
+    SUSPENDED.set(SUSPENDED.get() + duration);
 }
 
 pub(crate) fn suspended() -> Duration {
     SUSPENDED.get()
 }
 
-/// Has [`now`](crate::now) stand still on this thread, but for what [`suspend`] adds: all
-/// that follows happens within one millisecond.
+/// Stops [`now`](crate::now) on this thread, so that everything that follows happens within
+/// one millisecond. [`suspend`] still advances it.
 pub fn stop() {
     STOPPED_AT.set(Some(crate::boot_time()));
 }
--- a/crates/clock/tests/clocks.rs
+++ b/crates/clock/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! The clocks of a process.
+//! Tests of the clocks of a process.
 
 #[cfg(feature = "simulation")]
 use ospreywing_types::Duration;
--- a/crates/filetest/src/lib.rs
+++ b/crates/filetest/src/lib.rs
@@ -1,20 +1,20 @@
-//! Plays text files of steps and stated outcomes; for tests.
+//! Runs test scripts: text files of steps and expected outcomes.
 //!
-//! One step a line; `#` begins a comment. Times are as `90s` or `1500ms`, and
-//! things are a letter with a number, as `d2` or `k0`.
+//! Each line is one step. `#` starts a comment. Times are written as `90s` or `1500ms`, and
+//! objects as a letter with a number, such as `d2` or `k0`.
 
 use thiserror::Error;
 
-/// A step that can't be taken, or an outcome that is not as stated.
+/// A step that can't be executed, or an outcome that differs from the expected one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct StepError(pub String);
 
-/// Plays `text`, giving the words of each line to `step`.
+/// Runs the script `text` by calling `step` with the words of each line.
 ///
 /// # Errors
 ///
-/// Returns the first line whose step broke, with its number.
+/// Returns the error of the first step that fails, with its line and line number.
 pub fn run_script(
     text: &str,
     mut step: impl FnMut(&[&str]) -> Result<(), StepError>,
@@ -31,33 +31,33 @@
     Ok(())
 }
 
-/// Compares what was found with what the file states.
+/// Compares an outcome with the expected one.
 ///
 /// # Errors
 ///
-/// Returns what was found, where it is something else.
-pub fn expect(found: &str, wanted: &str) -> Result<(), StepError> {
-    if found == wanted {
+/// Returns an error with the outcome if they differ.
+pub fn expect(found: &str, expected: &str) -> Result<(), StepError> {
+    if found == expected {
         Ok(())
     } else {
         Err(StepError(format!("found {found}")))
     }
 }
 
-/// Reads the number behind a letter, as in `d2`.
+/// Parses the number after the letter of an object, as in `d2`.
 ///
 /// # Panics
 ///
-/// Panics where the word is something else: the file is wrong.
+/// Panics if the word is not a letter and a number.
 pub fn index(word: &str) -> usize {
     word[1..].parse().expect("a letter and a number")
 }
 
-/// Reads a time, as `90s` or `1500ms`, in milliseconds.
+/// Parses a time such as `90s` or `1500ms`. Returns milliseconds.
 ///
 /// # Panics
 ///
-/// Panics where the word is something else: the file is wrong.
+/// Panics if the word is not such a time.
 pub fn ms(word: &str) -> u64 {
     match word.strip_suffix("ms") {
         Some(number) => number.parse().expect("milliseconds"),
--- a/crates/settings/src/declare.rs
+++ b/crates/settings/src/declare.rs
@@ -1,18 +1,18 @@
-//! The flags and environment variables.
+//! Declares the flags and environment variables.
 
 use crate::settings::LogFormat;
 use crate::value;
 use clap::builder::EnumValueParser;
 use clap::{value_parser, Arg};
 
-/// The prefix of every environment variable of the daemon.
+/// The prefix of all environment variables of the daemon.
 pub const ENV_PREFIX: &str = "OSPREYWINGD_";
 
 fn setting(flag: &'static str, env: &'static str, help: &'static str) -> Arg {
     Arg::new(flag).long(flag).env(env).help(help)
 }
 
-/// Returns every setting of the daemon as an argument of the command line.
+/// Returns all settings of the daemon as command-line arguments.
 pub fn arguments() -> Vec<Arg> {
     let mut all = identity();
     all.extend(addresses());
@@ -30,27 +30,27 @@
         setting(
             "box-name",
             "OSPREYWINGD_BOX_NAME",
-            "The entry box, as the platform's list names it [default: the daemon's name]",
+            "The name of the daemon's box in the platform's box list [default: the daemon's name]",
         )
         .value_parser(value::name),
         setting(
             "data-centre",
             "OSPREYWINGD_DATA_CENTRE",
-            "The data centre that the box stands in",
+            "The data centre of the box",
         )
         .required(true)
         .value_parser(value::name),
         setting(
             "cell",
             "OSPREYWINGD_CELL",
-            "The cell, which names the part of the store that is used",
+            "The cell's name, which is part of the key prefix in the store",
         )
         .required(true)
         .value_parser(value::name),
         setting(
             "shards",
             "OSPREYWINGD_SHARDS",
-            "How many shards the cell has; the same for all daemons, for ever",
+            "Number of shards of the cell; must be the same for all daemons and never change",
         )
         .default_value("2")
         .value_parser(value_parser!(u32).range(1..=64)),
@@ -62,14 +62,14 @@
         setting(
             "http-addr",
             "OSPREYWINGD_HTTP_ADDR",
-            "IP:port for callers and operators; port 0 takes a free one",
+            "IP:port for callers and operators; port 0 selects a free port",
         )
         .required(true)
         .value_parser(value::addr),
         setting(
             "rpc-addr",
             "OSPREYWINGD_RPC_ADDR",
-            "IP:port for other daemons; port 0 takes a free one",
+            "IP:port for other daemons; port 0 selects a free port",
         )
         .required(true)
         .value_parser(value::addr),
@@ -90,7 +90,7 @@
         setting(
             "statsd-addr",
             "OSPREYWINGD_STATSD_ADDR",
-            "IP:port that metrics are sent to over UDP [default: none]",
+            "IP:port to which metrics are sent over UDP [default: none]",
         )
         .value_parser(value::addr),
     ]
@@ -106,49 +106,49 @@
         period(
             "store-time-limit",
             "OSPREYWINGD_STORE_TIME_LIMIT",
-            "How long a call of the store may take",
+            "Timeout of a call to the store",
             "2s",
         ),
         period(
             "poll-every",
             "OSPREYWINGD_POLL_EVERY",
-            "How often the store's control part is read",
+            "Interval at which the control keys of the store are read",
             "500ms",
         ),
         period(
             "boxes-every",
             "OSPREYWINGD_BOXES_EVERY",
-            "How often the box list is read",
+            "Interval at which the box list is read",
             "1s",
         ),
         period(
             "task-lease",
             "OSPREYWINGD_TASK_LEASE",
-            "How long a worker runs a task without a renewal",
+            "How long a worker runs a task without a lease renewal",
             "30s",
         ),
         period(
             "seat-quarantine",
             "OSPREYWINGD_SEAT_QUARANTINE",
-            "How long after a daemon's end its requests may still run at minions",
+            "How long the requests of a terminated daemon may still run at minions",
             "10s",
         ),
         period(
             "unlisted-quarantine",
             "OSPREYWINGD_UNLISTED_QUARANTINE",
-            "How long after a box has left the box list nothing runs on it",
+            "Time after which nothing runs any more on a box that left the box list",
             "2min",
         ),
         period(
             "result-retention",
             "OSPREYWINGD_RESULT_RETENTION",
-            "How long results of tasks and keys of requests are kept",
+            "How long task results and request keys are retained",
             "15min",
         ),
         period(
             "drain-limit",
             "OSPREYWINGD_DRAIN_LIMIT",
-            "How long a planned stop may take",
+            "Maximum duration of a planned shutdown",
             "30s",
         ),
     ]
@@ -159,21 +159,21 @@
         setting(
             "commit-rate",
             "OSPREYWINGD_COMMIT_RATE",
-            "Commits a second that all daemons of the cell together may make",
+            "Maximum commits per second of all daemons of the cell together",
         )
         .default_value("60")
         .value_parser(value_parser!(u32).range(1..=10_000)),
         setting(
             "queue-limit",
             "OSPREYWINGD_QUEUE_LIMIT",
-            "Requests that may wait for a minion at this daemon",
+            "Maximum number of requests that wait for a minion at this daemon",
         )
         .default_value("2000")
         .value_parser(value_parser!(u32).range(1..=1_000_000)),
         setting(
             "waiting-limit",
             "OSPREYWINGD_WAITING_LIMIT",
-            "Tasks that may wait in one shard",
+            "Maximum number of tasks that wait in one shard",
         )
         .default_value("50000")
         .value_parser(value_parser!(u32).range(1..=10_000_000)),
@@ -184,7 +184,7 @@
     vec![setting(
         "log-format",
         "OSPREYWINGD_LOG_FORMAT",
-        "How log lines are written",
+        "Format of log lines",
     )
     .default_value("terminal")
     .value_parser(EnumValueParser::<LogFormat>::new())]
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,26 +1,26 @@
-//! Errors of the settings.
+//! Errors of settings.
 
 use thiserror::Error;
 
-/// What is wrong with the settings.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// An environment variable has the project's prefix and no meaning.
-    #[error("unknown environment variable {name}; known are: {known}")]
+    /// An environment variable has the prefix of the daemon's variables but names no setting.
+    #[error("unknown environment variable {name}; known variables: {known}")]
     UnknownVariable {
-        /// The variable.
+        /// The name of the variable.
         name: String,
-        /// The variables that exist.
+        /// The known variables, separated by commas.
         known: String,
     },
-    /// A setting is too small or too large beside another.
+    /// The value of a setting is out of range or conflicts with another setting.
     #[error("{setting}: {value} is not allowed: {reason}")]
     OutOfRange {
-        /// The setting's flag.
+        /// The flag of the setting.
         setting: &'static str,
-        /// Its value.
+        /// The rejected value.
         value: String,
-        /// What is allowed.
+        /// The rule that the value violates.
         reason: String,
     },
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon's settings, declared once and typed.
+//! The settings of the daemon: declaration, parsing and validation.
 //!
-//! Each setting is a flag and an environment variable. Both the daemon and the
-//! operators' tool read them from here, so that what `check-settings` accepts
-//! is what the daemon starts with.
+//! Each setting is a flag and an environment variable. The daemon and the command-line tool
+//! share this crate, so that `check-settings` accepts exactly the settings with which the
+//! daemon starts.
 
 mod declare;
 mod error;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings as the daemon uses them.
+//! The typed settings of the daemon.
 
 use crate::declare::{arguments, ENV_PREFIX};
 use crate::SettingsError;
@@ -7,12 +7,12 @@
 use ospreywing_types::{Duration, Name};
 use std::net::SocketAddr;
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Text for a terminal.
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -29,70 +29,71 @@
     }
 }
 
-/// Every setting of the daemon.
+/// All settings of the daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// This daemon's name in the cell.
     pub name: Name,
-    /// The entry box, as the platform's list names it.
+    /// The name of the daemon's box in the platform's box list.
     pub box_name: Name,
-    /// The data centre that the box stands in.
+    /// The data centre of the box.
     pub data_centre: Name,
-    /// The cell.
+    /// The name of the cell.
     pub cell: Name,
-    /// How many shards the cell has.
+    /// The number of shards of the cell.
     pub shards_count: u32,
-    /// Where callers and operators are served.
+    /// The listen address for callers and operators.
     pub http_addr: SocketAddr,
-    /// Where other daemons are served.
+    /// The listen address for other daemons.
     pub rpc_addr: SocketAddr,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store_addr: SocketAddr,
-    /// The platform's box list.
+    /// The address of the platform's box list.
     pub boxes_addr: SocketAddr,
-    /// Where metrics are sent.
+    /// The address to which metrics are sent, if any.
     pub statsd_addr: Option<SocketAddr>,
-    /// How long a call of the store may take.
+    /// The timeout of a call to the store.
     pub store_time_limit: Duration,
-    /// How often the store's control part is read.
+    /// The interval at which the control keys of the store are read.
     pub poll_every: Duration,
-    /// How often the box list is read.
+    /// The interval at which the box list is read.
     pub boxes_every: Duration,
-    /// How long a worker runs a task without a renewal.
+    /// How long a worker runs a task without a lease renewal.
     pub task_lease: Duration,
-    /// How long after a daemon's end its requests may still run at minions.
+    /// How long the requests of a terminated daemon may still run at minions.
     pub seat_quarantine: Duration,
-    /// How long after a box has left the box list nothing runs on it.
+    /// The time after which nothing runs any more on a box that left the box list.
     pub unlisted_quarantine: Duration,
-    /// How long results of tasks and keys of requests are kept.
+    /// How long task results and request keys are retained.
     pub result_retention: Duration,
-    /// How long a planned stop may take.
+    /// The maximum duration of a planned shutdown.
     pub drain_limit: Duration,
-    /// Commits a second that all daemons of the cell together may make.
+    /// The maximum commits per second of all daemons of the cell together.
     pub commit_rate_per_s: u32,
-    /// Requests that may wait for a minion at this daemon.
+    /// The maximum number of requests that wait for a minion at this daemon.
     pub queue_limit_count: u32,
-    /// Tasks that may wait in one shard.
+    /// The maximum number of tasks that wait in one shard.
     pub waiting_limit_count: u32,
-    /// How log lines are written.
+    /// The format of log lines.
     pub log_format: LogFormat,
 }
 
-/// A lease must outlive a few missed renewals, which come every five seconds.
+/// A lease must survive a few missed renewals, which are sent every five seconds.
 const TASK_LEASE_MIN: Duration = Duration::from_s(15);
-/// The table must be read a few times within the four seconds it counts as current.
+/// The table must be read several times within the four seconds for which it counts as
+/// current.
 const POLL_EVERY_MAX: Duration = Duration::from_ms(1000);
 
 impl Settings {
-    /// Reads the settings from a parsed command line of [`arguments`].
+    /// Reads and validates the settings from a command line parsed with [`arguments`].
     ///
     /// # Errors
     ///
-    /// Returns an error where a setting does not go with another.
+    /// Returns an error if a setting is out of range or conflicts with another.
     ///
     /// # Panics
     ///
-    /// Panics where `matches` was not made with [`arguments`].
+    /// Panics if `matches` was not created with [`arguments`].
     pub fn new(matches: &ArgMatches) -> Result<Self, SettingsError> {
         let name: Name = get(matches, "name");
         let settings = Self {
@@ -151,11 +152,11 @@
         Ok(())
     }
 
-    /// Checks that every environment variable with the prefix has a meaning.
+    /// Checks that every environment variable with the prefix [`ENV_PREFIX`] names a setting.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first that has none.
+    /// Returns an error with the name of the first unknown variable.
     pub fn check_variables(names: impl Iterator<Item = String>) -> Result<(), SettingsError> {
         let known: Vec<String> = arguments()
             .iter()
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! Parsers of single values; their errors say what is allowed.
+//! Parsers of single values. Their errors state what is allowed.
 
 use ospreywing_types::{Duration, Name};
 use std::net::SocketAddr;
@@ -14,11 +14,12 @@
     Name::new(text).map_err(|error| error.to_string())
 }
 
-/// Parses a length of time, such as `500ms` or `30s`.
+/// Parses a duration, such as `500ms` or `30s`. Zero is not allowed.
 pub(crate) fn duration(text: &str) -> Result<Duration, String> {
     let parsed = humantime::parse_duration(text);
-    let length = parsed.map_err(|error| format!("must be a time such as 500ms or 30s: {error}"))?;
-    let ms = length.as_millis() as u64;
+    let duration =
+        parsed.map_err(|error| format!("must be a duration such as 500ms or 30s: {error}"))?;
+    let ms = duration.as_millis() as u64;
     if ms == 0 {
         return Err("must be at least 1ms".to_owned());
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: defaults, and errors that name the setting.
+//! Tests of the defaults of settings, and of errors that name the invalid setting.
 
 use clap::Command;
 use ospreywing_settings::{arguments, Settings, SettingsError};
@@ -15,7 +15,7 @@
     ("--boxes-addr", "127.0.0.1:80"),
 ];
 
-/// Parses sound settings with some changed or added; an error as its text.
+/// Parses valid settings with `changes` applied. Returns an error as its text.
 fn parse(changes: &[(&str, &str)]) -> Result<Settings, String> {
     let kept = VALID_SETTINGS
         .iter()
@@ -33,7 +33,7 @@
 
 #[test]
 fn new_uses_defaults() {
-    let settings = parse(&[]).expect("the settings are sound");
+    let settings = parse(&[]).expect("the settings are valid");
     assert_eq!(settings.shards_count, 2);
     assert_eq!(settings.task_lease, Duration::from_s(30));
     assert_eq!(settings.box_name, settings.name);
@@ -53,7 +53,7 @@
 #[case::format("--log-format", "xml", "--log-format")]
 #[case::rate("--commit-rate", "0", "--commit-rate")]
 fn new_names_invalid_setting(#[case] flag: &str, #[case] value: &str, #[case] expected: &str) {
-    let error = parse(&[(flag, value)]).expect_err("the setting is wrong");
+    let error = parse(&[(flag, value)]).expect_err("the setting is invalid");
     assert!(error.contains(expected), "{error}");
 }
 
