--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -194,7 +194,7 @@
     } else if burn_long >= SLOW_BURN_RATE {
         "not urgent: raise the row's share or its deadline"
     } else {
-        "no action needed"
+        "nothing to do"
     }
 }
 
--- a/crates/replay/src/baseline.rs
+++ b/crates/replay/src/baseline.rs
@@ -1,5 +1,5 @@
-//! The baseline: first fit, in the order of arrival, with neither shares nor
-//! priorities nor caps, and the first task that fits nowhere holds up the rest.
+//! The baseline policy: first fit in order of arrival, without shares, priorities or caps. A
+//! task that fits on no worker blocks all tasks behind it.
 
 use crate::measurements::Measurements;
 use crate::report::ReplayReport;
@@ -11,7 +11,7 @@
 struct Worker {
     resources: Resources,
     free: Resources,
-    run: u64,
+    incarnation: u64,
     is_up: bool,
     running: BTreeMap<u64, QueuedTask>,
 }
@@ -27,8 +27,8 @@
 struct TaskEnd {
     at_ms: u64,
     worker: Name,
-    run: u64,
-    number: u64,
+    incarnation: u64,
+    run_id: u64,
 }
 
 struct FirstFit {
@@ -38,11 +38,11 @@
     measurements: Measurements,
     report: ReplayReport,
     now_ms: u64,
-    next_number: u64,
+    next_run_id: u64,
     ended_count: u64,
 }
 
-/// Plays `trace` by first fit in arrival order and returns what was measured.
+/// Replays `trace` with first fit in arrival order and returns the measurements.
 pub fn replay_first_fit(trace: &Trace) -> ReplayReport {
     let mut replayer = FirstFit {
         workers: BTreeMap::new(),
@@ -51,7 +51,7 @@
         measurements: Measurements::new(),
         report: ReplayReport::default(),
         now_ms: 0,
-        next_number: 0,
+        next_run_id: 0,
         ended_count: 0,
     };
     for event in &trace.events {
@@ -89,10 +89,10 @@
         let Some(worker) = self.workers.get_mut(&end.worker) else {
             return;
         };
-        if worker.run != end.run {
+        if worker.incarnation != end.incarnation {
             return;
         }
-        if let Some(task) = worker.running.remove(&end.number) {
+        if let Some(task) = worker.running.remove(&end.run_id) {
             let need = task.arrival.resources;
             worker.free += need;
             self.measurements.remove_used(&need);
@@ -109,7 +109,7 @@
                 let worker = Worker {
                     resources: *resources,
                     free: *resources,
-                    run: 0,
+                    incarnation: 0,
                     is_up: true,
                     running: BTreeMap::new(),
                 };
@@ -135,7 +135,7 @@
             return;
         };
         worker.is_up = false;
-        worker.run += 1;
+        worker.incarnation += 1;
         let running = core::mem::take(&mut worker.running);
         let resources = worker.resources;
         self.measurements.remove_worker(&resources);
@@ -168,7 +168,7 @@
                 return;
             };
             self.measurements.record_decisions(elapsed, 1);
-            self.next_number += 1;
+            self.next_run_id += 1;
             worker.free -= need;
             self.measurements.add_used(&need);
             if !task.has_started {
@@ -179,10 +179,10 @@
             self.ends.push(Reverse(TaskEnd {
                 at_ms: self.now_ms + task.arrival.duration_ms,
                 worker: name.clone(),
-                run: worker.run,
-                number: self.next_number,
+                incarnation: worker.incarnation,
+                run_id: self.next_run_id,
             }));
-            worker.running.insert(self.next_number, task);
+            worker.running.insert(self.next_run_id, task);
         }
     }
 }
--- a/crates/replay/src/error.rs
+++ b/crates/replay/src/error.rs
@@ -1,22 +1,22 @@
-//! Errors of a trace.
+//! Errors of traces.
 
 use thiserror::Error;
 
-/// What is wrong with a trace.
+/// The reason why a trace is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TraceError {
-    /// The first line is not the format's name and version.
+    /// The first line does not contain the name and version of the format.
     #[error("line 1: must be {expected:?}")]
     Format {
-        /// The line expected.
+        /// The expected line.
         expected: &'static str,
     },
-    /// A line can't be read.
+    /// A line can't be parsed or is out of order.
     #[error("line {line}: {reason}")]
     Line {
-        /// The line, from one.
+        /// The line number, starting at 1.
         line: usize,
-        /// What is wrong with it.
+        /// The reason.
         reason: String,
     },
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,7 +1,8 @@
-//! Replays a recorded trace through a shard owner's decisions and measures them.
+//! Replays a recorded trace through the placement code of a shard owner and measures its
+//! decisions.
 //!
-//! The decisions are those of [`ospreywing_shard::Owner`], with the trace's time
-//! as time. The wall clock is read only to measure what a decision costs.
+//! [`ospreywing_shard::Owner`] makes the decisions, with the trace's time as its clock. The
+//! real clock is read only to measure how long decisions take.
 
 mod baseline;
 mod error;
--- a/crates/replay/src/measurements.rs
+++ b/crates/replay/src/measurements.rs
@@ -1,4 +1,4 @@
-//! What is measured while a trace is played.
+//! Measurements during a replay.
 
 use crate::report::{Packing, Quantiles, ReplayReport, RowWait};
 use hdrhistogram::Histogram;
@@ -7,17 +7,17 @@
 use std::time::Duration;
 
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// A week; longer waits count as this.
+/// The longest waiting time that is recorded, a week. Longer waits count as this.
 const MAX_WAIT_MS: u64 = 7 * 24 * 3600 * 1000;
-/// A minute, in nanoseconds.
+/// The longest decision time that is recorded, a minute. Longer decisions count as this.
 const MAX_DECISION_NS: u64 = 60_000_000_000;
 
 fn histogram(max: u64) -> Histogram<u64> {
-    // The bounds are constants that the library takes.
+    // The bounds are constants and valid for the library.
     Histogram::new_with_max(max, SIGNIFICANT_DIGITS).expect("the bounds are sound")
 }
 
-/// Sums over time, in units of a resource times milliseconds.
+/// Integrals of amounts over time, in units of the resource times milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
     cores: f64,
@@ -33,7 +33,7 @@
     }
 }
 
-/// An amount of resources that may exceed what one box can hold.
+/// An amount of resources that may exceed the capacity of one box.
 #[derive(Clone, Copy, Debug, Default)]
 struct Amount {
     cores: f64,
@@ -57,12 +57,12 @@
     }
 }
 
-/// The gauges of one replay.
+/// The measurements of one replay.
 pub(crate) struct Measurements {
     last_ms: u64,
     capacity: Amount,
     used: Amount,
-    /// What runs and what waits.
+    /// The demand of all running and waiting tasks.
     demand: Amount,
     capacity_sums: Sums,
     used_sums: Sums,
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Lets time pass up to `at_ms`.
+    /// Advances the time to `at_ms` and updates the sums.
     ///
-    /// The sums run only while there is work, so that a quiet end of the trace
-    /// says nothing about packing.
+    /// The sums grow only while there is work, so that idle time at the end of a trace does not
+    /// lower the utilization.
     pub(crate) fn advance(&mut self, at_ms: u64) {
         let ms = at_ms.saturating_sub(self.last_ms) as f64;
         self.last_ms = at_ms.max(self.last_ms);
@@ -135,7 +135,7 @@
         self.used.add(need, -1.0);
     }
 
-    /// Notes how long a task waited for its first start.
+    /// Records how long a task waited for its first start.
     pub(crate) fn record_wait(&mut self, row: &Name, ms: u64) {
         self.wait_ms.saturating_record(ms);
         let by_row = self.wait_by_row.entry(row.clone());
@@ -143,7 +143,7 @@
         by_row.saturating_record(ms);
     }
 
-    /// Notes a round of deciding that took `length` and made `starts_count` starts.
+    /// Records a placement pass that took `elapsed` and decided `starts_count` starts.
     pub(crate) fn record_decisions(&mut self, elapsed: Duration, starts_count: u64) {
         if starts_count == 0 {
             return;
@@ -161,7 +161,7 @@
         self.commit_bytes += size_bytes as u64;
     }
 
-    /// Fills in what was measured.
+    /// Writes the measurements to `report`.
     pub(crate) fn fill_report(&self, report: &mut ReplayReport) {
         report.length_ms = self.last_ms;
         report.wait_ms = Quantiles::new(&self.wait_ms, 1.0);
--- a/crates/replay/src/replayer.rs
+++ b/crates/replay/src/replayer.rs
@@ -1,4 +1,4 @@
-//! Plays a trace through an owner.
+//! Replays a trace through a shard owner.
 
 use crate::measurements::Measurements;
 use crate::report::ReplayReport;
@@ -15,20 +15,21 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::sync::Arc;
 
-/// The store's answer to a commit comes after this time.
+/// Latency of a commit to the simulated store.
 const COMMIT_MS: u64 = 5;
-/// The pace of commits: one owner's even part of sixty a second.
+/// Minimum interval between commits: one owner's equal share of 60 commits per second.
 const COMMIT_EVERY_MS: u64 = 50;
+/// Interval of the owner's ticks.
 const TICK_MS: u64 = 250;
-/// A replay ends this long after its last event at the latest.
+/// Longest time that a replay continues after the last event of the trace.
 const MAX_TAIL_MS: u64 = 24 * 3600 * 1000;
-/// What is decided in a trace is not to be dropped before its end.
+/// Keeps the results of all tasks until the end of the replay.
 const RESULT_RETENTION: ospreywing_types::Duration =
     ospreywing_types::Duration::from_s(u64::MAX / 2000);
 
-/// Something that is due.
+/// An event scheduled for a later time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Committed,
     Ended {
         worker: Name,
@@ -39,7 +40,7 @@
     Tick,
 }
 
-/// A worker of the trace.
+/// The simulated state of a worker.
 struct FakeWorker {
     rack: Name,
     resources: Resources,
@@ -54,7 +55,7 @@
     measurements: Measurements,
     report: ReplayReport,
     now_ms: u64,
-    due: BinaryHeap<Reverse<(u64, Due)>>,
+    scheduled: BinaryHeap<Reverse<(u64, ScheduledEvent)>>,
     workers: BTreeMap<Name, FakeWorker>,
     tasks: BTreeMap<Key, SubmittedTask>,
     tokens: BTreeMap<u64, Key>,
@@ -64,7 +65,7 @@
     committed_at_ms: u64,
     ended_count: u64,
     actions: Vec<Action>,
-    /// What the workers answer to the actions that are being carried out.
+    /// Events that the workers send in response to the actions being executed.
     inbox: VecDeque<Event>,
 }
 
@@ -74,7 +75,7 @@
     has_started: bool,
 }
 
-/// Plays `trace` under `table` and returns what was measured.
+/// Replays `trace` under `table` and returns the measurements.
 pub fn replay_trace(trace: &Trace, table: &Table) -> ReplayReport {
     let mut replayer = Replayer::new(table);
     for event in &trace.events {
@@ -101,7 +102,7 @@
             measurements: Measurements::new(),
             report: ReplayReport::default(),
             now_ms: 0,
-            due: BinaryHeap::new(),
+            scheduled: BinaryHeap::new(),
             workers: BTreeMap::new(),
             tasks: BTreeMap::new(),
             tokens: BTreeMap::new(),
@@ -114,21 +115,25 @@
             inbox: VecDeque::new(),
         };
         replayer.send_event(Event::Table(Arc::new(table.clone())));
-        replayer.schedule(TICK_MS, Due::Tick);
+        replayer.schedule(TICK_MS, ScheduledEvent::Tick);
         replayer
     }
 
-    fn schedule(&mut self, at_ms: u64, due: Due) {
-        self.due.push(Reverse((at_ms, due)));
+    fn schedule(&mut self, at_ms: u64, scheduled: ScheduledEvent) {
+        self.scheduled.push(Reverse((at_ms, scheduled)));
     }
 
     fn run_until(&mut self, until_ms: u64) {
-        while self.due.peek().is_some_and(|due| due.0 .0 <= until_ms) {
-            let Some(Reverse((at_ms, due))) = self.due.pop() else {
+        while self
+            .scheduled
+            .peek()
+            .is_some_and(|scheduled| scheduled.0 .0 <= until_ms)
+        {
+            let Some(Reverse((at_ms, scheduled))) = self.scheduled.pop() else {
                 break;
             };
             self.advance(at_ms);
-            self.handle_due(due);
+            self.handle_scheduled(scheduled);
         }
         self.advance(until_ms);
     }
@@ -136,7 +141,10 @@
     fn run_to_end(&mut self) {
         let limit_ms = self.now_ms + MAX_TAIL_MS;
         while self.ended_count + self.report.refused < self.report.tasks {
-            let next = self.due.peek().map_or(limit_ms, |due| due.0 .0);
+            let next = self
+                .scheduled
+                .peek()
+                .map_or(limit_ms, |scheduled| scheduled.0 .0);
             if next >= limit_ms {
                 return;
             }
@@ -149,21 +157,21 @@
         self.now_ms = self.now_ms.max(at_ms);
     }
 
-    fn handle_due(&mut self, due: Due) {
-        match due {
-            Due::Tick => {
+    fn handle_scheduled(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Tick => {
                 self.send_event(Event::OwnershipConfirmed {
                     asked_at: Instant::from_ms(self.now_ms),
                 });
                 self.send_event(Event::Tick);
-                self.schedule(self.now_ms + TICK_MS, Due::Tick);
+                self.schedule(self.now_ms + TICK_MS, ScheduledEvent::Tick);
             }
-            Due::Commit => {
+            ScheduledEvent::Commit => {
                 self.is_commit_due = false;
                 self.commit();
             }
-            Due::Committed => self.send_event(Event::CommitDone),
-            Due::Ended {
+            ScheduledEvent::Committed => self.send_event(Event::CommitDone),
+            ScheduledEvent::Ended {
                 worker,
                 attempt,
                 incarnation,
@@ -299,7 +307,7 @@
         if let Some(commit) = commit {
             self.measurements.record_commit(commit.value.len());
             self.committed_at_ms = self.now_ms;
-            self.schedule(self.now_ms + COMMIT_MS, Due::Committed);
+            self.schedule(self.now_ms + COMMIT_MS, ScheduledEvent::Committed);
         }
     }
 
@@ -317,7 +325,7 @@
         if self.owner.wants_commit() && !self.is_commit_due {
             self.is_commit_due = true;
             let earliest_ms = self.committed_at_ms + COMMIT_EVERY_MS;
-            self.schedule(self.now_ms.max(earliest_ms), Due::Commit);
+            self.schedule(self.now_ms.max(earliest_ms), ScheduledEvent::Commit);
         }
     }
 
@@ -379,7 +387,7 @@
         let worker = name.clone();
         self.schedule(
             ends_at_ms,
-            Due::Ended {
+            ScheduledEvent::Ended {
                 worker,
                 attempt,
                 incarnation,
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -1,21 +1,21 @@
-//! The figures of a replay.
+//! The results of a replay.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Quantiles of a length of time.
+/// Quantiles of a duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// Half took at most this.
+    /// The median.
     pub p50: f64,
-    /// Of a hundred, ninety-nine took at most this.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// Reads the quantiles, each divided by `scale`.
+    /// Reads the quantiles of `histogram` and divides each by `scale`.
     pub(crate) fn new(histogram: &Histogram<u64>, scale: f64) -> Self {
         if histogram.is_empty() {
             return Self::default();
@@ -29,18 +29,18 @@
     }
 }
 
-/// The waiting time of one row's tasks, from arrival to first start.
+/// The waiting time of the tasks of one row, from arrival to first start.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RowWait {
-    /// The row.
+    /// The name of the row.
     pub row: String,
-    /// Tasks that started.
+    /// The number of tasks that started.
     pub started_count: u64,
     /// The waiting time, in milliseconds.
     pub wait_ms: Quantiles,
 }
 
-/// The part of the workers that was in use while work was there, by resource.
+/// The fraction of the workers' capacity that was used while there was work, by resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Packing {
     /// Processors.
@@ -51,39 +51,41 @@
     pub accelerators: f64,
 }
 
-/// What a replay measured.
+/// The measurements of a replay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReplayReport {
-    /// Tasks that arrived.
+    /// The number of tasks that arrived.
     pub tasks: u64,
-    /// Tasks that were refused.
+    /// The number of tasks that were refused.
     pub refused: u64,
-    /// Tasks that neither ended nor were refused by the end of the replay.
+    /// The number of tasks that had neither ended nor been refused when the replay ended.
     pub lost: u64,
-    /// Tasks that ran in two places at once or finished twice.
+    /// The number of starts of a task that was already running.
     pub run_twice: u64,
-    /// Starts that gave a worker more than it holds.
+    /// The number of starts that exceeded the capacity of their worker.
     pub overcommits: u64,
-    /// Attempts that began again after a worker was lost.
+    /// The number of restarts after the loss of a worker.
     pub restarted: u64,
-    /// The length of the replay, in milliseconds of the trace.
+    /// The duration of the replay, in milliseconds of the trace's time.
     pub length_ms: u64,
-    /// Waiting, from arrival to first start, in milliseconds.
+    /// The waiting time from arrival to first start, in milliseconds.
     pub wait_ms: Quantiles,
-    /// The same by row.
+    /// The waiting time of each row.
     pub wait_by_row: Vec<RowWait>,
-    /// The part of the processors in use, of what was there.
+    /// The fraction of the available cores that was used while there was work.
     pub packing_ratio: f64,
-    /// The most that any policy could have used, were tasks divisible.
+    /// The fraction of the cores that any policy could have used at most, if tasks were
+    /// divisible.
     pub packing_bound_ratio: f64,
-    /// The part of each resource in use.
+    /// The fraction of each resource that was used.
     pub packing: Packing,
-    /// Starts decided for each second of deciding.
+    /// Starts decided per second of decision time, which is real time.
     pub decisions_per_s: f64,
-    /// What one decision took, in microseconds, as the mean of its commit.
+    /// The real time of one decision, in microseconds. Each decision counts as the mean of its
+    /// commit.
     pub decision_us: Quantiles,
-    /// Commits for each second of the trace.
+    /// Commits per second of the trace's time.
     pub store_calls_per_s: f64,
-    /// Bytes committed for each start.
+    /// Bytes committed per start.
     pub store_bytes_per_start: f64,
 }
--- a/crates/replay/src/trace.rs
+++ b/crates/replay/src/trace.rs
@@ -1,8 +1,8 @@
-//! The trace's format.
+//! The trace format and its parser.
 //!
-//! The first line is [`FORMAT`]. Each other line is an event: a time in
-//! milliseconds from the beginning, never less than the one before, a word, and
-//! its fields with spaces between. `#` begins a comment.
+//! The first line is [`FORMAT`]. Each other line is an event: a time in milliseconds since
+//! the start of the trace, which never decreases, the event's name, and its fields, separated
+//! by spaces. `#` starts a comment.
 //!
 //! ```text
 //! 0 worker NAME RACK CORES_MILLI MEMORY_MIB ACCELERATORS
@@ -14,64 +14,64 @@
 use crate::TraceError;
 use ospreywing_types::{Key, Name, Resources};
 
-/// The first line of every trace: its format's name and version.
+/// The first line of every trace: the name and version of the format.
 pub const FORMAT: &str = "ospreywing-trace 1";
 
-/// A task that arrives.
+/// The arrival of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskArrival {
-    /// The caller's key.
+    /// The key given by the caller.
     pub key: Key,
     /// The workload row.
     pub row: Name,
-    /// What it needs.
+    /// The resources that the task needs.
     pub resources: Resources,
-    /// How long it runs.
+    /// The time for which the task runs, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// What happened.
+/// The kind of an event, with its fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TraceStep {
-    /// A worker is there.
+    /// A worker joins.
     Worker {
-        /// Its name.
+        /// The worker's name.
         name: Name,
-        /// Its rack.
+        /// The worker's rack.
         rack: Name,
-        /// What it holds.
+        /// The worker's capacity.
         resources: Resources,
     },
     /// A task arrives.
     Task(TaskArrival),
-    /// A worker is lost, with what runs on it.
+    /// A worker fails, and the tasks on it are lost.
     Lost(Name),
-    /// A lost worker is back, empty.
+    /// A failed worker reconnects without tasks.
     Back(Name),
 }
 
 /// One event of a trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TraceEvent {
-    /// When, in milliseconds from the beginning.
+    /// The time, in milliseconds since the start of the trace.
     pub at_ms: u64,
-    /// What.
+    /// What happens.
     pub step: TraceStep,
 }
 
-/// A whole trace.
+/// A complete trace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Trace {
-    /// The events, in order.
+    /// The events, in order of time.
     pub events: Vec<TraceEvent>,
 }
 
 impl Trace {
-    /// Reads a trace.
+    /// Parses a trace.
     ///
     /// # Errors
     ///
-    /// Returns the first line that is wrong, and why.
+    /// Returns the first invalid line and the reason.
     pub fn parse(text: &str) -> Result<Self, TraceError> {
         let mut lines = (1..).zip(text.lines());
         match lines.next() {
@@ -87,7 +87,7 @@
             }
             let event = parse_event(text).map_err(|reason| TraceError::Line { line, reason })?;
             if event.at_ms < last_ms {
-                let reason = format!("{} ms is before the line before", event.at_ms);
+                let reason = format!("{} ms is before the time of the previous line", event.at_ms);
                 return Err(TraceError::Line { line, reason });
             }
             last_ms = event.at_ms;
@@ -115,7 +115,11 @@
         }),
         ["lost", worker] => TraceStep::Lost(name(worker)?),
         ["back", worker] => TraceStep::Back(name(worker)?),
-        [word, ..] => return Err(format!("{word:?}: no such event, or wrong fields")),
+        [word, ..] => {
+            return Err(format!(
+                "{word:?}: no such event, or wrong number of fields"
+            ))
+        }
         [] => return Err("a time without an event".to_owned()),
     };
     Ok(TraceEvent { at_ms, step })
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The trace's format, and the samples replayed with stated outcomes.
+//! Tests of the trace parser, and replays of the sample traces with expected results.
 
 use ospreywing_replay::{replay_first_fit, replay_trace, ReplayReport, Trace};
 use ospreywing_table::from_csv;
@@ -24,13 +24,13 @@
 )]
 #[case::name("ospreywing-trace 1\n5 lost a/b\n", "line 2: name: \"a/b\"")]
 fn parse_names_invalid_line(#[case] text: &str, #[case] expected: &str) {
-    let error = Trace::parse(text).expect_err("the trace is wrong");
+    let error = Trace::parse(text).expect_err("the trace is invalid");
     assert!(error.to_string().starts_with(expected), "{error}");
 }
 
 fn replay(trace: &str, table: &str) -> ReplayReport {
-    let trace = Trace::parse(trace).expect("the trace is sound");
-    let table = from_csv(table).expect("the table is sound");
+    let trace = Trace::parse(trace).expect("the trace is valid");
+    let table = from_csv(table).expect("the table is valid");
     replay_trace(&trace, &table)
 }
 
@@ -69,7 +69,7 @@
         let row = rows.find(|wait| wait.row == row).expect("the row is there");
         row.wait_ms.max
     };
-    // Albums wait for accelerators; bundles need none and don't wait with them.
+    // Albums wait for accelerators. Bundles need none and must not wait behind them.
     assert!(longest(&report, "guest-bundle") < 1000.0);
     assert!(longest(&baseline, "guest-bundle") > 60_000.0);
 }
