--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -10,7 +10,7 @@
 /// Timeout of one call to a daemon.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The daemons to call. All are equivalent.
+/// The daemons to call. Any of them can handle a request.
 #[derive(Clone, Debug)]
 pub struct Daemons {
     addrs: Vec<String>,
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 
 const DAEMONS_HELP: &str =
-    "Comma-separated IP:port addresses of daemons; the first reachable one is used";
+    "Comma-separated IP:port addresses of daemons; any of them can handle a request";
 
 fn name(text: &str) -> Result<Name, String> {
     Name::new(text).map_err(|error| error.to_string())
--- a/crates/cli/src/delays.rs
+++ b/crates/cli/src/delays.rs
@@ -117,7 +117,7 @@
     shown_ms: Option<u64>,
     /// Start and end of each call to the adviser.
     advice_calls: Vec<(u64, u64)>,
-    requested_ms: Option<u64>,
+    advice_requested_ms: Option<u64>,
     steps: BTreeMap<String, StepTimes>,
     lost_runs_count: u64,
 }
@@ -134,10 +134,10 @@
                 self.queue.clone_from(&line.queue);
                 self.objective_ms = line.figure;
             }
-            "advice asked" => self.requested_ms = Some(at_ms),
+            "advice asked" => self.advice_requested_ms = Some(at_ms),
             "advice answered" => {
-                if let Some(requested_ms) = self.requested_ms.take() {
-                    self.advice_calls.push((requested_ms, at_ms));
+                if let Some(advice_requested_ms) = self.advice_requested_ms.take() {
+                    self.advice_calls.push((advice_requested_ms, at_ms));
                 }
             }
             "placed" => self.step(&line.task).placed_ms = at_ms,
@@ -161,10 +161,13 @@
 
     /// Returns how long calls to the adviser were open between `from_ms` and `until_ms`.
     fn advice_calls_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
-        let overlaps = self.advice_calls.iter().map(|(requested_ms, answered_ms)| {
-            let start_ms = (*requested_ms).max(from_ms);
-            (*answered_ms).min(until_ms).saturating_sub(start_ms)
-        });
+        let overlaps = self
+            .advice_calls
+            .iter()
+            .map(|(advice_requested_ms, answered_ms)| {
+                let start_ms = (*advice_requested_ms).max(from_ms);
+                (*answered_ms).min(until_ms).saturating_sub(start_ms)
+            });
         overlaps.sum::<u64>().min(until_ms - from_ms)
     }
 
--- a/crates/filetest/src/lib.rs
+++ b/crates/filetest/src/lib.rs
@@ -5,7 +5,8 @@
 
 use thiserror::Error;
 
-/// A step that can't be executed, or an outcome that differs from the expected one.
+/// A step that can't be executed, an outcome that differs from the expected one, or a violated
+/// invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct StepError(pub String);
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -63,7 +63,7 @@
 #[test]
 fn replay_trace_waiting_row_does_not_delay_others() {
     let report = replay(GALLERY, GALLERY_TABLE);
-    let baseline = replay_first_fit(&Trace::parse(GALLERY).expect("sound"));
+    let baseline = replay_first_fit(&Trace::parse(GALLERY).expect("the trace is valid"));
     let longest = |report: &ReplayReport, row: &str| {
         let mut rows = report.wait_by_row.iter();
         let row = rows.find(|wait| wait.row == row).expect("the row is there");
