--- a/crates/cli/src/table_commands.rs
+++ b/crates/cli/src/table_commands.rs
@@ -1,6 +1,6 @@
-//! The table: get, set, export, apply, remove, history, columns.
+//! The command `table` with its subcommands.
 
-use crate::client::{read, refusal, Daemons};
+use crate::client::{parse_answer, refusal_error, Daemons};
 use crate::input::read_table;
 use crate::print::{columns, print, Format};
 use crate::CliError;
@@ -11,14 +11,14 @@
 use ospreywing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// A row with the revision that an edit must name.
+/// A row and the revision that an edit of it must name.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct VersionedRow {
     row: Option<Row>,
     revision: u64,
 }
 
-/// An edit that was taken.
+/// The response to an accepted edit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Accepted {
     revision: u64,
@@ -26,14 +26,14 @@
     lagging: Vec<Name>,
 }
 
-/// An edit that was refused because another came first.
+/// The response to an edit that was refused because another edit came first.
 #[derive(Clone, Debug, Deserialize)]
 struct Conflict {
     reason: String,
     changes: Vec<CellChange>,
 }
 
-/// One remembered edit.
+/// One edit in the history of a row.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct HistoryEntry {
     unix_s: u64,
@@ -41,7 +41,7 @@
     changes: Vec<CellChange>,
 }
 
-/// What `apply` did.
+/// The result of `apply`.
 #[derive(Clone, Debug, Serialize)]
 struct Applied {
     changes: Vec<CellChange>,
@@ -50,7 +50,7 @@
     lagging: Vec<Name>,
 }
 
-/// `table`.
+/// Runs `table`.
 pub(crate) async fn run(
     daemons: &Daemons,
     format: Format,
@@ -82,7 +82,7 @@
 async fn get(daemons: &Daemons, format: Format, name: &Name) -> Result<(), CliError> {
     let found = read_row(daemons, name).await?;
     let Some(row) = &found.row else {
-        return Err(CliError::Usage(format!("row {name:?}: there is none")));
+        return Err(CliError::Usage(format!("row {name:?} does not exist")));
     };
     print(format, &found, || {
         let cells = COLUMNS.iter().filter(|column| column.is_for(row.kind));
@@ -100,30 +100,30 @@
     let (column_name, value) = (text("column"), text("value"));
     let found = read_row(daemons, &name).await?;
     let Some(mut row) = found.row else {
-        return Err(CliError::Usage(format!("row {name:?}: there is none")));
+        return Err(CliError::Usage(format!("row {name:?} does not exist")));
     };
     let column = Column::named(&column_name).filter(|column| column.is_for(row.kind));
     let Some(column) = column.filter(|column| !matches!(column.name, "row" | "kind")) else {
         let reason = format!(
-            "column {column_name:?}: a {} row has none",
+            "column {column_name:?} can't be set in a {} row",
             row.kind.as_str()
         );
         return Err(CliError::Usage(reason));
     };
     (column.set)(&mut row, &value)
         .map_err(|error| CliError::Usage(format!("row {name:?}, column {column_name}: {error}")))?;
-    let accepted = put(daemons, &row, found.revision, true).await?;
+    let accepted = put_row(daemons, &row, found.revision, true).await?;
     print_accepted(format, &accepted);
     Ok(())
 }
 
-async fn put(
+async fn put_row(
     daemons: &Daemons,
     row: &Row,
     revision: u64,
-    waits: bool,
+    should_wait: bool,
 ) -> Result<Accepted, CliError> {
-    let path = format!("/v1/table/rows/{}{}", row.name, wait_query(waits));
+    let path = format!("/v1/table/rows/{}{}", row.name, wait_query(should_wait));
     let revision = revision.to_string();
     let answer = daemons
         .call(Method::PUT, &path, |call| {
@@ -133,13 +133,13 @@
     accepted(&answer)
 }
 
-async fn delete(
+async fn delete_row(
     daemons: &Daemons,
     name: &Name,
     revision: u64,
-    waits: bool,
+    should_wait: bool,
 ) -> Result<Accepted, CliError> {
-    let path = format!("/v1/table/rows/{name}{}", wait_query(waits));
+    let path = format!("/v1/table/rows/{name}{}", wait_query(should_wait));
     let revision = revision.to_string();
     let answer = daemons
         .call(Method::DELETE, &path, |call| {
@@ -149,8 +149,8 @@
     accepted(&answer)
 }
 
-const fn wait_query(waits: bool) -> &'static str {
-    if waits {
+const fn wait_query(should_wait: bool) -> &'static str {
+    if should_wait {
         ""
     } else {
         "?wait=no"
@@ -159,17 +159,20 @@
 
 fn accepted(answer: &Answer) -> Result<Accepted, CliError> {
     if answer.status != StatusCode::CONFLICT {
-        return read(answer);
+        return parse_answer(answer);
     }
     let Ok(conflict) = answer.json::<Conflict>() else {
-        return Err(refusal(answer));
+        return Err(refusal_error(answer));
     };
     let lines = conflict
         .changes
         .iter()
         .map(|change| format!("\n  {change}"));
     let differs: String = lines.collect();
-    let reason = format!("{}; from it to yours:{differs}", conflict.reason);
+    let reason = format!(
+        "{}; differences from the current row to yours:{differs}",
+        conflict.reason
+    );
     Err(CliError::Conflict(reason))
 }
 
@@ -184,7 +187,10 @@
         return "in force everywhere".to_owned();
     }
     let names: Vec<&str> = lagging.iter().map(Name::as_str).collect();
-    format!("written; not known to be in force at: {}", names.join(", "))
+    format!(
+        "written; not confirmed to be in force at: {}",
+        names.join(", ")
+    )
 }
 
 async fn export(daemons: &Daemons, format: Format) -> Result<(), CliError> {
@@ -196,11 +202,11 @@
 async fn apply(daemons: &Daemons, format: Format, matches: &ArgMatches) -> Result<(), CliError> {
     let path = matches.get_one::<String>("file").cloned();
     let path = path.unwrap_or_default();
-    let wanted = read_table(&path)?;
-    let there: Table = daemons.get("/v1/table").await?;
-    let target = target(&there, &wanted, matches.get_flag("prune"));
+    let desired = read_table(&path)?;
+    let current: Table = daemons.get("/v1/table").await?;
+    let target = target(&current, &desired, matches.get_flag("prune"));
     let mut applied = Applied {
-        changes: differences(&there, &target),
+        changes: differences(&current, &target),
         is_written: false,
         is_in_force: true,
         lagging: Vec::new(),
@@ -212,13 +218,13 @@
             .for_each(|change| println!("{change}"));
     }
     if !matches.get_flag("dry-run") {
-        write(daemons, &there, &target, &mut applied).await?;
+        write(daemons, &current, &target, &mut applied).await?;
     }
     print(format, &applied, || {
         if applied.is_written {
             in_force_text(applied.is_in_force, &applied.lagging)
         } else if applied.changes.is_empty() {
-            "nothing differs".to_owned()
+            "no differences".to_owned()
         } else {
             "not written".to_owned()
         }
@@ -226,18 +232,20 @@
     Ok(())
 }
 
-/// Returns the table as it is to be.
-fn target(there: &Table, wanted: &Table, prunes: bool) -> Table {
+/// Returns the table after `apply`: the rows of `desired`, and without `should_prune` also
+/// the other rows of `current`.
+fn target(current: &Table, desired: &Table, should_prune: bool) -> Table {
     let mut target = Table::new();
-    if !prunes {
-        there.rows().for_each(|row| target.put(row.clone()));
+    if !should_prune {
+        current.rows().for_each(|row| target.put(row.clone()));
     }
-    wanted.rows().for_each(|row| target.put(row.clone()));
+    desired.rows().for_each(|row| target.put(row.clone()));
     target
 }
 
-/// Teams go before the workloads that name them, and leave after them.
-fn order(row: &Row) -> u8 {
+/// Returns the position of a row in the write order. Teams are written before the workloads
+/// that reference them, and removed after them.
+fn write_order(row: &Row) -> u8 {
     match row.kind {
         RowKind::Cell => 0,
         RowKind::Team => 1,
@@ -247,33 +255,33 @@
 
 async fn write(
     daemons: &Daemons,
-    there: &Table,
+    current: &Table,
     target: &Table,
     applied: &mut Applied,
 ) -> Result<(), CliError> {
     let changed = target
         .rows()
-        .filter(|row| there.get(&row.name) != Some(row));
+        .filter(|row| current.get(&row.name) != Some(row));
     let mut changed: Vec<&Row> = changed.collect();
-    changed.sort_by_key(|row| order(row));
-    let gone = there.rows().filter(|row| target.get(&row.name).is_none());
-    let mut gone: Vec<&Row> = gone.collect();
-    gone.sort_by_key(|row| core::cmp::Reverse(order(row)));
-    let last = changed.len() + gone.len();
+    changed.sort_by_key(|row| write_order(row));
+    let removed = current.rows().filter(|row| target.get(&row.name).is_none());
+    let mut removed: Vec<&Row> = removed.collect();
+    removed.sort_by_key(|row| core::cmp::Reverse(write_order(row)));
+    let last = changed.len() + removed.len();
     for (number, row) in (1..).zip(&changed) {
         let revision = read_row(daemons, &row.name).await?.revision;
-        let accepted = put(daemons, row, revision, number == last).await?;
-        note(applied, accepted);
+        let accepted = put_row(daemons, row, revision, number == last).await?;
+        record_accepted(applied, accepted);
     }
-    for (number, row) in (changed.len() + 1..).zip(&gone) {
+    for (number, row) in (changed.len() + 1..).zip(&removed) {
         let revision = read_row(daemons, &row.name).await?.revision;
-        let accepted = delete(daemons, &row.name, revision, number == last).await?;
-        note(applied, accepted);
+        let accepted = delete_row(daemons, &row.name, revision, number == last).await?;
+        record_accepted(applied, accepted);
     }
     Ok(())
 }
 
-fn note(applied: &mut Applied, accepted: Accepted) {
+fn record_accepted(applied: &mut Applied, accepted: Accepted) {
     applied.is_written = true;
     applied.is_in_force = accepted.is_in_force;
     applied.lagging = accepted.lagging;
@@ -282,9 +290,9 @@
 async fn remove(daemons: &Daemons, format: Format, name: &Name) -> Result<(), CliError> {
     let found = read_row(daemons, name).await?;
     if found.row.is_none() {
-        return Err(CliError::Usage(format!("row {name:?}: there is none")));
+        return Err(CliError::Usage(format!("row {name:?} does not exist")));
     }
-    let accepted = delete(daemons, name, found.revision, true).await?;
+    let accepted = delete_row(daemons, name, found.revision, true).await?;
     print_accepted(format, &accepted);
     Ok(())
 }
--- a/crates/cli/src/task_commands.rs
+++ b/crates/cli/src/task_commands.rs
@@ -1,6 +1,6 @@
-//! Tasks and requests.
+//! The commands `submit`, `task` and `call`.
 
-use crate::client::{read, refusal, Daemons};
+use crate::client::{parse_answer, refusal_error, Daemons};
 use crate::print::{columns, print, Format};
 use crate::CliError;
 use clap::ArgMatches;
@@ -10,7 +10,8 @@
 use ospreywing_types::{Key, Name, Resources, TaskSpec};
 use std::time::Duration;
 
-const WAIT_EVERY: Duration = Duration::from_millis(300);
+/// Interval at which `submit --wait` polls the status of the task.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 fn name_of(matches: &ArgMatches) -> Result<Name, CliError> {
     let name = matches.get_one::<Name>("row").cloned();
@@ -31,7 +32,7 @@
     matches.get_one::<u32>(name).copied().unwrap_or_default()
 }
 
-/// `submit`.
+/// Runs `submit`: submits a task and optionally waits for its end.
 pub(crate) async fn submit(
     daemons: &Daemons,
     format: Format,
@@ -53,16 +54,16 @@
     let answer = daemons
         .call(Method::POST, "/v1/tasks", |call| call.with_json(&task))
         .await?;
-    let mut status: TaskStatus = read(&answer)?;
+    let mut status: TaskStatus = parse_answer(&answer)?;
     while matches.get_flag("wait") && !status.phase.is_final() {
-        tokio::time::sleep(WAIT_EVERY).await;
+        tokio::time::sleep(STATUS_POLL_INTERVAL).await;
         status = daemons.get(&format!("/v1/tasks/{key}")).await?;
     }
     print_status(format, &status);
     Ok(())
 }
 
-/// `task`.
+/// Runs `task`: lists, shows or cancels tasks.
 pub(crate) async fn run(
     daemons: &Daemons,
     format: Format,
@@ -78,7 +79,7 @@
         Some(("cancel", matches)) => {
             let path = format!("/v1/tasks/{}", key_of(matches)?);
             let answer = daemons.call(Method::DELETE, &path, Ok).await?;
-            let status: TaskStatus = read(&answer)?;
+            let status: TaskStatus = parse_answer(&answer)?;
             print_status(format, &status);
             Ok(())
         }
@@ -86,7 +87,7 @@
     }
 }
 
-/// Each daemon lists the tasks of its own shards.
+/// Lists the tasks of all daemons. Each daemon returns only the tasks of its own shards.
 async fn list(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let parts: Vec<Vec<TaskStatus>> = daemons.get_all("/v1/tasks").await;
     let tasks: Vec<TaskStatus> = parts.into_iter().flatten().collect();
@@ -115,7 +116,7 @@
     print(format, status, || columns(&HEADING, &[cells(status)]));
 }
 
-/// `call`.
+/// Runs `call`: sends a request to a service row and prints the response.
 pub(crate) async fn call(
     daemons: &Daemons,
     format: Format,
@@ -133,7 +134,7 @@
     };
     let answer = daemons.call(Method::POST, &path, prepare).await?;
     if answer.header(OUTCOME) != Some("done") {
-        return Err(refusal(&answer));
+        return Err(refusal_error(&answer));
     }
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     print(format, &text, || text.clone());
--- a/crates/node/tests/cell/simulation.rs
+++ b/crates/node/tests/cell/simulation.rs
@@ -149,7 +149,7 @@
 }
 
 /// A violated invariant, with the entity at fault.
-pub use ospreywing_filetest::Broken;
+pub use ospreywing_filetest::StepError;
 
 pub struct Simulation {
     pub now: Instant,
@@ -301,7 +301,7 @@
     }
 
     /// Applies one step and checks every invariant.
-    pub fn step(&mut self, op: &Op) -> Result<(), Broken> {
+    pub fn step(&mut self, op: &Op) -> Result<(), StepError> {
         self.tally.steps_count += 1;
         self.apply(op);
         self.check()
@@ -856,32 +856,34 @@
         }
     }
 
-    fn check(&mut self) -> Result<(), Broken> {
+    fn check(&mut self) -> Result<(), StepError> {
         self.update_edits();
         if let Some(violation) = self.violation.take() {
-            return Err(Broken(violation));
+            return Err(StepError(violation));
         }
         self.check_slots()?;
         self.check_keys()?;
         self.check_tables()
     }
 
-    fn check_slots(&mut self) -> Result<(), Broken> {
+    fn check_slots(&mut self) -> Result<(), StepError> {
         for minion in 0..MINIONS_COUNT {
             let busy = self.work.iter().filter(|work| work.minion == minion);
             let count = busy.count();
             self.tally.peak_slots_count = self.tally.peak_slots_count.max(count);
             if count > SLOTS_COUNT {
-                return Err(Broken(format!("minion {minion}: {count} requests at once")));
+                return Err(StepError(format!(
+                    "minion {minion}: {count} requests at once"
+                )));
             }
         }
         Ok(())
     }
 
-    fn check_keys(&self) -> Result<(), Broken> {
+    fn check_keys(&self) -> Result<(), StepError> {
         let mut twice = self.runs.iter().filter(|(_, &count)| count > 1);
         match twice.next() {
-            Some((key, count)) => Err(Broken(format!("{key}: ran {count} times"))),
+            Some((key, count)) => Err(StepError(format!("{key}: ran {count} times"))),
             None => Ok(()),
         }
     }
@@ -892,18 +894,18 @@
 
     /// Checks that no table returns to an older revision, and that a daemon that acts
     /// on its table has every edit older than 7 s.
-    fn check_tables(&mut self) -> Result<(), Broken> {
+    fn check_tables(&mut self) -> Result<(), StepError> {
         let (now, store) = (self.now, &self.store);
         for (index, daemon) in self.daemons.iter_mut().enumerate() {
             let revision = daemon.node.table().revision;
             if revision < daemon.table_revision {
-                return Err(Broken(format!(
+                return Err(StepError(format!(
                     "daemon {index}: its table returned to an older revision"
                 )));
             }
             daemon.table_revision = revision;
             if revision > store.revision {
-                return Err(Broken(format!(
+                return Err(StepError(format!(
                     "daemon {index}: its table revision is not in the store"
                 )));
             }
@@ -913,7 +915,7 @@
             let missed = find_missed_edit(&self.edits, now, revision);
             if let Some(edit) = missed {
                 let age = now.since(edit.at);
-                return Err(Broken(format!(
+                return Err(StepError(format!(
                     "daemon {index}: acts on a table that lacks an edit of {age} ago"
                 )));
             }
@@ -922,7 +924,7 @@
     }
 
     /// Ends all faults and checks that the cell serves again.
-    pub fn recover(&mut self) -> Result<(), Broken> {
+    pub fn recover(&mut self) -> Result<(), StepError> {
         self.is_store_down = false;
         for daemon in &mut self.daemons {
             daemon.is_paused = false;
@@ -939,7 +941,7 @@
         self.step(&Op::Run { steps: 400 })?;
         for daemon in 0..DAEMONS_COUNT {
             if !self.daemons[daemon].node.is_ready() {
-                return Err(Broken(format!("daemon {daemon}: does not serve again")));
+                return Err(StepError(format!("daemon {daemon}: does not serve again")));
             }
         }
         let owned = |shard: u32| {
@@ -947,7 +949,7 @@
             nodes.any(|node| node.owner(shard).is_some())
         };
         match (0..SHARDS_COUNT).find(|&shard| !owned(shard)) {
-            Some(shard) => Err(Broken(format!("shard {shard}: has no owner"))),
+            Some(shard) => Err(StepError(format!("shard {shard}: has no owner"))),
             None => Ok(()),
         }
     }
--- a/crates/node/tests/cell/traces.rs
+++ b/crates/node/tests/cell/traces.rs
@@ -2,7 +2,7 @@
 //!
 //! A trace has one step per line; `#` begins a comment. Daemons are `d0` to `d2`.
 
-use crate::simulation::{Broken, Op, Simulation};
+use crate::simulation::{Op, Simulation, StepError};
 use ospreywing_filetest::{index, ms};
 use rstest::rstest;
 use std::path::PathBuf;
@@ -15,12 +15,12 @@
     }
 }
 
-fn run_trace(text: &str) -> Result<(), Broken> {
+fn run_trace(text: &str) -> Result<(), StepError> {
     let mut simulation = Simulation::new();
-    ospreywing_filetest::play(text, |words| step(&mut simulation, words))
+    ospreywing_filetest::run_script(text, |words| step(&mut simulation, words))
 }
 
-fn step(simulation: &mut Simulation, words: &[&str]) -> Result<(), Broken> {
+fn step(simulation: &mut Simulation, words: &[&str]) -> Result<(), StepError> {
     match words {
         ["expect", rest @ ..] => expect(simulation, rest),
         ["heal"] => simulation.recover(),
@@ -30,7 +30,7 @@
 
 const STEP_MS: u64 = 100;
 
-fn op(words: &[&str]) -> Result<Op, Broken> {
+fn op(words: &[&str]) -> Result<Op, StepError> {
     Ok(match *words {
         ["run", length] => Op::Run {
             steps: ms(length) / STEP_MS,
@@ -75,11 +75,11 @@
         ["leave", daemon] => Op::Leave {
             daemon: index(daemon),
         },
-        _ => return Err(Broken("unknown step".to_owned())),
+        _ => return Err(StepError("unknown step".to_owned())),
     })
 }
 
-fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), Broken> {
+fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), StepError> {
     let (found, wanted) = match *words {
         ["said", wanted] => (simulation.newest_outcome().to_owned(), wanted),
         ["ready", daemon, wanted] => (simulation.is_ready(index(daemon)).to_string(), wanted),
@@ -92,7 +92,7 @@
             simulation.is_shutdown_complete(index(daemon)).to_string(),
             wanted,
         ),
-        _ => return Err(Broken("unknown outcome".to_owned())),
+        _ => return Err(StepError("unknown outcome".to_owned())),
     };
     ospreywing_filetest::expect(&found, wanted)
 }
--- a/crates/shard/tests/owner/search.rs
+++ b/crates/shard/tests/owner/search.rs
@@ -5,7 +5,7 @@
 //! check and the send that depends on it, killed daemons, takeovers and lost
 //! answers of the store. The seed is fixed.
 
-use crate::support::simulation::{Broken, Op, Simulation, Tally, DAEMONS_COUNT, WORKERS_COUNT};
+use crate::support::simulation::{Op, Simulation, StepError, Tally, DAEMONS_COUNT, WORKERS_COUNT};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use std::sync::Mutex;
@@ -72,7 +72,7 @@
     proptest::collection::vec(step, 1..STEPS_COUNT)
 }
 
-fn run_scenario(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), Broken> {
+fn run_scenario(ops: &[Op], tally: &Mutex<Tally>) -> Result<(), StepError> {
     let mut simulation = Simulation::new();
     simulation.step(&Op::Claim { daemon: 0 })?;
     for op in ops {
@@ -102,7 +102,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let tally = Mutex::new(Tally::default());
     let found = runner.run(&steps(), |ops| {
-        run_scenario(&ops, &tally).map_err(|Broken(reason)| TestCaseError::fail(reason))
+        run_scenario(&ops, &tally).map_err(|StepError(reason)| TestCaseError::fail(reason))
     });
     println!("{:?}", tally.lock().unwrap_or_else(|e| e.into_inner()));
     if let Err(error) = found {
--- a/crates/shard/tests/owner/support/checks.rs
+++ b/crates/shard/tests/owner/support/checks.rs
@@ -1,21 +1,21 @@
 //! The invariants of a simulation, and its repair at the end of a scenario.
 
-use super::simulation::{recovered_owner, Broken, Op, Simulation, DAEMONS_COUNT, WORKERS_COUNT};
+use super::simulation::{recovered_owner, Op, Simulation, StepError, DAEMONS_COUNT, WORKERS_COUNT};
 use ospreywing_shard::{verify, Owner, TaskState};
 use ospreywing_types::{Key, Resources, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Simulation {
     /// Checks the invariants of the owners and of the simulation after a step.
-    pub(super) fn check(&mut self) -> Result<(), Broken> {
+    pub(super) fn check(&mut self) -> Result<(), StepError> {
         for (daemon, state) in self.daemons.iter().enumerate() {
             let Some(owner) = &state.owner else { continue };
             if let Err(errors) = verify(owner) {
-                return Err(Broken(format!("daemon {daemon}: {}", errors[0])));
+                return Err(StepError(format!("daemon {daemon}: {}", errors[0])));
             }
         }
         if let Some(attempt) = self.stray_start.take() {
-            return Err(Broken(format!(
+            return Err(StepError(format!(
                 "{attempt}: started, but not current in the log"
             )));
         }
@@ -26,20 +26,20 @@
     }
 
     /// Checks that each request key was granted to at most one claim.
-    fn check_granted(&self) -> Result<(), Broken> {
+    fn check_granted(&self) -> Result<(), StepError> {
         match self.granted.iter().find(|(_, nonces)| nonces.len() > 1) {
-            Some((key, nonces)) => Err(Broken(format!("{key}: granted to {nonces:?}"))),
+            Some((key, nonces)) => Err(StepError(format!("{key}: granted to {nonces:?}"))),
             None => Ok(()),
         }
     }
 
-    fn check_runs(&self) -> Result<(), Broken> {
+    fn check_runs(&self) -> Result<(), StepError> {
         let mut worker_of_task: BTreeMap<TaskId, usize> = BTreeMap::new();
         for (worker, state) in self.workers.iter().enumerate() {
             for running in state.live(self.now) {
                 let task = running.attempt.task;
                 if let Some(other) = worker_of_task.insert(task, worker) {
-                    return Err(Broken(format!(
+                    return Err(StepError(format!(
                         "{task}: runs on worker {other} and on worker {worker}"
                     )));
                 }
@@ -48,12 +48,12 @@
         Ok(())
     }
 
-    fn check_capacity(&self) -> Result<(), Broken> {
+    fn check_capacity(&self) -> Result<(), StepError> {
         for (worker, state) in self.workers.iter().enumerate() {
             let demands = state.live(self.now).map(|running| running.resources);
             let used = demands.fold(Resources::ZERO, |sum, demand| sum + demand);
             if !used.fits_in(&state.capacity) {
-                return Err(Broken(format!(
+                return Err(StepError(format!(
                     "worker {worker}: usage {used} exceeds capacity"
                 )));
             }
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    fn check_unsafe(&self) -> Result<(), Broken> {
+    fn check_unsafe(&self) -> Result<(), StepError> {
         let mut started: BTreeMap<TaskId, u32> = BTreeMap::new();
         for state in &self.workers {
             for attempt in &state.started {
@@ -77,7 +77,7 @@
                 // The limit holds for failed runs too.
                 if is_unsafe && count > 1 {
                     let id = data.image.id;
-                    return Err(Broken(format!(
+                    return Err(StepError(format!(
                         "{id}: unsafe to repeat, but started {count} times"
                     )));
                 }
@@ -88,20 +88,20 @@
 
     /// Checks that no rejected task is recorded: a rejection means that the task
     /// won't run.
-    fn check_rejected(&self, recovered_owner: &Owner) -> Result<(), Broken> {
+    fn check_rejected(&self, recovered_owner: &Owner) -> Result<(), StepError> {
         let waiting_keys: BTreeSet<&Key> = self.tokens.values().collect();
         let mut rejected = self.last_replies.iter().filter(|(key, &outcome)| {
             let is_settled = !self.unconfirmed_keys.contains(key) && !self.accepted.contains(key);
             outcome == "refused" && is_settled && !waiting_keys.contains(key)
         });
         match rejected.find(|(key, _)| recovered_owner.state().by_key(key).is_some()) {
-            Some((key, _)) => Err(Broken(format!("{key}: rejected, but recorded"))),
+            Some((key, _)) => Err(StepError(format!("{key}: rejected, but recorded"))),
             None => Ok(()),
         }
     }
 
     /// Checks that the log holds every accepted task with its end.
-    fn check_accepted(&mut self) -> Result<(), Broken> {
+    fn check_accepted(&mut self) -> Result<(), StepError> {
         let recovered_owner = recovered_owner(&self.store);
         self.check_rejected(&recovered_owner)?;
         self.tally.requeues_count += self
@@ -112,18 +112,18 @@
             .sum::<u64>();
         for key in &self.accepted {
             let Some(task) = recovered_owner.state().by_key(key) else {
-                return Err(Broken(format!("{key}: accepted, but not recorded")));
+                return Err(StepError(format!("{key}: accepted, but not recorded")));
             };
             let state = &recovered_owner.state().tasks[task].image.state;
             if !matches!(state, TaskState::Ended { .. }) {
-                return Err(Broken(format!("{key}: has no recorded end")));
+                return Err(StepError(format!("{key}: has no recorded end")));
             }
         }
         Ok(())
     }
 
     /// Repairs every fault and runs the simulation until all tasks have ended.
-    pub fn heal(&mut self) -> Result<(), Broken> {
+    pub fn heal(&mut self) -> Result<(), StepError> {
         for worker in 0..WORKERS_COUNT {
             self.step(&Op::Thaw { worker })?;
         }
@@ -145,10 +145,10 @@
             let task = tasks.find(|(_, data)| !data.is_ended())?;
             Some(format!("{}: {:?}", task.1.image.id, task.1.image.state))
         });
-        Err(Broken(format!("a task did not end: {stuck:?}")))
+        Err(StepError(format!("a task did not end: {stuck:?}")))
     }
 
-    fn heal_round(&mut self) -> Result<(), Broken> {
+    fn heal_round(&mut self) -> Result<(), StepError> {
         for daemon in 0..DAEMONS_COUNT {
             self.step(&Op::Poll { daemon })?;
             self.step(&Op::Commit { daemon })?;
--- a/crates/shard/tests/owner/support/script.rs
+++ b/crates/shard/tests/owner/support/script.rs
@@ -5,7 +5,7 @@
 //! Daemons are `d0` to `d2`, workers `w0` to `w2`, tasks `k0`, `k1` and so on
 //! in the order of their submission.
 
-use super::simulation::{Broken, Op, Simulation};
+use super::simulation::{Op, Simulation, StepError};
 use ospreywing_filetest::{index, ms};
 
 /// Runs a trace.
@@ -13,12 +13,12 @@
 /// # Errors
 ///
 /// Returns the first failed step or outcome, with its line number.
-pub fn run_trace(text: &str) -> Result<(), Broken> {
+pub fn run_trace(text: &str) -> Result<(), StepError> {
     let mut simulation = Simulation::new();
-    ospreywing_filetest::play(text, |words| step(&mut simulation, words))
+    ospreywing_filetest::run_script(text, |words| step(&mut simulation, words))
 }
 
-fn step(simulation: &mut Simulation, words: &[&str]) -> Result<(), Broken> {
+fn step(simulation: &mut Simulation, words: &[&str]) -> Result<(), StepError> {
     match words {
         ["expect", rest @ ..] => expect(simulation, rest),
         ["heal"] => simulation.heal(),
@@ -30,7 +30,7 @@
     }
 }
 
-fn op(words: &[&str]) -> Result<Op, Broken> {
+fn op(words: &[&str]) -> Result<Op, StepError> {
     Ok(match *words {
         ["submit", "safe"] => Op::Submit { is_safe: true },
         ["submit", "unsafe"] => Op::Submit { is_safe: false },
@@ -113,11 +113,11 @@
             number: index(key) as u64,
             nonce: nonce.parse().expect("the nonce is a number"),
         },
-        _ => return Err(Broken("no such step".to_owned())),
+        _ => return Err(StepError("no such step".to_owned())),
     })
 }
 
-fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), Broken> {
+fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), StepError> {
     let (found, wanted) = match *words {
         ["said", key, wanted] => (simulation.last_reply(key).to_owned(), wanted),
         ["phase", key, wanted] => (simulation.phase(key), wanted),
@@ -130,7 +130,7 @@
             wanted,
         ),
         ["batches", wanted] => (simulation.batches_count().to_string(), wanted),
-        _ => return Err(Broken("no such outcome".to_owned())),
+        _ => return Err(StepError("no such outcome".to_owned())),
     };
     ospreywing_filetest::expect(&found, wanted)
 }
--- a/crates/shard/tests/owner/support/simulation.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -149,7 +149,7 @@
 }
 
 /// A violated invariant, with the entity at fault.
-pub use ospreywing_filetest::Broken;
+pub use ospreywing_filetest::StepError;
 
 /// A cell of several daemons and workers with one shard and a store.
 pub struct Simulation {
@@ -265,7 +265,7 @@
     }
 
     /// Executes one step and checks every invariant.
-    pub fn step(&mut self, op: &Op) -> Result<(), Broken> {
+    pub fn step(&mut self, op: &Op) -> Result<(), StepError> {
         self.tally.steps_count += 1;
         self.apply(op);
         self.process_inboxes();
