--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -188,11 +188,11 @@
 
 fn advice(burn_short: f64, burn_long: f64) -> &'static str {
     if burn_short >= FAST_BURN_RATE && burn_long >= FAST_BURN_RATE {
-        "act now: add minions, raise the row's priority or cap other rows"
+        "act now: add minions, raise the row's priority or cap its neighbours"
     } else if burn_short >= FAST_BURN_RATE {
-        "started recently: check `ospreywing status` and the minions of the row"
+        "just began: look at `ospreywing status` and the minions of the row"
     } else if burn_long >= SLOW_BURN_RATE {
-        "not urgent: raise the row's share or its deadline"
+        "too slow a leak to wake for: raise the row's share or its deadline"
     } else {
         "nothing to do"
     }
