--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -173,8 +173,8 @@
 
     /// Handles a ping from another process.
     ///
-    /// This daemon may not know the process from the store yet, so it adds the
-    /// process to its peers and pings it for its newest store information.
+    /// This daemon may not have read the process from the store yet, so it adds
+    /// the process to its peers and pings it for its newest store information.
     pub fn on_ping(&mut self, now: Instant, from: &DaemonIdentity) {
         if from.incarnation != self.me().incarnation {
             self.peers.insert_if_new(now, from);
@@ -260,8 +260,8 @@
         EditBlocked::find(now, self.store_contact_at, &self.peers).map_or(Ok(()), Err)
     }
 
-    /// Returns the newest instant whose store contents this daemon knows, from its
-    /// own calls or through its peers.
+    /// Returns the newest instant for which this daemon has the store's contents,
+    /// from its own calls or through its peers.
     pub fn known_as_of(&self) -> Option<Instant> {
         let by_peers = self.peers.iter().filter_map(|peer| peer.store_contact_at);
         by_peers.chain(self.store_contact_at).max()
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -6,7 +6,8 @@
 /// Whether a process is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// The process answered recently, or was discovered too recently to tell.
+    /// The process answered recently, or was discovered too recently to be
+    /// unresponsive.
     Live,
     /// The process has not answered for some time, or refused a connection; it
     /// may be running, paused or partitioned.
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -166,7 +166,8 @@
     assert_eq!(seat_claims(&mut membership, over), 1);
 }
 
-/// Only daemons that were just discovered make the block of an edit transient.
+/// A missing majority blocks an edit transiently only while the daemons that have
+/// not answered were discovered recently.
 #[test]
 fn check_edit_peers_just_discovered_is_transient() {
     let mut membership = view(0);
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -191,7 +191,7 @@
         /// Whether a peer forwarded it.
         is_forwarded: bool,
     },
-    /// A peer claims the only run of a request.
+    /// A peer claims a request key, so that the request runs only once.
     TakeKey {
         /// Identifies the caller or peer to reply to.
         token: u64,
@@ -213,7 +213,7 @@
         shard: u32,
         /// The epoch.
         epoch: u64,
-        /// The process that held it.
+        /// The process that owned the shard in this epoch.
         incarnation: u64,
     },
     /// A caller sent a request.
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Returns a number to tell this claim from all other claims of any daemon.
+    /// Returns a number that distinguishes this claim from all other claims of any
+    /// daemon.
     fn nonce(&mut self) -> u64 {
         self.next_nonce += 1;
         let incarnation = self.membership.me().incarnation;
--- a/crates/node/src/shard_slot.rs
+++ b/crates/node/src/shard_slot.rs
@@ -3,7 +3,8 @@
 use ospreywing_shard::{Closing, Owner};
 use ospreywing_types::Instant;
 
-/// The ownership state of one shard at this daemon; the states recur.
+/// The ownership state of one shard at this node; a shard may return to an
+/// earlier state.
 #[derive(Clone, Debug, Default)]
 pub(crate) enum ShardSlot {
     /// Not owned, and no claim is pending.
--- a/crates/node/tests/cell/simulation.rs
+++ b/crates/node/tests/cell/simulation.rs
@@ -27,7 +27,7 @@
 /// One step of the simulation.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// Everything that is up runs for `steps` steps of 100 ms.
+    /// The cell runs for `steps` steps of 100 ms.
     Run {
         steps: u64,
     },
@@ -131,7 +131,7 @@
     at: Instant,
     writer: usize,
     process: u64,
-    /// Whether the writer has not been killed, paused or partitioned since.
+    /// Whether the writer has not been killed, paused or partitioned since the edit.
     is_writer_unaffected: bool,
     /// Whether the writer reported that all daemons have the edit.
     is_accepted: bool,
@@ -373,7 +373,7 @@
         }
     }
 
-    /// Refuses claims of keys that have been without an answer for too long.
+    /// Fails claims of keys that were not answered within [`CLAIM_TIMEOUT`].
     fn expire_claims(&mut self) {
         let now = self.now;
         let mut overdue = Vec::new();
@@ -845,14 +845,15 @@
         }
     }
 
-    /// Records which edits all daemons have, and whose writer was affected by a fault.
+    /// Updates for each edit whether a fault affected its writer and whether the
+    /// writer reported that all daemons have the edit.
     fn update_edits(&mut self) {
         for edit in &mut self.edits {
             let writer = &self.daemons[edit.writer];
             let is_same = writer.identity.incarnation == edit.process;
             edit.is_writer_unaffected &= is_same && !writer.is_paused && !writer.is_partitioned;
-            let is_there = is_same && !writer.is_paused;
-            edit.is_accepted |= is_there && writer.node.lagging(self.now).is_empty();
+            let is_writer_running = is_same && !writer.is_paused;
+            edit.is_accepted |= is_writer_running && writer.node.lagging(self.now).is_empty();
         }
     }
 
@@ -923,7 +924,7 @@
         Ok(())
     }
 
-    /// Ends all faults and checks that the cell serves again.
+    /// Ends all faults and checks that the cell answers requests again.
     pub fn recover(&mut self) -> Result<(), StepError> {
         self.is_store_down = false;
         for daemon in &mut self.daemons {
--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -17,7 +17,8 @@
 /// One action. The daemon executes actions in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Claim the request's only run from the owner of its key.
+    /// Claim the request's key from the key's owner, so that the request runs only
+    /// once.
     TakeKey {
         /// The request.
         request: Request,
@@ -28,7 +29,7 @@
     Send {
         /// The request.
         request: Request,
-        /// Identifies the caller.
+        /// The caller.
         token: u64,
         /// The minion.
         minion: Name,
--- a/crates/routing/src/burn.rs
+++ b/crates/routing/src/burn.rs
@@ -23,7 +23,8 @@
     /// Returns the burn rate: consumption of the error budget as a multiple of
     /// the allowed rate.
     ///
-    /// One means that the objective is just met, zero that no request failed.
+    /// One means that the objective is just met, zero that no request missed its
+    /// deadline.
     pub fn burn_rate(&self, objective_permille: u32) -> f64 {
         if self.total_count == 0 {
             return 0.0;
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -40,7 +40,7 @@
     KeyGranted(Request),
     /// The request's only run had already been granted.
     KeyTaken(Request),
-    /// The owner of the key granted the request's only run to nobody.
+    /// The owner of the key did not grant the request's only run to any daemon.
     KeyRefused {
         /// The request.
         request: Request,
--- a/crates/shard/benches/decisions.rs
+++ b/crates/shard/benches/decisions.rs
@@ -17,8 +17,8 @@
 const BATCH_COUNT: usize = 64;
 const ROUNDS_COUNT: usize = 300;
 /// Longer decisions are recorded as one second.
-const LONGEST_NS: u64 = 1_000_000_000;
-const NEED: Resources = Resources::new(1000, 1024, 0);
+const MAX_DECISION_NS: u64 = 1_000_000_000;
+const DEMAND: Resources = Resources::new(1000, 1024, 0);
 
 struct Size {
     workers_count: usize,
@@ -136,7 +136,7 @@
                 key: Key::new(&format!("k{}", self.next_key)).expect("the key is valid"),
                 row: name(&format!("row{row}")),
                 spec: TaskSpec {
-                    resources: NEED,
+                    resources: DEMAND,
                     command: "work".to_owned(),
                 },
             });
@@ -196,7 +196,7 @@
     println!("workers  running  decisions/s   p50 us   p99 us   resident MB");
     for size in &SIZES {
         let mut harness = Harness::new(size);
-        let decision_ns = Histogram::new_with_max(LONGEST_NS, 3);
+        let decision_ns = Histogram::new_with_max(MAX_DECISION_NS, 3);
         let mut decision_ns: Histogram<u64> = decision_ns.expect("the bounds are sound");
         let mut deciding_time = std::time::Duration::ZERO;
         let mut starts_count = 0;
--- a/crates/shard/src/config.rs
+++ b/crates/shard/src/config.rs
@@ -1,8 +1,8 @@
-//! The settings of an owner.
+//! The settings of a shard's owner.
 
 use ospreywing_types::{DaemonIdentity, Duration};
 
-/// The settings of an owner, constant for as long as it owns the shard.
+/// The settings of a shard's owner, constant for as long as it owns the shard.
 #[derive(Clone, Debug)]
 pub struct OwnerConfig {
     /// The shard, in `0..shards_count`.
@@ -19,14 +19,14 @@
     pub renew_every: Duration,
     /// The interval between requests for a worker's report.
     pub report_every: Duration,
-    /// The interval between these requests while a start on the worker is
-    /// unconfirmed.
+    /// The interval between requests for a worker's report while a start on the
+    /// worker is unconfirmed.
     pub unconfirmed_report_every: Duration,
     /// The longest time for which a running worker may leave a message unread in
     /// its buffers.
     pub settling_time: Duration,
-    /// The time after which nothing runs any more on a box that has left the box
-    /// list.
+    /// How long after a box left the box list it is certain that nothing runs on
+    /// it.
     pub unlisted_quarantine: Duration,
     /// The time after which an unanswered commit causes new work to be rejected.
     pub commit_timeout: Duration,
@@ -67,8 +67,8 @@
     ///
     /// This is twice the lease plus a quarter. A worker may read a renewal with a
     /// delay, and a daemon that pauses between its ownership check and the send
-    /// can renew once more while the worker still holds the lease; hence twice.
-    /// The quarter allows for clocks that run at different rates.
+    /// can renew again while the worker still holds the lease, so the lease counts
+    /// twice. The quarter allows for clocks that run at different rates.
     pub const fn max_lease_time(&self) -> Duration {
         Duration::from_ms(self.lease.as_ms() * 2 + self.lease.as_ms() / 4)
     }
--- a/crates/shard/src/event.rs
+++ b/crates/shard/src/event.rs
@@ -31,7 +31,8 @@
         /// The task's key.
         key: Key,
     },
-    /// A daemon claims the only run of a request that is unsafe to repeat.
+    /// A daemon claims the key of a request that is unsafe to repeat, so that the
+    /// request runs only once.
     TakeKey {
         /// The caller that waits for the reply.
         token: Token,
@@ -104,6 +105,6 @@
     /// Whether the daemon's table is known to be current; starts are placed
     /// only while it is.
     Deciding(bool),
-    /// Time has passed; handles whatever is due.
+    /// Time has passed; the owner does the work that is due.
     Tick,
 }
--- a/crates/shard/src/free_index.rs
+++ b/crates/shard/src/free_index.rs
@@ -38,7 +38,7 @@
         self.plain.len() + self.accelerated.len()
     }
 
-    /// Returns the worker on which to place `demand`, if one has the free capacity.
+    /// Returns the worker on which to place `demand`, if one has enough free capacity.
     ///
     /// `fits` returns whether a worker's free capacity covers all of `demand`.
     pub(crate) fn find(
--- a/crates/shard/src/lib.rs
+++ b/crates/shard/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A shard is a fixed part of a cell's workers together with the tasks that
 //! run on them. One daemon at a time owns it. The owner records every start in
-//! the platform's store before it sends the start, so that the next owner knows
-//! which attempts may run on which workers.
+//! the platform's store before it sends the start, so that the next owner can
+//! read which attempts may run on which workers.
 //!
 //! The crate does no I/O and reads no clock: [`Owner::handle`] processes an
 //! [`Event`] at an instant and appends [`Action`]s. Each stage of an ownership
--- a/crates/shard/src/log.rs
+++ b/crates/shard/src/log.rs
@@ -25,7 +25,7 @@
     pub records_count: usize,
 }
 
-/// The entity that a record concerns.
+/// The entity whose state a record changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Subject {
     Task(TaskId),
@@ -48,9 +48,10 @@
     next_seq: u64,
 }
 
-/// The size up to which the log is not cleaned.
+/// The log is cleaned only when it is larger than this.
 const CLEAN_MIN_BYTES: usize = 32 * 1024;
-/// The estimated size of a task in the log; gives the size of the live state.
+/// The estimated size of a task in the log; used to estimate the size of the
+/// live state.
 const LIVE_TASK_BYTES: usize = 160;
 /// The estimated size of a granted request key in the log.
 const LIVE_KEY_BYTES: usize = 48;
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -35,7 +35,7 @@
     pub commit_bytes: u64,
     /// Requests rejected.
     pub refused_count: u64,
-    /// Reported attempts that were over according to the state.
+    /// Reported attempts that had ended according to the state.
     pub stray_attempts_count: u64,
 }
 
@@ -285,7 +285,7 @@
     /// Returns whether the owner may renew the lease of a task.
     ///
     /// It stops renewing once its ownership has not been confirmed for the row's
-    /// hold. A start that is not committed yet has no lease.
+    /// hold time. A start that is not committed yet has no lease.
     fn may_renew(&self, now: Instant, task: Task) -> bool {
         let is_recording = self.presence[task] == Presence::Recording;
         let hold = self.workloads.get(self.workload_of(task)).hold;
@@ -464,7 +464,7 @@
         self.workloads.waiting_count()
     }
 
-    /// Returns the number of recorded starts that are not over.
+    /// Returns the number of recorded starts whose attempts have not ended.
     pub fn started_count(&self) -> usize {
         self.workers.iter().map(|(_, data)| data.tasks.len()).sum()
     }
@@ -512,7 +512,7 @@
     ///
     /// Uncommitted records are dropped, and waiting callers are answered.
     /// `is_refused` means that the commit in flight had no effect; otherwise its
-    /// callers are told that the outcome is unknown.
+    /// callers receive the reply that the outcome is unknown.
     pub fn close(mut self, is_refused: bool, actions: &mut Vec<Action>) -> Closing {
         self.reject_all(is_refused, actions);
         let mut attempts = Vec::new();
--- a/crates/shard/src/presence.rs
+++ b/crates/shard/src/presence.rs
@@ -1,4 +1,5 @@
-//! An owner's knowledge of whether a recorded start has reached its worker.
+//! Tracks whether a recorded start has reached its worker, as far as the owner can
+//! prove it.
 //!
 //! It is kept in memory only.
 
--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -58,7 +58,7 @@
         /// The attempt's number.
         number: u32,
     },
-    /// An attempt is over and its task is waiting again.
+    /// An attempt has ended and its task is waiting again.
     Requeue {
         /// The task.
         id: TaskId,
--- a/crates/shard/src/resolve.rs
+++ b/crates/shard/src/resolve.rs
@@ -1,4 +1,4 @@
-//! Resolves recorded starts: determines whether their attempts run or are over.
+//! Resolves recorded starts: determines whether their attempts run or have ended.
 //!
 //! Workers don't check who sends an order, and a paused former owner may resume
 //! at any time and send a start that it recorded. A recorded start therefore
@@ -122,10 +122,10 @@
         }
     }
 
-    /// Proof 2: the only incarnation of the worker that could receive the start is
-    /// over.
+    /// Proof 2: the only incarnation of the worker that could receive the start has
+    /// ended.
     ///
-    /// A start that is not sent yet is not sent any more: [`Self::send_start`]
+    /// A start that has not been sent is no longer sent: [`Self::send_start`]
     /// checks the incarnation.
     fn on_other_incarnation(&mut self, now: Instant, task: Task, started: &Started) {
         let is_own = started.epoch == self.config.epoch;
@@ -269,7 +269,7 @@
         self.pending_effects.push(effect);
     }
 
-    /// Returns whether `attempt` is over according to the state.
+    /// Returns whether `attempt` has ended according to the state.
     fn is_past_attempt(&self, attempt: AttemptId) -> bool {
         if attempt.shard != self.config.shard {
             return false;
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Puts a task whose attempt is over back into its queue.
+    /// Puts a task whose attempt has ended back into its queue.
     pub(crate) fn requeue(&mut self, now: Instant, task: Task, is_failure: bool) {
         let Some(started) = self.state.tasks[task].started() else {
             return;
@@ -414,7 +414,7 @@
     ///
     /// The daemon may hold an order for long before it sends it, but not beyond
     /// the end of the connection. A former owner that has not closed its epoch
-    /// may renew leases for the row's hold after its ownership was last
+    /// may renew leases for the row's hold time after its ownership was last
     /// confirmed, which was before this owner's claim.
     fn lease_expires_at(&self, worker: Worker, task: Task) -> Instant {
         let hold = self.workloads.get(self.workload_of(task)).hold;
@@ -427,7 +427,7 @@
         renewed_until + self.config.max_lease_time()
     }
 
-    /// Stops reported attempts that are over according to the state.
+    /// Stops reported attempts that have ended according to the state.
     fn stop_stray_attempts(&mut self, worker: Worker, report: &Report, actions: &mut Vec<Action>) {
         for &attempt in &report.running {
             if self.task_of_attempt(attempt).is_none() && self.is_past_attempt(attempt) {
--- a/crates/shard/src/state.rs
+++ b/crates/shard/src/state.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// A recorded attempt that is not over.
+/// A recorded attempt that has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Started {
     /// The worker.
@@ -29,9 +29,9 @@
 pub enum TaskState {
     /// Waiting to be placed on a worker.
     Waiting,
-    /// A start is recorded and its attempt is not over.
+    /// A start is recorded and its attempt has not ended.
     Started(Started),
-    /// It will never run again.
+    /// The task will never run again.
     Ended {
         /// The phase in which it ended.
         phase: TaskPhase,
@@ -43,7 +43,7 @@
 /// A slot of the task table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskData {
-    /// All that is recorded of the task.
+    /// The recorded data of the task.
     pub image: TaskImage,
     /// Whether the task was removed and the slot may be reused.
     pub is_vacant: bool,
--- a/crates/shard/src/worker.rs
+++ b/crates/shard/src/worker.rs
@@ -29,7 +29,7 @@
     Live,
     /// In the list and about to leave the cell.
     Leaving,
-    /// In an earlier list, and absent from every list since the instant.
+    /// In an earlier list, and absent from every list since the given instant.
     Dropped(Instant),
 }
 
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Returns the worker on which to place `demand`, if one has the free capacity.
+    /// Returns the worker on which to place `demand`, if one has enough free capacity.
     pub(crate) fn find(&self, demand: &Resources, policy: Policy) -> Option<Worker> {
         let fits = |worker: Worker| demand.fits_in(&self.workers[worker].free());
         self.index.find(demand, policy, fits)
--- a/crates/shard/tests/owner/support/daemon_fake.rs
+++ b/crates/shard/tests/owner/support/daemon_fake.rs
@@ -28,7 +28,7 @@
     pub process: u64,
     pub owner: Option<Owner>,
     pub closing: Vec<Closing>,
-    /// A commit whose outcome the daemon does not know.
+    /// A commit whose outcome is unknown to the daemon.
     pub commit: Option<Commit>,
     /// Whether the store's answer to that commit was lost.
     pub has_tried: bool,
--- a/crates/shard/tests/owner/support/simulation.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -18,7 +18,7 @@
 pub const DAEMONS_COUNT: usize = 3;
 pub const WORKERS_COUNT: usize = 3;
 const CAPACITY: Resources = Resources::new(4000, 4096, 0);
-const NEED: Resources = Resources::new(2000, 1024, 0);
+const DEMAND: Resources = Resources::new(2000, 1024, 0);
 /// How often later orders may overtake an order in a worker's buffer.
 const OVERTAKEN_LIMIT: u32 = 3;
 /// The time within which a running worker reads an order in its buffers.
@@ -166,7 +166,7 @@
     pub(super) keys: Vec<Key>,
     pub(super) unsafe_keys: BTreeSet<Key>,
     pub(super) accepted: BTreeSet<Key>,
-    /// Keys for which a caller was told that the outcome is unknown.
+    /// Keys for which a caller received the reply that the outcome is unknown.
     pub(super) unconfirmed_keys: BTreeSet<Key>,
     /// The nonces of the claims that were granted each request key.
     pub(super) granted: BTreeMap<Key, BTreeSet<u64>>,
@@ -282,7 +282,7 @@
             Op::CommitLostAnswer { daemon } => self.commit(daemon, false),
             Op::HandOver { daemon } => self.hand_over(daemon),
             Op::Claim { daemon } => self.claim(daemon),
-            Op::AskClosed { daemon } => self.ask_closed(daemon),
+            Op::AskClosed { daemon } => self.query_former_epochs(daemon),
             Op::Poll { daemon } => self.poll(daemon),
             Op::Connect { daemon, worker } => self.connect(daemon, worker),
             Op::Cut { daemon, worker } => self.cut(daemon, worker),
@@ -334,7 +334,7 @@
                 key: key.clone(),
                 row: name(if is_safe { "safe" } else { "unsafe" }),
                 spec: TaskSpec {
-                    resources: NEED,
+                    resources: DEMAND,
                     command: String::new(),
                 },
             };
@@ -354,7 +354,7 @@
         }
     }
 
-    /// A daemon claims the only run of a request that is unsafe to repeat.
+    /// A daemon claims the key of a request that is unsafe to repeat.
     fn take_key(&mut self, daemon: usize, number: u64, nonce: u64) {
         let key = Key::new(&format!("r{number}")).expect("the key is valid");
         let token = self.next_number();
@@ -603,8 +603,8 @@
     }
 
     /// The owner asks former owners whether their epochs are closed; the epoch of
-    /// a daemon that is known to be dead counts as closed.
-    fn ask_closed(&mut self, daemon: usize) {
+    /// a daemon whose process has ended counts as closed.
+    fn query_former_epochs(&mut self, daemon: usize) {
         if !self.daemons[daemon].is_awake() {
             return;
         }
