--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -262,7 +262,7 @@
 
     /// Returns the newest instant for which this daemon has the store's contents,
     /// from its own calls or through its peers.
-    pub fn known_as_of(&self) -> Option<Instant> {
+    pub fn store_contents_as_of(&self) -> Option<Instant> {
         let by_peers = self.peers.iter().filter_map(|peer| peer.store_contact_at);
         by_peers.chain(self.store_contact_at).max()
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -212,10 +212,10 @@
 
     fn pong(&self, now: Instant, ping: &Ping) -> Pong {
         let digest = self.table.digest();
-        let known_as_of = self.membership.known_as_of().unwrap_or_default();
+        let store_contents_as_of = self.membership.store_contents_as_of().unwrap_or_default();
         Pong {
             from: self.membership.me().clone(),
-            store_age_ms: now.since(known_as_of).as_ms(),
+            store_age_ms: now.since(store_contents_as_of).as_ms(),
             table_revision: self.table.table().revision,
             table_digest: digest,
             table_json: (ping.table_digest != digest).then(|| self.table.to_json()),
@@ -425,15 +425,16 @@
         let me = self.membership.me().incarnation;
         let identities = self.membership.control().identities();
         let lagging = identities.into_iter().filter(|identity| {
-            let known = self.peer_tables.get(&identity.incarnation);
-            let is_same = known.is_some_and(|known| known.digest == self.table.digest());
+            let peer_table = self.peer_tables.get(&identity.incarnation);
+            let is_same =
+                peer_table.is_some_and(|peer_table| peer_table.digest == self.table.digest());
             let is_gone = self.membership.is_gone(now, identity.incarnation);
             identity.incarnation != me && !is_gone && !is_same
         });
         lagging.map(|identity| identity.name).collect()
     }
 
-    /// Returns a hash of the row versions of the current table.
+    /// Returns a hash of the row revisions of the current table.
     pub const fn table_digest(&self) -> u64 {
         self.table.digest()
     }
--- a/crates/node/src/table_view.rs
+++ b/crates/node/src/table_view.rs
@@ -15,9 +15,9 @@
     revision: u64,
 }
 
-/// The current table. A row never returns to an older version.
+/// The current table. A row never returns to an older revision.
 ///
-/// The version is kept for each row: a row can arrive, in the answer to its edit
+/// The revision is kept for each row: a row can arrive, in the answer to its edit
 /// or from a peer, before an older change of another row.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TableView {
@@ -32,18 +32,18 @@
         Arc::clone(&self.table)
     }
 
-    /// Returns a hash of the versions of all rows.
+    /// Returns a hash of the revisions of all rows.
     pub(crate) const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Applies the rows that are newer than the known ones and returns whether
+    /// Applies the rows that are newer than the cached ones and returns whether
     /// there were any.
     pub(crate) fn apply(&mut self, rows: Vec<(Name, Versioned<Option<Row>>)>) -> bool {
         let mut is_changed = false;
         for (name, row) in rows {
-            let known = self.revisions.get(&name).copied().unwrap_or(0);
-            if row.revision > known {
+            let cached_revision = self.revisions.get(&name).copied().unwrap_or(0);
+            if row.revision > cached_revision {
                 self.put(name, row);
                 is_changed = true;
             }
@@ -66,7 +66,7 @@
         self.revisions.insert(name, row.revision);
     }
 
-    /// Serializes all rows and their versions for a peer.
+    /// Serializes all rows and their revisions for a peer.
     pub(crate) fn to_json(&self) -> String {
         let versions = self.revisions.iter().map(|(name, &revision)| RowVersion {
             name: name.clone(),
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -22,7 +22,7 @@
 pub enum Event {
     /// All minions on the current box list.
     Boxes(Vec<BoxFacts>),
-    /// The table in force.
+    /// The current table.
     Table(Arc<Table>),
     /// The seats whose slots are available to new requests.
     Seats(SeatSet),
--- a/crates/shard/benches/decisions.rs
+++ b/crates/shard/benches/decisions.rs
@@ -197,7 +197,7 @@
     for size in &SIZES {
         let mut harness = Harness::new(size);
         let decision_ns = Histogram::new_with_max(MAX_DECISION_NS, 3);
-        let mut decision_ns: Histogram<u64> = decision_ns.expect("the bounds are sound");
+        let mut decision_ns: Histogram<u64> = decision_ns.expect("the bounds are valid");
         let mut deciding_time = std::time::Duration::ZERO;
         let mut starts_count = 0;
         for _ in 0..ROUNDS_COUNT {
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -300,8 +300,8 @@
         }
     }
 
-    /// Answers the callers that wait for a commit, with `replacement` of the reply
-    /// that they would have got.
+    /// Answers the callers that wait for a commit. `replacement` maps the reply that
+    /// a successful commit would send to the reply that is sent.
     fn answer_inflight(&mut self, replacement: fn(&Reply) -> Reply, actions: &mut Vec<Action>) {
         let inflight = self.inflight.as_mut();
         let inflight_effects = inflight.map(|inflight| &mut inflight.effects);
--- a/crates/table/src/cap_parts.rs
+++ b/crates/table/src/cap_parts.rs
@@ -5,7 +5,7 @@
 /// Returns part `index` of `whole` divided into `parts_count` parts.
 ///
 /// The parts differ by at most one and add up to `whole`. Zero means no cap, so
-/// that each part is zero too.
+/// each part is zero too.
 ///
 /// # Panics
 ///
