--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -22,7 +22,7 @@
 pub enum Event {
     /// All minions on the current box list.
     Boxes(Vec<BoxFacts>),
-    /// The table in force.
+    /// The current table.
     Table(Arc<Table>),
     /// The seats whose slots are available to new requests.
     Seats(SeatSet),
@@ -40,7 +40,7 @@
     KeyGranted(Request),
     /// The request's only run had already been granted.
     KeyTaken(Request),
-    /// The owner of the key granted the request's only run to nobody.
+    /// The owner of the key did not grant the request's only run to any daemon.
     KeyRefused {
         /// The request.
         request: Request,
