--- a/crates/cli/src/delays.rs
+++ b/crates/cli/src/delays.rs
@@ -15,17 +15,17 @@
 /// The parts of a job's total time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Delays {
-    /// From acceptance until the leader received the job.
+    /// The time from acceptance until the leader received the job.
     pub handing_over_ms: u64,
-    /// Steps waited for a response of the adviser.
+    /// The time that steps waited for a response of the adviser.
     pub advice_ms: u64,
-    /// Steps waited for free capacity or for their turn.
+    /// The time that steps waited for free capacity or for their turn.
     pub room_ms: u64,
-    /// Starts waited for their commit to the store.
+    /// The time that starts waited for their commit to the store.
     pub record_ms: u64,
-    /// Tasks were sent to their workers, ran, or had ended without the leader knowing yet.
+    /// The time from a start's commit until the leader received the end of the run.
     pub running_ms: u64,
-    /// The outcome waited for its commit to the store.
+    /// The time that the outcome waited for its commit to the store.
     pub outcome_ms: u64,
 }
 
@@ -159,7 +159,7 @@
         self.steps.entry(step.to_owned()).or_default()
     }
 
-    /// Returns how long calls to the adviser were open between `from_ms` and `until_ms`.
+    /// Returns how long calls to the adviser were in progress between `from_ms` and `until_ms`.
     fn advice_calls_ms(&self, from_ms: u64, until_ms: u64) -> u64 {
         let overlaps = self
             .advice_calls
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -38,7 +38,7 @@
     /// The request may have been received, but no usable response arrived.
     #[error("no usable response; the request may have been executed: {0}")]
     ResponseLost(HttpError),
-    /// A daemon refused the request.
+    /// A daemon rejected the request.
     #[error("{reason}{}", retry_hint(*.retry_after_ms))]
     Refused {
         /// The HTTP status code.
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -15,7 +15,7 @@
     for found in parts.into_iter().flatten() {
         let name = found.facts.name.to_string();
         let known = merged.entry(name).or_insert_with(|| found.clone());
-        // Only the owner of a worker's shard knows whether it is connected.
+        // Only the daemon that owns a worker's shard knows whether the worker is connected.
         known.is_connected = known.is_connected.or(found.is_connected);
     }
     let boxes: Vec<BoxReport> = merged.into_values().collect();
@@ -43,7 +43,7 @@
     ]
 }
 
-/// Runs `status`: prints the cell as each daemon sees it.
+/// Runs `status`: prints the state of the cell as each daemon reports it.
 pub(crate) async fn status(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let reports: Vec<CellReport> = daemons.get_all("/v1/status").await;
     if reports.is_empty() {
--- a/crates/cli/src/table_commands.rs
+++ b/crates/cli/src/table_commands.rs
@@ -26,7 +26,7 @@
     lagging: Vec<Name>,
 }
 
-/// The response to an edit that was refused because another edit came first.
+/// The response to an edit that was rejected because the row has changed since it was read.
 #[derive(Clone, Debug, Deserialize)]
 struct Conflict {
     reason: String,
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -188,7 +188,7 @@
 
     /// Claims a request's key from the owner of its shard.
     ///
-    /// A claim without a reply counts as refused. The owner may have marked the key as used,
+    /// A claim without a reply counts as rejected. The owner may have marked the key as used,
     /// but only this daemon could have used it, and it sends no request.
     pub fn take_key(&self, to: DaemonIdentity, request: Request, claim: TakeKey) {
         let this = self.clone();
--- a/crates/daemon/src/store_calls.rs
+++ b/crates/daemon/src/store_calls.rs
@@ -291,7 +291,7 @@
             match is_renewed {
                 Ok(true) => {}
                 Ok(false) => lease = self.register().await.ok(),
-                // The lease may still be alive; renew it again at the next tick.
+                // The lease may still exist; renew it again at the next tick.
                 Err(_) => {}
             }
         }
--- a/crates/replay/src/replayer.rs
+++ b/crates/replay/src/replayer.rs
@@ -23,7 +23,7 @@
 const TICK_MS: u64 = 250;
 /// Longest time that a replay continues after the last event of the trace.
 const MAX_TAIL_MS: u64 = 24 * 3600 * 1000;
-/// Keeps the results of all tasks until the end of the replay.
+/// How long the owner keeps the results of tasks; longer than any replay.
 const RESULT_RETENTION: ospreywing_types::Duration =
     ospreywing_types::Duration::from_s(u64::MAX / 2000);
 
@@ -334,7 +334,7 @@
             Action::Reply {
                 reply: Reply::Submit(SubmitReply::Refused { .. }),
                 token,
-            } => self.record_refusal(token),
+            } => self.record_rejection(token),
             Action::Order { worker, order } => match order {
                 Order::Start { incarnation, start } => {
                     self.start_attempt(&worker, incarnation, &start)
@@ -346,7 +346,7 @@
         }
     }
 
-    fn record_refusal(&mut self, token: Token) {
+    fn record_rejection(&mut self, token: Token) {
         self.report.refused += 1;
         let key = self.tokens.get(&token.0);
         if let Some(task) = key.and_then(|key| self.tasks.get(key)) {
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -56,9 +56,9 @@
 pub struct ReplayReport {
     /// The number of tasks that arrived.
     pub tasks: u64,
-    /// The number of tasks that were refused.
+    /// The number of tasks that were rejected.
     pub refused: u64,
-    /// The number of tasks that had neither ended nor been refused when the replay ended.
+    /// The number of tasks that had neither ended nor been rejected when the replay ended.
     pub lost: u64,
     /// The number of starts of a task that was already running.
     pub run_twice: u64,
--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Marks a box as leaving.
+    /// Marks a box as being removed.
     pub fn mark_leaving(&mut self, name: Name) {
         self.leaving.push(name);
     }
--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -54,9 +54,9 @@
     pub requests_wrong: u64,
     /// Requests that got no final answer before the timeout.
     pub requests_not_run: u64,
-    /// Requests whose outcome the daemon doesn't know.
+    /// Requests whose outcome the daemon reported as unknown.
     pub requests_unknown: u64,
-    /// Answers without success that were retried, for requests and tasks.
+    /// Calls for requests and tasks that were retried after an unsuccessful answer.
     pub refusals: u64,
     /// Latency of requests, retries included, in milliseconds.
     pub request_ms: Quantiles,
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -77,7 +77,7 @@
     state: Arc<Mutex<State>>,
 }
 
-/// How long a store that is down holds a call before it answers "unavailable".
+/// How long a store that is down delays its answer "unavailable" to a call.
 const DOWN_DELAY: Duration = Duration::from_secs(10);
 
 impl Platform {
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -56,7 +56,7 @@
 
     /// Reads all keys that start with `prefix`, with up to `page_size` keys in each call.
     ///
-    /// Each page is read at a revision of its own.
+    /// The pages may be read at different revisions.
     ///
     /// # Errors
     ///
@@ -112,7 +112,7 @@
         Ok(reply.id.as_u64())
     }
 
-    /// Renews a lease and returns whether it was still alive.
+    /// Renews a lease and returns whether it still existed.
     ///
     /// # Errors
     ///
--- a/crates/types/src/peer.rs
+++ b/crates/types/src/peer.rs
@@ -106,7 +106,7 @@
     pub result: Option<String>,
 }
 
-/// A claim on the only run of a request that is unsafe to repeat.
+/// A claim on the right to send a request that must run only once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeKey {
     /// The caller's key.
@@ -130,7 +130,7 @@
     },
 }
 
-/// Asks a former owner of a shard to stop acting under its epoch.
+/// A request to a former owner of a shard to stop acting under its epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloseEpoch {
     /// The shard.
@@ -145,9 +145,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CloseEpochReply {
-    /// No start of this epoch is in flight, and none will be sent.
+    /// No order to start an attempt under this epoch is in flight, and none will be sent.
     Closed,
-    /// Starts of this epoch are still in flight.
+    /// Orders to start attempts under this epoch are still in flight.
     Busy,
     /// The replying process has another incarnation: the former owner's process has
     /// ended.
--- a/crates/types/src/worker.rs
+++ b/crates/types/src/worker.rs
@@ -29,7 +29,7 @@
     pub incarnation: u64,
     /// The attempts that are running.
     pub running: Vec<AttemptId>,
-    /// The ended attempts that no [`Renew`] has told the worker to forget.
+    /// The ended attempts that no [`Renew`] has listed in its `forget` field.
     pub ended: Vec<Ended>,
 }
 
