--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -16,7 +16,7 @@
     pub polls_count: AtomicU64,
     /// Commits to the log of a shard.
     pub commits_count: AtomicU64,
-    /// Claims and vacations of shards and seats.
+    /// Calls that claim or vacate shards and seats.
     pub claims_count: AtomicU64,
     /// Reads of the log of a shard.
     pub log_reads_count: AtomicU64,
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -209,10 +209,10 @@
         to: &DaemonIdentity,
         method: &str,
         params: impl ToRpcParams + Send,
-        limit: Duration,
+        call_timeout: Duration,
     ) -> Result<T, CallError> {
         let client = self.client(to).await?;
-        let reply = tokio::time::timeout(limit, client.request(method, params)).await;
+        let reply = tokio::time::timeout(call_timeout, client.request(method, params)).await;
         match reply {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(RpcError::Call(_))) => Err(CallError::NotSent),
--- a/crates/daemon/src/sessions.rs
+++ b/crates/daemon/src/sessions.rs
@@ -192,7 +192,7 @@
 }
 
 fn set_options(stream: &TcpStream) {
-    // Failures are ignored: without these options a dead connection is only detected later.
+    // Failures are ignored: without these options a failed connection is only detected later.
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_linger(Some(Duration::ZERO));
--- a/crates/daemon/src/store_calls.rs
+++ b/crates/daemon/src/store_calls.rs
@@ -2,7 +2,8 @@
 //!
 //! Claims of shards and commits are transactions that take effect at most once. If a
 //! response is lost, the transaction is retried until the store's reply shows whether it
-//! took effect. Claims of seats and vacations are sent once; the next poll shows their result.
+//! took effect. Claims of seats, and calls that vacate a shard or a seat, are sent once; the
+//! next poll shows their result.
 
 use crate::engine::EngineHandle;
 use crate::layout::Layout;
@@ -277,7 +278,7 @@
     /// Maintains this daemon's member entry in the store under a lease; never returns.
     ///
     /// `is_registered` is whether the last poll found the entry. It is checked in addition to
-    /// the lease, because a live lease doesn't prove that the entry exists.
+    /// the lease, because an unexpired lease doesn't prove that the entry exists.
     pub async fn maintain_member_entry(self, is_registered: Arc<AtomicBool>) {
         let mut lease = None;
         let mut ticks = tokio::time::interval(KEEPALIVE_PERIOD);
--- a/crates/daemon/src/table_edit.rs
+++ b/crates/daemon/src/table_edit.rs
@@ -302,12 +302,12 @@
     /// Returns the accepted edit; with `wait_for_all`, first waits up to [`IN_FORCE_TIMEOUT`]
     /// until all daemons use `revision`.
     async fn wait_until_in_force(&self, revision: u64, wait_for_all: bool) -> Accepted {
-        let until =
+        let deadline =
             clock::now() + ospreywing_types::Duration::from_ms(IN_FORCE_TIMEOUT.as_millis() as u64);
         loop {
             let lagging = self.engine.query_node(|node, now| node.lagging(now));
             let lagging = lagging.await.unwrap_or_default();
-            if lagging.is_empty() || !wait_for_all || clock::now() >= until {
+            if lagging.is_empty() || !wait_for_all || clock::now() >= deadline {
                 return Accepted {
                     revision,
                     is_in_force: lagging.is_empty(),
--- a/crates/daemon/tests/processes/cell.rs
+++ b/crates/daemon/tests/processes/cell.rs
@@ -173,10 +173,12 @@
                 let _ = sender.send(line);
             }
         });
-        let until = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let line = receiver.recv_timeout(left).expect("the daemon says where");
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let line = receiver
+                .recv_timeout(remaining)
+                .expect("the daemon says where");
             let line: serde_json::Value = serde_json::from_str(&line).unwrap_or_default();
             if line["msg"] == "started" {
                 let text = |field: &str| line[field].as_str().unwrap_or_default().to_owned();
@@ -199,9 +201,9 @@
 
     /// Waits until `condition` holds.
     pub fn wait_for(&self, what: &str, mut condition: impl FnMut(&Self) -> bool) {
-        let until = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !condition(self) {
-            assert!(Instant::now() < until, "{what}: did not come about");
+            assert!(Instant::now() < deadline, "{what}: did not come about");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -166,8 +166,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if no complete response arrived. Whether the peer may have received
-    /// the request: [`HttpError::is_not_sent`].
+    /// Returns an error if no complete response arrived. [`HttpError::is_not_sent`] returns
+    /// whether it is certain that the peer did not receive the request.
     pub async fn call(&self, call: Call) -> Result<Answer, HttpError> {
         let timeouts = Timeouts::start(&call);
         let (addr, path) = (call.addr.clone(), call.path.clone());
@@ -261,8 +261,8 @@
 
     /// Waits for the response head.
     async fn await_head<T>(&self, head: impl Future<Output = T>) -> Result<T, HttpError> {
-        let until = self.started_at + self.timeout;
-        let head = wait_until(until, self.timeout, head).await;
+        let deadline = self.started_at + self.timeout;
+        let head = wait_until(deadline, self.timeout, head).await;
         head.ok_or_else(|| timed_out(self.timeout, 0))
     }
 
@@ -272,39 +272,39 @@
         part: impl Future<Output = T>,
         received: &ReceivedBody,
     ) -> Result<T, HttpError> {
-        let (until, limit) = match self.body_idle_timeout {
+        let (deadline, limit) = match self.body_idle_timeout {
             Some(limit) => (Instant::now() + limit, limit),
             None => (self.started_at + self.timeout, self.timeout),
         };
-        let part = wait_until(until, limit, part).await;
+        let part = wait_until(deadline, limit, part).await;
         part.ok_or_else(|| timed_out(limit, received.len_bytes))
     }
 }
 
-/// Waits for a future until an instant, and longer if this process itself was delayed.
+/// Waits for a future until `deadline`, or longer if this process itself was delayed.
 ///
 /// After a delay, data may have arrived that the process has not read yet. So if the timer
 /// fires late, the wait is extended by the lateness, by at most `limit` in total.
 async fn wait_until<T>(
-    until: Instant,
+    deadline: Instant,
     limit: Duration,
     awaited: impl Future<Output = T>,
 ) -> Option<T> {
     let mut awaited = pin!(awaited);
-    let mut until = until;
+    let mut deadline = deadline;
     let mut remaining_extension = limit;
     loop {
-        if let Ok(value) = timeout_at(until, awaited.as_mut()).await {
+        if let Ok(value) = timeout_at(deadline, awaited.as_mut()).await {
             return Some(value);
         }
         let now = Instant::now();
-        let lateness = now.saturating_duration_since(until);
+        let lateness = now.saturating_duration_since(deadline);
         if lateness < LATENESS_TOLERANCE || remaining_extension.is_zero() {
             return None;
         }
         let extension = lateness.min(remaining_extension);
         remaining_extension -= extension;
-        until = now + extension;
+        deadline = now + extension;
     }
 }
 
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -56,8 +56,8 @@
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let connected = connected.map_err(|error| not_sent(&error))?;
         let stream = connected.map_err(|error| not_sent(&error))?;
-        // Without these options the connection works, but is slower or is detected as dead
-        // later.
+        // Errors are ignored: without these options the connection works, but is slower, or its
+        // failure is detected later.
         let _ = set_options(&stream);
         let opened_at = ospreywing_clock::now();
         let handshake = http1::handshake(TokioIo::new(stream)).await;
--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -125,7 +125,7 @@
     },
 ];
 
-/// A caller gives up on a request after this time, over all its calls.
+/// How long a caller retries a request before it gives up.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(40);
--- a/crates/standin/src/judge.rs
+++ b/crates/standin/src/judge.rs
@@ -97,15 +97,15 @@
 /// Returns an error if a host does not answer or its record can't be parsed.
 pub async fn fetch(workers: &[String], minions: &[String]) -> Result<Judgement, HttpError> {
     let http = HttpClient::new(1);
-    let limit = Duration::from_secs(10);
+    let timeout = Duration::from_secs(10);
     let mut worker_records = Vec::new();
     for addr in workers {
-        let call = Call::new(Method::GET, addr, "/admin/record", limit);
+        let call = Call::new(Method::GET, addr, "/admin/record", timeout);
         worker_records.push(http.call(call).await?.json()?);
     }
     let mut minion_records = Vec::new();
     for addr in minions {
-        let call = Call::new(Method::GET, addr, "/admin/record", limit);
+        let call = Call::new(Method::GET, addr, "/admin/record", timeout);
         minion_records.push(http.call(call).await?.json()?);
     }
     Ok(judge(&worker_records, &minion_records))
--- a/crates/standin/src/minion.rs
+++ b/crates/standin/src/minion.rs
@@ -22,8 +22,8 @@
 use xitca_web::route::{get, post};
 use xitca_web::{App, HttpServer, WebContext};
 
-/// The number of slots of a minion, as specified. Requests beyond it still run and
-/// are counted as overcommits.
+/// The number of slots of a minion, as specified. Requests beyond this number still
+/// run and are counted as overcommits.
 pub const SLOTS_COUNT: u64 = 8;
 
 /// A minion's reply.
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -44,7 +44,7 @@
     incarnation: u64,
     running: BTreeMap<AttemptId, Running>,
     ended: BTreeMap<AttemptId, TaskEnd>,
-    is_cut_off: bool,
+    is_partitioned: bool,
     record: Arc<Mutex<WorkerRecord>>,
     ends: broadcast::Sender<Ended>,
 }
@@ -57,7 +57,7 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 const ENDS_QUEUE_LIMIT: usize = 4096;
-const CUT_OFF_DELAY: Duration = Duration::from_secs(3600);
+const PARTITION_DELAY: Duration = Duration::from_secs(3600);
 
 impl State {
     fn start(&mut self, start: Start) {
@@ -166,14 +166,14 @@
     let registered = [
         module
             .register_async_method(worker::REPORT, |_, shared, _| async move {
-                delay_if_cut_off(&shared).await;
+                delay_if_partitioned(&shared).await;
                 Ok::<_, ErrorObjectOwned>(lock(&shared).report())
             })
             .is_ok(),
         module
             .register_async_method(worker::START, |params, shared, _| async move {
                 let start: Start = params.one()?;
-                delay_if_cut_off(&shared).await;
+                delay_if_partitioned(&shared).await;
                 lock(&shared).start(start);
                 Ok::<_, ErrorObjectOwned>(())
             })
@@ -181,7 +181,7 @@
         module
             .register_async_method(worker::RENEW, |params, shared, _| async move {
                 let renew: Renew = params.one()?;
-                delay_if_cut_off(&shared).await;
+                delay_if_partitioned(&shared).await;
                 renew_leases(&shared, &renew);
                 Ok::<_, ErrorObjectOwned>(())
             })
@@ -189,7 +189,7 @@
         module
             .register_async_method(worker::STOP, |params, shared, _| async move {
                 let stop: Stop = params.one()?;
-                delay_if_cut_off(&shared).await;
+                delay_if_partitioned(&shared).await;
                 lock(&shared).end(stop.attempt, clock::now().as_ms(), TaskEnd::Stopped);
                 Ok::<_, ErrorObjectOwned>(())
             })
@@ -208,7 +208,7 @@
                         tokio::select! {
                             ended = ends.recv() => {
                                 let Ok(ended) = ended else { return };
-                                delay_if_cut_off(&shared).await;
+                                delay_if_partitioned(&shared).await;
                                 let raw = serde_json::value::to_raw_value(&ended);
                                 let Ok(raw) = raw else { return };
                                 let message = SubscriptionMessage::from(raw);
@@ -227,21 +227,21 @@
     module
 }
 
-/// Counts a call, and delays it if the worker is cut off.
-async fn delay_if_cut_off(shared: &Shared) {
-    let is_cut_off = {
+/// Counts a call, and delays it while the worker is partitioned.
+async fn delay_if_partitioned(shared: &Shared) {
+    let is_partitioned = {
         let state = lock(shared);
         lock(&state.record).calls_count += 1;
-        state.is_cut_off
+        state.is_partitioned
     };
-    if is_cut_off {
-        tokio::time::sleep(CUT_OFF_DELAY).await;
+    if is_partitioned {
+        tokio::time::sleep(PARTITION_DELAY).await;
     }
 }
 
 fn renew_leases(shared: &Shared, renew: &Renew) {
     let mut state = lock(shared);
-    // End expired attempts first: a late renewal must not revive them.
+    // End expired attempts first: a late renewal must not extend their leases.
     state.tick();
     let until_ms = clock::now().as_ms() + renew.lease_ms;
     for attempt in &renew.attempts {
@@ -327,7 +327,7 @@
         incarnation: rand::random::<u64>() >> 1,
         running: BTreeMap::new(),
         ended: BTreeMap::new(),
-        is_cut_off: false,
+        is_partitioned: false,
         record: Arc::clone(record),
         ends,
     }));
@@ -375,10 +375,10 @@
 /// Announces boxes to the platform every second until the process ends.
 pub async fn announce_periodically(platform_addr: &str, boxes: Vec<BoxFacts>) {
     let http = HttpClient::new(1);
-    let limit = Duration::from_secs(2);
+    let timeout = Duration::from_secs(2);
     let announcement = Announcement { boxes };
     loop {
-        let call = Call::new(Method::POST, platform_addr, "/admin/announce", limit);
+        let call = Call::new(Method::POST, platform_addr, "/admin/announce", timeout);
         if let Ok(call) = call.with_json(&announcement) {
             // A lost announcement is covered by the next one.
             let _ = http.call(call).await;
@@ -409,7 +409,7 @@
         if faults.restart.contains(&name) {
             state.restart();
         }
-        state.is_cut_off = faults.cut_off.contains(&name);
+        state.is_partitioned = faults.cut_off.contains(&name);
     }
     text(StatusCode::OK, "ok")
 }
