--- a/crates/cli/src/table_commands.rs
+++ b/crates/cli/src/table_commands.rs
@@ -11,7 +11,7 @@
 use ospreywing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// A row and the revision that an edit of it must name.
+/// A row and the revision that an edit of it must specify.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct VersionedRow {
     row: Option<Row>,
--- a/crates/replay/src/measurements.rs
+++ b/crates/replay/src/measurements.rs
@@ -7,9 +7,10 @@
 use std::time::Duration;
 
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// The longest waiting time that is recorded, a week. Longer waits count as this.
+/// The longest waiting time that is recorded: one week. Longer ones are recorded as this value.
 const MAX_WAIT_MS: u64 = 7 * 24 * 3600 * 1000;
-/// The longest decision time that is recorded, a minute. Longer decisions count as this.
+/// The longest decision time that is recorded: one minute. Longer ones are recorded as this
+/// value.
 const MAX_DECISION_NS: u64 = 60_000_000_000;
 
 fn histogram(max: u64) -> Histogram<u64> {
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -79,10 +79,10 @@
     pub packing_bound_ratio: f64,
     /// The fraction of each resource that was used.
     pub packing: Packing,
-    /// Starts decided per second of decision time, which is real time.
+    /// Starts decided per second of real time spent on decisions.
     pub decisions_per_s: f64,
-    /// The real time of one decision, in microseconds. Each decision counts as the mean of its
-    /// commit.
+    /// The real time of one decision, in microseconds. Each decision is recorded with the mean
+    /// time of the decisions in its commit.
     pub decision_us: Quantiles,
     /// Commits per second of the trace's time.
     pub store_calls_per_s: f64,
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -227,7 +227,7 @@
     module
 }
 
-/// Counts a call, and delays it while the worker is partitioned.
+/// Counts a call, and delays it by [`PARTITION_DELAY`] if the worker is partitioned.
 async fn delay_if_partitioned(shared: &Shared) {
     let is_partitioned = {
         let state = lock(shared);
