--- a/crates/cli/src/table_commands.rs
+++ b/crates/cli/src/table_commands.rs
@@ -11,7 +11,7 @@
 use ospreywing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// A row and the revision that an edit of it must name.
+/// A row and the revision that an edit of it must specify.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct VersionedRow {
     row: Option<Row>,
@@ -26,7 +26,7 @@
     lagging: Vec<Name>,
 }
 
-/// The response to an edit that was refused because another edit came first.
+/// The response to an edit that was rejected because the row has changed since it was read.
 #[derive(Clone, Debug, Deserialize)]
 struct Conflict {
     reason: String,
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -56,9 +56,9 @@
 pub struct ReplayReport {
     /// The number of tasks that arrived.
     pub tasks: u64,
-    /// The number of tasks that were refused.
+    /// The number of tasks that were rejected.
     pub refused: u64,
-    /// The number of tasks that had neither ended nor been refused when the replay ended.
+    /// The number of tasks that had neither ended nor been rejected when the replay ended.
     pub lost: u64,
     /// The number of starts of a task that was already running.
     pub run_twice: u64,
@@ -79,10 +79,10 @@
     pub packing_bound_ratio: f64,
     /// The fraction of each resource that was used.
     pub packing: Packing,
-    /// Starts decided per second of decision time, which is real time.
+    /// Starts decided per second of real time spent on decisions.
     pub decisions_per_s: f64,
-    /// The real time of one decision, in microseconds. Each decision counts as the mean of its
-    /// commit.
+    /// The real time of one decision, in microseconds. Each decision is recorded with the mean
+    /// time of the decisions in its commit.
     pub decision_us: Quantiles,
     /// Commits per second of the trace's time.
     pub store_calls_per_s: f64,
--- a/crates/standin/src/drive.rs
+++ b/crates/standin/src/drive.rs
@@ -54,9 +54,9 @@
     pub requests_wrong: u64,
     /// Requests that got no final answer before the timeout.
     pub requests_not_run: u64,
-    /// Requests whose outcome the daemon doesn't know.
+    /// Requests whose outcome the daemon reported as unknown.
     pub requests_unknown: u64,
-    /// Answers without success that were retried, for requests and tasks.
+    /// Calls for requests and tasks that were retried after an unsuccessful answer.
     pub refusals: u64,
     /// Latency of requests, retries included, in milliseconds.
     pub request_ms: Quantiles,
@@ -125,7 +125,7 @@
     },
 ];
 
-/// A caller gives up on a request after this time, over all its calls.
+/// How long a caller retries a request before it gives up.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(40);
