--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' tool: talks to any daemon over HTTP.
+//! The command-line tool for operators. It calls the daemons over HTTP.
 
 mod client;
 pub mod command;
@@ -18,6 +18,6 @@
 pub use client::Daemons;
 pub use delays::{delays_by_queue, Delays, QueueDelays};
 pub use error::{CliError, ExitKind};
-pub use explain::{ClockDoubt, Entry, Story};
+pub use explain::{ClockJump, Entry, RequestTimeline};
 pub use run::run;
 pub use soak::Seeds;
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports: boxes, status, service-level burn.
+//! The commands `boxes`, `status` and `report burn`.
 
 use crate::client::Daemons;
 use crate::print::{columns, print, Format};
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// `boxes`.
+/// Runs `boxes`: lists the boxes and whether they are connected.
 pub(crate) async fn boxes(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let parts: Vec<Vec<BoxReport>> = daemons.get_all("/v1/boxes").await;
     let mut merged: BTreeMap<String, BoxReport> = BTreeMap::new();
@@ -43,11 +43,11 @@
     ]
 }
 
-/// `status`.
+/// Runs `status`: prints the cell as each daemon sees it.
 pub(crate) async fn status(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let reports: Vec<CellReport> = daemons.get_all("/v1/status").await;
     if reports.is_empty() {
-        // Say why no daemon answers.
+        // Returns the error that explains why no daemon answered.
         let _: CellReport = daemons.get("/v1/status").await?;
     }
     print(format, &reports, || {
@@ -116,7 +116,7 @@
     format!("{head}\n{members}\n{}", columns(&shards_heading, &shards))
 }
 
-/// One row of the burn report, over all daemons.
+/// One row of the burn report, summed over all daemons.
 #[derive(Clone, Debug, Serialize)]
 struct BurnLine {
     row: String,
@@ -130,12 +130,12 @@
     advice: &'static str,
 }
 
-/// A burn above this in the short window will use a month's budget in days.
-const BURN_FAST: f64 = 14.0;
-/// The budget is used faster than it comes back.
-const BURN_SLOW: f64 = 1.0;
+/// Burn rate that, in the short window, would use up a month's error budget within days.
+const FAST_BURN_RATE: f64 = 14.0;
+/// Burn rate above which the error budget is used faster than it is replenished.
+const SLOW_BURN_RATE: f64 = 1.0;
 
-/// `report burn`.
+/// Runs `report burn`: prints how fast each service row uses its error budget.
 pub(crate) async fn burn(daemons: &Daemons, format: Format) -> Result<(), CliError> {
     let parts: Vec<Vec<BurnReport>> = daemons.get_all("/v1/burn").await;
     if parts.is_empty() {
@@ -145,8 +145,8 @@
     for part in parts.into_iter().flatten() {
         match merged.get_mut(&part.row) {
             Some(sum) => {
-                add(&mut sum.short, part.short);
-                add(&mut sum.long, part.long);
+                add_window(&mut sum.short, part.short);
+                add_window(&mut sum.long, part.long);
             }
             None => {
                 merged.insert(part.row.clone(), part);
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-fn add(sum: &mut Window, part: Window) {
+fn add_window(sum: &mut Window, part: Window) {
     sum.total_count += part.total_count;
     sum.good_count += part.good_count;
 }
@@ -187,11 +187,11 @@
 }
 
 fn advice(burn_short: f64, burn_long: f64) -> &'static str {
-    if burn_short >= BURN_FAST && burn_long >= BURN_FAST {
+    if burn_short >= FAST_BURN_RATE && burn_long >= FAST_BURN_RATE {
         "act now: add minions, raise the row's priority or cap its neighbours"
-    } else if burn_short >= BURN_FAST {
+    } else if burn_short >= FAST_BURN_RATE {
         "just began: look at `ospreywing status` and the minions of the row"
-    } else if burn_long >= BURN_SLOW {
+    } else if burn_long >= SLOW_BURN_RATE {
         "too slow a leak to wake for: raise the row's share or its deadline"
     } else {
         "nothing to do"
--- a/crates/control/src/cell_view.rs
+++ b/crates/control/src/cell_view.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 use thiserror::Error;
 
-/// The most candidates that a leader names.
+/// The maximum number of candidates that a leader names.
 pub const CANDIDATES_COUNT: usize = 8;
 
 /// The record of a live node, as stored.
@@ -16,14 +16,14 @@
 pub struct NodeRecord {
     /// The address for calls of other nodes.
     pub address: String,
-    /// Its processor share, in thousandths of a core.
+    /// Its CPU share, in thousandths of a core.
     pub cores_milli: u32,
     /// Its data centre; empty if it is not known.
     pub data_centre: String,
 }
 
 impl NodeRecord {
-    /// Parses the stored form, also that of earlier versions without a data centre.
+    /// Parses the stored record, also that of earlier versions without a data centre.
     ///
     /// # Errors
     ///
@@ -96,7 +96,7 @@
     /// The value was not received whole.
     #[error(transparent)]
     Value(#[from] UnreadableValue),
-    /// The value has an unknown form.
+    /// The value has an unknown format.
     #[error(transparent)]
     Form(#[from] postcard::Error),
 }
@@ -134,7 +134,7 @@
     }
 }
 
-/// Returns the nodes that should campaign first: those with the most processor, and among
+/// Returns the nodes that should campaign first: those with the largest CPU share, and among
 /// equal ones one of each data centre before a second one of any.
 pub fn choose_candidates(nodes: &BTreeMap<String, NodeRecord>) -> Vec<Candidate> {
     let mut ranked: Vec<(&String, &NodeRecord)> = nodes.iter().collect();
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,7 +1,7 @@
-//! Putting the parts together, and the daemon's life from start to stop.
+//! Starts the daemon's components, runs them and shuts them down.
 
 use crate::api::{self, Api};
-use crate::engine::{Engine, EngineHandle, Hands};
+use crate::engine::{Effects, Engine, EngineHandle};
 use crate::error::DaemonError;
 use crate::layout::Layout;
 use crate::metrics::{self, StoreCounts};
@@ -24,17 +24,17 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::Notify;
 
-/// Threads that serve callers.
+/// Threads that serve the HTTP API.
 const API_THREADS_COUNT: usize = 1;
-/// How long answers may take to reach callers once all work is done.
-const LAST_ANSWERS: std::time::Duration = std::time::Duration::from_millis(300);
+/// Time for responses to reach callers after all work is done.
+const REPLY_FLUSH_TIME: std::time::Duration = std::time::Duration::from_millis(300);
 
-/// Runs the daemon until it was asked to stop and has left.
+/// Runs the daemon until a signal stops it and it has drained.
 ///
 /// # Errors
 ///
-/// Returns an error where a socket can't be opened or the store says what the
-/// daemon can't work with.
+/// Returns an error if a socket can't be opened or the cell in the store has a different
+/// number of shards.
 pub async fn run(settings: Settings, log: Logger) -> Result<(), DaemonError> {
     let (engine, messages) = EngineHandle::new();
     let (rpc, rpc_addr) = peer_server::start(settings.rpc_addr, engine.clone())
@@ -46,8 +46,8 @@
         .local_addr()
         .map_err(|source| socket_error("--http-addr", settings.http_addr, source))?;
     let member = member(&settings, rpc_addr, http_addr);
-    let time_limit = settings.store_time_limit.into();
-    let store = StoreClient::new(&settings.store_addr.to_string(), time_limit);
+    let store_timeout = settings.store_time_limit.into();
+    let store = StoreClient::new(&settings.store_addr.to_string(), store_timeout);
     let layout = Layout::new(&settings.cell);
     check_shards(&store, &layout, settings.shards_count).await?;
 
@@ -78,7 +78,7 @@
     let stop_api = api::start(listener, api, API_THREADS_COUNT)
         .map_err(|source| socket_error("--http-addr", http_addr, source))?;
 
-    let is_entered = Arc::new(AtomicBool::new(false));
+    let is_registered = Arc::new(AtomicBool::new(false));
     let member_key = layout.member(&settings.name);
     let poll = StorePoll::new(
         store,
@@ -86,10 +86,10 @@
         engine.clone(),
         Arc::clone(&counts),
         member_key,
-        Arc::clone(&is_entered),
+        Arc::clone(&is_registered),
     );
     tokio::spawn(poll.run(settings.poll_every, wake));
-    tokio::spawn(calls.clone().keep_member(is_entered));
+    tokio::spawn(calls.clone().maintain_member_entry(is_registered));
     let boxes_addr = settings.boxes_addr.to_string();
     tokio::spawn(box_list::run(
         engine.clone(),
@@ -101,11 +101,11 @@
             metrics::client(addr).map_err(|source| socket_error("--statsd-addr", addr, source))?;
         tokio::spawn(metrics::run(client, engine.clone(), counts));
     }
-    tokio::spawn(leave_on_signal(engine.clone(), log.clone()));
+    tokio::spawn(drain_on_signal(engine.clone(), log.clone()));
 
     info!(log, "started"; "http" => http_addr.to_string(), "rpc" => rpc_addr.to_string(),
         "incarnation" => member.identity.incarnation);
-    let hands = Hands {
+    let effects = Effects {
         store: calls.clone(),
         sessions: Sessions::new(engine.clone()),
         peers: PeerClients::new(member.identity.clone(), engine.clone()),
@@ -113,13 +113,14 @@
     };
     let node = Node::new(node_config(&settings, member));
     let drain_limit = settings.drain_limit;
-    Engine::new(node, hands, log)
+    Engine::new(node, effects, log)
         .run(messages, drain_limit)
         .await;
-    calls.leave().await;
-    tokio::time::sleep(LAST_ANSWERS).await;
+    calls.deregister().await;
+    tokio::time::sleep(REPLY_FLUSH_TIME).await;
     stop_api();
-    // The endpoint goes last: that nobody listens there proves the end.
+    // The RPC endpoint closes last: a refused connection to it proves to other daemons that
+    // this process has ended.
     let _ = rpc.stop();
     Ok(())
 }
@@ -161,7 +162,11 @@
     config
 }
 
-/// Puts the number of shards on record, or compares it with what is there.
+/// Stores the cell's number of shards, or checks it against the stored number.
+///
+/// # Errors
+///
+/// Returns [`DaemonError::ShardsCount`] if the numbers differ.
 async fn check_shards(
     store: &StoreClient,
     layout: &Layout,
@@ -180,7 +185,7 @@
     let reply = loop {
         match store.txn(&txn).await {
             Ok(reply) => break reply,
-            // A daemon that starts in an outage of the store waits for its end.
+            // A daemon that starts during a store outage waits until the store responds.
             Err(_) => backoff.wait().await,
         }
     };
@@ -195,7 +200,7 @@
     }
 }
 
-async fn leave_on_signal(engine: EngineHandle, log: Logger) {
+async fn drain_on_signal(engine: EngineHandle, log: Logger) {
     let (Ok(mut term), Ok(mut int)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -207,5 +212,5 @@
         _ = int.recv() => {}
     }
     info!(log, "leaving");
-    engine.tell(Event::Leave).await;
+    engine.send_event(Event::Leave).await;
 }
--- a/crates/daemon/src/sessions.rs
+++ b/crates/daemon/src/sessions.rs
@@ -1,8 +1,8 @@
-//! Connections to workers, each bound to one run of its worker.
+//! Connections to workers, each bound to one incarnation of its worker.
 //!
-//! A start goes only over the connection that is open when it is carried out,
-//! and only to the run of the worker that it names. When this process ends,
-//! the system discards what it has not sent: connections linger for no time.
+//! A start is sent only on the connection that is open when the order is executed, and
+//! only to the incarnation that it names. When this process ends, the system discards
+//! unsent data, because the linger time of the sockets is zero.
 
 use crate::clock;
 use crate::engine::EngineHandle;
@@ -20,12 +20,12 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(2000);
-const CALL_LIMIT: Duration = Duration::from_millis(4000);
-/// Unacknowledged bytes are given up on after this time.
-const USER_TIMEOUT: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(2000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
+/// How long sent bytes may stay unacknowledged before the system closes the connection.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The number of the next connection; each is used once in a process.
+/// The number of the next connection; unique within this process.
 static NEXT_SESSION: AtomicU64 = AtomicU64::new(1);
 
 /// Connections to workers.
@@ -35,7 +35,7 @@
 }
 
 impl Sessions {
-    /// Creates no connections; what happens on them goes to `engine`.
+    /// Creates an empty set of connections; their events are sent to `engine`.
     pub fn new(engine: EngineHandle) -> Self {
         Self {
             engine,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Carries out an action that is about a worker; passes over others.
-    pub fn carry_out(&mut self, action: Action) {
+    /// Executes an action that concerns a worker; ignores all others.
+    pub fn execute(&mut self, action: Action) {
         match action {
             Action::Connect {
                 worker,
@@ -77,15 +77,15 @@
             Order::Renew(_) | Order::Stop(_) | Order::Report => None,
         };
         let sent = self.orders.get(worker).map(|orders| orders.send(order));
-        // Any other order for a connection that has gone is moot.
+        // Only a start needs a result; other orders to a closed connection have no effect.
         if let (Some(attempt), None | Some(Err(_))) = (attempt, sent) {
             let engine = self.engine.clone();
-            tokio::spawn(async move { engine.tell(Event::StartNotSent { attempt }).await });
+            tokio::spawn(async move { engine.send_event(Event::StartNotSent { attempt }).await });
         }
     }
 }
 
-/// The connections to one worker, one after the other.
+/// The connections to one worker; at most one is open at a time.
 #[derive(Clone)]
 struct WorkerSession {
     worker: Name,
@@ -94,24 +94,24 @@
     engine: EngineHandle,
 }
 
-/// One open connection.
+/// An open connection.
 #[derive(Clone)]
 struct OpenSession {
     session: WorkerSession,
     client: Arc<WsClient>,
     number: u64,
     incarnation: u64,
-    broken: Arc<tokio::sync::Notify>,
+    connection_failed: Arc<tokio::sync::Notify>,
 }
 
 impl WorkerSession {
-    /// Keeps a connection until no more orders can come.
+    /// Keeps a connection open, reconnecting as needed, until the order channel is closed.
     async fn run(self, mut orders: mpsc::UnboundedReceiver<Order>) {
         let mut backoff = Backoff::new();
         loop {
-            if let Ok((open, ends)) = self.open().await {
+            if let Ok((open, ended_events)) = self.open().await {
                 backoff = Backoff::new();
-                let is_over = open.serve(ends, &mut orders).await;
+                let is_finished = open.serve(ended_events, &mut orders).await;
                 let worker = self.worker.clone();
                 let session = open.number;
                 let closed = Event::SessionClosed {
@@ -119,25 +119,28 @@
                     epoch: self.epoch,
                     session,
                 };
-                self.engine.tell(closed).await;
-                if is_over {
+                self.engine.send_event(closed).await;
+                if is_finished {
                     return;
                 }
             }
-            if self.refuse_orders(&mut orders).await {
+            if self.discard_queued_orders(&mut orders).await {
                 return;
             }
             backoff.wait().await;
         }
     }
 
-    /// Refuses the orders that wait and returns whether no more can come.
-    async fn refuse_orders(&self, orders: &mut mpsc::UnboundedReceiver<Order>) -> bool {
+    /// Reports queued starts as not sent, drops other queued orders, and returns whether the
+    /// order channel is closed.
+    async fn discard_queued_orders(&self, orders: &mut mpsc::UnboundedReceiver<Order>) -> bool {
         loop {
             match orders.try_recv() {
                 Ok(Order::Start { start, .. }) => {
                     let attempt = start.attempt;
-                    self.engine.tell(Event::StartNotSent { attempt }).await;
+                    self.engine
+                        .send_event(Event::StartNotSent { attempt })
+                        .await;
                 }
                 Ok(_) => {}
                 Err(mpsc::error::TryRecvError::Empty) => return false,
@@ -147,11 +150,11 @@
     }
 
     async fn open(&self) -> Result<(OpenSession, Subscription<Ended>), RpcError> {
-        let opened = tokio::time::timeout(CONNECT_LIMIT, self.open_at_length()).await;
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, self.open_without_timeout()).await;
         opened.unwrap_or(Err(RpcError::RequestTimeout))
     }
 
-    async fn open_at_length(&self) -> Result<(OpenSession, Subscription<Ended>), RpcError> {
+    async fn open_without_timeout(&self) -> Result<(OpenSession, Subscription<Ended>), RpcError> {
         let stream = TcpStream::connect(&self.addr)
             .await
             .map_err(|error| RpcError::Transport(Box::new(error)))?;
@@ -160,7 +163,7 @@
         let client = WsClientBuilder::new()
             .build_with_stream(url, stream)
             .await?;
-        let ends = client
+        let ended_events = client
             .subscribe(
                 worker::SUBSCRIBE_ENDS,
                 rpc_params![],
@@ -173,46 +176,46 @@
             client: Arc::new(client),
             number: NEXT_SESSION.fetch_add(1, Ordering::Relaxed),
             incarnation: report.incarnation,
-            broken: Arc::new(tokio::sync::Notify::new()),
+            connection_failed: Arc::new(tokio::sync::Notify::new()),
         };
         let worker = self.worker.clone();
         self.engine
-            .tell(Event::SessionOpened {
+            .send_event(Event::SessionOpened {
                 worker,
                 epoch: self.epoch,
                 session: open.number,
                 report,
             })
             .await;
-        Ok((open, ends))
+        Ok((open, ended_events))
     }
 }
 
 fn set_options(stream: &TcpStream) {
-    // Each option only makes an end be noticed sooner; without it, later.
+    // Failures are ignored: without these options a dead connection is only detected later.
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_linger(Some(Duration::ZERO));
-    let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 impl OpenSession {
-    /// Serves orders until the connection breaks or no more can come; returns
-    /// whether the latter.
+    /// Handles orders and events until the connection fails or the order channel is closed;
+    /// returns `true` in the latter case.
     async fn serve(
         &self,
-        mut ends: Subscription<Ended>,
+        mut ended_events: Subscription<Ended>,
         orders: &mut mpsc::UnboundedReceiver<Order>,
     ) -> bool {
         loop {
             tokio::select! {
-                ended = ends.next() => match ended {
+                ended = ended_events.next() => match ended {
                     Some(Ok(ended)) => self.on_ended(ended).await,
                     Some(Err(_)) | None => return false,
                 },
-                () = self.broken.notified() => return false,
+                () = self.connection_failed.notified() => return false,
                 order = orders.recv() => match order {
-                    Some(order) => self.carry_out(order).await,
+                    Some(order) => self.execute(order).await,
                     None => return true,
                 },
             }
@@ -223,18 +226,18 @@
         let worker = self.session.worker.clone();
         self.session
             .engine
-            .tell(Event::Ended { worker, ended })
+            .send_event(Event::Ended { worker, ended })
             .await;
     }
 
-    async fn carry_out(&self, order: Order) {
+    async fn execute(&self, order: Order) {
         let this = self.clone();
         match order {
             Order::Start { incarnation, start } => {
                 if incarnation != self.incarnation || !self.client.is_connected() {
                     let attempt = start.attempt;
                     let event = Event::StartNotSent { attempt };
-                    self.session.engine.tell(event).await;
+                    self.session.engine.send_event(event).await;
                     return;
                 }
                 tokio::spawn(async move { this.start(start).await });
@@ -246,7 +249,7 @@
                 tokio::spawn(async move { this.stop(stop).await });
             }
             Order::Report => {
-                tokio::spawn(async move { this.ask_report().await });
+                tokio::spawn(async move { this.request_report().await });
             }
         }
     }
@@ -256,24 +259,24 @@
         let call = self
             .client
             .request::<(), _>(worker::START, rpc_params![start]);
-        let event = match tokio::time::timeout(CALL_LIMIT, call).await {
+        let event = match tokio::time::timeout(CALL_TIMEOUT, call).await {
             Ok(Ok(())) => Event::StartAcked { attempt },
-            // The worker itself says that it did not start it.
+            // The worker responded that it did not start the attempt.
             Ok(Err(RpcError::Call(_))) => Event::StartNotSent { attempt },
             Ok(Err(_)) | Err(_) => {
-                self.broken.notify_one();
-                Event::StartInDoubt { attempt }
+                self.connection_failed.notify_one();
+                Event::StartUnconfirmed { attempt }
             }
         };
-        self.session.engine.tell(event).await;
+        self.session.engine.send_event(event).await;
     }
 
     async fn renew(&self, renew: Renew) {
         let call = self
             .client
             .request::<(), _>(worker::RENEW, rpc_params![renew]);
-        if !matches!(tokio::time::timeout(CALL_LIMIT, call).await, Ok(Ok(()))) {
-            self.broken.notify_one();
+        if !matches!(tokio::time::timeout(CALL_TIMEOUT, call).await, Ok(Ok(()))) {
+            self.connection_failed.notify_one();
         }
     }
 
@@ -281,17 +284,17 @@
         let call = self
             .client
             .request::<(), _>(worker::STOP, rpc_params![stop]);
-        if !matches!(tokio::time::timeout(CALL_LIMIT, call).await, Ok(Ok(()))) {
-            self.broken.notify_one();
+        if !matches!(tokio::time::timeout(CALL_TIMEOUT, call).await, Ok(Ok(()))) {
+            self.connection_failed.notify_one();
         }
     }
 
-    async fn ask_report(&self) {
+    async fn request_report(&self) {
         let asked_at = clock::now();
         let call = self
             .client
             .request::<Report, _>(worker::REPORT, rpc_params![]);
-        match tokio::time::timeout(CALL_LIMIT, call).await {
+        match tokio::time::timeout(CALL_TIMEOUT, call).await {
             Ok(Ok(report)) => {
                 let event = Event::Reported {
                     worker: self.session.worker.clone(),
@@ -300,9 +303,9 @@
                     asked_at,
                     report,
                 };
-                self.session.engine.tell(event).await;
+                self.session.engine.send_event(event).await;
             }
-            Ok(Err(_)) | Err(_) => self.broken.notify_one(),
+            Ok(Err(_)) | Err(_) => self.connection_failed.notify_one(),
         }
     }
 }
--- a/crates/daemon/src/store_calls.rs
+++ b/crates/daemon/src/store_calls.rs
@@ -1,8 +1,8 @@
-//! Writes of the store: claims, commits, seats, and the lease of this daemon.
+//! Writes to the store: claims of shards and seats, commits, and this daemon's member entry.
 //!
-//! A write whose answer is lost is resolved, not repeated blindly: each is a
-//! transaction that takes effect at most once, and is made again until the
-//! store says whether it has.
+//! Claims of shards and commits are transactions that take effect at most once. If a
+//! response is lost, the transaction is retried until the store's reply shows whether it
+//! took effect. Claims of seats and vacations are sent once; the next poll shows their result.
 
 use crate::engine::EngineHandle;
 use crate::layout::Layout;
@@ -17,15 +17,18 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Batches that one call may return.
-const PAGE_COUNT: u64 = 500;
+/// Maximum number of batches that a call returns.
+const PAGE_SIZE: u64 = 500;
+/// The upper bound of the first delay of a [`Backoff`].
 const BACKOFF_FIRST: Duration = Duration::from_millis(40);
+/// The upper bound of all delays of a [`Backoff`].
 const BACKOFF_LIMIT: Duration = Duration::from_millis(1000);
-/// The lease of this daemon's entry, and how often it is kept alive.
+/// The time to live of the lease of this daemon's member entry.
 const MEMBER_TTL_S: u64 = 10;
-const KEEPALIVE_EVERY: Duration = Duration::from_secs(3);
+/// The interval between renewals of that lease.
+const KEEPALIVE_PERIOD: Duration = Duration::from_secs(3);
 
-/// Writes of the store.
+/// Writes to the store.
 #[derive(Clone)]
 pub struct StoreCalls {
     store: StoreClient,
@@ -36,20 +39,20 @@
     wake: Arc<Notify>,
 }
 
-/// What became of a commit.
-enum Committed {
+/// The outcome of a commit.
+enum CommitOutcome {
     Done,
     Fenced { is_refused: bool },
 }
 
-/// What became of a claim.
-enum Claim {
+/// The outcome of a claim.
+enum ClaimOutcome {
     Won { revision: u64 },
     Lost,
 }
 
 impl StoreCalls {
-    /// Creates the calls; `wake` makes the poller read what they changed.
+    /// Creates the writer; it notifies `wake` after a write, so that the poller polls at once.
     pub fn new(
         store: StoreClient,
         layout: Layout,
@@ -68,23 +71,23 @@
         }
     }
 
-    /// Claims a shard, reads its log and tells the engine.
+    /// Claims a shard, reads its log and sends the result to the engine.
     pub fn claim_shard(&self, shard: u32, revision: u64) {
         let this = self.clone();
         tokio::spawn(async move {
             let key = this.layout.owner(shard);
             let event = match this.claim(key, revision).await {
-                Claim::Won { revision } => {
+                ClaimOutcome::Won { revision } => {
                     Event::ShardClaimed(this.read_log(shard, revision).await)
                 }
-                Claim::Lost => Event::ClaimFailed { shard },
+                ClaimOutcome::Lost => Event::ClaimFailed { shard },
             };
-            this.engine.tell(event).await;
+            this.engine.send_event(event).await;
             this.wake.notify_one();
         });
     }
 
-    /// Claims a seat; the poller sees whether it was won.
+    /// Claims a seat; the next poll shows whether the claim succeeded.
     pub fn claim_seat(&self, seat: u32, revision: u64) {
         let this = self.clone();
         tokio::spawn(async move {
@@ -94,19 +97,19 @@
                     key: key.clone(),
                     revision,
                 })
-                .with_then(this.put_me(key));
+                .with_then(this.put_own_identity(key));
             StoreCounts::add(&this.counts.claims_count);
             let _ = this.store.txn(&txn).await;
             this.wake.notify_one();
         });
     }
 
-    /// Vacates a shard's key; the poller sees whether that took effect.
+    /// Vacates a shard; the next poll shows whether that took effect.
     pub fn vacate_shard(&self, shard: u32, revision: u64) {
         self.vacate(self.layout.owner(shard), revision);
     }
 
-    /// Vacates a seat's key; the poller sees whether that took effect.
+    /// Vacates a seat; the next poll shows whether that took effect.
     pub fn vacate_seat(&self, seat: u32, revision: u64) {
         self.vacate(self.layout.seat(seat), revision);
     }
@@ -130,7 +133,7 @@
         });
     }
 
-    fn put_me(&self, key: String) -> Op {
+    fn put_own_identity(&self, key: String) -> Op {
         let identity = &self.member.identity;
         Op::Put {
             key,
@@ -139,48 +142,48 @@
         }
     }
 
-    /// Writes this process under `key` where it has `revision`, and finds out
-    /// whether that took effect even when answers are lost.
-    async fn claim(&self, key: String, revision: u64) -> Claim {
+    /// Writes this daemon's identity to `key` if the key is at `revision`, and retries until
+    /// it is known whether that took effect.
+    async fn claim(&self, key: String, revision: u64) -> ClaimOutcome {
         let txn = Txn::new()
             .with_compare(Compare::ModRevision {
                 key: key.clone(),
                 revision,
             })
-            .with_then(self.put_me(key.clone()))
+            .with_then(self.put_own_identity(key.clone()))
             .with_otherwise(Op::Get { key });
         let (reply, _) = self
             .txn_until_answered(&txn, &self.counts.claims_count)
             .await;
         if reply.succeeded {
-            return Claim::Won {
+            return ClaimOutcome::Won {
                 revision: reply.revision,
             };
         }
-        // An earlier try of ours may have taken effect with its answer lost.
-        match first_of(&reply) {
-            Some(found) if self.is_me(found) => Claim::Won {
+        // An earlier attempt may have taken effect although its response was lost.
+        match first_key_value(&reply) {
+            Some(found) if self.is_own_identity(found) => ClaimOutcome::Won {
                 revision: found.mod_revision,
             },
-            _ => Claim::Lost,
+            _ => ClaimOutcome::Lost,
         }
     }
 
-    fn is_me(&self, found: &KeyValue) -> bool {
+    fn is_own_identity(&self, found: &KeyValue) -> bool {
         let identity: Option<ospreywing_types::DaemonIdentity> =
             serde_json::from_slice(&found.value).unwrap_or(None);
         identity.is_some_and(|identity| identity == self.member.identity)
     }
 
-    /// Reads a shard's log. Its former owner is fenced, so it stands still.
+    /// Reads a shard's log, which no longer changes because the former owner is fenced.
     async fn read_log(&self, shard: u32, epoch: u64) -> ClaimedLog {
         let prefix = self.layout.log(shard);
         let mut backoff = Backoff::new();
         loop {
             StoreCounts::add(&self.counts.log_reads_count);
-            if let Ok(page) = self.store.range_all(&prefix, PAGE_COUNT).await {
+            if let Ok(page) = self.store.range_all(&prefix, PAGE_SIZE).await {
                 let found = page.key_values.into_iter().filter_map(|found| {
-                    let seq = self.layout.seq_of(shard, &found.key)?;
+                    let seq = self.layout.parse_batch_seq(shard, &found.key)?;
                     Some((seq, found.value))
                 });
                 return ClaimedLog {
@@ -193,23 +196,28 @@
         }
     }
 
-    /// Writes a commit and tells the engine whether it took effect.
+    /// Writes a commit and reports to the engine whether it took effect.
     pub fn commit(&self, shard: u32, epoch: u64, commit: Commit) {
         let this = self.clone();
         tokio::spawn(async move {
-            let event = match this.commit_until_known(shard, epoch, &commit).await {
-                Committed::Done => Event::CommitDone { shard, epoch },
-                Committed::Fenced { is_refused } => Event::CommitFenced {
+            let event = match this.commit_until_resolved(shard, epoch, &commit).await {
+                CommitOutcome::Done => Event::CommitDone { shard, epoch },
+                CommitOutcome::Fenced { is_refused } => Event::CommitFenced {
                     shard,
                     epoch,
                     is_refused,
                 },
             };
-            this.engine.tell(event).await;
+            this.engine.send_event(event).await;
         });
     }
 
-    async fn commit_until_known(&self, shard: u32, epoch: u64, commit: &Commit) -> Committed {
+    async fn commit_until_resolved(
+        &self,
+        shard: u32,
+        epoch: u64,
+        commit: &Commit,
+    ) -> CommitOutcome {
         let owner_key = self.layout.owner(shard);
         let batch_key = self.layout.batch(shard, commit.seq);
         let mut txn = Txn::new()
@@ -232,29 +240,32 @@
                 end: self.layout.batch(shard, commit.first_kept_seq),
             });
         }
-        let (reply, tries_count) = self
+        let (reply, attempts_count) = self
             .txn_until_answered(&txn, &self.counts.commits_count)
             .await;
-        // The batch stands there because an earlier try of ours took effect.
-        let stands = first_of(&reply).is_some_and(|found| found.value == commit.value);
-        if reply.succeeded || stands {
-            return Committed::Done;
+        // If the batch has this value, an earlier attempt took effect.
+        let is_already_written =
+            first_key_value(&reply).is_some_and(|found| found.value == commit.value);
+        if reply.succeeded || is_already_written {
+            return CommitOutcome::Done;
         }
-        // After an earlier try the batch may have stood and been cleaned away.
-        Committed::Fenced {
-            is_refused: tries_count == 1,
+        // After several attempts, an earlier one may have written the batch, and the batch may have
+        // been deleted since. Only a first attempt proves that the store refused the commit.
+        CommitOutcome::Fenced {
+            is_refused: attempts_count == 1,
         }
     }
 
-    /// Makes a transaction until it is answered; returns the number of tries too.
+    /// Retries a transaction until the store responds; returns the reply and the number of
+    /// attempts.
     async fn txn_until_answered(&self, txn: &Txn, count: &AtomicU64) -> (TxnReply, u32) {
         let mut backoff = Backoff::new();
-        let mut tries_count = 0;
+        let mut attempts_count = 0;
         loop {
-            tries_count += 1;
+            attempts_count += 1;
             StoreCounts::add(count);
             match self.store.txn(txn).await {
-                Ok(reply) => return (reply, tries_count),
+                Ok(reply) => return (reply, attempts_count),
                 Err(_) => {
                     StoreCounts::add(&self.counts.failures_count);
                     backoff.wait().await;
@@ -263,35 +274,35 @@
         }
     }
 
-    /// Keeps this daemon's entry in the store for ever, under a lease.
+    /// Maintains this daemon's member entry in the store under a lease; never returns.
     ///
-    /// `is_entered` says whether the last poll found the entry: a lease that is
-    /// alive does not prove that the entry is there.
-    pub async fn keep_member(self, is_entered: Arc<AtomicBool>) {
+    /// `is_registered` is whether the last poll found the entry. It is checked in addition to
+    /// the lease, because a live lease doesn't prove that the entry exists.
+    pub async fn maintain_member_entry(self, is_registered: Arc<AtomicBool>) {
         let mut lease = None;
-        let mut ticks = tokio::time::interval(KEEPALIVE_EVERY);
+        let mut ticks = tokio::time::interval(KEEPALIVE_PERIOD);
         loop {
             ticks.tick().await;
-            let kept = match lease {
-                Some(_) if !is_entered.load(Ordering::Relaxed) => Ok(false),
-                Some(lease) => self.keep_alive(lease).await,
+            let is_renewed = match lease {
+                Some(_) if !is_registered.load(Ordering::Relaxed) => Ok(false),
+                Some(lease) => self.renew_lease(lease).await,
                 None => Ok(false),
             };
-            match kept {
+            match is_renewed {
                 Ok(true) => {}
-                Ok(false) => lease = self.enter().await.ok(),
-                // The lease may still be there: ask again.
+                Ok(false) => lease = self.register().await.ok(),
+                // The lease may still be alive; renew it again at the next tick.
                 Err(_) => {}
             }
         }
     }
 
-    async fn keep_alive(&self, lease: u64) -> Result<bool, StoreError> {
+    async fn renew_lease(&self, lease: u64) -> Result<bool, StoreError> {
         StoreCounts::add(&self.counts.leases_count);
         self.store.lease_keepalive(lease).await
     }
 
-    async fn enter(&self) -> Result<u64, StoreError> {
+    async fn register(&self) -> Result<u64, StoreError> {
         StoreCounts::add(&self.counts.leases_count);
         let lease = self.store.lease_grant(MEMBER_TTL_S).await?;
         let txn = Txn::new().with_then(Op::Put {
@@ -305,37 +316,37 @@
         Ok(lease)
     }
 
-    /// Removes this daemon's entry, as its last word.
-    pub async fn leave(&self) {
+    /// Deletes this daemon's member entry, as its last write before it stops.
+    pub async fn deregister(&self) {
         let key = self.layout.member(&self.member.identity.name);
         let txn = Txn::new().with_then(Op::Delete { key });
         StoreCounts::add(&self.counts.leases_count);
-        // An entry that stays lapses with its lease.
+        // If the deletion fails, the entry is removed when its lease expires.
         let _ = self.store.txn(&txn).await;
     }
 }
 
-fn first_of(reply: &TxnReply) -> Option<&KeyValue> {
+fn first_key_value(reply: &TxnReply) -> Option<&KeyValue> {
     reply.pages.first()?.key_values.first()
 }
 
-/// Waiting times between tries, doubled up to a limit, with jitter.
+/// Exponential backoff with jitter and an upper limit.
 pub struct Backoff {
     next: Duration,
 }
 
 impl Backoff {
-    /// Creates the times of a first try.
+    /// Creates a backoff that starts with the shortest delay.
     pub const fn new() -> Self {
         Self {
             next: BACKOFF_FIRST,
         }
     }
 
-    /// Waits for the next time.
+    /// Waits for the current delay and doubles the next one.
     pub async fn wait(&mut self) {
-        let part = rand::rng().random_range(0.5..1.0);
-        tokio::time::sleep(self.next.mul_f64(part)).await;
+        let jitter_factor = rand::rng().random_range(0.5..1.0);
+        tokio::time::sleep(self.next.mul_f64(jitter_factor)).await;
         self.next = (self.next * 2).min(BACKOFF_LIMIT);
     }
 }
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,52 +1,53 @@
-//! Idle connections, kept for the next calls.
+//! The pool of idle connections, kept for reuse by later calls.
 
 use crate::connection::Connection;
-use crate::{ConnectionId, PeerMark};
+use crate::{ConnectionId, PeerId};
 use ospreywing_clock as clock;
 use ospreywing_types::{Duration, Instant};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// How long a connection is kept that nobody uses, time in suspend included: a peer may
-/// close it meanwhile, and a request on it would be lost.
-const IDLE_LIMIT: Duration = Duration::from_s(20);
-/// The time between two searches for connections that have been idle for too long.
+/// Connections idle for longer than this are not reused: the peer may have closed them, and a
+/// request sent on them would be lost. Includes time for which the machine was suspended.
+const IDLE_TIMEOUT: Duration = Duration::from_s(20);
+/// The interval between two scans for connections past [`IDLE_TIMEOUT`].
 const SWEEP_PERIOD: Duration = Duration::from_s(5);
 
-/// A connection that no call uses.
+/// A connection that no call is using.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
-        self.connection.is_open() && now.since(self.since) < IDLE_LIMIT
+        self.connection.is_open() && now.since(self.idle_since) < IDLE_TIMEOUT
     }
 }
 
+/// The idle connections by address, most recently used last.
 #[derive(Debug)]
-struct Kept {
-    by_address: HashMap<String, Vec<Idle>>,
+struct PoolState {
+    by_address: HashMap<String, Vec<IdleConnection>>,
     next_sweep_at: Instant,
 }
 
 /// The idle connections of a client.
 #[derive(Debug)]
 pub(crate) struct Pool {
-    /// The most that are kept to each address.
-    limit_count: usize,
-    kept: Mutex<Kept>,
+    /// The maximum number of idle connections to each address.
+    max_idle_count: usize,
+    state: Mutex<PoolState>,
     next_id: AtomicU64,
 }
 
 impl Pool {
-    pub(crate) fn new(limit_count: usize) -> Self {
+    pub(crate) fn new(max_idle_count: usize) -> Self {
         Self {
-            limit_count,
-            kept: Mutex::new(Kept {
+            max_idle_count,
+            state: Mutex::new(PoolState {
                 by_address: HashMap::new(),
                 next_sweep_at: clock::now() + SWEEP_PERIOD,
             }),
@@ -54,19 +55,20 @@
         }
     }
 
-    /// Returns an id that no other connection has.
+    /// Returns an ID that is unique among this client's connections.
     pub(crate) fn next_id(&self) -> ConnectionId {
         ConnectionId(self.next_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Takes out the connection to `addr` that was used last, where there is one whose peer
-    /// has the wanted mark the last one of these.
-    pub(crate) fn take(&self, addr: &str, wanted: Option<PeerMark>) -> Option<Connection> {
+    /// Removes and returns the most recently used connection to `addr`, preferring
+    /// connections to `peer` if there are any.
+    pub(crate) fn take(&self, addr: &str, peer: Option<PeerId>) -> Option<Connection> {
         let now = clock::now();
-        let mut kept = self.lock();
-        let idle = kept.by_address.get_mut(addr)?;
-        let is_wanted = |idle: &Idle| idle.connection.mark() == wanted && idle.is_usable(now);
-        if let Some(index) = wanted.and_then(|_| idle.iter().rposition(is_wanted)) {
+        let mut state = self.lock();
+        let idle = state.by_address.get_mut(addr)?;
+        let has_peer =
+            |idle: &IdleConnection| idle.connection.peer() == peer && idle.is_usable(now);
+        if let Some(index) = peer.and_then(|_| idle.iter().rposition(has_peer)) {
             return Some(idle.remove(index).connection);
         }
         while let Some(newest) = idle.pop() {
@@ -77,51 +79,55 @@
         None
     }
 
-    /// Keeps a connection whose last answer was read whole.
+    /// Returns a connection to the pool; its last response must have been read completely.
     pub(crate) fn put(&self, addr: String, connection: Connection) {
         let now = clock::now();
-        let mut kept = self.lock();
-        if now >= kept.next_sweep_at {
-            kept.next_sweep_at = now + SWEEP_PERIOD;
-            kept.by_address.retain(|_, idle| {
+        let mut state = self.lock();
+        if now >= state.next_sweep_at {
+            state.next_sweep_at = now + SWEEP_PERIOD;
+            state.by_address.retain(|_, idle| {
                 idle.retain(|idle| idle.is_usable(now));
                 !idle.is_empty()
             });
         }
-        let idle = kept.by_address.entry(addr).or_default();
-        if idle.len() < self.limit_count {
-            let since = now;
-            idle.push(Idle { connection, since });
+        let idle = state.by_address.entry(addr).or_default();
+        if idle.len() < self.max_idle_count {
+            let idle_since = now;
+            idle.push(IdleConnection {
+                connection,
+                idle_since,
+            });
         }
     }
 
-    /// Sets what the peer of an idle connection is known by.
-    pub(crate) fn mark(&self, addr: &str, id: ConnectionId, mark: PeerMark) {
-        let mut kept = self.lock();
-        let idle = kept.by_address.get_mut(addr);
+    /// Sets the peer ID of an idle connection; does nothing if the connection is in use.
+    pub(crate) fn set_peer(&self, addr: &str, id: ConnectionId, peer: PeerId) {
+        let mut state = self.lock();
+        let idle = state.by_address.get_mut(addr);
         let mut idle = idle.into_iter().flatten();
         if let Some(found) = idle.find(|idle| idle.connection.id() == id) {
-            found.connection.set_mark(mark);
+            found.connection.set_peer(peer);
         }
     }
 
-    /// Closes the idle connections to `addr` that were made up to `until`; returns how
-    /// many.
+    /// Closes the idle connections to `addr` that were opened at or before `until` and
+    /// returns their number.
     ///
-    /// Those of the same millisecond are closed too: they may be the older ones, and a
-    /// silent one that is kept costs a time limit, where a new one costs a handshake.
-    pub(crate) fn close_made_until(&self, addr: &str, until: Instant) -> usize {
-        let mut kept = self.lock();
-        let Some(idle) = kept.by_address.get_mut(addr) else {
+    /// Connections opened in the same millisecond may predate `until` too, so they are also
+    /// closed: reusing an unresponsive connection costs a timeout, opening a new one only a
+    /// handshake.
+    pub(crate) fn close_opened_until(&self, addr: &str, until: Instant) -> usize {
+        let mut state = self.lock();
+        let Some(idle) = state.by_address.get_mut(addr) else {
             return 0;
         };
         let count = idle.len();
-        idle.retain(|idle| idle.connection.made_at() > until);
+        idle.retain(|idle| idle.connection.opened_at() > until);
         count - idle.len()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        // Nothing panics while it is held, and the list is whole at any time.
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PoolState> {
+        // No code panics while holding the lock, and the state is always consistent.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, and what each event does to it.
+//! The node: its state and event handlers.
 
 use crate::action::{Action, Answer};
 use crate::config::NodeConfig;
@@ -6,7 +6,7 @@
 use crate::shard_slot::ShardSlot;
 use crate::table_view::TableView;
 use ospreywing_membership::{
-    EditBlocked, Freshness, Membership, MembershipAction, MembershipConfig, Pace, SeatSet,
+    EditBlocked, Freshness, Membership, MembershipAction, MembershipConfig, RateLimiter, SeatSet,
 };
 use ospreywing_routing as routing;
 use ospreywing_shard as shard;
@@ -16,30 +16,30 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Who waits for an owner's reply.
+/// The recipient of an owner's reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
     /// A caller or a peer.
-    Outside(u64),
-    /// The router, for a request's key.
+    External(u64),
+    /// The router, for the key of a request.
     Router(routing::Request),
 }
 
-/// The table that a peer said it has.
+/// The version of a peer's table, as the peer reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PeerTable {
     pub(crate) digest: u64,
     pub(crate) revision: u64,
 }
 
-/// How a connection to a worker was asked for.
+/// The parameters of a connection requested to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Connected {
+pub(crate) struct ConnectionTarget {
     pub(crate) addr: String,
     pub(crate) epoch: u64,
 }
 
-/// The decisions of one daemon.
+/// The state machine of one daemon.
 pub struct Node {
     pub(crate) config: NodeConfig,
     pub(crate) membership: Membership,
@@ -47,15 +47,15 @@
     pub(crate) table: TableView,
     pub(crate) shards: Vec<ShardSlot>,
     pub(crate) workers: BTreeMap<Name, BoxFacts>,
-    /// Workers that a connection is kept to.
-    pub(crate) connected: BTreeMap<Name, Connected>,
-    pub(crate) pace: Pace,
+    /// The requested connections to workers.
+    pub(crate) connection_targets: BTreeMap<Name, ConnectionTarget>,
+    pub(crate) commit_limiter: RateLimiter,
     pub(crate) waiters: HashMap<u64, Waiter>,
     pub(crate) next_token: u64,
     pub(crate) next_nonce: u64,
     pub(crate) draining: SeatSet,
-    pub(crate) closing_asked_at: Instant,
-    /// The table that each peer last said it has, by incarnation.
+    pub(crate) close_requested_at: Instant,
+    /// The table version that each peer last reported, by incarnation.
     pub(crate) peer_tables: BTreeMap<u64, PeerTable>,
     freshness: Freshness,
     seats_in_use: SeatSet,
@@ -66,11 +66,12 @@
 }
 
 const COMMIT_BURST_COUNT: u32 = 4;
-/// How often membership and owners look at the time; requests look at each tick.
+/// The interval between timer events for membership and owners; the router handles
+/// each tick.
 const DECIDE_EVERY: Duration = Duration::from_ms(100);
 
 impl Node {
-    /// Creates a node that has seen nothing.
+    /// Creates a node in its initial state.
     pub fn new(config: NodeConfig) -> Self {
         let shards_count = config.membership.shards_count as usize;
         Self {
@@ -79,13 +80,13 @@
             table: TableView::default(),
             shards: (0..shards_count).map(|_| ShardSlot::Idle).collect(),
             workers: BTreeMap::new(),
-            connected: BTreeMap::new(),
-            pace: Pace::new(config.commit_rate_per_s, COMMIT_BURST_COUNT),
+            connection_targets: BTreeMap::new(),
+            commit_limiter: RateLimiter::new(config.commit_rate_per_s, COMMIT_BURST_COUNT),
             waiters: HashMap::new(),
             next_token: 0,
             next_nonce: 0,
             draining: SeatSet::EMPTY,
-            closing_asked_at: Instant::default(),
+            close_requested_at: Instant::default(),
             peer_tables: BTreeMap::new(),
             freshness: Freshness::Unknown,
             seats_in_use: SeatSet::EMPTY,
@@ -97,20 +98,22 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
-        // A daemon that was paused must not act on what it knew before.
-        self.set_freshness(now, actions);
+        // A daemon that was paused must not act on outdated state.
+        self.update_freshness(now, actions);
         match event {
             Event::Polled(poll) => self.on_polled(now, poll, actions),
             Event::RowWritten { name, row } => {
                 if self.table.apply(vec![(name, row)]) {
-                    self.set_table(now, actions);
+                    self.publish_table(now, actions);
                 }
             }
             Event::Boxes(boxes) => self.on_boxes(now, boxes, actions),
             Event::Ponged { asked_at, pong } => self.on_ponged(now, asked_at, &pong, actions),
-            Event::PeerRefused { incarnation } => self.membership.on_refused(incarnation),
+            Event::PeerConnectionRefused { incarnation } => {
+                self.membership.on_connection_refused(incarnation)
+            }
             Event::ProcessGone { incarnation } => self.membership.on_gone(now, incarnation),
             Event::Pinged { token, ping } => {
                 self.membership.on_ping(now, &ping.from);
@@ -120,8 +123,8 @@
             Event::Arrived(arrival) => {
                 self.route(now, routing::Event::Arrived(arrival), actions);
             }
-            Event::CallerLeft { token } => {
-                self.route(now, routing::Event::CallerLeft { token }, actions);
+            Event::CallerDisconnected { token } => {
+                self.route(now, routing::Event::CallerDisconnected { token }, actions);
             }
             Event::RequestAnswered(request) => {
                 self.route(now, routing::Event::Answered(request), actions);
@@ -129,8 +132,8 @@
             Event::RequestNotSent(request) => {
                 self.route(now, routing::Event::NotSent(request), actions);
             }
-            Event::RequestBroken(request) => {
-                self.route(now, routing::Event::Broken(request), actions);
+            Event::RequestInterrupted(request) => {
+                self.route(now, routing::Event::Interrupted(request), actions);
             }
             Event::Leave => self.membership.leave(),
             Event::Tick => self.on_tick(now, actions),
@@ -142,7 +145,7 @@
             | Event::KeyAnswered { .. } => self.on_request(now, event, actions),
             _ => self.on_shard_event(now, event, actions),
         }
-        self.pump(now, actions);
+        self.issue_commits(now, actions);
     }
 
     fn on_polled(&mut self, now: Instant, poll: Poll, actions: &mut Vec<Action>) {
@@ -154,17 +157,17 @@
                 Change::Row { name, row } => rows.push((name, row)),
             }
         }
-        if poll.is_whole {
-            self.membership.forget_control();
+        if poll.is_snapshot {
+            self.membership.clear_control();
         }
         self.membership.on_control(now, control);
         self.membership.on_store_answer(poll.asked_at);
         if self.table.apply(rows) {
-            self.set_table(now, actions);
+            self.publish_table(now, actions);
         }
         self.check_ownership(now, poll.asked_at, actions);
-        self.set_seats(now, actions);
-        self.set_freshness(now, actions);
+        self.update_seats(now, actions);
+        self.update_freshness(now, actions);
     }
 
     fn on_boxes(&mut self, now: Instant, boxes: Vec<BoxFacts>, actions: &mut Vec<Action>) {
@@ -178,7 +181,7 @@
         let workers = of_kind(BoxKind::Worker).into_iter();
         self.workers = workers.map(|facts| (facts.name.clone(), facts)).collect();
         for shard in 0..self.shards_count() {
-            self.give_boxes(now, shard, actions);
+            self.dispatch_boxes(now, shard, actions);
         }
         self.connect_workers(actions);
     }
@@ -192,19 +195,19 @@
     ) {
         if let Some(json) = &pong.table_json {
             match self.table.merge_json(json) {
-                Some(true) => self.set_table(now, actions),
+                Some(true) => self.publish_table(now, actions),
                 Some(false) => {}
-                // The answer proves nothing of a table that can't be read.
+                // A peer's answer proves nothing if its table can't be parsed.
                 None => return,
             }
         }
-        let tables = PeerTable {
+        let peer_table = PeerTable {
             digest: pong.table_digest,
             revision: pong.table_revision,
         };
-        self.peer_tables.insert(pong.from.incarnation, tables);
+        self.peer_tables.insert(pong.from.incarnation, peer_table);
         self.membership.on_pong(asked_at, pong);
-        self.set_freshness(now, actions);
+        self.update_freshness(now, actions);
     }
 
     fn pong(&self, now: Instant, ping: &Ping) -> Pong {
@@ -220,16 +223,16 @@
         }
     }
 
-    fn set_table(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn publish_table(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let table = self.table.table();
         self.route(now, routing::Event::Table(Arc::clone(&table)), actions);
         for shard in 0..self.shards_count() {
             let event = shard::Event::Table(Arc::clone(&table));
-            self.tell_owner(now, shard, event, actions);
+            self.dispatch_to_owner(now, shard, event, actions);
         }
     }
 
-    fn set_freshness(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn update_freshness(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let freshness = self.membership.freshness(now);
         let is_deciding = freshness.may_decide();
         let changed = is_deciding != self.freshness.may_decide();
@@ -240,12 +243,12 @@
         self.route(now, routing::Event::Deciding(is_deciding), actions);
         for shard in 0..self.shards_count() {
             let event = shard::Event::Deciding(is_deciding);
-            self.tell_owner(now, shard, event, actions);
+            self.dispatch_to_owner(now, shard, event, actions);
         }
     }
 
-    /// Lets the router use the seats held, less those to be given up.
-    fn set_seats(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    /// Lets the router use the seats held, except those being drained.
+    fn update_seats(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let held = self.membership.seats();
         let draining = self.draining.iter().filter(|&seat| held.contains(seat));
         self.draining = draining.collect();
@@ -273,17 +276,17 @@
         self.membership_actions = decided;
         self.release_idle_seats(actions);
         for shard in 0..self.shards_count() {
-            self.tell_owner(now, shard, shard::Event::Tick, actions);
+            self.dispatch_to_owner(now, shard, shard::Event::Tick, actions);
         }
-        self.ask_to_close(now, actions);
-        self.advance_hand_overs(now, actions);
+        self.request_epoch_closes(now, actions);
+        self.advance_handovers(now, actions);
         let owners = self.membership.control().owners.values();
         let mut owners: Vec<u64> = owners
             .filter_map(|owner| Some(owner.value.as_ref()?.incarnation))
             .collect();
         owners.sort_unstable();
         owners.dedup();
-        self.pace.set_sharers(owners.len());
+        self.commit_limiter.set_sharers(owners.len());
     }
 
     fn on_membership_action(
@@ -297,13 +300,13 @@
             MembershipAction::ClaimShard { shard, revision } => {
                 self.claim_shard(shard, revision, actions);
             }
-            MembershipAction::HandOverShard(shard) => self.begin_hand_over(now, shard),
+            MembershipAction::HandOverShard(shard) => self.begin_handover(now, shard),
             MembershipAction::ClaimSeat { seat, revision } => {
                 actions.push(Action::ClaimSeat { seat, revision });
             }
             MembershipAction::DrainSeat(seat) => {
                 self.draining.insert(seat);
-                self.set_seats(now, actions);
+                self.update_seats(now, actions);
             }
         }
     }
@@ -319,7 +322,7 @@
         }
     }
 
-    /// Hands an event to the router and turns its actions into the node's.
+    /// Passes an event to the router and translates its actions into the node's.
     pub(crate) fn route(&mut self, now: Instant, event: routing::Event, actions: &mut Vec<Action>) {
         let mut routed = core::mem::take(&mut self.router_actions);
         self.router.handle(now, event, &mut routed);
@@ -332,13 +335,13 @@
                     request,
                     token,
                     addr,
-                    time_limit,
+                    timeout,
                     ..
                 } => actions.push(Action::SendRequest {
                     request,
                     token,
                     addr,
-                    time_limit,
+                    timeout,
                 }),
                 routing::Action::Deliver { token } => actions.push(Action::Answer {
                     token,
@@ -353,58 +356,58 @@
         self.router_actions = routed;
     }
 
-    /// Returns how many shards the cell has.
+    /// Returns the number of shards of the cell.
     pub const fn shards_count(&self) -> u32 {
         self.config.membership.shards_count
     }
 
-    /// Returns the shard that a key's task or request belongs to.
+    /// Returns the shard of a task key or request key.
     pub fn shard_of_key(&self, key: &Key) -> u32 {
         shard_of(key.as_str(), self.shards_count())
     }
 
-    /// Returns the shard that a worker belongs to.
+    /// Returns the shard of a worker.
     pub fn shard_of_worker(&self, name: &Name) -> u32 {
         shard_of(name.as_str(), self.shards_count())
     }
 
-    /// Returns the process that the store last named as a shard's owner.
+    /// Returns a shard's owner in the cached control data.
     pub fn owner_of(&self, shard: u32) -> Option<DaemonIdentity> {
         self.membership.control().owner(shard).value
     }
 
-    /// Returns the table in force.
+    /// Returns the current table.
     pub fn table(&self) -> Arc<Table> {
         self.table.table()
     }
 
-    /// Checks that an edit of the table may be accepted now.
+    /// Checks whether an edit of the table may be accepted now.
     ///
     /// # Errors
     ///
-    /// Returns what keeps this daemon from accepting it.
+    /// Returns the reason why this daemon may not accept the edit.
     pub fn check_edit(&self, now: Instant) -> Result<(), EditBlocked> {
         self.membership.check_edit(now)
     }
 
-    /// Returns whether the daemon may decide by its table at `now`.
+    /// Returns whether the daemon may act on its table at `now`.
     pub fn may_decide(&self, now: Instant) -> bool {
         self.membership.freshness(now).may_decide()
     }
 
-    /// Returns what the knowledge of the table rested on at the last event.
+    /// Returns the evidence, as of the last event, that the table is current.
     pub const fn freshness(&self) -> Freshness {
         self.freshness
     }
 
-    /// Returns whether the balancer should send callers here.
+    /// Returns whether the load balancer should send callers to this daemon.
     pub fn is_ready(&self) -> bool {
         let is_serving = !self.membership.is_leaving() && self.freshness.may_decide();
         is_serving && !self.seats_in_use.is_empty()
     }
 
-    /// Returns whether nothing is left to do before the process may end.
-    pub fn has_left(&self) -> bool {
+    /// Returns whether the daemon is stopping and its process may exit.
+    pub fn is_shutdown_complete(&self) -> bool {
         let is_idle = |slot: &ShardSlot| matches!(slot, ShardSlot::Idle);
         self.membership.is_leaving()
             && self.shards.iter().all(is_idle)
@@ -417,7 +420,7 @@
         &self.config.membership
     }
 
-    /// Returns the daemons that may not go by the same table as this one.
+    /// Returns the daemons that may use another table version than this one.
     pub fn lagging(&self, now: Instant) -> Vec<Name> {
         let me = self.membership.me().incarnation;
         let identities = self.membership.control().identities();
@@ -430,7 +433,7 @@
         lagging.map(|identity| identity.name).collect()
     }
 
-    /// Returns a hash of the versions of all rows of the table in force.
+    /// Returns a hash of the row versions of the current table.
     pub const fn table_digest(&self) -> u64 {
         self.table.digest()
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one daemon: its state, and what each event does to it.
+//! The router of one daemon: its state and event handlers.
 
 use crate::action::{Action, GiveUp};
 use crate::burn::BurnReport;
@@ -6,7 +6,7 @@
 use crate::entity::{Minion, Request, Service};
 use crate::event::{Arrival, Event};
 use crate::minion::{MinionTable, Slot};
-use crate::request::{Place, RequestData, RequestTable, Stage};
+use crate::request::{RequestData, RequestTable, SlotRef, Stage};
 use crate::service::ServiceTable;
 use ospreywing_membership::SeatSet;
 use ospreywing_table::Repeat;
@@ -14,18 +14,18 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What has happened so far, for metrics.
+/// Request counters for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that arrived.
+    /// Requests received.
     pub arrived_count: u64,
-    /// Requests answered in full.
+    /// Requests whose complete answer was delivered.
     pub done_count: u64,
     /// Requests that certainly did not run.
     pub not_run_count: u64,
-    /// Requests of which nothing certain is known.
+    /// Requests that may or may not have run.
     pub unknown_count: u64,
-    /// Sends after the first of a request.
+    /// Repeated sends of requests.
     pub retries_count: u64,
 }
 
@@ -43,13 +43,13 @@
     counts: Counts,
 }
 
-/// When to come back where nothing better is known.
+/// The default delay before a retry.
 const RETRY_AFTER: Duration = Duration::from_s(1);
-/// When to come back while the daemon does not know its table to be current.
+/// The delay before a retry while the daemon's table is not known to be current.
 const STALE_RETRY_AFTER: Duration = Duration::from_s(2);
 
 impl Router {
-    /// Creates a router that knows no minions, rows or seats.
+    /// Creates a router without minions, rows or seats.
     pub fn new(config: RouterConfig) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(config.seed);
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Boxes(boxes) => self.minions.set_boxes(&boxes),
@@ -76,7 +76,7 @@
             }
             Event::Deciding(is_deciding) => self.set_deciding(now, is_deciding, actions),
             Event::Arrived(arrival) => self.on_arrived(now, arrival, actions),
-            Event::CallerLeft { token } => self.on_caller_left(token),
+            Event::CallerDisconnected { token } => self.on_caller_disconnected(token),
             Event::KeyGranted(request) => self.on_key_granted(now, request, actions),
             Event::KeyTaken(request) => self.on_key_taken(now, request, actions),
             Event::KeyRefused {
@@ -85,7 +85,7 @@
             } => self.on_key_refused(now, request, retry_after, actions),
             Event::Answered(request) => self.on_answered(now, request, actions),
             Event::NotSent(request) => self.on_not_sent(now, request, actions),
-            Event::Broken(request) => self.on_broken(now, request, actions),
+            Event::Interrupted(request) => self.on_interrupted(now, request, actions),
             Event::Tick => self.on_tick(now, actions),
         }
         self.dispatch(now, actions);
@@ -100,7 +100,7 @@
         for request in self.requests_where(queued) {
             let reason = "this daemon does not know whether its table is current";
             let give_up = not_run(reason, STALE_RETRY_AFTER);
-            self.drop_queued(request);
+            self.remove_from_queue(request);
             self.give_up(now, request, give_up, actions);
             self.requests.remove(request);
         }
@@ -121,7 +121,7 @@
             Ok(service) => service,
             Err(give_up) => {
                 if let Some(service) = self.services.listed(&arrival.row) {
-                    self.services.get_mut(service).burn.note(now, false);
+                    self.services.get_mut(service).burn.record(now, false);
                 }
                 self.counts.not_run_count += 1;
                 actions.push(Action::GiveUp { token, give_up });
@@ -140,7 +140,7 @@
             expires_at: now + deadline,
             retries_count: 0,
             stage: Stage::Queued,
-            has_key: false,
+            is_key_granted: false,
             token: Some(token),
         });
         self.enqueue(request);
@@ -153,7 +153,11 @@
         self.queued_count += 1;
     }
 
-    /// Returns the row that takes the request, or what its caller is told.
+    /// Returns the row of an admitted request.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reply to the caller if the request is rejected.
     fn admit(&mut self, now: Instant, arrival: &Arrival) -> Result<Service, GiveUp> {
         let Some(service) = self.services.listed(&arrival.row) else {
             let reason = format!("row: the table has no service row {:?}", arrival.row);
@@ -185,13 +189,14 @@
             let reason = "the queue is longer than the row's deadline allows";
             return Err(not_run(reason, expected_wait));
         }
-        if !self.services.get_mut(service).rate.take(now) {
+        if !self.services.get_mut(service).rate.try_acquire(now) {
             return Err(not_run("cap_rate_per_s: reached", RETRY_AFTER));
         }
         Ok(service)
     }
 
-    /// Returns how long a request that arrives now would wait, from the queue.
+    /// Estimates how long a request that arrives now waits, from the queue length
+    /// and the service time.
     fn expected_wait(&self, service: Service) -> Duration {
         let data = self.services.get(service);
         let serves = |minion: &crate::minion::MinionData| {
@@ -204,27 +209,27 @@
         Duration::from_ms(wait_ms as u64)
     }
 
-    /// Sends what can be sent: highest priority first, then by share.
+    /// Sends queued requests to free slots: by priority, then by share.
     fn dispatch(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.queued_count == 0 || !self.is_deciding || self.seats.is_empty() {
             return;
         }
-        let mut passed: Vec<Service> = Vec::new();
-        while let Some(service) = self.next_service(&passed) {
+        let mut skipped: Vec<Service> = Vec::new();
+        while let Some(service) = self.next_service(&skipped) {
             let request = self.services.get(service).queue[0];
             match self.choose_minion(now, service) {
-                Some(place) => {
-                    self.drop_queued(request);
-                    self.begin(now, request, place, actions);
+                Some(slot_ref) => {
+                    self.remove_from_queue(request);
+                    self.assign_slot(now, request, slot_ref, actions);
                 }
-                None => passed.push(service),
+                None => skipped.push(service),
             }
         }
     }
 
-    fn next_service(&self, passed: &[Service]) -> Option<Service> {
+    fn next_service(&self, skipped: &[Service]) -> Option<Service> {
         let open = self.services.iter().filter(|(service, data)| {
-            !data.queue.is_empty() && data.has_inflight_room() && !passed.contains(service)
+            !data.queue.is_empty() && data.has_inflight_capacity() && !skipped.contains(service)
         });
         let best = open.max_by_key(|(_, data)| {
             let credit = u64::from(data.share) * 1000 / (u64::from(data.inflight_count) + 1);
@@ -233,21 +238,21 @@
         best.map(|(service, _)| service)
     }
 
-    /// Returns the less busy of two minions drawn at random, or the next that
-    /// has a free slot where neither has.
-    fn choose_minion(&mut self, now: Instant, service: Service) -> Option<Place> {
+    /// Draws two minions with a free slot at random and returns a slot of the less
+    /// busy one.
+    fn choose_minion(&mut self, now: Instant, service: Service) -> Option<SlotRef> {
         let name = &self.services.get(service).name;
         let is_open = |data: &crate::minion::MinionData| {
             data.is_live && !data.is_ejected(now) && data.serves.contains(name)
         };
         let seats = self.seats;
-        let open: Vec<Place> = self
+        let open: Vec<SlotRef> = self
             .minions
             .iter()
             .filter(|(_, data)| is_open(data))
             .filter_map(|(minion, data)| {
                 let seat = data.free_slot(seats)?;
-                Some(Place { minion, seat })
+                Some(SlotRef { minion, seat })
             })
             .collect();
         if open.is_empty() {
@@ -255,7 +260,7 @@
         }
         let first = open[self.rng.random_range(0..open.len())];
         let second = open[self.rng.random_range(0..open.len())];
-        let busy_count = |place: &Place| self.minions.get(place.minion).busy_count();
+        let busy_count = |slot_ref: &SlotRef| self.minions.get(slot_ref.minion).busy_count();
         if busy_count(&second) < busy_count(&first) {
             Some(second)
         } else {
@@ -263,58 +268,71 @@
         }
     }
 
-    fn begin(&mut self, now: Instant, request: Request, place: Place, actions: &mut Vec<Action>) {
+    fn assign_slot(
+        &mut self,
+        now: Instant,
+        request: Request,
+        slot_ref: SlotRef,
+        actions: &mut Vec<Action>,
+    ) {
         self.minions
-            .set_slot(place.minion, place.seat, Slot::Busy(request));
+            .set_slot(slot_ref.minion, slot_ref.seat, Slot::Busy(request));
         let data = self.requests.get(request);
         self.services.get_mut(data.service).inflight_count += 1;
         match &data.key {
-            Some(key) if !data.has_key => {
+            Some(key) if !data.is_key_granted => {
                 let key = key.clone();
-                self.requests.get_mut(request).stage = Stage::TakingKey(place);
+                self.requests.get_mut(request).stage = Stage::AwaitingKey(slot_ref);
                 actions.push(Action::TakeKey { request, key });
             }
-            _ => self.send(now, request, place, actions),
+            _ => self.send(now, request, slot_ref, actions),
         }
     }
 
-    fn send(&mut self, now: Instant, request: Request, place: Place, actions: &mut Vec<Action>) {
+    fn send(
+        &mut self,
+        now: Instant,
+        request: Request,
+        slot_ref: SlotRef,
+        actions: &mut Vec<Action>,
+    ) {
         let data = self.requests.get_mut(request);
         let Some(token) = data.token else { return };
-        data.stage = Stage::Sent(place);
+        data.stage = Stage::Sent(slot_ref);
         data.sent_at = now;
-        let time_limit = data.expires_at.since(now);
-        let minion = self.minions.get(place.minion);
+        let timeout = data.expires_at.since(now);
+        let minion = self.minions.get(slot_ref.minion);
         actions.push(Action::Send {
             request,
             token,
             minion: minion.name.clone(),
             addr: minion.addr.clone(),
-            time_limit,
+            timeout,
         });
     }
 
     fn on_key_granted(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
         let data = self.requests.get_mut(request);
-        let Stage::TakingKey(place) = data.stage else {
+        let Stage::AwaitingKey(slot_ref) = data.stage else {
             return;
         };
-        data.has_key = true;
+        data.is_key_granted = true;
         if data.token.is_none() || now >= data.expires_at {
-            // Granted too late: nothing is sent, and the caller knows or learns it.
-            self.free_slot(request, place, Slot::Free);
-            self.give_up(now, request, too_late(), actions);
+            // Granted too late: the request is not sent. The caller has its final
+            // reply or gets it now.
+            self.free_slot(request, slot_ref, Slot::Free);
+            self.give_up(now, request, deadline_passed(), actions);
             self.requests.remove(request);
             return;
         }
-        self.send(now, request, place, actions);
+        self.send(now, request, slot_ref, actions);
     }
 
     fn on_key_taken(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
-        let Stage::TakingKey(place) = self.requests.get(request).stage else {
+        let Stage::AwaitingKey(slot_ref) = self.requests.get(request).stage else {
             return;
         };
-        self.free_slot(request, place, Slot::Free);
+        self.free_slot(request, slot_ref, Slot::Free);
         let give_up = GiveUp {
             outcome: Outcome::Unknown,
             reason: "request-key: was asked before; that request may have run".to_owned(),
@@ -331,10 +349,10 @@
         retry_after: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let Stage::TakingKey(place) = self.requests.get(request).stage else {
+        let Stage::AwaitingKey(slot_ref) = self.requests.get(request).stage else {
             return;
         };
-        self.free_slot(request, place, Slot::Free);
+        self.free_slot(request, slot_ref, Slot::Free);
         let give_up = not_run("the request's key can't be put on record now", retry_after);
         self.give_up(now, request, give_up, actions);
         self.requests.remove(request);
@@ -342,29 +360,30 @@
 
     fn on_answered(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
         let data = self.requests.get(request);
-        let Stage::Sent(place) = data.stage else {
+        let Stage::Sent(slot_ref) = data.stage else {
             return;
         };
         let (service, took) = (data.service, now.since(data.sent_at));
         let is_good = now <= data.expires_at;
-        self.free_slot(request, place, Slot::Free);
-        self.minions.note_success(place.minion);
-        self.services.get_mut(service).note_service_time(took);
-        if let Some(token) = self.requests.take_token(request) {
+        self.free_slot(request, slot_ref, Slot::Free);
+        self.minions.record_success(slot_ref.minion);
+        self.services.get_mut(service).record_service_time(took);
+        if let Some(token) = self.requests.detach_caller(request) {
             self.counts.done_count += 1;
-            self.services.get_mut(service).burn.note(now, is_good);
+            self.services.get_mut(service).burn.record(now, is_good);
             actions.push(Action::Deliver { token });
         }
         self.requests.remove(request);
     }
 
-    /// Nothing was sent, so even a request that is unsafe to repeat may go elsewhere.
+    /// Retries a request that was not sent; this is safe even if the request is
+    /// unsafe to repeat.
     fn on_not_sent(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
-        let Stage::Sent(place) = self.requests.get(request).stage else {
+        let Stage::Sent(slot_ref) = self.requests.get(request).stage else {
             return;
         };
-        self.free_slot(request, place, Slot::Free);
-        self.note_failure(now, place.minion);
+        self.free_slot(request, slot_ref, Slot::Free);
+        self.record_failure(now, slot_ref.minion);
         if self.may_retry(now, request) {
             self.retry(request);
             return;
@@ -374,13 +393,13 @@
         self.requests.remove(request);
     }
 
-    fn on_broken(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
-        let Stage::Sent(place) = self.requests.get(request).stage else {
+    fn on_interrupted(&mut self, now: Instant, request: Request, actions: &mut Vec<Action>) {
+        let Stage::Sent(slot_ref) = self.requests.get(request).stage else {
             return;
         };
         let until = now + self.config.slot_quarantine;
-        self.free_slot(request, place, Slot::Quarantined(until));
-        self.note_failure(now, place.minion);
+        self.free_slot(request, slot_ref, Slot::Quarantined(until));
+        self.record_failure(now, slot_ref.minion);
         let data = self.requests.get(request);
         let is_repeatable = self.services.get(data.service).repeat == Repeat::Repeatable;
         if is_repeatable && self.may_retry(now, request) {
@@ -415,9 +434,9 @@
         self.queued_count += 1;
     }
 
-    fn note_failure(&mut self, now: Instant, minion: Minion) {
+    fn record_failure(&mut self, now: Instant, minion: Minion) {
         let config = &self.config;
-        self.minions.note_failure(
+        self.minions.record_failure(
             now,
             minion,
             config.eject_after_count,
@@ -426,13 +445,13 @@
         );
     }
 
-    fn free_slot(&mut self, request: Request, place: Place, slot: Slot) {
-        self.minions.set_slot(place.minion, place.seat, slot);
+    fn free_slot(&mut self, request: Request, slot_ref: SlotRef, slot: Slot) {
+        self.minions.set_slot(slot_ref.minion, slot_ref.seat, slot);
         let service = self.requests.get(request).service;
         self.services.get_mut(service).inflight_count -= 1;
     }
 
-    fn drop_queued(&mut self, request: Request) {
+    fn remove_from_queue(&mut self, request: Request) {
         let service = self.requests.get(request).service;
         let queue = &mut self.services.get_mut(service).queue;
         let before = queue.len();
@@ -440,18 +459,18 @@
         self.queued_count -= before - queue.len();
     }
 
-    fn on_caller_left(&mut self, token: u64) {
-        let Some(request) = self.requests.by_token(token) else {
+    fn on_caller_disconnected(&mut self, token: u64) {
+        let Some(request) = self.requests.request_of_caller(token) else {
             return;
         };
-        self.requests.take_token(request);
+        self.requests.detach_caller(request);
         if self.requests.get(request).stage == Stage::Queued {
-            self.drop_queued(request);
+            self.remove_from_queue(request);
             self.requests.remove(request);
         }
     }
 
-    /// Gives a caller its final answer at once.
+    /// Sends the caller its final reply.
     fn give_up(
         &mut self,
         now: Instant,
@@ -459,7 +478,7 @@
         give_up: GiveUp,
         actions: &mut Vec<Action>,
     ) {
-        let Some(token) = self.requests.take_token(request) else {
+        let Some(token) = self.requests.detach_caller(request) else {
             return;
         };
         match give_up.outcome {
@@ -467,7 +486,7 @@
             Outcome::Unknown | Outcome::Done => self.counts.unknown_count += 1,
         }
         let service = self.requests.get(request).service;
-        self.services.get_mut(service).burn.note(now, false);
+        self.services.get_mut(service).burn.record(now, false);
         actions.push(Action::GiveUp { token, give_up });
     }
 
@@ -488,13 +507,13 @@
         match self.requests.get(request).stage {
             Stage::Vacant => {}
             Stage::Queued => {
-                self.drop_queued(request);
-                self.give_up(now, request, too_late(), actions);
+                self.remove_from_queue(request);
+                self.give_up(now, request, deadline_passed(), actions);
                 self.requests.remove(request);
             }
-            // Its run may be granted yet, and is then not used.
-            Stage::TakingKey(_) => self.give_up(now, request, too_late(), actions),
-            // Its slot stays in use until the send is reported as over.
+            // The run may still be granted; the grant is then not used.
+            Stage::AwaitingKey(_) => self.give_up(now, request, deadline_passed(), actions),
+            // The slot stays in use until the daemon reports the end of the send.
             Stage::Sent(_) => {
                 let give_up = GiveUp {
                     outcome: Outcome::Unknown,
@@ -506,12 +525,12 @@
         }
     }
 
-    /// Returns whether no slot of `seat` is in use, so that it can be given up.
+    /// Returns whether no slot of `seat` is in use, so that the seat can be released.
     pub fn is_seat_idle(&self, seat: u32) -> bool {
         self.minions.is_seat_idle(seat)
     }
 
-    /// Returns the number of requests whose callers or slots wait.
+    /// Returns the number of requests without a final reply or with a slot in use.
     pub fn open_count(&self) -> usize {
         self.requests.len()
     }
@@ -521,12 +540,12 @@
         self.queued_count
     }
 
-    /// Returns what has happened so far.
+    /// Returns the request counters.
     pub const fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Returns the report on service-level burn.
+    /// Returns the error-budget reports of the current table's rows.
     pub fn burn(&mut self, now: Instant) -> Vec<BurnReport> {
         let services: Vec<Service> = self.services.keys().collect();
         let mut reports = Vec::new();
@@ -557,6 +576,6 @@
     }
 }
 
-fn too_late() -> GiveUp {
+fn deadline_passed() -> GiveUp {
     not_run("no slot became free by the deadline", RETRY_AFTER)
 }
--- a/crates/routing/src/verifier.rs
+++ b/crates/routing/src/verifier.rs
@@ -1,27 +1,27 @@
-//! Checks every invariant of a router's data and names the entity at fault.
+//! Checks the invariants of a router's data; each error names the entity at fault.
 
 use crate::entity::{Minion, Request, Service};
 use crate::minion::Slot;
-use crate::request::{Place, Stage};
+use crate::request::{SlotRef, Stage};
 use crate::router::Router;
 use thiserror::Error;
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VerifierError {
-    /// A slot names a request that does not use it.
+    /// A slot refers to a request that does not use it.
     #[error("{minion}, seat {seat}: names {request}, which does not use it")]
     Slot {
         /// The minion.
         minion: Minion,
         /// The seat.
         seat: u32,
-        /// The request named.
+        /// The request that the slot refers to.
         request: Request,
     },
-    /// A request uses a slot that does not name it.
+    /// A request uses a slot that does not refer to it.
     #[error("{request}: uses a slot of {minion} that does not name it")]
-    Unslotted {
+    SlotNotMarked {
         /// The request.
         request: Request,
         /// The minion.
@@ -32,32 +32,33 @@
     Inflight {
         /// The row.
         service: Service,
-        /// The count kept.
+        /// The stored count.
         counted: u32,
-        /// The requests found.
+        /// The number of requests found.
         found: u32,
     },
-    /// A queued request stands in no queue, or another stands in one.
+    /// A queued request is not in exactly one queue, or another request is in a
+    /// queue.
     #[error("{request}: is queued {queued_count} times")]
     Queued {
         /// The request.
         request: Request,
-        /// How often it stands in a queue.
+        /// How often the request occurs in queues.
         queued_count: usize,
     },
-    /// A request that is unsafe to repeat was sent without its grant.
+    /// A request that is unsafe to repeat was sent before its run was granted.
     #[error("{request}: sent without the grant of its key")]
-    Ungranted {
+    SentWithoutGrant {
         /// The request.
         request: Request,
     },
 }
 
-/// Checks every invariant.
+/// Checks all invariants.
 ///
 /// # Errors
 ///
-/// Returns all that does not hold.
+/// Returns every violation found.
 pub fn verify(router: &Router) -> Result<(), Vec<VerifierError>> {
     let mut errors = Vec::new();
     verify_slots(router, &mut errors);
@@ -70,9 +71,9 @@
     }
 }
 
-fn place_of(stage: Stage) -> Option<Place> {
+fn slot_of(stage: Stage) -> Option<SlotRef> {
     match stage {
-        Stage::TakingKey(place) | Stage::Sent(place) => Some(place),
+        Stage::AwaitingKey(slot_ref) | Stage::Sent(slot_ref) => Some(slot_ref),
         Stage::Vacant | Stage::Queued => None,
     }
 }
@@ -81,8 +82,8 @@
     for (minion, data) in router.minions.iter() {
         for (seat, slot) in (0..).zip(data.slots) {
             let Slot::Busy(request) = slot else { continue };
-            let place = place_of(router.requests.get(request).stage);
-            if place != Some(Place { minion, seat }) {
+            let slot_ref = slot_of(router.requests.get(request).stage);
+            if slot_ref != Some(SlotRef { minion, seat }) {
                 errors.push(VerifierError::Slot {
                     minion,
                     seat,
@@ -95,15 +96,15 @@
 
 fn verify_requests(router: &Router, errors: &mut Vec<VerifierError>) {
     for (request, data) in router.requests.iter() {
-        if let Some(place) = place_of(data.stage) {
-            let minion = place.minion;
-            let slot = router.minions.get(minion).slots[place.seat as usize];
+        if let Some(slot_ref) = slot_of(data.stage) {
+            let minion = slot_ref.minion;
+            let slot = router.minions.get(minion).slots[slot_ref.seat as usize];
             if slot != Slot::Busy(request) {
-                errors.push(VerifierError::Unslotted { request, minion });
+                errors.push(VerifierError::SlotNotMarked { request, minion });
             }
         }
-        if matches!(data.stage, Stage::Sent(_)) && data.key.is_some() && !data.has_key {
-            errors.push(VerifierError::Ungranted { request });
+        if matches!(data.stage, Stage::Sent(_)) && data.key.is_some() && !data.is_key_granted {
+            errors.push(VerifierError::SentWithoutGrant { request });
         }
         let queues = router.services.iter().map(|(_, service)| &service.queue);
         let queued_count = queues
@@ -124,7 +125,7 @@
         let uses = router
             .requests
             .iter()
-            .filter(|(_, request)| request.service == service && place_of(request.stage).is_some());
+            .filter(|(_, request)| request.service == service && slot_of(request.stage).is_some());
         let found = uses.count() as u32;
         if found != data.inflight_count {
             errors.push(VerifierError::Inflight {
--- a/crates/scheduler/src/crash_records.rs
+++ b/crates/scheduler/src/crash_records.rs
@@ -10,9 +10,9 @@
 use serde::{Deserialize, Serialize};
 
 /// The confirmed crashes required before points decide: the platform allows a task to be
-/// given up after two workers have crashed under it, and an unresponsive worker may only be
+/// failed after two workers have crashed under it, and an unresponsive worker may only be
 /// partitioned.
-const CONFIRMED_LEAST_COUNT: usize = 2;
+const MIN_CONFIRMED_COUNT: usize = 2;
 
 /// The relation of a run to its worker's crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -59,10 +59,11 @@
             || self.crashes_of(task).any(is_suspected)
     }
 
-    /// Returns whether so many workers have crashed under a task that it is given up.
+    /// Returns whether the crashes under a task have reached a limit of the policy, so that its
+    /// job is to be failed.
     pub fn exceeds_crash_limits(&self, task: TaskKey, policy: &CrashPolicy) -> bool {
         let confirmed = self.crashes_of(task).filter(|crash| crash.is_confirmed);
-        let is_certain = confirmed.count() >= CONFIRMED_LEAST_COUNT;
+        let is_certain = confirmed.count() >= MIN_CONFIRMED_COUNT;
         let has_enough_points = is_certain && self.points_of(task, policy) >= policy.points_limit;
         // The limit on restarts applies even without confirmed crashes.
         has_enough_points || self.crashes_of(task).count() >= policy.crashes_limit_count
@@ -89,7 +90,7 @@
         self.crashes.retain(is_other);
     }
 
-    /// Removes the records of a task: a run of it is done, or has lived on long after its
+    /// Removes the records of a task: a run of it is done, or is still alive long after its
     /// start.
     pub fn clear_crashes(&mut self, task: TaskKey) {
         self.crashes.retain(|crash| crash.task != task);
--- a/crates/scheduler/src/deadline_selection.rs
+++ b/crates/scheduler/src/deadline_selection.rs
@@ -1,6 +1,6 @@
 //! Selects the jobs of an overloaded service that can be on time together.
 //!
-//! Where there is more work than capacity, serving jobs by deadline alone makes all of them a
+//! If there is more work than capacity, serving jobs by deadline alone makes all of them a
 //! little late. Instead, jobs are added in the order of their objectives; as soon as those
 //! added don't fit the capacity up to the current objective, the largest of the least
 //! important jobs is dropped (the Moore-Hodgson rule, which minimizes the number of late
@@ -13,7 +13,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The kinds of resources: processors, memory, accelerators.
+/// The kinds of resources: cores, memory, accelerators.
 const RESOURCE_KINDS_COUNT: usize = 3;
 /// Percentage of a service's capacity that work can use: free capacity is fragmented, and not
 /// every task fits the fragments.
@@ -21,7 +21,7 @@
 /// Load at which a service becomes overloaded, in percent of the usable capacity.
 pub const ENTER_LOAD_PERCENT: u64 = 100;
 /// Load below which a service is no longer overloaded, in percent. Lower than
-/// [`ENTER_LOAD_PERCENT`], so that the order of service doesn't flap.
+/// [`ENTER_LOAD_PERCENT`], so that the scheduling order doesn't flap.
 pub const LEAVE_LOAD_PERCENT: u64 = 70;
 /// Upper bound of a reported load.
 const MAX_LOAD_PERCENT: f64 = 1000.0;
@@ -93,7 +93,7 @@
     }
 
     /// Returns the time until every component is reached, starting with `available` and adding
-    /// `usage` per millisecond.
+    /// `growth` per millisecond.
     fn time_to_reach(self, available: Self, growth: Self) -> f64 {
         let parts = self.0.into_iter().zip(available.0).zip(growth.0);
         let times = parts.map(|((part, available), growth)| match part - available {
@@ -132,7 +132,7 @@
     pub priority: u32,
     /// The resources that it uses.
     pub usage: ResourceVector,
-    /// The least time for which it still uses them.
+    /// The minimum time for which it still uses them.
     pub remaining: Duration,
 }
 
@@ -209,9 +209,9 @@
     pub work: ResourceVector,
     /// The remaining duration of its critical path, the longest chain of dependent steps.
     pub critical_path: Duration,
-    /// Time until its objective; `None` where that has passed.
+    /// Time until its objective; `None` if that has passed.
     pub time_to_objective: Option<Duration>,
-    /// Time until its result is worthless; `None` where that has passed.
+    /// Time until its result is worthless; `None` if that has passed.
     pub time_to_worthless: Option<Duration>,
 }
 
@@ -430,7 +430,7 @@
         needed.dominant(usable).0 <= 1.0
     }
 
-    /// Returns the work that fits the usable capacity within `time` beside the runs.
+    /// Returns the work that fits the usable capacity within `time` alongside the runs.
     fn usable(&self, time: Duration) -> ResourceVector {
         let mut usable = self.capacity.times(time.as_ms() as f64);
         usable.subtract(self.occupancy.within(time));
--- a/crates/scheduler/src/ends.rs
+++ b/crates/scheduler/src/ends.rs
@@ -207,7 +207,7 @@
         spec.is_some_and(|spec| spec.is_gang)
     }
 
-    /// Removes a run that was never sent or can't be alive any more, and sets its task back to
+    /// Removes a run that was never sent or can no longer be alive, and sets its task back to
     /// waiting.
     pub(crate) fn unplace(&mut self, task: TaskKey) {
         let Some(key) = self.placements.remove(&task) else {
@@ -223,7 +223,7 @@
         self.is_cycle_due = true;
     }
 
-    /// Logs and removes a run that can't be alive any more, and marks its gang as broken.
+    /// Logs and removes a run that can no longer be alive, and marks its gang as broken.
     pub(crate) fn release_run(
         &mut self,
         now: Instant,
@@ -273,11 +273,11 @@
             return;
         }
         let doublings = (worker.failures_count - AVOID_AFTER_COUNT).min(AVOID_DOUBLINGS_COUNT);
-        let length = AVOID_BASE.times(1 << doublings);
-        worker.avoided_until = now + length;
+        let duration = AVOID_BASE.times(1 << doublings);
+        worker.avoided_until = now + duration;
         let line = Decision::new(DecisionKind::WorkerAvoided, reason)
             .with_worker(&worker.facts.id)
-            .with_figure(length.as_ms());
+            .with_figure(duration.as_ms());
         out.push(Action::Log(line));
     }
 
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -255,9 +255,9 @@
     fillers_count: usize,
     /// The number of runs on probation.
     pub(crate) probation_runs_count: usize,
-    /// Unanswered starts whose runs have ended or were given up.
+    /// Unanswered starts whose runs have ended or were released.
     pub(crate) open_starts: OpenStarts,
-    /// Runs that were given up while the worker was unresponsive; their fate is
+    /// Runs that were released while the worker was unresponsive; whether they have ended is
     /// unconfirmed.
     pub(crate) lost_runs: Vec<LostRun>,
     /// When this leader learned that the incarnation is over.
@@ -366,7 +366,7 @@
         };
     }
 
-    /// Returns whether a recorded start still fits beside all runs whose start was sent.
+    /// Returns whether a recorded start still fits alongside all runs whose start was sent.
     pub(crate) fn has_capacity_to_send(&self, task: TaskKey) -> bool {
         if !self.is_overcommitted() {
             return true;
@@ -466,8 +466,8 @@
         self.runs.insert(task, run);
     }
 
-    /// Adds a run that an earlier leader started, when the worker's capacity may have been
-    /// larger.
+    /// Adds a run that this leader didn't place on the worker: an earlier leader started it,
+    /// or it was placed on an earlier incarnation. The capacity may have been larger then.
     pub(crate) fn insert_foreign_run(&mut self, task: TaskKey, run: Run) {
         self.insert_run(task, run);
         self.update_overcommitted();
@@ -486,7 +486,7 @@
         self.serving_count > 0
     }
 
-    /// Returns whether a filler runs on the worker beside a serving task.
+    /// Returns whether a filler runs on the worker alongside a serving task.
     pub(crate) const fn is_shared(&self) -> bool {
         self.serving_count > 0 && self.fillers_count > 0
     }
@@ -502,18 +502,18 @@
         Some(run)
     }
 
-    /// Grants a lease of `length` and returns its end on the worker's clock.
+    /// Grants a lease of `duration` and returns its end on the worker's clock.
     ///
     /// Returns `None` if the worker's clock is unknown. That clock may be slow, so the
     /// lease may last longer on this node's clock.
-    pub(crate) fn grant_lease(&mut self, now: Instant, length: Duration) -> Option<u64> {
+    pub(crate) fn grant_lease(&mut self, now: Instant, duration: Duration) -> Option<u64> {
         let clock = self.clock?;
         let age = now.since(clock.read_at);
-        let slack = clock_slack(length + age);
-        let bound = now + length + slack + LEASE_MARGIN;
+        let slack = clock_slack(duration + age);
+        let bound = now + duration + slack + LEASE_MARGIN;
         self.leased_until = self.leased_until.max(bound);
         self.lease_granted_at = now;
-        Some(clock.clock_ms + age.as_ms() + length.as_ms())
+        Some(clock.clock_ms + age.as_ms() + duration.as_ms())
     }
 }
 
@@ -524,8 +524,8 @@
 }
 
 /// Returns by how much a time span on a worker's clock may be longer on this node's clock.
-const fn clock_slack(length: Duration) -> Duration {
-    Duration::from_ms(length.as_ms() * CLOCK_SLACK_PER_MILLE / 1000)
+const fn clock_slack(duration: Duration) -> Duration {
+    Duration::from_ms(duration.as_ms() * CLOCK_SLACK_PER_MILLE / 1000)
 }
 
 fn sum_of<'a>(reservations: impl Iterator<Item = &'a CapacityReservation>) -> Resources {
--- a/crates/scheduler/tests/scheduler/backfill.rs
+++ b/crates/scheduler/tests/scheduler/backfill.rs
@@ -51,8 +51,8 @@
 }
 
 /// Advances the time; returns how many starts were sent meanwhile.
-fn wait(harness: &mut Harness, length_ms: u64) -> usize {
-    let until = harness.now + Duration::from_ms(length_ms);
+fn wait(harness: &mut Harness, duration_ms: u64) -> usize {
+    let until = harness.now + Duration::from_ms(duration_ms);
     let mut started_count = 0;
     while harness.now < until {
         started_count += start_all(harness).len();
@@ -133,11 +133,11 @@
 }
 
 /// Behind a gang that waits for the limit, tasks start that surely end before its turn, or that
-/// fit beside it.
+/// fit alongside it.
 #[rstest]
 #[case::too_long(5, step(1), 0)]
 #[case::brief(5, brief(1), 1)]
-#[case::of_unknown_length(5, StepSpec { estimate_ms: 0, ..step(1) }, 0)]
+#[case::of_unknown_duration(5, StepSpec { estimate_ms: 0, ..step(1) }, 0)]
 #[case::perpetual(5, StepSpec { is_perpetual: true, ..brief(1) }, 0)]
 #[case::fits_beside(4, step(1), 1)]
 #[case::fits_beside_in_part(4, step(2), 1)]
--- a/crates/shard/src/intake.rs
+++ b/crates/shard/src/intake.rs
@@ -1,18 +1,18 @@
-//! Requests that wait for the next commit, and those that are refused.
+//! Accepts or rejects requests and holds accepted ones for the next commit.
 //!
-//! Nothing of a request is in the state before a commit takes it up. Until
-//! then it can be refused with certainty, and it is, as soon as the store is
-//! seen to be slow.
+//! A request changes the state only when it becomes part of a commit. Until
+//! then it can be rejected with certainty that it had no effect, and it is
+//! rejected as soon as the store is slow to answer a commit.
 
 use crate::action::{Action, Reply, Token};
 use crate::owner::{Effect, Owner, Retained};
 use crate::record::Record;
-use crate::state::Position;
+use crate::state::TaskState;
 use ospreywing_types::peer::{SubmitReply, TakeKeyReply};
 use ospreywing_types::{Duration, Instant, Key, Name, TaskId, TaskPhase, TaskSpec};
 use std::collections::HashMap;
 
-/// A task that is not on record yet.
+/// A submitted task that is not part of a commit yet.
 #[derive(Clone, Debug)]
 pub(crate) struct NewTask {
     pub(crate) tokens: Vec<Token>,
@@ -20,14 +20,14 @@
     pub(crate) spec: TaskSpec,
 }
 
-/// A claim that is not on record yet.
+/// A claim on a request key that is not part of a commit yet.
 #[derive(Clone, Debug)]
 pub(crate) struct NewKey {
     pub(crate) token: Token,
     pub(crate) nonce: u64,
 }
 
-/// Requests that no commit has taken up, in the order of their keys' arrival.
+/// Requests that are not part of a commit yet; tasks in the order of arrival.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Intake {
     pub(crate) tasks: HashMap<Key, NewTask>,
@@ -36,21 +36,22 @@
 }
 
 impl Intake {
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits for the next commit.
     pub(crate) fn is_empty(&self) -> bool {
         self.order.is_empty() && self.keys.is_empty()
     }
 }
 
-/// When to come back after a refusal while the store is slow or down.
+/// When to retry a request rejected because the store is slow or down.
 const STORE_RETRY_AFTER: Duration = Duration::from_s(2);
-/// When to come back after a refusal because too many tasks wait.
+/// When to retry a task rejected because too many tasks wait.
 const FULL_RETRY_AFTER: Duration = Duration::from_s(10);
-/// What callers are told while the owner hands over, and when to come back.
-const HAND_OVER_REASON: &str = "the shard is changing hands";
-const HAND_OVER_RETRY_AFTER: Duration = Duration::from_s(1);
+/// The reason for a rejection during a handover.
+const HANDOVER_REASON: &str = "the shard is changing hands";
+/// When to retry a request rejected during or after a handover.
+const HANDOVER_RETRY_AFTER: Duration = Duration::from_s(1);
 
-fn refused(reason: impl Into<String>, retry_after: Option<Duration>) -> Reply {
+fn rejected(reason: impl Into<String>, retry_after: Option<Duration>) -> Reply {
     Reply::Submit(SubmitReply::Refused {
         reason: reason.into(),
         retry_after_ms: retry_after.map(Duration::as_ms),
@@ -70,7 +71,7 @@
         if let Some(task) = self.state.by_key(&key) {
             if self.state.tasks[task].image.row != row {
                 let reason = "key: in use by a task of another row";
-                self.answer(token, refused(reason, None), actions);
+                self.answer(token, rejected(reason, None), actions);
                 return;
             }
             self.reply_when_committed(token, task, actions);
@@ -80,7 +81,7 @@
             task.tokens.push(token);
             return;
         }
-        if let Some(reply) = self.refusal(now, &row, &spec) {
+        if let Some(reply) = self.rejection(now, &row, &spec) {
             self.answer(token, reply, actions);
             return;
         }
@@ -90,45 +91,46 @@
         self.intake.tasks.insert(key, task);
     }
 
-    fn refusal(&self, now: Instant, row: &Name, spec: &TaskSpec) -> Option<Reply> {
+    fn rejection(&self, now: Instant, row: &Name, spec: &TaskSpec) -> Option<Reply> {
         let workload = self.workloads.by_name(row);
         if !workload.is_some_and(|workload| self.workloads.get(workload).is_listed) {
             let reason = format!("row: the table has no batch row {row:?}");
-            return Some(refused(reason, None));
+            return Some(rejected(reason, None));
         }
         if spec.resources.is_zero() {
-            return Some(refused("spec.resources: all are zero", None));
+            return Some(rejected("spec.resources: all are zero", None));
         }
-        if !self.workers.could_hold(&spec.resources) {
+        if !self.workers.fits_any_worker(&spec.resources) {
             let reason = format!("spec.resources: no worker holds {}", spec.resources);
-            return Some(refused(reason, None));
+            return Some(rejected(reason, None));
         }
         let waiting_count = self.waiting_count() + self.intake.order.len();
         if waiting_count >= self.config.waiting_limit_count {
             let reason = format!("{waiting_count} tasks wait in the shard, the limit");
-            return Some(refused(reason, Some(FULL_RETRY_AFTER)));
+            return Some(rejected(reason, Some(FULL_RETRY_AFTER)));
         }
-        self.trouble(now)
-            .map(|(reason, retry_after)| refused(reason, Some(retry_after)))
+        self.intake_obstacle(now)
+            .map(|(reason, retry_after)| rejected(reason, Some(retry_after)))
     }
 
-    /// Why nothing new can be put on record now, if so.
-    fn trouble(&self, now: Instant) -> Option<(&'static str, Duration)> {
+    /// Returns why no new request can be recorded now and when to retry it, or
+    /// `None` if it can be.
+    fn intake_obstacle(&self, now: Instant) -> Option<(&'static str, Duration)> {
         if self.is_handing_over {
-            return Some((HAND_OVER_REASON, HAND_OVER_RETRY_AFTER));
+            return Some((HANDOVER_REASON, HANDOVER_RETRY_AFTER));
         }
         let reason = "the platform's store does not answer";
-        self.is_store_silent(now)
+        self.is_commit_overdue(now)
             .then_some((reason, STORE_RETRY_AFTER))
     }
 
-    /// Returns whether the commit under way has waited too long for its answer.
-    fn is_store_silent(&self, now: Instant) -> bool {
+    /// Returns whether the commit in flight has exceeded the commit timeout.
+    fn is_commit_overdue(&self, now: Instant) -> bool {
         let inflight = self.inflight.as_ref();
-        inflight.is_some_and(|it| now.since(it.since) >= self.config.commit_patience)
+        inflight.is_some_and(|it| now.since(it.since) >= self.config.commit_timeout)
     }
 
-    /// Answers with a task's status once all that is decided so far is on record.
+    /// Replies with a task's status once every pending record is committed.
     fn reply_when_committed(&mut self, token: Token, task: crate::Task, actions: &mut Vec<Action>) {
         let status = SubmitReply::Accepted(self.status_of(task));
         let reply = Reply::Submit(status);
@@ -152,19 +154,19 @@
     ) {
         let Some(task) = self.state.by_key(key) else {
             let reason = "key: no task of this key is on record";
-            self.answer(token, refused(reason, None), actions);
+            self.answer(token, rejected(reason, None), actions);
             return;
         };
         let id = self.state.tasks[task].image.id;
-        match &self.state.tasks[task].image.position {
-            Position::Waiting => {
-                self.end(now, task, TaskPhase::Cancelled, None);
+        match &self.state.tasks[task].image.state {
+            TaskState::Waiting => {
+                self.end_task(now, task, TaskPhase::Cancelled, None);
             }
-            Position::Started(_) => {
+            TaskState::Started(_) => {
                 self.append(Record::Cancel { id });
                 self.pending_effects.push(Effect::Stop(task));
             }
-            Position::Ended { .. } => {}
+            TaskState::Ended { .. } => {}
         }
         self.reply_when_committed(token, task, actions);
     }
@@ -195,18 +197,18 @@
             self.answer(token, Reply::TakeKey(TakeKeyReply::Taken), actions);
             return;
         }
-        if let Some((_, retry_after)) = self.trouble(now) {
-            self.answer(token, key_refused(retry_after), actions);
+        if let Some((_, retry_after)) = self.intake_obstacle(now) {
+            self.answer(token, rejected_key(retry_after), actions);
             return;
         }
         self.intake.keys.insert(key, NewKey { token, nonce });
     }
 
-    /// Moves what waits into the state and the next commit.
-    pub(crate) fn take_up_intake(&mut self, now: Instant) {
+    /// Applies the waiting requests to the state and adds them to the next commit.
+    pub(crate) fn apply_intake(&mut self, now: Instant) {
         for key in core::mem::take(&mut self.intake.order) {
             if let Some(new) = self.intake.tasks.remove(&key) {
-                self.take_up_task(now, key, new);
+                self.apply_new_task(now, key, new);
             }
         }
         for (key, new) in core::mem::take(&mut self.intake.keys) {
@@ -223,7 +225,7 @@
         }
     }
 
-    fn take_up_task(&mut self, now: Instant, key: Key, new: NewTask) {
+    fn apply_new_task(&mut self, now: Instant, key: Key, new: NewTask) {
         let id = TaskId(self.state.next_id);
         let workload = self.workloads.intern(&new.row);
         let record = Record::Submit {
@@ -245,32 +247,36 @@
         }
     }
 
-    /// Gives up on callers that wait on a store that does not answer, or for an
-    /// owner that hands its shard over.
+    /// Replies to waiting callers if a commit exceeds its timeout or the owner
+    /// hands the shard over.
     ///
-    /// What no commit has taken up was not run. What one has is unknown where
-    /// the store is silent; a commit on its way at a hand-over is waited for.
-    pub(crate) fn refuse_overdue(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let Some((reason, retry_after)) = self.trouble(now) else {
+    /// Requests that are not part of a commit are rejected: they had no effect.
+    /// If the commit in flight exceeds its timeout, the outcome of its requests
+    /// is reported as unknown. A handover waits for the commit in flight.
+    pub(crate) fn reject_overdue(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let Some((reason, retry_after)) = self.intake_obstacle(now) else {
             return;
         };
-        self.refuse_intake(reason, retry_after, actions);
-        if self.is_store_silent(now) {
-            self.answer_inflight(in_doubt, actions);
+        self.reject_intake(reason, retry_after, actions);
+        if self.is_commit_overdue(now) {
+            self.answer_inflight(unconfirmed_reply, actions);
         }
     }
 
-    /// Gives up on every caller that waits.
-    pub(crate) fn refuse_all(&mut self, is_refused: bool, actions: &mut Vec<Action>) {
-        self.refuse_intake(HAND_OVER_REASON, HAND_OVER_RETRY_AFTER, actions);
+    /// Replies to every waiting caller at the end of the ownership.
+    ///
+    /// `is_refused` means that the store refused the commit in flight, so that it
+    /// had no effect; otherwise its outcome is unknown.
+    pub(crate) fn reject_all(&mut self, is_refused: bool, actions: &mut Vec<Action>) {
+        self.reject_intake(HANDOVER_REASON, HANDOVER_RETRY_AFTER, actions);
         if is_refused {
-            self.answer_inflight(not_run, actions);
+            self.answer_inflight(not_run_reply, actions);
         } else {
-            self.answer_inflight(in_doubt, actions);
+            self.answer_inflight(unconfirmed_reply, actions);
         }
     }
 
-    fn refuse_intake(
+    fn reject_intake(
         &mut self,
         reason: &'static str,
         retry_after: Duration,
@@ -280,13 +286,13 @@
         for (_, new) in self.intake.tasks.drain() {
             for token in new.tokens {
                 self.counts.refused_count += 1;
-                let reply = refused(reason, Some(retry_after));
+                let reply = rejected(reason, Some(retry_after));
                 actions.push(Action::Reply { token, reply });
             }
         }
         for (_, new) in self.intake.keys.drain() {
             self.counts.refused_count += 1;
-            let reply = key_refused(retry_after);
+            let reply = rejected_key(retry_after);
             actions.push(Action::Reply {
                 token: new.token,
                 reply,
@@ -294,16 +300,20 @@
         }
     }
 
-    /// Answers those that wait on a commit with `word` in place of their reply.
-    fn answer_inflight(&mut self, word: fn(&Reply) -> Reply, actions: &mut Vec<Action>) {
+    /// Answers the callers that wait for a commit, with `replacement` of the reply
+    /// that they would have got.
+    fn answer_inflight(&mut self, replacement: fn(&Reply) -> Reply, actions: &mut Vec<Action>) {
         let inflight = self.inflight.as_mut();
-        let in_flight = inflight.map(|inflight| &mut inflight.effects);
-        for effects in in_flight.into_iter().chain([&mut self.pending_effects]) {
+        let inflight_effects = inflight.map(|inflight| &mut inflight.effects);
+        for effects in inflight_effects
+            .into_iter()
+            .chain([&mut self.pending_effects])
+        {
             effects.retain(|effect| {
                 let Effect::Reply(token, reply) = effect else {
                     return true;
                 };
-                let (token, reply) = (*token, word(reply));
+                let (token, reply) = (*token, replacement(reply));
                 actions.push(Action::Reply { token, reply });
                 false
             });
@@ -311,37 +321,37 @@
     }
 
     pub(crate) fn answer(&mut self, token: Token, reply: Reply, actions: &mut Vec<Action>) {
-        let is_refusal = matches!(
+        let is_rejection = matches!(
             reply,
             Reply::Submit(SubmitReply::Refused { .. })
                 | Reply::TakeKey(TakeKeyReply::Refused { .. })
         );
-        self.counts.refused_count += u64::from(is_refusal);
+        self.counts.refused_count += u64::from(is_rejection);
         actions.push(Action::Reply { token, reply });
     }
 }
 
-fn key_refused(retry_after: Duration) -> Reply {
+fn rejected_key(retry_after: Duration) -> Reply {
     Reply::TakeKey(TakeKeyReply::Refused {
         retry_after_ms: retry_after.as_ms(),
     })
 }
 
-/// What a caller is told in place of `reply` when the commit's fate is unknown.
+/// Returns the reply that replaces `reply` if the commit's outcome is unknown.
 ///
-/// A claim that is not known to be on record is refused: the claimant must not
-/// send, and nobody else will be granted the key if it is.
-fn in_doubt(reply: &Reply) -> Reply {
+/// A claim that may not be recorded is rejected: the claimant must not send the
+/// request. If the claim is recorded after all, no other claimant gets the key.
+fn unconfirmed_reply(reply: &Reply) -> Reply {
     match reply {
         Reply::Submit(_) => Reply::Submit(SubmitReply::Unknown),
-        Reply::TakeKey(_) => key_refused(STORE_RETRY_AFTER),
+        Reply::TakeKey(_) => rejected_key(STORE_RETRY_AFTER),
     }
 }
 
-/// What a caller is told in place of `reply` when the commit had no effect.
-fn not_run(reply: &Reply) -> Reply {
+/// Returns the reply that replaces `reply` if the commit had no effect.
+fn not_run_reply(reply: &Reply) -> Reply {
     match reply {
-        Reply::Submit(_) => refused("the shard has another owner", Some(HAND_OVER_RETRY_AFTER)),
-        Reply::TakeKey(_) => key_refused(HAND_OVER_RETRY_AFTER),
+        Reply::Submit(_) => rejected("the shard has another owner", Some(HANDOVER_RETRY_AFTER)),
+        Reply::TakeKey(_) => rejected_key(HANDOVER_RETRY_AFTER),
     }
 }
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of a shard: its state, and what each event does to it.
+//! The owner of a shard: its state and its handling of events.
 
 use crate::action::{Action, Reply, Token};
 use crate::closing::Closing;
@@ -9,7 +9,7 @@
 use crate::log::Log;
 use crate::presence::Presence;
 use crate::record::Record;
-use crate::state::{Position, State};
+use crate::state::{State, TaskState};
 use crate::worker::WorkerTable;
 use crate::workload::WorkloadTable;
 use cranelift_entity::{EntitySet, SecondaryMap};
@@ -18,55 +18,55 @@
 use ospreywing_types::{AttemptId, Instant, Key, Name, TaskPhase};
 use std::collections::VecDeque;
 
-/// What has happened so far, for metrics.
+/// Counters since the start of the ownership, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Tasks accepted.
     pub submitted_count: u64,
-    /// Starts recorded.
+    /// Starts recorded, whether or not they were sent.
     pub started_count: u64,
-    /// Tasks ended, in any way.
+    /// Tasks ended, whatever the phase.
     pub ended_count: u64,
-    /// Attempts that waited again.
+    /// Attempts whose task was requeued.
     pub requeued_count: u64,
-    /// Commits made.
+    /// Commits built.
     pub commits_count: u64,
-    /// Bytes committed.
+    /// Bytes of these commits.
     pub commit_bytes: u64,
-    /// Requests refused.
+    /// Requests rejected.
     pub refused_count: u64,
-    /// Attempts that ran though the log does not say so.
+    /// Reported attempts that were over according to the state.
     pub stray_attempts_count: u64,
 }
 
-/// What follows once a commit has taken effect.
+/// What is done once the store has applied a commit.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
-    /// A caller is answered.
+    /// Reply to a caller.
     Reply(Token, Reply),
-    /// A start is sent.
+    /// Send the start of an attempt, given by its number.
     Start(Task, u32),
-    /// An attempt is stopped.
+    /// Stop a task's current attempt.
     Stop(Task),
-    /// A worker may forget an attempt.
+    /// Let a worker forget an attempt.
     Forget(Worker, AttemptId),
 }
 
-/// A commit whose outcome is not known yet.
+/// The effects of a commit whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Inflight {
     pub(crate) since: Instant,
     pub(crate) effects: Vec<Effect>,
 }
 
-/// An entity to be dropped from the state when its time comes.
+/// An entity that is removed from the state after its retention period.
 #[derive(Clone, Debug)]
 pub(crate) struct Retained<T> {
     pub(crate) since: Instant,
     pub(crate) item: T,
 }
 
-/// The daemon's ownership of one shard.
+/// A daemon's ownership of one shard.
 #[derive(Clone, Debug)]
 pub struct Owner {
     pub(crate) config: OwnerConfig,
@@ -77,26 +77,33 @@
     pub(crate) presence: SecondaryMap<Task, Presence>,
     pub(crate) waiting_since: SecondaryMap<Task, Instant>,
     pub(crate) intake: Intake,
+    /// The records of the next commit, already applied to the state.
     pub(crate) pending: Vec<Record>,
+    /// The effects of the next commit.
     pub(crate) pending_effects: Vec<Effect>,
     pub(crate) inflight: Option<Inflight>,
+    /// Whether tasks may be placed: the daemon's table is known to be current.
     pub(crate) is_deciding: bool,
     pub(crate) is_handing_over: bool,
+    /// When the latest read that confirmed the ownership was sent.
     pub(crate) confirmed_at: Instant,
-    /// When the shard was claimed; no former owner was confirmed after it.
+    /// When the shard was claimed; no former owner's ownership was confirmed later.
     pub(crate) claimed_at: Instant,
-    /// Since when no former owner can act; `None` while one may.
-    pub(crate) sole_since: Option<Instant>,
+    /// Since when no former owner can send orders; `None` while one may.
+    pub(crate) sole_owner_since: Option<Instant>,
+    /// Ended tasks, by the end of their retention.
     pub(crate) ended: VecDeque<Retained<Task>>,
+    /// Granted request keys, by the end of their retention.
     pub(crate) keys: VecDeque<Retained<Key>>,
-    pub(crate) passed: EntitySet<Workload>,
-    /// Whether something may have made room since tasks were last placed.
+    /// Workloads whose first task could not be placed in the current commit.
+    pub(crate) skipped: EntitySet<Workload>,
+    /// Whether an event since tasks were last placed may allow further placements.
     pub(crate) may_place: bool,
     pub(crate) counts: Counts,
 }
 
 impl Owner {
-    /// Makes the owner that a recovery ends in.
+    /// Creates the owner from the result of a recovery.
     pub(crate) fn new(config: OwnerConfig, state: State, log: Log, now: Instant) -> Self {
         let mut owner = Self {
             config,
@@ -114,15 +121,15 @@
             is_handing_over: false,
             confirmed_at: now,
             claimed_at: now,
-            sole_since: None,
+            sole_owner_since: None,
             ended: VecDeque::new(),
             keys: VecDeque::new(),
-            passed: EntitySet::new(),
+            skipped: EntitySet::new(),
             may_place: true,
             counts: Counts::default(),
         };
-        owner.take_in_tasks(now);
-        owner.note_sole(now);
+        owner.index_tasks(now);
+        owner.update_sole_ownership(now);
         owner.append(Record::Open {
             epoch: owner.config.epoch,
             owner: owner.config.identity.clone(),
@@ -130,23 +137,23 @@
         owner
     }
 
-    /// Sets up what is not in the log for every task that is.
-    fn take_in_tasks(&mut self, now: Instant) {
+    /// Derives the in-memory data of recovered tasks and request keys.
+    fn index_tasks(&mut self, now: Instant) {
         let tasks: Vec<Task> = self.state.live_tasks().map(|(task, _)| task).collect();
         for task in tasks {
             let image = self.state.tasks[task].image.clone();
             let workload = self.workloads.intern(&image.row);
-            match &image.position {
-                Position::Waiting => {
+            match &image.state {
+                TaskState::Waiting => {
                     self.waiting_since[task] = now;
                     self.workloads.enqueue(workload, image.id, task, now);
                 }
-                Position::Started(started) => {
+                TaskState::Started(started) => {
                     let worker = self.workers.intern(&started.worker);
                     self.occupy(task, worker);
-                    self.presence[task] = Presence::IN_DOUBT;
+                    self.presence[task] = Presence::UNCONFIRMED;
                 }
-                Position::Ended { .. } => self.ended.push_back(Retained {
+                TaskState::Ended { .. } => self.ended.push_back(Retained {
                     since: now,
                     item: task,
                 }),
@@ -160,7 +167,7 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         self.may_place |= !matches!(event, Event::Tick | Event::OwnershipConfirmed { .. });
         match event {
@@ -206,7 +213,7 @@
             }
             Event::StartAcked { attempt } => self.on_start_acked(now, attempt),
             Event::StartNotSent { attempt } => self.on_start_not_sent(now, attempt),
-            Event::StartInDoubt { attempt } => self.on_start_in_doubt(attempt),
+            Event::StartUnconfirmed { attempt } => self.on_start_unconfirmed(attempt),
             Event::Ended { worker, ended } => {
                 let worker = self.workers.intern(&worker);
                 self.on_ended(now, worker, &ended);
@@ -220,31 +227,31 @@
     fn on_epoch_closed(&mut self, now: Instant, epoch: u64) {
         if epoch != self.config.epoch && self.state.open_epochs.contains_key(&epoch) {
             self.append(Record::Close { epoch });
-            self.note_sole(now);
+            self.update_sole_ownership(now);
         }
     }
 
-    /// Notes since when this owner alone can send orders to the workers.
-    fn note_sole(&mut self, now: Instant) {
+    /// Sets `sole_owner_since` once every former epoch is closed.
+    fn update_sole_ownership(&mut self, now: Instant) {
         let own = self.config.epoch;
         let is_sole = self.state.open_epochs.keys().all(|&epoch| epoch == own);
-        if is_sole && self.sole_since.is_none() {
-            self.sole_since = Some(now);
+        if is_sole && self.sole_owner_since.is_none() {
+            self.sole_owner_since = Some(now);
         }
     }
 
     fn on_tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        self.refuse_overdue(now, actions);
-        self.resolve_silent(now);
+        self.reject_overdue(now, actions);
+        self.resolve_disconnected(now);
         self.drop_expired(now);
         let workers: Vec<Worker> = self.workers.keys().collect();
         for worker in workers {
             self.renew(now, worker, actions);
-            self.ask_report(now, worker, actions);
+            self.request_report(now, worker, actions);
         }
     }
 
-    /// Renews the leases on a worker where it is time.
+    /// Renews the leases on a worker if the renewal interval has passed.
     fn renew(&mut self, now: Instant, worker: Worker, actions: &mut Vec<Action>) {
         let data = self.workers.get(worker);
         let Some(session) = &data.session else { return };
@@ -275,19 +282,23 @@
         }
     }
 
-    /// An owner that can't prove its ownership renews only for the row's hold.
+    /// Returns whether the owner may renew the lease of a task.
+    ///
+    /// It stops renewing once its ownership has not been confirmed for the row's
+    /// hold. A start that is not committed yet has no lease.
     fn may_renew(&self, now: Instant, task: Task) -> bool {
         let is_recording = self.presence[task] == Presence::Recording;
         let hold = self.workloads.get(self.workload_of(task)).hold;
         !is_recording && now.since(self.confirmed_at) < hold
     }
 
-    fn ask_report(&mut self, now: Instant, worker: Worker, actions: &mut Vec<Action>) {
+    fn request_report(&mut self, now: Instant, worker: Worker, actions: &mut Vec<Action>) {
         let data = self.workers.get(worker);
         let Some(session) = &data.session else { return };
-        let is_in_doubt = |task: &Task| matches!(self.presence[*task], Presence::InDoubt { .. });
-        let every = if data.tasks.iter().any(is_in_doubt) {
-            self.config.doubt_report_every
+        let is_unconfirmed =
+            |task: &Task| matches!(self.presence[*task], Presence::Unconfirmed { .. });
+        let every = if data.tasks.iter().any(is_unconfirmed) {
+            self.config.unconfirmed_report_every
         } else {
             self.config.report_every
         };
@@ -306,7 +317,7 @@
         });
     }
 
-    /// Drops results and keys that were kept long enough.
+    /// Removes ended tasks and request keys whose retention period is over.
     fn drop_expired(&mut self, now: Instant) {
         while let Some(first) = self.ended.front() {
             if now.since(first.since) < self.config.result_retention {
@@ -326,28 +337,28 @@
         }
     }
 
-    /// Puts a record in the next commit and applies it to the state.
+    /// Adds a record to the next commit and applies it to the state.
     pub(crate) fn append(&mut self, record: Record) -> Option<Task> {
         let task = self.state.apply(&record);
         self.pending.push(record);
         task
     }
 
-    /// Counts a recorded start as occupying its worker and its workload.
+    /// Adds a recorded start to the usage of its worker and its workload.
     pub(crate) fn occupy(&mut self, task: Task, worker: Worker) {
-        let need = self.state.tasks[task].resources();
+        let demand = self.state.tasks[task].resources();
         let workload = self.workload_of(task);
         self.workers.update(worker, |data| {
-            data.used += need;
+            data.used += demand;
             data.tasks.insert(task);
         });
-        self.workloads.occupy(workload, &need);
+        self.workloads.occupy(workload, &demand);
     }
 
-    /// Undoes [`Self::occupy`] before the start's record is replaced.
+    /// Reverts [`Self::occupy`]; to be called before the state drops the start.
     pub(crate) fn release(&mut self, task: Task) {
         let data = &self.state.tasks[task];
-        let need = data.resources();
+        let demand = data.resources();
         let Some(started) = data.started() else {
             return;
         };
@@ -356,10 +367,10 @@
         };
         let workload = self.workload_of(task);
         self.workers.update(worker, |data| {
-            data.used -= need;
+            data.used -= demand;
             data.tasks.remove(&task);
         });
-        self.workloads.release(workload, &need);
+        self.workloads.release(workload, &demand);
         self.presence[task] = Presence::None;
     }
 
@@ -367,7 +378,8 @@
     ///
     /// # Panics
     ///
-    /// Panics where the task's row was never interned, which every path does.
+    /// Panics if the task's row was never interned; every code path that adds a
+    /// task interns its row.
     pub(crate) fn workload_of(&self, task: Task) -> Workload {
         let row = &self.state.tasks[task].image.row;
         self.workloads
@@ -375,7 +387,7 @@
             .expect("the row of every task is interned")
     }
 
-    /// Returns a task as callers see it.
+    /// Returns the status of a task, as reported to callers.
     pub fn status(&self, key: &Key) -> Option<TaskStatus> {
         let task = self.state.by_key(key)?;
         Some(self.status_of(task))
@@ -383,9 +395,9 @@
 
     pub(crate) fn status_of(&self, task: Task) -> TaskStatus {
         let image = &self.state.tasks[task].image;
-        let (phase, worker, result) = match &image.position {
-            Position::Waiting => (TaskPhase::Waiting, None, None),
-            Position::Started(started) => {
+        let (phase, worker, result) = match &image.state {
+            TaskState::Waiting => (TaskPhase::Waiting, None, None),
+            TaskState::Started(started) => {
                 let is_confirmed = self.presence[task].is_confirmed();
                 let phase = if is_confirmed {
                     TaskPhase::Running
@@ -394,7 +406,7 @@
                 };
                 (phase, Some(started.worker.clone()), None)
             }
-            Position::Ended { phase, result } => (*phase, None, result.clone()),
+            TaskState::Ended { phase, result } => (*phase, None, result.clone()),
         };
         TaskStatus {
             key: image.key.clone(),
@@ -406,13 +418,13 @@
         }
     }
 
-    /// Returns up to `limit_count` tasks as callers see them.
+    /// Returns the statuses of up to `limit_count` tasks.
     pub fn statuses(&self, limit_count: usize) -> Vec<TaskStatus> {
         let tasks = self.state.live_tasks().take(limit_count);
         tasks.map(|(task, _)| self.status_of(task)).collect()
     }
 
-    /// Returns the names of the listed workers, each with whether it is connected.
+    /// Returns the names of all known workers, each with whether it is connected.
     pub fn workers(&self) -> Vec<(Name, bool)> {
         let workers = self.workers.iter();
         workers
@@ -420,7 +432,7 @@
             .collect()
     }
 
-    /// Returns the former epochs that may still have starts on their way.
+    /// Returns the former epochs that may still have starts in flight.
     pub fn open_epochs(&self) -> Vec<crate::Epoch> {
         let own = self.config.epoch;
         let former = self.state.open_epochs.iter().filter(|(&e, _)| e != own);
@@ -437,12 +449,12 @@
         &self.config
     }
 
-    /// Returns the durable state, the uncommitted part included.
+    /// Returns the state, including records that are not committed yet.
     pub const fn state(&self) -> &State {
         &self.state
     }
 
-    /// Returns what has happened so far.
+    /// Returns the counters.
     pub const fn counts(&self) -> Counts {
         self.counts
     }
@@ -457,7 +469,7 @@
         self.workers.iter().map(|(_, data)| data.tasks.len()).sum()
     }
 
-    /// Returns the number of workers that may be given work.
+    /// Returns the number of workers on which tasks may be placed.
     pub fn placeable_count(&self) -> usize {
         self.workers.placeable_count()
     }
@@ -467,41 +479,42 @@
         self.log.size_bytes()
     }
 
-    /// Returns whether [`Self::next_commit`] has something to do.
-    pub fn wants_commit(&self) -> bool {
+    /// Returns whether [`Self::next_commit`] should be called.
+    pub fn needs_commit(&self) -> bool {
         let is_asked = !self.intake.is_empty() || !self.pending_effects.is_empty();
-        let is_due = !self.pending.iter().all(Record::is_rider);
+        let is_due = !self.pending.iter().all(Record::is_deferrable);
         let has_room = self.may_place && self.is_deciding && self.waiting_count() > 0;
         self.inflight.is_none() && (is_asked || is_due || has_room)
     }
 
-    /// Puts on record that nothing of this epoch is on its way.
+    /// Records that no start of this epoch is in flight.
     ///
-    /// To be called once settled; the next commit is the last.
+    /// To be called once [`Self::is_settled`] holds; the next commit is the last.
     pub fn finish(&mut self) {
         let epoch = self.config.epoch;
         self.append(Record::Close { epoch });
     }
 
-    /// Takes no more work, so that what is on its way can settle.
-    pub fn begin_hand_over(&mut self) {
+    /// Rejects new work and places no more tasks, so that the starts in flight can
+    /// be resolved.
+    pub fn begin_handover(&mut self) {
         self.is_handing_over = true;
     }
 
-    /// Returns whether nothing of this owner is on its way to a worker.
+    /// Returns whether no start and no commit is in flight.
     pub fn is_settled(&self) -> bool {
         let mut tasks = self.state.live_tasks();
         let is_on_its_way = |presence| matches!(presence, Presence::Sent | Presence::Recording);
         !tasks.any(|(task, _)| is_on_its_way(self.presence[task])) && self.inflight.is_none()
     }
 
-    /// Ends the ownership, after the store has refused a commit or named another.
+    /// Ends the ownership, after the store refused a commit or named another owner.
     ///
-    /// What was not committed is dropped, and callers that wait are told so.
-    /// `is_refused` says that the commit under way certainly had no effect;
-    /// otherwise its callers are told that nothing is known.
+    /// Uncommitted records are dropped, and waiting callers are answered.
+    /// `is_refused` means that the commit in flight had no effect; otherwise its
+    /// callers are told that the outcome is unknown.
     pub fn close(mut self, is_refused: bool, actions: &mut Vec<Action>) -> Closing {
-        self.refuse_all(is_refused, actions);
+        self.reject_all(is_refused, actions);
         let mut attempts = Vec::new();
         for (task, _) in self.state.live_tasks() {
             if self.presence[task] == Presence::Sent {
--- a/crates/shard/src/resolve.rs
+++ b/crates/shard/src/resolve.rs
@@ -1,19 +1,19 @@
-//! What became of recorded starts: the proofs that each may rest on.
+//! Resolves recorded starts: determines whether their attempts run or are over.
 //!
-//! Workers have no guards, and a former owner may wake at any time and send a
-//! start that it recorded. A recorded start therefore counts as occupying its
-//! worker until one of these resolves it:
+//! Workers don't check who sends an order, and a paused former owner may resume
+//! at any time and send a start that it recorded. A recorded start therefore
+//! occupies capacity of its worker until one of these proofs resolves it:
 //!
-//! 1. the worker says that the attempt runs or has ended;
-//! 2. another incarnation of the worker answers: a start goes only over a
-//!    connection to the incarnation on record;
-//! 3. every daemon that could send it has closed its epoch, and the worker has
-//!    lacked it in several reports, one asked for after the other, over a
-//!    settling time;
-//! 4. the worker once confirmed it, every other daemon that could renew its
-//!    lease has closed its epoch, and the lease has lapsed;
-//! 5. the platform took the worker off its box list some minutes ago, and
-//!    every former epoch is closed.
+//! 1. The worker reports that the attempt runs or has ended.
+//! 2. Another incarnation of the worker answers. A start is sent only over a
+//!    connection to the recorded incarnation.
+//! 3. Every daemon that could send the start has closed its epoch, and several
+//!    reports of the worker, each requested after the one before was received
+//!    and together spanning the settling time, don't list the attempt.
+//! 4. The worker once confirmed the attempt, its lease has expired, and no other
+//!    daemon can have renewed it since.
+//! 5. The platform removed the worker from its box list longer ago than the
+//!    quarantine, and every former epoch has been closed for as long.
 
 use crate::action::Action;
 use crate::entity::{Task, Worker};
@@ -26,13 +26,14 @@
 use ospreywing_types::worker::{Ended, Order, Report, Stop};
 use ospreywing_types::{AttemptId, Instant, Name, TaskEnd, TaskPhase};
 
-/// Reports in a row that must lack a start in doubt.
+/// The number of successive reports that must not list an unconfirmed attempt
+/// before it counts as absent.
 const ABSENT_REPORTS_COUNT: u32 = 4;
 
 impl Owner {
     /// Returns whether the worker's open connection is `session`.
     ///
-    /// Word of an earlier connection may come after that of a later one.
+    /// Events of an earlier connection may be handled after those of a later one.
     pub(crate) fn has_session(&self, name: &Name, session: u64) -> bool {
         let worker = self.workers.by_name(name);
         let open = worker.and_then(|worker| self.workers.get(worker).session.as_ref());
@@ -66,12 +67,12 @@
         let worker = self.workers.intern(name);
         self.workers.update(worker, |data| {
             if data.session.take().is_some() {
-                data.silent_since = now;
+                data.disconnected_since = now;
             }
         });
         for task in self.tasks_on(worker) {
-            if matches!(self.presence[task], Presence::InDoubt { .. }) {
-                self.presence[task] = Presence::IN_DOUBT;
+            if matches!(self.presence[task], Presence::Unconfirmed { .. }) {
+                self.presence[task] = Presence::UNCONFIRMED;
             }
         }
     }
@@ -90,7 +91,7 @@
             return;
         }
         self.read_report(now, asked_at, worker, report);
-        self.stop_strays(worker, report, actions);
+        self.stop_stray_attempts(worker, report, actions);
         for task in self.tasks_on(worker) {
             if self.state.tasks[task].image.is_cancelled {
                 self.send_stop(task, actions);
@@ -121,17 +122,19 @@
         }
     }
 
-    /// Proof 2: the run of the worker that alone could receive it is over.
+    /// Proof 2: the only incarnation of the worker that could receive the start is
+    /// over.
     ///
-    /// A start that was not yet sent never will be; [`Self::send_start`] sees to it.
+    /// A start that is not sent yet is not sent any more: [`Self::send_start`]
+    /// checks the incarnation.
     fn on_other_incarnation(&mut self, now: Instant, task: Task, started: &Started) {
-        let is_mine = started.epoch == self.config.epoch;
+        let is_own = started.epoch == self.config.epoch;
         match self.presence[task] {
             Presence::Recording => {}
-            // The connection it was sent over breaks with the worker's run,
-            // and the send is then reported as in doubt.
-            Presence::Sent if is_mine => {}
-            _ => self.lose(now, task),
+            // The connection to the former incarnation breaks, and the daemon
+            // then reports the start as unconfirmed.
+            Presence::Sent if is_own => {}
+            _ => self.handle_lost_attempt(now, task),
         }
     }
 
@@ -140,21 +143,22 @@
             Presence::None | Presence::Recording | Presence::Sent => {}
             Presence::Confirmed { since } => {
                 if since < asked_at {
-                    self.presence[task] = Presence::IN_DOUBT;
-                    self.note_absence(now, asked_at, task, started);
+                    self.presence[task] = Presence::UNCONFIRMED;
+                    self.record_absence(now, asked_at, task, started);
                 }
             }
-            Presence::InDoubt { .. } => self.note_absence(now, asked_at, task, started),
+            Presence::Unconfirmed { .. } => self.record_absence(now, asked_at, task, started),
         }
     }
 
-    /// Counts reports that lack a start in doubt, each asked for after the one
-    /// before had come.
+    /// Counts successive reports that don't list an unconfirmed attempt.
     ///
-    /// A worker that was frozen may read a later report's call before an older
-    /// start in another connection's buffer, but not one call after the other.
-    fn note_absence(&mut self, now: Instant, asked_at: Instant, task: Task, started: &Started) {
-        let Presence::InDoubt { absence } = self.presence[task] else {
+    /// A report counts only if it was requested after the previous one was
+    /// received. A worker that was frozen may read a report request before an
+    /// older start in another connection's buffer, but that does not repeat over
+    /// several requests, each sent after the answer to the one before.
+    fn record_absence(&mut self, now: Instant, asked_at: Instant, task: Task, started: &Started) {
+        let Presence::Unconfirmed { absence } = self.presence[task] else {
             return;
         };
         if !self.is_epoch_closed(started.epoch) {
@@ -169,27 +173,27 @@
             },
             Some(_) => return,
         };
-        self.presence[task] = Presence::InDoubt {
+        self.presence[task] = Presence::Unconfirmed {
             absence: Some(absence),
         };
-        let is_settled = now >= absence.since + self.config.settle;
+        let is_settled = now >= absence.since + self.config.settling_time;
         if is_settled && absence.reports_count >= ABSENT_REPORTS_COUNT {
-            self.on_proved_absent(now, task, started);
+            self.on_absence_proven(now, task, started);
         }
     }
 
-    /// Proof 3: nobody will send it, and the worker does not have it.
-    fn on_proved_absent(&mut self, now: Instant, task: Task, started: &Started) {
+    /// Proof 3: no daemon will send the start, and the worker does not have it.
+    fn on_absence_proven(&mut self, now: Instant, task: Task, started: &Started) {
         if started.is_confirmed {
-            self.lose(now, task);
+            self.handle_lost_attempt(now, task);
         } else if self.state.tasks[task].image.is_cancelled {
-            self.end(now, task, TaskPhase::Cancelled, None);
+            self.end_task(now, task, TaskPhase::Cancelled, None);
         } else {
             self.requeue(now, task, false);
         }
     }
 
-    /// Returns whether nothing of `epoch` can still be sent.
+    /// Returns whether no former owner can still send a start of `epoch`.
     fn is_epoch_closed(&self, epoch: u64) -> bool {
         epoch == self.config.epoch || !self.state.open_epochs.contains_key(&epoch)
     }
@@ -208,24 +212,24 @@
         }
     }
 
-    /// Returns the task whose attempt on record is `attempt`.
-    fn current(&self, attempt: AttemptId) -> Option<Task> {
+    /// Returns the task whose current attempt is `attempt`.
+    fn task_of_attempt(&self, attempt: AttemptId) -> Option<Task> {
         if attempt.shard != self.config.shard {
             return None;
         }
         let task = self.state.by_id(attempt.task)?;
-        let on_record = self.state.attempt(self.config.shard, task)?;
-        (on_record == attempt).then_some(task)
+        let current = self.state.attempt(self.config.shard, task)?;
+        (current == attempt).then_some(task)
     }
 
     pub(crate) fn on_start_acked(&mut self, now: Instant, attempt: AttemptId) {
-        if let Some(task) = self.current(attempt) {
+        if let Some(task) = self.task_of_attempt(attempt) {
             self.confirm(now, task);
         }
     }
 
     pub(crate) fn on_start_not_sent(&mut self, now: Instant, attempt: AttemptId) {
-        let Some(task) = self.current(attempt) else {
+        let Some(task) = self.task_of_attempt(attempt) else {
             return;
         };
         if self.presence[task] == Presence::Sent {
@@ -233,38 +237,40 @@
         }
     }
 
-    pub(crate) fn on_start_in_doubt(&mut self, attempt: AttemptId) {
-        let Some(task) = self.current(attempt) else {
+    pub(crate) fn on_start_unconfirmed(&mut self, attempt: AttemptId) {
+        let Some(task) = self.task_of_attempt(attempt) else {
             return;
         };
         if self.presence[task] == Presence::Sent {
-            self.presence[task] = Presence::IN_DOUBT;
+            self.presence[task] = Presence::UNCONFIRMED;
         }
     }
 
     pub(crate) fn on_ended(&mut self, now: Instant, worker: Worker, ended: &Ended) {
-        let Some(task) = self.current(ended.attempt) else {
-            if self.is_settled_attempt(ended.attempt) {
+        let Some(task) = self.task_of_attempt(ended.attempt) else {
+            if self.is_past_attempt(ended.attempt) {
                 let effect = Effect::Forget(worker, ended.attempt);
-                self.forget_soon(effect);
+                self.forget_when_committed(effect);
             }
             return;
         };
         let is_cancelled = self.state.tasks[task].image.is_cancelled;
         match &ended.end {
             TaskEnd::Finished(result) => {
-                self.end(now, task, TaskPhase::Finished, Some(result.clone()));
+                self.end_task(now, task, TaskPhase::Finished, Some(result.clone()));
+            }
+            TaskEnd::Failed(reason) => self.handle_failure(now, task, reason),
+            _ if is_cancelled => self.end_task(now, task, TaskPhase::Cancelled, None),
+            TaskEnd::LeaseLapsed | TaskEnd::Stopped | TaskEnd::WorkerLost => {
+                self.handle_lost_attempt(now, task)
             }
-            TaskEnd::Failed(reason) => self.fail(now, task, reason),
-            _ if is_cancelled => self.end(now, task, TaskPhase::Cancelled, None),
-            TaskEnd::LeaseLapsed | TaskEnd::Stopped | TaskEnd::WorkerLost => self.lose(now, task),
         }
         let effect = Effect::Forget(worker, ended.attempt);
         self.pending_effects.push(effect);
     }
 
-    /// Returns whether the log, as far as it is committed, is past `attempt`.
-    fn is_settled_attempt(&self, attempt: AttemptId) -> bool {
+    /// Returns whether `attempt` is over according to the state.
+    fn is_past_attempt(&self, attempt: AttemptId) -> bool {
         if attempt.shard != self.config.shard {
             return false;
         }
@@ -278,8 +284,8 @@
         }
     }
 
-    /// Lets a worker forget an attempt, not before all so far is on record.
-    fn forget_soon(&mut self, effect: Effect) {
+    /// Lets a worker forget an attempt once every pending record is committed.
+    fn forget_when_committed(&mut self, effect: Effect) {
         let Effect::Forget(worker, attempt) = effect else {
             return;
         };
@@ -294,7 +300,7 @@
         });
     }
 
-    fn fail(&mut self, now: Instant, task: Task, reason: &str) {
+    fn handle_failure(&mut self, now: Instant, task: Task, reason: &str) {
         let image = &self.state.tasks[task].image;
         let workload = self.workloads.get(self.workload_of(task));
         let may_retry = workload.repeat == Repeat::Repeatable
@@ -302,24 +308,24 @@
         if may_retry && !image.is_cancelled {
             self.requeue(now, task, true);
         } else {
-            self.end(now, task, TaskPhase::Failed, Some(reason.to_owned()));
+            self.end_task(now, task, TaskPhase::Failed, Some(reason.to_owned()));
         }
     }
 
-    /// Ends an attempt that may have run in part and will not go on.
-    pub(crate) fn lose(&mut self, now: Instant, task: Task) {
+    /// Handles an attempt that may have run in part and no longer runs.
+    pub(crate) fn handle_lost_attempt(&mut self, now: Instant, task: Task) {
         let workload = self.workloads.get(self.workload_of(task));
         if self.state.tasks[task].image.is_cancelled {
-            self.end(now, task, TaskPhase::Cancelled, None);
+            self.end_task(now, task, TaskPhase::Cancelled, None);
         } else if workload.repeat == Repeat::AtMostOnce {
             let reason = "its worker was lost and the work is unsafe to repeat";
-            self.end(now, task, TaskPhase::Unknown, Some(reason.to_owned()));
+            self.end_task(now, task, TaskPhase::Unknown, Some(reason.to_owned()));
         } else {
             self.requeue(now, task, false);
         }
     }
 
-    /// Lets a task wait again; its attempt is over.
+    /// Puts a task whose attempt is over back into its queue.
     pub(crate) fn requeue(&mut self, now: Instant, task: Task, is_failure: bool) {
         let Some(started) = self.state.tasks[task].started() else {
             return;
@@ -338,8 +344,8 @@
         self.workloads.enqueue(workload, id, task, now);
     }
 
-    /// Ends a task for good.
-    pub(crate) fn end(
+    /// Ends a task; it won't run again.
+    pub(crate) fn end_task(
         &mut self,
         now: Instant,
         task: Task,
@@ -360,58 +366,71 @@
         });
     }
 
-    /// Proofs 4 and 5, for workers that have no open connection.
-    pub(crate) fn resolve_silent(&mut self, now: Instant) {
+    /// Applies proofs 4 and 5 to workers without an open connection.
+    pub(crate) fn resolve_disconnected(&mut self, now: Instant) {
         let workers: Vec<Worker> = self.workers.keys().collect();
         for worker in workers {
             if self.workers.get(worker).session.is_some() {
                 continue;
             }
-            let is_off = self.is_off(now, worker);
+            let is_delisted = self.is_delisted(now, worker);
             for task in self.tasks_on(worker) {
-                self.resolve_silent_task(now, worker, task, is_off);
+                self.resolve_disconnected_task(now, worker, task, is_delisted);
             }
         }
     }
 
-    /// Proof 5: the platform dropped the box, and no former owner can act.
-    fn is_off(&self, now: Instant, worker: Worker) -> bool {
+    /// Proof 5: the box left the box list and no former owner can act, both for at
+    /// least the quarantine.
+    fn is_delisted(&self, now: Instant, worker: Worker) -> bool {
         let Listing::Dropped(since) = self.workers.get(worker).listing else {
             return false;
         };
         let quarantine = self.config.unlisted_quarantine;
-        self.sole_since
+        self.sole_owner_since
             .is_some_and(|sole| now >= sole.max(since) + quarantine)
     }
 
-    fn resolve_silent_task(&mut self, now: Instant, worker: Worker, task: Task, is_off: bool) {
+    fn resolve_disconnected_task(
+        &mut self,
+        now: Instant,
+        worker: Worker,
+        task: Task,
+        is_delisted: bool,
+    ) {
         if matches!(self.presence[task], Presence::Recording | Presence::Sent) {
             return;
         }
         let started = self.state.tasks[task].started();
         let was_confirmed = started.is_some_and(|started| started.is_confirmed);
-        let is_lapsed = was_confirmed && now >= self.lapse_of(worker, task);
-        if is_off || is_lapsed {
-            self.lose(now, task);
+        let is_expired = was_confirmed && now >= self.lease_expires_at(worker, task);
+        if is_delisted || is_expired {
+            self.handle_lost_attempt(now, task);
         }
     }
 
-    /// Proof 4: when the lease of a confirmed attempt on a silent worker is over.
+    /// Proof 4: returns when the lease of a confirmed attempt on a worker without
+    /// a connection has certainly expired.
     ///
-    /// An order may be held for long between its decision and its sending, but
-    /// not beyond the end of its connection. A former owner that has not closed its epoch may renew for the row's
-    /// hold after it was last confirmed, which was before the claim.
-    fn lapse_of(&self, worker: Worker, task: Task) -> Instant {
+    /// The daemon may hold an order for long before it sends it, but not beyond
+    /// the end of the connection. A former owner that has not closed its epoch
+    /// may renew leases for the row's hold after its ownership was last
+    /// confirmed, which was before this owner's claim.
+    fn lease_expires_at(&self, worker: Worker, task: Task) -> Instant {
         let hold = self.workloads.get(self.workload_of(task)).hold;
-        let others_until = self.sole_since.unwrap_or(self.claimed_at + hold);
-        let renewed_until = self.workers.get(worker).silent_since.max(others_until);
-        renewed_until + self.config.lapse()
+        let others_until = self.sole_owner_since.unwrap_or(self.claimed_at + hold);
+        let renewed_until = self
+            .workers
+            .get(worker)
+            .disconnected_since
+            .max(others_until);
+        renewed_until + self.config.max_lease_time()
     }
 
-    /// Stops attempts that run though the log is past them.
-    fn stop_strays(&mut self, worker: Worker, report: &Report, actions: &mut Vec<Action>) {
+    /// Stops reported attempts that are over according to the state.
+    fn stop_stray_attempts(&mut self, worker: Worker, report: &Report, actions: &mut Vec<Action>) {
         for &attempt in &report.running {
-            if self.current(attempt).is_none() && self.is_settled_attempt(attempt) {
+            if self.task_of_attempt(attempt).is_none() && self.is_past_attempt(attempt) {
                 self.counts.stray_attempts_count += 1;
                 actions.push(Action::Order {
                     worker: self.workers.get(worker).name.clone(),
--- a/crates/shard/tests/owner/support/daemon_fake.rs
+++ b/crates/shard/tests/owner/support/daemon_fake.rs
@@ -1,12 +1,14 @@
-//! One daemon's shell around an owner: what it holds between check and send.
+//! A fake daemon around an owner, with the orders it holds between a decision and
+//! the send.
 
 use ospreywing_shard::{Closing, Commit, Event, Owner};
 use ospreywing_types::worker::Order;
 use std::collections::VecDeque;
 
-/// An order that was decided and not yet sent: a pause may lie in between.
+/// An order that the owner issued and the daemon has not sent yet; the daemon may
+/// pause in between.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldOrder {
     pub worker: usize,
     pub session: u64,
     pub order: Order,
@@ -20,21 +22,21 @@
     pub incarnation: u64,
 }
 
-/// A daemon.
+/// A fake daemon.
 #[derive(Default)]
 pub struct DaemonFake {
     pub process: u64,
     pub owner: Option<Owner>,
     pub closing: Vec<Closing>,
-    /// A commit whose fate the daemon does not know.
+    /// A commit whose outcome the daemon does not know.
     pub commit: Option<Commit>,
-    /// Whether an answer to that commit was lost.
+    /// Whether the store's answer to that commit was lost.
     pub has_tried: bool,
     pub links: Vec<Link>,
-    pub held: Vec<Held>,
+    pub held: Vec<HeldOrder>,
     pub inbox: VecDeque<Event>,
     pub is_paused: bool,
-    /// Whether what has happened waits to be taken in.
+    /// Whether the daemon leaves events in its inbox.
     pub is_lagging: bool,
     pub is_dead: bool,
 }
--- a/crates/shard/tests/owner/support/script.rs
+++ b/crates/shard/tests/owner/support/script.rs
@@ -1,38 +1,39 @@
-//! Traces: text files of events with stated outcomes.
+//! Runs traces: text files of steps with expected outcomes.
 //!
-//! One step a line; `#` begins a comment. Times are as `90s` or `1500ms`.
+//! Each line holds one step; `#` begins a comment. Durations are written as `90s`
+//! or `1500ms`.
 //! Daemons are `d0` to `d2`, workers `w0` to `w2`, tasks `k0`, `k1` and so on
 //! in the order of their submission.
 
-use super::world::{Broken, Op, World};
+use super::simulation::{Op, Simulation, StepError};
 use ospreywing_filetest::{index, ms};
 
-/// Plays a trace.
+/// Runs a trace.
 ///
 /// # Errors
 ///
-/// Returns what went wrong, with the line's number.
-pub fn play(text: &str) -> Result<(), Broken> {
-    let mut world = World::new();
-    ospreywing_filetest::play(text, |words| step(&mut world, words))
+/// Returns the first failed step or outcome, with its line number.
+pub fn run_trace(text: &str) -> Result<(), StepError> {
+    let mut simulation = Simulation::new();
+    ospreywing_filetest::run_script(text, |words| step(&mut simulation, words))
 }
 
-fn step(world: &mut World, words: &[&str]) -> Result<(), Broken> {
+fn step(simulation: &mut Simulation, words: &[&str]) -> Result<(), StepError> {
     match words {
-        ["expect", rest @ ..] => expect(world, rest),
-        ["heal"] => world.heal(),
+        ["expect", rest @ ..] => expect(simulation, rest),
+        ["heal"] => simulation.heal(),
         ["flow", length] => {
             let ms = ms(length);
-            world.step(&Op::Run { ms })
+            simulation.step(&Op::Run { ms })
         }
-        _ => world.step(&op(words)?),
+        _ => simulation.step(&op(words)?),
     }
 }
 
-fn op(words: &[&str]) -> Result<Op, Broken> {
+fn op(words: &[&str]) -> Result<Op, StepError> {
     Ok(match *words {
-        ["submit", "safe"] => Op::Submit { row: true },
-        ["submit", "unsafe"] => Op::Submit { row: false },
+        ["submit", "safe"] => Op::Submit { is_safe: true },
+        ["submit", "unsafe"] => Op::Submit { is_safe: false },
         ["cancel", key] => Op::Cancel { index: index(key) },
         ["pass", length] => Op::Pass { ms: ms(length) },
         ["commit", daemon] => Op::Commit {
@@ -110,23 +111,26 @@
         ["take-key", daemon, key, nonce] => Op::TakeKey {
             daemon: index(daemon),
             number: index(key) as u64,
-            nonce: nonce.parse().expect("a nonce"),
+            nonce: nonce.parse().expect("the nonce is a number"),
         },
-        _ => return Err(Broken("no such step".to_owned())),
+        _ => return Err(StepError("no such step".to_owned())),
     })
 }
 
-fn expect(world: &World, words: &[&str]) -> Result<(), Broken> {
+fn expect(simulation: &Simulation, words: &[&str]) -> Result<(), StepError> {
     let (found, wanted) = match *words {
-        ["said", key, wanted] => (world.said(key).to_owned(), wanted),
-        ["phase", key, wanted] => (world.phase(key), wanted),
-        ["runs", key, wanted] => (world.runs_count(key).to_string(), wanted),
-        ["running", worker, wanted] => (world.running_count(index(worker)).to_string(), wanted),
-        ["held-starts", daemon, wanted] => {
-            (world.held_starts_count(index(daemon)).to_string(), wanted)
+        ["said", key, wanted] => (simulation.last_reply(key).to_owned(), wanted),
+        ["phase", key, wanted] => (simulation.phase(key), wanted),
+        ["runs", key, wanted] => (simulation.runs_count(key).to_string(), wanted),
+        ["running", worker, wanted] => {
+            (simulation.running_count(index(worker)).to_string(), wanted)
         }
-        ["batches", wanted] => (world.batches_count().to_string(), wanted),
-        _ => return Err(Broken("no such outcome".to_owned())),
+        ["held-starts", daemon, wanted] => (
+            simulation.held_starts_count(index(daemon)).to_string(),
+            wanted,
+        ),
+        ["batches", wanted] => (simulation.batches_count().to_string(), wanted),
+        _ => return Err(StepError("no such outcome".to_owned())),
     };
     ospreywing_filetest::expect(&found, wanted)
 }
--- a/crates/shard/tests/owner/support/world.rs
+++ b/crates/shard/tests/owner/support/simulation.rs
@@ -1,8 +1,8 @@
-//! Several daemons, workers and a store, and everything that may go wrong
-//! between them, step by step.
+//! Simulates several daemons, workers and a store, with the faults that may occur
+//! between them, one step at a time.
 
 use super::box_fake::{BoxFake, Running};
-use super::daemon_fake::{DaemonFake, Held, Link};
+use super::daemon_fake::{DaemonFake, HeldOrder, Link};
 use super::store_fake::StoreFake;
 use ospreywing_shard::{Action, Event, Owner, OwnerConfig, Recovery, Reply, Token};
 use ospreywing_table::{Repeat, Row, RowKind, Table};
@@ -19,16 +19,16 @@
 pub const WORKERS_COUNT: usize = 3;
 const CAPACITY: Resources = Resources::new(4000, 4096, 0);
 const NEED: Resources = Resources::new(2000, 1024, 0);
-/// How often an order in a worker's buffer may be overtaken by later ones.
+/// How often later orders may overtake an order in a worker's buffer.
 const OVERTAKEN_LIMIT: u32 = 3;
-/// An awake worker reads what is in its buffers within this time.
+/// The time within which a running worker reads an order in its buffers.
 const READ_WITHIN_MS: u64 = 10_000;
-/// A box that the list has dropped goes off within this time.
-const OFF_WITHIN: Duration = Duration::from_s(60);
-/// The length of one step of a run without faults.
+/// The time within which a box that left the box list is shut down.
+const SHUT_DOWN_WITHIN: Duration = Duration::from_s(60);
+/// The length of one step of [`Op::Run`].
 const RUN_STEP_MS: u64 = 4000;
 
-/// One step.
+/// A step of a scenario.
 #[derive(Clone, Debug)]
 pub enum Op {
     TakeKey {
@@ -37,7 +37,7 @@
         nonce: u64,
     },
     Submit {
-        row: bool,
+        is_safe: bool,
     },
     Pass {
         ms: u64,
@@ -118,24 +118,25 @@
 }
 
 /// An order in a worker's buffer.
-pub(super) struct Buffered {
+pub(super) struct BufferedOrder {
     daemon: usize,
     process: u64,
     link: Link,
     order: Order,
     overtaken_count: u32,
+    /// How long the worker has been running since the order arrived in its buffer.
     awake_ms: u64,
 }
 
-/// A worker's word on its way back.
-pub(super) struct Back {
+/// A worker's message to a daemon that has not arrived yet.
+pub(super) struct WorkerMessage {
     daemon: usize,
     process: u64,
     session: u64,
     event: Event,
 }
 
-/// What was counted on the way.
+/// Counters of a scenario, printed by the search.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub steps_count: u64,
@@ -147,39 +148,44 @@
     pub interleavings_count: u64,
 }
 
-/// A promise that was broken, with the entity at fault.
-pub use ospreywing_filetest::Broken;
+/// A violated invariant, with the entity at fault.
+pub use ospreywing_filetest::StepError;
 
-pub struct World {
+/// A cell of several daemons and workers with one shard and a store.
+pub struct Simulation {
     pub now: Instant,
     pub(super) store: StoreFake,
     pub(super) daemons: Vec<DaemonFake>,
     pub(super) workers: Vec<BoxFake>,
-    pub(super) buffers: Vec<Buffered>,
-    pub(super) backs: Vec<Back>,
+    pub(super) buffers: Vec<BufferedOrder>,
+    pub(super) worker_messages: Vec<WorkerMessage>,
     pub(super) table: Arc<Table>,
+    /// The workers in the box list.
     pub(super) listed: BTreeSet<usize>,
-    pub(super) off_at: [Option<Instant>; WORKERS_COUNT],
+    pub(super) shut_down_at: [Option<Instant>; WORKERS_COUNT],
     pub(super) keys: Vec<Key>,
     pub(super) unsafe_keys: BTreeSet<Key>,
     pub(super) accepted: BTreeSet<Key>,
-    /// Keys of which a caller was told anything but a refusal, or nothing yet.
-    pub(super) doubtful: BTreeSet<Key>,
-    /// The claims that got each request key.
+    /// Keys for which a caller was told that the outcome is unknown.
+    pub(super) unconfirmed_keys: BTreeSet<Key>,
+    /// The nonces of the claims that were granted each request key.
     pub(super) granted: BTreeMap<Key, BTreeSet<u64>>,
+    /// The nonce of the claim of each token.
     pub(super) claims: BTreeMap<u64, u64>,
-    /// The last word to the callers of each key.
-    pub(super) said: BTreeMap<Key, &'static str>,
+    /// The latest reply to the callers of each key.
+    pub(super) last_replies: BTreeMap<Key, &'static str>,
+    /// The key of each token whose caller waits for a reply.
     pub(super) tokens: BTreeMap<u64, Key>,
+    /// When a report was last requested over each session.
     pub(super) asked_at: BTreeMap<u64, Instant>,
-    pub(super) next: u64,
+    pub(super) next_number: u64,
     pub tally: Tally,
-    /// An attempt that began though the log did not have it as current.
-    pub(super) off_log: Option<AttemptId>,
+    /// A started attempt that was not the current one of its task in the log.
+    pub(super) stray_start: Option<AttemptId>,
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("the name is valid")
 }
 
 fn worker_name(worker: usize) -> Name {
@@ -196,8 +202,8 @@
     Arc::new(table)
 }
 
-/// Reads the log as one that takes over would.
-pub(super) fn reader(store: &StoreFake) -> Owner {
+/// Returns the owner that a takeover would recover from the log.
+pub(super) fn recovered_owner(store: &StoreFake) -> Owner {
     let identity = DaemonIdentity {
         name: name("reader"),
         incarnation: 0,
@@ -205,70 +211,70 @@
     };
     let mut recovery = Recovery::new(OwnerConfig::new(0, 1, u64::MAX, identity));
     for (seq, value) in &store.batches {
-        recovery.read(*seq, value).expect("the log is sound");
+        recovery.read(*seq, value).expect("the log is valid");
     }
     recovery.finish(Instant::default())
 }
 
-/// Returns whether the log has `attempt` as the current one of its task.
+/// Returns whether `attempt` is the current one of its task in the log.
 fn is_on_log(store: &StoreFake, attempt: AttemptId) -> bool {
-    let reader = reader(store);
-    let state = reader.state();
+    let recovered_owner = recovered_owner(store);
+    let state = recovered_owner.state();
     let task = state.by_id(attempt.task);
     task.and_then(|task| state.attempt(0, task)) == Some(attempt)
 }
 
-impl World {
+impl Simulation {
     pub fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Instant::from_ms(1_000_000),
             store: StoreFake::default(),
             daemons: (0..DAEMONS_COUNT).map(|_| DaemonFake::default()).collect(),
             workers: Vec::new(),
             buffers: Vec::new(),
-            backs: Vec::new(),
+            worker_messages: Vec::new(),
             table: table(),
             listed: (0..WORKERS_COUNT).collect(),
-            off_at: [None; WORKERS_COUNT],
+            shut_down_at: [None; WORKERS_COUNT],
             keys: Vec::new(),
             unsafe_keys: BTreeSet::new(),
             accepted: BTreeSet::new(),
-            doubtful: BTreeSet::new(),
+            unconfirmed_keys: BTreeSet::new(),
             granted: BTreeMap::new(),
             claims: BTreeMap::new(),
-            said: BTreeMap::new(),
+            last_replies: BTreeMap::new(),
             tokens: BTreeMap::new(),
             asked_at: BTreeMap::new(),
-            next: 0,
+            next_number: 0,
             tally: Tally::default(),
-            off_log: None,
+            stray_start: None,
         };
         for _ in 0..WORKERS_COUNT {
-            let incarnation = world.number();
-            world.workers.push(BoxFake::new(incarnation, CAPACITY));
+            let incarnation = simulation.next_number();
+            simulation.workers.push(BoxFake::new(incarnation, CAPACITY));
         }
         for daemon in 0..DAEMONS_COUNT {
-            world.daemons[daemon].process = world.number();
+            simulation.daemons[daemon].process = simulation.next_number();
         }
-        world
+        simulation
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_number(&mut self) -> u64 {
+        self.next_number += 1;
+        self.next_number
     }
 
-    /// Takes one step and checks every promise.
-    pub fn step(&mut self, op: &Op) -> Result<(), Broken> {
+    /// Executes one step and checks every invariant.
+    pub fn step(&mut self, op: &Op) -> Result<(), StepError> {
         self.tally.steps_count += 1;
         self.apply(op);
-        self.settle_inboxes();
+        self.process_inboxes();
         self.check()
     }
 
     fn apply(&mut self, op: &Op) {
         match *op {
-            Op::Submit { row } => self.submit(row),
+            Op::Submit { is_safe } => self.submit(is_safe),
             Op::Pass { ms } => self.pass(ms),
             Op::Run { ms } => self.run(ms),
             Op::Lag { daemon, is_on } => self.daemons[daemon].is_lagging = is_on,
@@ -305,8 +311,8 @@
         }
     }
 
-    /// The daemon that believes to own the shard and is awake, if any.
-    pub(super) fn owners(&self) -> Vec<usize> {
+    /// Returns the running daemons that consider themselves owner of the shard.
+    pub(super) fn running_owners(&self) -> Vec<usize> {
         let awake = |&daemon: &usize| {
             let daemon = &self.daemons[daemon];
             daemon.is_awake() && daemon.owner.is_some()
@@ -315,13 +321,13 @@
     }
 
     fn submit(&mut self, is_safe: bool) {
-        let key = Key::new(&format!("k{}", self.keys.len())).expect("a key");
+        let key = Key::new(&format!("k{}", self.keys.len())).expect("the key is valid");
         self.keys.push(key.clone());
         if !is_safe {
             self.unsafe_keys.insert(key.clone());
         }
-        for daemon in self.owners() {
-            let token = self.number();
+        for daemon in self.running_owners() {
+            let token = self.next_number();
             self.tokens.insert(token, key.clone());
             let event = Event::Submit {
                 token: Token(token),
@@ -332,7 +338,7 @@
                     command: String::new(),
                 },
             };
-            self.tell(daemon, event);
+            self.handle_event(daemon, event);
         }
     }
 
@@ -341,40 +347,41 @@
             return;
         }
         let key = self.keys[index % self.keys.len()].clone();
-        for daemon in self.owners() {
-            let token = Token(self.number());
+        for daemon in self.running_owners() {
+            let token = Token(self.next_number());
             let key = key.clone();
-            self.tell(daemon, Event::Cancel { token, key });
+            self.handle_event(daemon, Event::Cancel { token, key });
         }
     }
 
-    /// A daemon claims the one run of a request that is unsafe to repeat.
+    /// A daemon claims the only run of a request that is unsafe to repeat.
     fn take_key(&mut self, daemon: usize, number: u64, nonce: u64) {
-        let key = Key::new(&format!("r{number}")).expect("a key");
-        let token = self.number();
+        let key = Key::new(&format!("r{number}")).expect("the key is valid");
+        let token = self.next_number();
         self.tokens.insert(token, key.clone());
         self.claims.insert(token, nonce);
         let token = Token(token);
-        self.tell(daemon, Event::TakeKey { token, key, nonce });
+        self.handle_event(daemon, Event::TakeKey { token, key, nonce });
     }
 
-    /// Lets time pass.
+    /// Advances the clock and sends ticks to the running daemons.
     fn pass(&mut self, ms: u64) {
         self.read_overdue(ms);
         self.now = self.now + Duration::from_ms(ms);
-        self.turn_off();
+        self.shut_down_delisted();
         for worker in 0..WORKERS_COUNT {
-            self.lapse(worker);
+            self.expire_leases(worker);
         }
         for daemon in 0..DAEMONS_COUNT {
             if self.daemons[daemon].is_awake() {
-                self.tell(daemon, Event::Tick);
+                self.handle_event(daemon, Event::Tick);
                 self.make_commit(daemon);
             }
         }
     }
 
-    /// Awake workers read what would otherwise lie in their buffers too long.
+    /// Running workers read orders that would otherwise stay in their buffers for
+    /// too long.
     fn read_overdue(&mut self, ms: u64) {
         let mut index = 0;
         while index < self.buffers.len() {
@@ -390,13 +397,13 @@
         }
     }
 
-    /// Lets time pass with everything that is up at work.
+    /// Runs the simulation for `ms` with all messages delivered and no new faults.
     fn run(&mut self, ms: u64) {
         for _ in 0..ms / RUN_STEP_MS {
             self.pass(RUN_STEP_MS);
             for daemon in 0..DAEMONS_COUNT {
                 self.commit(daemon, true);
-                self.settle_inboxes();
+                self.process_inboxes();
                 while self.daemons[daemon].is_awake() && !self.daemons[daemon].held.is_empty() {
                     self.send(daemon, 0);
                 }
@@ -404,29 +411,30 @@
             for index in (0..self.buffers.len()).rev() {
                 self.arrive(index);
             }
-            for _ in 0..self.backs.len() {
+            for _ in 0..self.worker_messages.len() {
                 self.answer(0);
             }
-            self.settle_inboxes();
+            self.process_inboxes();
         }
     }
 
-    fn lapse(&mut self, worker: usize) {
+    fn expire_leases(&mut self, worker: usize) {
         if self.workers[worker].is_awake() {
             let now = self.now;
-            for ended in self.workers[worker].lapse(now) {
-                self.say_ended(worker, &ended);
+            for ended in self.workers[worker].expire_leases(now) {
+                self.send_ended(worker, &ended);
             }
         }
     }
 
-    /// The worker tells every daemon that is connected to its present run.
-    fn say_ended(&mut self, worker: usize, ended: &Ended) {
+    /// The worker reports an end to every daemon connected to its current
+    /// incarnation.
+    fn send_ended(&mut self, worker: usize, ended: &Ended) {
         for daemon in 0..DAEMONS_COUNT {
             let link = self.daemons[daemon].link(worker);
             let Some(link) = link else { continue };
             if link.incarnation == self.workers[worker].incarnation {
-                self.backs.push(Back {
+                self.worker_messages.push(WorkerMessage {
                     daemon,
                     process: self.daemons[daemon].process,
                     session: link.session,
@@ -446,15 +454,15 @@
             return;
         }
         if let Some(owner) = &mut state.owner {
-            if owner.wants_commit() {
+            if owner.needs_commit() {
                 state.commit = owner.next_commit(now);
             }
         }
     }
 
-    /// The store takes a daemon's commit; its answer arrives or is lost.
+    /// The store handles a daemon's commit; its answer arrives or is lost.
     ///
-    /// A paused daemon's call may be on its way too.
+    /// A paused daemon's call may be in flight too.
     fn commit(&mut self, daemon: usize, is_answered: bool) {
         if self.daemons[daemon].is_dead {
             return;
@@ -482,14 +490,14 @@
             let is_refused = !self.daemons[daemon].has_tried;
             self.close(daemon, is_refused);
         } else {
-            // It learns of it when it wakes and asks again.
+            // The daemon gets the answer when it resumes and retries the commit.
             self.daemons[daemon].commit = Some(commit);
         }
     }
 
     fn hand_over(&mut self, daemon: usize) {
         if let Some(owner) = self.daemons[daemon].owner.as_mut() {
-            owner.begin_hand_over();
+            owner.begin_handover();
         }
     }
 
@@ -506,11 +514,11 @@
         let closing = owner.close(is_refused, &mut actions);
         self.daemons[daemon].closing.push(closing);
         self.daemons[daemon].has_tried = false;
-        // The node passes over what is said of another epoch's commit.
+        // The node ignores answers to commits of another epoch.
         let inbox = &mut self.daemons[daemon].inbox;
         inbox.retain(|event| !matches!(event, Event::CommitDone));
         self.daemons[daemon].commit = None;
-        self.take_replies(&actions);
+        self.record_replies(&actions);
     }
 
     fn claim(&mut self, daemon: usize) {
@@ -531,24 +539,24 @@
             rpc_addr: String::new(),
         };
         let mut config = OwnerConfig::new(0, 1, epoch, identity);
-        // What was acknowledged must be found at the end.
+        // Accepted tasks must still be found at the end of the scenario.
         config.result_retention = Duration::from_s(u64::MAX / 2000);
         config.key_retention = config.result_retention;
         let mut recovery = Recovery::new(config);
         for (seq, value) in &self.store.batches {
-            recovery.read(*seq, value).expect("the log is sound");
+            recovery.read(*seq, value).expect("the log is valid");
         }
         self.daemons[daemon].owner = Some(recovery.finish(self.now));
-        self.tell(daemon, Event::Table(Arc::clone(&self.table)));
+        self.handle_event(daemon, Event::Table(Arc::clone(&self.table)));
         let boxes = self.boxes();
-        self.tell(daemon, Event::Boxes(boxes));
-        self.open_known_links(daemon);
+        self.handle_event(daemon, Event::Boxes(boxes));
+        self.reopen_links(daemon);
     }
 
-    /// Connections are opened anew after a claim.
+    /// Reopens the daemon's connections after a claim.
     ///
-    /// The node passes over what comes from those of an earlier epoch.
-    fn open_known_links(&mut self, daemon: usize) {
+    /// The node ignores events of connections from an earlier epoch.
+    fn reopen_links(&mut self, daemon: usize) {
         let of_session = |event: &Event| {
             matches!(
                 event,
@@ -578,7 +586,7 @@
         self.listed.iter().map(facts).collect()
     }
 
-    /// A daemon reads from the store who owns the shard.
+    /// A daemon reads the shard's owner from the store.
     fn poll(&mut self, daemon: usize) {
         let Some(epoch) = self.epoch_of(daemon) else {
             return;
@@ -588,13 +596,14 @@
         }
         if epoch == self.store.epoch {
             let asked_at = self.now;
-            self.tell(daemon, Event::OwnershipConfirmed { asked_at });
+            self.handle_event(daemon, Event::OwnershipConfirmed { asked_at });
         } else {
             self.close(daemon, false);
         }
     }
 
-    /// The owner asks former owners; the dead are proved to be.
+    /// The owner asks former owners whether their epochs are closed; the epoch of
+    /// a daemon that is known to be dead counts as closed.
     fn ask_closed(&mut self, daemon: usize) {
         if !self.daemons[daemon].is_awake() {
             return;
@@ -606,7 +615,7 @@
             let process = former.owner.incarnation;
             if self.is_closed(process, former.epoch) {
                 let epoch = former.epoch;
-                self.tell(daemon, Event::EpochClosed { epoch });
+                self.handle_event(daemon, Event::EpochClosed { epoch });
             }
         }
     }
@@ -635,7 +644,7 @@
         if self.daemons[daemon].link(worker).is_some() {
             return;
         }
-        let session = self.number();
+        let session = self.next_number();
         let link = Link {
             worker,
             session,
@@ -654,7 +663,7 @@
         );
     }
 
-    /// The connection breaks: what was not sent never will be.
+    /// A connection breaks; orders that were not sent over it are dropped.
     fn cut(&mut self, daemon: usize, worker: usize) {
         let Some(link) = self.daemons[daemon].link(worker) else {
             return;
@@ -664,16 +673,16 @@
         let (lost, kept) = state
             .held
             .drain(..)
-            .partition(|held: &Held| held.session == link.session);
+            .partition(|held: &HeldOrder| held.session == link.session);
         state.held = kept;
-        let lost: Vec<Held> = lost;
+        let lost: Vec<HeldOrder> = lost;
         for held in &lost {
             if let Order::Start { start, .. } = &held.order {
                 let attempt = start.attempt;
                 self.queue(daemon, Event::StartNotSent { attempt });
             }
         }
-        let in_doubt: Vec<AttemptId> = self
+        let unconfirmed: Vec<AttemptId> = self
             .buffers
             .iter()
             .filter(|b| b.daemon == daemon && b.link == link)
@@ -682,12 +691,12 @@
                 _ => None,
             })
             .collect();
-        for attempt in in_doubt {
-            self.queue(daemon, Event::StartInDoubt { attempt });
+        for attempt in unconfirmed {
+            self.queue(daemon, Event::StartUnconfirmed { attempt });
         }
-        // Answers that were on their way over it are lost.
+        // Answers in flight over the connection are lost.
         let lost_acks: Vec<AttemptId> = self
-            .backs
+            .worker_messages
             .iter()
             .filter(|b| b.daemon == daemon && b.session == link.session)
             .filter_map(|b| match b.event {
@@ -696,16 +705,16 @@
             })
             .collect();
         for attempt in lost_acks {
-            self.queue(daemon, Event::StartInDoubt { attempt });
+            self.queue(daemon, Event::StartUnconfirmed { attempt });
         }
-        self.backs
+        self.worker_messages
             .retain(|b| b.daemon != daemon || b.session != link.session);
         let worker = worker_name(worker);
         let session = link.session;
         self.queue(daemon, Event::SessionClosed { worker, session });
     }
 
-    /// An order leaves its daemon, or is still held.
+    /// A daemon sends a held order, or drops it if the connection has closed.
     fn send(&mut self, daemon: usize, index: usize) {
         if !self.daemons[daemon].is_awake() || self.daemons[daemon].held.is_empty() {
             return;
@@ -716,7 +725,7 @@
         let Some(link) = link.filter(|link| link.session == held.session) else {
             return;
         };
-        self.buffers.push(Buffered {
+        self.buffers.push(BufferedOrder {
             daemon,
             process: self.daemons[daemon].process,
             link,
@@ -726,9 +735,9 @@
         });
     }
 
-    /// Returns the order that the worker reads when `index` is its turn: an
-    /// older one that was overtaken often enough goes first.
-    fn overtake(&mut self, index: usize) -> usize {
+    /// Returns the index of the order that the worker reads in place of `index`:
+    /// an older order that has reached the overtaking limit goes first.
+    fn next_to_read(&mut self, index: usize) -> usize {
         let worker = self.buffers[index].link.worker;
         let older = |i: &usize| self.buffers[*i].link.worker == worker;
         let older: Vec<usize> = (0..index).filter(older).collect();
@@ -742,7 +751,8 @@
         index
     }
 
-    /// A worker reads an order from its buffers, in almost any order.
+    /// A worker reads and carries out a message from its buffers, in any sequence
+    /// within the overtaking limit.
     fn arrive(&mut self, index: usize) {
         if self.buffers.is_empty() {
             return;
@@ -752,9 +762,9 @@
         if !self.workers[worker].is_awake() {
             return;
         }
-        let index = self.overtake(index);
+        let index = self.next_to_read(index);
         let buffered = self.buffers.remove(index);
-        self.lapse(worker);
+        self.expire_leases(worker);
         let now = self.now;
         let state = &mut self.workers[worker];
         if state.incarnation != buffered.link.incarnation {
@@ -764,7 +774,7 @@
             Order::Start { start, .. } => {
                 let attempt = start.attempt;
                 let is_on_log = is_on_log(&self.store, attempt);
-                self.off_log = (!is_on_log).then_some(attempt);
+                self.stray_start = (!is_on_log).then_some(attempt);
                 state.start(Running {
                     attempt,
                     resources: start.resources,
@@ -784,7 +794,7 @@
             Order::Stop(stop) => {
                 let ended = state.stop(stop.attempt);
                 if let Some(ended) = ended {
-                    self.say_ended(worker, &ended);
+                    self.send_ended(worker, &ended);
                 }
                 None
             }
@@ -800,7 +810,7 @@
             }
         };
         if let Some(event) = event {
-            self.backs.push(Back {
+            self.worker_messages.push(WorkerMessage {
                 daemon: buffered.daemon,
                 process: buffered.process,
                 session: buffered.link.session,
@@ -809,19 +819,23 @@
         }
     }
 
-    /// A worker's word reaches its daemon, in any order, if still connected.
+    /// A worker's message reaches its daemon, in any order, if the connection is
+    /// still open.
     fn answer(&mut self, index: usize) {
-        if self.backs.is_empty() {
+        if self.worker_messages.is_empty() {
             return;
         }
-        let index = index % self.backs.len();
-        let back = self.backs.remove(index);
-        let daemon = &self.daemons[back.daemon];
-        let is_linked = daemon.links.iter().any(|link| link.session == back.session);
-        if daemon.process != back.process || !is_linked {
+        let index = index % self.worker_messages.len();
+        let message = self.worker_messages.remove(index);
+        let daemon = &self.daemons[message.daemon];
+        let is_linked = daemon
+            .links
+            .iter()
+            .any(|link| link.session == message.session);
+        if daemon.process != message.process || !is_linked {
             return;
         }
-        self.queue(back.daemon, back.event);
+        self.queue(message.daemon, message.event);
     }
 
     fn finish(&mut self, worker: usize, index: usize, is_good: bool) {
@@ -830,7 +844,7 @@
         }
         if let Some(ended) = self.workers[worker].finish(index, is_good) {
             self.tally.finished_count += u64::from(is_good);
-            self.say_ended(worker, &ended);
+            self.send_ended(worker, &ended);
         }
     }
 
@@ -839,10 +853,10 @@
         self.daemons[daemon].is_paused = true;
     }
 
-    /// A daemon dies and another process takes its place.
+    /// A daemon is killed and a new process replaces it.
     fn kill(&mut self, daemon: usize) {
         self.tally.faults_count += 1;
-        let process = self.number();
+        let process = self.next_number();
         self.daemons[daemon] = DaemonFake {
             process,
             ..DaemonFake::default()
@@ -856,12 +870,12 @@
 
     fn thaw(&mut self, worker: usize) {
         self.workers[worker].is_frozen = false;
-        self.lapse(worker);
+        self.expire_leases(worker);
     }
 
     fn restart_worker(&mut self, worker: usize) {
         self.tally.faults_count += 1;
-        let incarnation = self.number();
+        let incarnation = self.next_number();
         self.workers[worker].restart(incarnation);
         for daemon in 0..DAEMONS_COUNT {
             self.cut(daemon, worker);
@@ -869,18 +883,18 @@
         self.buffers.retain(|b| b.link.worker != worker);
     }
 
-    /// The box list drops a box that is being turned off.
+    /// The box list drops a box that is about to be shut down.
     fn delist(&mut self, worker: usize) {
         self.tally.faults_count += 1;
         self.listed.remove(&worker);
-        self.off_at[worker] = Some(self.now + OFF_WITHIN);
-        self.say_boxes();
+        self.shut_down_at[worker] = Some(self.now + SHUT_DOWN_WITHIN);
+        self.send_boxes();
     }
 
-    fn turn_off(&mut self) {
+    fn shut_down_delisted(&mut self) {
         for worker in 0..WORKERS_COUNT {
-            if self.off_at[worker].is_some_and(|at| self.now >= at) {
-                self.off_at[worker] = None;
+            if self.shut_down_at[worker].is_some_and(|at| self.now >= at) {
+                self.shut_down_at[worker] = None;
                 self.restart_worker(worker);
                 self.workers[worker].is_dead = true;
             }
@@ -889,22 +903,22 @@
 
     fn relist(&mut self) {
         for worker in 0..WORKERS_COUNT {
-            // A box that was dropped comes back only after it was off.
-            if let Some(at) = self.off_at[worker] {
+            // A dropped box is listed again only after it was shut down.
+            if let Some(at) = self.shut_down_at[worker] {
                 self.now = self.now.max(at);
-                self.turn_off();
+                self.shut_down_delisted();
             }
             if self.workers[worker].is_dead {
-                let incarnation = self.number();
+                let incarnation = self.next_number();
                 self.workers[worker].restart(incarnation);
                 self.workers[worker].is_dead = false;
             }
             self.listed.insert(worker);
         }
-        self.say_boxes();
+        self.send_boxes();
     }
 
-    fn say_boxes(&mut self) {
+    fn send_boxes(&mut self) {
         for daemon in 0..DAEMONS_COUNT {
             let boxes = self.boxes();
             self.queue(daemon, Event::Boxes(boxes));
@@ -917,23 +931,23 @@
         }
     }
 
-    fn settle_inboxes(&mut self) {
+    fn process_inboxes(&mut self) {
         for daemon in 0..DAEMONS_COUNT {
             while self.daemons[daemon].is_awake() && !self.daemons[daemon].is_lagging {
                 let Some(event) = self.daemons[daemon].inbox.pop_front() else {
                     break;
                 };
                 self.resolve_closing(daemon, &event);
-                self.tell(daemon, event);
+                self.handle_event(daemon, event);
             }
         }
     }
 
-    /// What became of a start also settles an ownership that has ended.
+    /// Reports the outcome of a start to the daemon's ended ownerships too.
     fn resolve_closing(&mut self, daemon: usize, event: &Event) {
         let (Event::StartAcked { attempt }
         | Event::StartNotSent { attempt }
-        | Event::StartInDoubt { attempt }) = event
+        | Event::StartUnconfirmed { attempt }) = event
         else {
             return;
         };
@@ -942,19 +956,19 @@
         }
     }
 
-    fn tell(&mut self, daemon: usize, event: Event) {
+    fn handle_event(&mut self, daemon: usize, event: Event) {
         let now = self.now;
         let mut actions = Vec::new();
         if let Some(owner) = &mut self.daemons[daemon].owner {
             owner.handle(now, event, &mut actions);
         }
-        self.take_replies(&actions);
+        self.record_replies(&actions);
         for action in actions {
-            self.hold(daemon, action);
+            self.hold_order(daemon, action);
         }
     }
 
-    fn take_replies(&mut self, actions: &[Action]) {
+    fn record_replies(&mut self, actions: &[Action]) {
         for action in actions {
             let Action::Reply { token, reply } = action else {
                 continue;
@@ -962,14 +976,14 @@
             let Some(key) = self.tokens.remove(&token.0) else {
                 continue;
             };
-            let word = match reply {
+            let outcome = match reply {
                 Reply::Submit(SubmitReply::Accepted(_)) => {
                     self.accepted.insert(key.clone());
                     "accepted"
                 }
                 Reply::Submit(SubmitReply::Refused { .. }) => "refused",
                 Reply::Submit(SubmitReply::Unknown) => {
-                    self.doubtful.insert(key.clone());
+                    self.unconfirmed_keys.insert(key.clone());
                     "unknown"
                 }
                 Reply::TakeKey(TakeKeyReply::Granted) => {
@@ -980,12 +994,12 @@
                 Reply::TakeKey(TakeKeyReply::Taken) => "taken",
                 Reply::TakeKey(TakeKeyReply::Refused { .. }) => "refused",
             };
-            self.said.insert(key, word);
+            self.last_replies.insert(key, outcome);
         }
     }
 
-    /// What the owner wants sent is held: a pause may come before the send.
-    fn hold(&mut self, daemon: usize, action: Action) {
+    /// Holds an order for a later step to send; the daemon may pause before that.
+    fn hold_order(&mut self, daemon: usize, action: Action) {
         let Action::Order {
             worker: worker_name,
             order,
@@ -997,7 +1011,9 @@
             Order::Start { incarnation, .. } => Some(*incarnation),
             Order::Renew(_) | Order::Stop(_) | Order::Report => None,
         };
-        let worker = worker_name.as_str()[1..].parse().expect("a worker");
+        let worker = worker_name.as_str()[1..]
+            .parse()
+            .expect("the name holds a worker index");
         let link = self.daemons[daemon].link(worker);
         let link = link.filter(|link| incarnation.is_none_or(|i| i == link.incarnation));
         let Some(link) = link else {
@@ -1011,7 +1027,7 @@
             self.asked_at.insert(link.session, self.now);
         }
         let session = link.session;
-        self.daemons[daemon].held.push(Held {
+        self.daemons[daemon].held.push(HeldOrder {
             worker,
             session,
             order,
@@ -1019,45 +1035,45 @@
     }
 }
 
-impl World {
-    /// Returns the last word to the callers of a key.
-    pub fn said(&self, key: &str) -> &'static str {
-        let key = Key::new(key).expect("a key");
-        self.said.get(&key).copied().unwrap_or("nothing")
+impl Simulation {
+    /// Returns the latest reply to the callers of a key.
+    pub fn last_reply(&self, key: &str) -> &'static str {
+        let key = Key::new(key).expect("the key is valid");
+        self.last_replies.get(&key).copied().unwrap_or("nothing")
     }
 
-    /// Returns the phase of a task at the owner that the store names.
+    /// Returns the phase of a task according to the owner named in the store.
     pub fn phase(&self, key: &str) -> String {
-        let key = Key::new(key).expect("a key");
+        let key = Key::new(key).expect("the key is valid");
         let owner = self.store.owner.map(|daemon| &self.daemons[daemon]);
         let owner = owner.and_then(|daemon| daemon.owner.as_ref());
         let status = owner.and_then(|owner| owner.status(&key));
         status.map_or("absent".to_owned(), |status| status.phase.to_string())
     }
 
-    /// Returns how often a task began to run.
+    /// Returns how often a task was started on a worker.
     pub fn runs_count(&self, key: &str) -> usize {
-        let key = Key::new(key).expect("a key");
-        let reader = reader(&self.store);
-        let task = reader.state().by_key(&key);
-        let id = task.map(|task| reader.state().tasks[task].image.id);
-        let begun = self.workers.iter().flat_map(|worker| &worker.begun);
-        begun.filter(|attempt| Some(attempt.task) == id).count()
+        let key = Key::new(key).expect("the key is valid");
+        let recovered_owner = recovered_owner(&self.store);
+        let task = recovered_owner.state().by_key(&key);
+        let id = task.map(|task| recovered_owner.state().tasks[task].image.id);
+        let started = self.workers.iter().flat_map(|worker| &worker.started);
+        started.filter(|attempt| Some(attempt.task) == id).count()
     }
 
-    /// Returns how many attempts run on a worker.
+    /// Returns the number of attempts that run on a worker.
     pub fn running_count(&self, worker: usize) -> usize {
         self.workers[worker].live(self.now).count()
     }
 
-    /// Returns how many starts a daemon holds between check and send.
+    /// Returns the number of starts that a daemon holds and has not sent.
     pub fn held_starts_count(&self, daemon: usize) -> usize {
         let held = self.daemons[daemon].held.iter();
         held.filter(|held| matches!(held.order, Order::Start { .. }))
             .count()
     }
 
-    /// Returns how many batches the log has.
+    /// Returns the number of batches in the log.
     pub fn batches_count(&self) -> usize {
         self.store.batches.len()
     }
