--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,4 +1,4 @@
-//! The store's data: keys, revisions, leases.
+//! The store's data model: keys, revisions and leases.
 
 use ospreywing_store::wire::{
     Bytes, CompareRequest, CompareTarget, DeleteRangeRequest, Header, Int64, KeyValue, PutRequest,
@@ -7,18 +7,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// A lease and the keys that live by it.
+/// A lease and the keys attached to it.
 #[derive(Clone, Debug, Default)]
 struct Lease {
     ttl_ms: u64,
-    lapses_at_ms: u64,
+    expires_at_ms: u64,
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// The largest value, as the brief says.
+/// The maximum size of a value, as specified for the platform's store.
 pub const VALUE_LIMIT_BYTES: usize = 1024 * 1024;
 
-/// Keys with their history's end, and leases.
+/// The latest version of each key, and the leases.
 #[derive(Clone, Debug, Default)]
 pub struct Kv {
     revision: u64,
@@ -52,7 +52,10 @@
         (first, end)
     }
 
-    /// Reads a range.
+    /// Returns the keys of a range.
+    ///
+    /// The count is that of all keys in the range; `min_mod_revision` and `limit`
+    /// restrict the returned keys only.
     pub fn range(&self, request: &RangeRequest) -> RangeReply {
         let bounds = Self::bounds(&request.key, &request.range_end);
         if is_empty(&bounds) {
@@ -80,7 +83,7 @@
         }
     }
 
-    fn holds(&self, compare: &CompareRequest) -> bool {
+    fn condition_holds(&self, compare: &CompareRequest) -> bool {
         let found = self.keys.get(&compare.key.0);
         match compare.target {
             CompareTarget::Version => found.map_or(Int64(0), |kv| kv.version) == compare.version,
@@ -90,21 +93,24 @@
         }
     }
 
-    /// Returns whether a transaction would write.
+    /// Returns whether either branch of a transaction contains a write.
     pub fn is_write(txn: &TxnRequest) -> bool {
         let writes = |op: &RequestOp| op.request_range.is_none();
         txn.success.iter().chain(&txn.failure).any(writes)
     }
 
-    /// Runs a transaction.
+    /// Executes a transaction.
     pub fn txn(&mut self, txn: &TxnRequest) -> TxnReply {
-        let succeeded = txn.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = txn
+            .compare
+            .iter()
+            .all(|compare| self.condition_holds(compare));
         let ops = if succeeded {
             &txn.success
         } else {
             &txn.failure
         };
-        // All writes of a transaction share one revision.
+        // All writes of a transaction have the same revision.
         let revision = self.revision + 1;
         let mut has_written = false;
         let mut responses = Vec::new();
@@ -133,10 +139,10 @@
     }
 
     fn put(&mut self, put: &PutRequest, revision: u64) {
-        let before = self.keys.get(&put.key.0);
-        let created = before.map_or(Int64::from(revision), |kv| kv.create_revision);
-        let version = before.map_or(0, |kv| kv.version.0) + 1;
-        let old_lease = before.map_or(0, |kv| kv.lease.0);
+        let previous = self.keys.get(&put.key.0);
+        let created = previous.map_or(Int64::from(revision), |kv| kv.create_revision);
+        let version = previous.map_or(0, |kv| kv.version.0) + 1;
+        let old_lease = previous.map_or(0, |kv| kv.lease.0);
         if let Some(lease) = self.leases.get_mut(&old_lease) {
             lease.keys.remove(&put.key.0);
         }
@@ -159,42 +165,42 @@
         if is_empty(&bounds) {
             return 0;
         }
-        let gone: Vec<Vec<u8>> = self.keys.range(bounds).map(|(k, _)| k.clone()).collect();
-        for key in &gone {
+        let removed_keys: Vec<Vec<u8>> = self.keys.range(bounds).map(|(k, _)| k.clone()).collect();
+        for key in &removed_keys {
             let removed = self.keys.remove(key);
             let lease = removed.map_or(0, |kv| kv.lease.0);
-            // A key that is put again later does not live by the old lease.
+            // Detach the key, so that it survives the old lease if it is put again.
             if let Some(lease) = self.leases.get_mut(&lease) {
                 lease.keys.remove(key);
             }
         }
-        gone.len()
+        removed_keys.len()
     }
 
-    /// Grants a lease.
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self, ttl_s: u64, now_ms: u64) -> i64 {
         self.next_lease += 1;
         let ttl_ms = ttl_s * 1000;
         let lease = Lease {
             ttl_ms,
-            lapses_at_ms: now_ms + ttl_ms,
+            expires_at_ms: now_ms + ttl_ms,
             keys: BTreeSet::new(),
         };
         self.leases.insert(self.next_lease, lease);
         self.next_lease
     }
 
-    /// Renews a lease and returns its length in seconds, zero where it lapsed.
+    /// Renews a lease and returns its TTL in seconds, or zero if it has expired.
     pub fn keep_alive(&mut self, id: i64, now_ms: u64) -> u64 {
-        self.lapse(now_ms);
+        self.expire_leases(now_ms);
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
         };
-        lease.lapses_at_ms = now_ms + lease.ttl_ms;
+        lease.expires_at_ms = now_ms + lease.ttl_ms;
         lease.ttl_ms / 1000
     }
 
-    /// Revokes a lease.
+    /// Revokes a lease and deletes its keys.
     pub fn revoke(&mut self, id: i64) {
         let Some(lease) = self.leases.remove(&id) else {
             return;
@@ -206,11 +212,14 @@
         self.revision += u64::from(is_changed);
     }
 
-    /// Drops the leases that have lapsed, and their keys.
-    pub fn lapse(&mut self, now_ms: u64) {
-        let lapsed = self.leases.iter().filter(|(_, l)| l.lapses_at_ms <= now_ms);
-        let lapsed: Vec<i64> = lapsed.map(|(&id, _)| id).collect();
-        for id in lapsed {
+    /// Revokes the leases that have expired and deletes their keys.
+    pub fn expire_leases(&mut self, now_ms: u64) {
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, l)| l.expires_at_ms <= now_ms);
+        let expired: Vec<i64> = expired.map(|(&id, _)| id).collect();
+        for id in expired {
             self.revoke(id);
         }
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: the store and the box list.
+//! The platform: an HTTP server with the store and the box list.
 
 use crate::boxes::{Announcement, BoxList};
 
@@ -24,38 +24,38 @@
 use xitca_web::route::{get, post};
 use xitca_web::{App, HttpServer, WebContext};
 
-/// The limits of the platform.
+/// The rate limits and the box list's delay.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformLimits {
-    /// Writes a second.
+    /// Writes per second.
     pub writes_per_s: u64,
-    /// Reads a second.
+    /// Reads per second.
     pub reads_per_s: u64,
-    /// How long after its last word a box stays on the list.
+    /// How long a box stays listed after its last announcement, in milliseconds.
     pub box_lag_ms: u64,
 }
 
-/// Calls by kind, as counted by the platform itself.
+/// Call counters of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Calls by path.
+    /// Calls per path.
     pub calls: BTreeMap<String, u64>,
-    /// Writes.
+    /// Writes that passed the rate limit.
     pub writes_count: u64,
-    /// Reads.
+    /// Reads that passed the rate limit.
     pub reads_count: u64,
-    /// Calls refused by the rate limits.
+    /// Calls rejected by the rate limits.
     pub limited_count: u64,
     /// Bytes received and sent in bodies.
     pub bytes: u64,
-    /// The most writes that were taken in one second.
+    /// The maximum number of writes in one second.
     pub peak_writes_per_s: u64,
-    /// The most reads that were taken in one second.
+    /// The maximum number of reads in one second.
     pub peak_reads_per_s: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Second {
+struct SecondCounts {
     number: u64,
     writes_count: u64,
     reads_count: u64,
@@ -68,17 +68,17 @@
     writes: RateLimit,
     reads: RateLimit,
     counts: PlatformCounts,
-    second: Second,
+    current_second: SecondCounts,
 }
 
-/// The platform, shared by its handlers.
+/// The platform's state, shared by the HTTP handlers.
 #[derive(Clone)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
 }
 
-/// A store that is down keeps a call open for this long.
-const DOWN_FOR: Duration = Duration::from_secs(10);
+/// How long a store that is down holds a call before it answers "unavailable".
+const DOWN_DELAY: Duration = Duration::from_secs(10);
 
 impl Platform {
     /// Creates an empty platform.
@@ -90,7 +90,7 @@
             writes: RateLimit::new(limits.writes_per_s),
             reads: RateLimit::new(limits.reads_per_s),
             counts: PlatformCounts::default(),
-            second: Second::default(),
+            current_second: SecondCounts::default(),
         };
         Self {
             state: Arc::new(Mutex::new(state)),
@@ -103,7 +103,7 @@
 }
 
 impl State {
-    /// Counts a call and returns whether its rate limit lets it pass.
+    /// Counts a call and returns whether the rate limit permits it.
     fn admit(&mut self, path: &str, is_write: bool) -> bool {
         let now = clock::now().as_ms();
         *self.counts.calls.entry(path.to_owned()).or_default() += 1;
@@ -112,38 +112,40 @@
         } else {
             &mut self.reads
         };
-        if !limit.take(now) {
+        if !limit.try_take(now) {
             self.counts.limited_count += 1;
             return false;
         }
-        self.count(now / 1000, is_write);
+        self.record_call(now / 1000, is_write);
         true
     }
 
-    fn count(&mut self, second: u64, is_write: bool) {
-        if self.second.number != second {
-            self.second = Second {
-                number: second,
-                ..Second::default()
+    fn record_call(&mut self, current_second: u64, is_write: bool) {
+        if self.current_second.number != current_second {
+            self.current_second = SecondCounts {
+                number: current_second,
+                ..SecondCounts::default()
             };
         }
         self.counts.writes_count += u64::from(is_write);
         self.counts.reads_count += u64::from(!is_write);
-        self.second.writes_count += u64::from(is_write);
-        self.second.reads_count += u64::from(!is_write);
+        self.current_second.writes_count += u64::from(is_write);
+        self.current_second.reads_count += u64::from(!is_write);
         let counts = &mut self.counts;
-        counts.peak_writes_per_s = counts.peak_writes_per_s.max(self.second.writes_count);
-        counts.peak_reads_per_s = counts.peak_reads_per_s.max(self.second.reads_count);
+        counts.peak_writes_per_s = counts
+            .peak_writes_per_s
+            .max(self.current_second.writes_count);
+        counts.peak_reads_per_s = counts.peak_reads_per_s.max(self.current_second.reads_count);
     }
 }
 
 type Context<'r> = WebContext<'r, Platform>;
 
-/// Serves the platform at each of the listeners until the process ends.
+/// Serves the platform on all listeners until the process ends.
 ///
 /// # Errors
 ///
-/// Returns an error where a listener can't be used.
+/// Returns an error if the server can't use a listener.
 pub fn serve(listeners: Vec<TcpListener>, platform: Platform) -> std::io::Result<()> {
     let app = App::new()
         .with_state(platform)
@@ -169,8 +171,8 @@
     host.rsplit_once(':')?.1.parse().ok()
 }
 
-/// Holds a call up as the faults say; returns whether it goes on.
-async fn pass_faults(ctx: &Context<'_>) -> bool {
+/// Delays a call according to the faults. Returns false if the store is down.
+async fn apply_faults(ctx: &Context<'_>) -> bool {
     let port = port_of(ctx);
     let (is_down, slow_ms) = {
         let state = ctx.state().lock();
@@ -179,7 +181,7 @@
         (faults.is_down || is_port_down, faults.slow_ms)
     };
     if is_down {
-        tokio::time::sleep(DOWN_FOR).await;
+        tokio::time::sleep(DOWN_DELAY).await;
         return false;
     }
     if slow_ms > 0 {
@@ -208,12 +210,12 @@
     json(StatusCode::BAD_REQUEST, &ErrorReply { code: 3, message })
 }
 
-/// Runs a call under the faults and limits.
-async fn run<Q, A>(
+/// Handles a call to the store, subject to the faults and rate limits.
+async fn handle_call<Q, A>(
     ctx: &Context<'_>,
     path: &str,
     is_write: impl FnOnce(&Q) -> bool,
-    work: impl FnOnce(&mut State, &Q) -> A,
+    apply: impl FnOnce(&mut State, &Q) -> A,
 ) -> WebResponse
 where
     Q: for<'de> Deserialize<'de>,
@@ -223,7 +225,7 @@
         Ok(request) => request,
         Err(error) => return invalid(error),
     };
-    if !pass_faults(ctx).await {
+    if !apply_faults(ctx).await {
         return unavailable();
     }
     let is_write = is_write(&request);
@@ -232,8 +234,8 @@
         if !state.admit(path, is_write) {
             return limited();
         }
-        state.kv.lapse(clock::now().as_ms());
-        let reply = work(&mut state, &request);
+        state.kv.expire_leases(clock::now().as_ms());
+        let reply = apply(&mut state, &request);
         let permille = state.faults.lose_answers_permille;
         let is_lost = is_write && rand::rng().random_range(0..1000) < permille;
         (reply, is_lost)
@@ -245,12 +247,12 @@
 }
 
 async fn range(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &RangeRequest| state.kv.range(request);
-    run(ctx, wire::RANGE, |_| false, work).await
+    let apply = |state: &mut State, request: &RangeRequest| state.kv.range(request);
+    handle_call(ctx, wire::RANGE, |_| false, apply).await
 }
 
 async fn txn(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &TxnRequest| {
+    let apply = |state: &mut State, request: &TxnRequest| {
         let puts = request
             .success
             .iter()
@@ -259,46 +261,47 @@
             .into_iter()
             .any(|put| put.value.0.len() > VALUE_LIMIT_BYTES);
         if is_too_large {
-            // A value over the limit is a fault of the caller: nothing is written.
+            // A value over the limit is the caller's error: write nothing and report that
+            // the transaction did not succeed.
             return wire::TxnReply::default();
         }
         state.kv.txn(request)
     };
-    run(ctx, wire::TXN, Kv::is_write, work).await
+    handle_call(ctx, wire::TXN, Kv::is_write, apply).await
 }
 
 async fn grant(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &LeaseGrantRequest| LeaseReply {
+    let apply = |state: &mut State, request: &LeaseGrantRequest| LeaseReply {
         id: Int64(state.kv.grant(request.ttl.as_u64(), clock::now().as_ms())),
         ttl: request.ttl,
     };
-    run(ctx, wire::LEASE_GRANT, |_| true, work).await
+    handle_call(ctx, wire::LEASE_GRANT, |_| true, apply).await
 }
 
 async fn keep_alive(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &LeaseRequest| Streamed {
+    let apply = |state: &mut State, request: &LeaseRequest| Streamed {
         result: LeaseReply {
             id: request.id,
             ttl: Int64::from(state.kv.keep_alive(request.id.0, clock::now().as_ms())),
         },
     };
-    run(ctx, wire::LEASE_KEEPALIVE, |_| true, work).await
+    handle_call(ctx, wire::LEASE_KEEPALIVE, |_| true, apply).await
 }
 
 async fn revoke(ctx: &Context<'_>) -> WebResponse {
-    let work = |state: &mut State, request: &LeaseRequest| {
+    let apply = |state: &mut State, request: &LeaseRequest| {
         state.kv.revoke(request.id.0);
         Header::default()
     };
-    run(ctx, wire::LEASE_REVOKE, |_| true, work).await
+    handle_call(ctx, wire::LEASE_REVOKE, |_| true, apply).await
 }
 
 async fn boxes(ctx: &Context<'_>) -> WebResponse {
     let list = ctx.state().lock().boxes.list(clock::now().as_ms());
     let text = serde_json::to_string(&list).unwrap_or_default();
     let tag = format!("\"{:016x}\"", stable_hash(&text));
-    let known = ctx.req().headers().get(IF_NONE_MATCH);
-    if known.is_some_and(|known| known.as_bytes() == tag.as_bytes()) {
+    let known_tag = ctx.req().headers().get(IF_NONE_MATCH);
+    if known_tag.is_some_and(|known| known.as_bytes() == tag.as_bytes()) {
         let mut response = WebResponse::new(String::new().into());
         *response.status_mut() = StatusCode::NOT_MODIFIED;
         return response;
@@ -324,7 +327,7 @@
 async fn leave(ctx: &Context<'_>) -> WebResponse {
     match Name::new(&path(ctx).await) {
         Ok(name) => {
-            ctx.state().lock().boxes.leave(name);
+            ctx.state().lock().boxes.mark_leaving(name);
             text(StatusCode::OK, "ok")
         }
         Err(error) => invalid(error.to_string()),
@@ -337,7 +340,7 @@
             let mut state = ctx.state().lock();
             state
                 .boxes
-                .freeze(faults.is_box_list_frozen, clock::now().as_ms());
+                .set_frozen(faults.is_box_list_frozen, clock::now().as_ms());
             state.faults = faults;
             text(StatusCode::OK, "ok")
         }
--- a/crates/standin/tests/kv.rs
+++ b/crates/standin/tests/kv.rs
@@ -1,4 +1,5 @@
-//! The stand-in store keeps the promises that the daemons rest on.
+//! Tests of the stand-in store's leases, transactions and ranges, on which the
+//! daemons depend.
 
 use ospreywing_standin::kv::Kv;
 use ospreywing_store::wire::{
@@ -49,32 +50,33 @@
 }
 
 #[test]
-fn lapse_drops_keys_of_the_lease() {
+fn expire_leases_drops_keys_of_the_lease() {
     let mut kv = Kv::new();
     let lease = kv.grant(10, 0);
     run(&mut kv, vec![put("a", lease)]);
-    kv.lapse(9_999);
+    kv.expire_leases(9_999);
     assert_eq!(count(&kv, "a"), 1);
-    kv.lapse(10_000);
+    kv.expire_leases(10_000);
     assert_eq!(count(&kv, "a"), 0);
 }
 
-/// Found in a real run: a daemon deleted its entry, its successor put it again
-/// under another lease, and the entry was gone when the first lease lapsed.
+/// Guards against losing a key that was put again under a new lease: a daemon deletes
+/// its entry, its successor puts it again under another lease, and the expiry of the
+/// first lease must not delete it.
 #[test]
-fn lapse_key_put_again_lives_by_its_new_lease() {
+fn expire_leases_key_put_again_keeps_its_new_lease() {
     let mut kv = Kv::new();
     let first = kv.grant(10, 0);
     run(&mut kv, vec![put("a", first)]);
     run(&mut kv, vec![delete("a")]);
     let second = kv.grant(100, 0);
     run(&mut kv, vec![put("a", second)]);
-    kv.lapse(10_000);
+    kv.expire_leases(10_000);
     assert_eq!(count(&kv, "a"), 1);
 }
 
 #[test]
-fn keep_alive_lapsed_lease_is_zero() {
+fn keep_alive_expired_lease_is_zero() {
     let mut kv = Kv::new();
     let lease = kv.grant(10, 0);
     assert_eq!(kv.keep_alive(lease, 9_000), 10);
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the store.
+//! The store client.
 
 use crate::key_value::{KeyValue, Page};
 use crate::txn::{Compare, Op, Txn, TxnReply};
@@ -10,63 +10,66 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// A client of the store. Each method is one call, made once.
+/// A client of the store. It never retries a call.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
     http: HttpClient,
     addr: String,
-    time_limit: Duration,
+    timeout: Duration,
 }
 
+/// Idle connections kept open to the store.
 const IDLE_CONNECTIONS: usize = 4;
 
 impl StoreClient {
-    /// Creates a client of the store at `addr` (`IP:port`).
-    pub fn new(addr: &str, time_limit: Duration) -> Self {
+    /// Creates a client of the store at `addr` (`IP:port`); each call fails after `timeout`.
+    pub fn new(addr: &str, timeout: Duration) -> Self {
         Self {
             http: HttpClient::new(IDLE_CONNECTIONS),
             addr: addr.to_owned(),
-            time_limit,
+            timeout,
         }
     }
 
-    /// Reads the keys that start with `prefix` and changed at or after
-    /// `min_mod_revision`, from `first` on, at most `limit_count` of them.
+    /// Reads up to `max_count` keys that start with `prefix`, are at or after `first` and
+    /// last changed at or after `min_mod_revision`.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn range(
         &self,
         prefix: &str,
         first: &str,
         min_mod_revision: u64,
-        limit_count: u64,
+        max_count: u64,
     ) -> Result<Page, StoreError> {
         let request = wire::RangeRequest {
             key: bytes(first),
             range_end: Bytes(wire::prefix_end(prefix)),
-            limit: Int64::from(limit_count),
+            limit: Int64::from(max_count),
             min_mod_revision: Int64::from(min_mod_revision),
         };
         let reply: wire::RangeReply = self.post(wire::RANGE, &request).await?;
-        page_of(reply)
+        page_from_reply(reply)
     }
 
-    /// Reads all keys that start with `prefix`, `page_count` to a call.
+    /// Reads all keys that start with `prefix`, with up to `page_size` keys in each call.
+    ///
+    /// Each page is read at a revision of its own.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
-    pub async fn range_all(&self, prefix: &str, page_count: u64) -> Result<Page, StoreError> {
-        let mut whole = self.range(prefix, prefix, 0, page_count).await?;
+    /// Returns an error if the store sent no valid response.
+    pub async fn range_all(&self, prefix: &str, page_size: u64) -> Result<Page, StoreError> {
+        let mut whole = self.range(prefix, prefix, 0, page_size).await?;
         while whole.has_more {
             let Some(last) = whole.key_values.last() else {
                 break;
             };
-            // The key right after the last one.
+            // The smallest key greater than the last one.
             let first = format!("{}\0", last.key);
-            let page = self.range(prefix, &first, 0, page_count).await?;
+            let page = self.range(prefix, &first, 0, page_size).await?;
             whole.key_values.extend(page.key_values);
             whole.has_more = page.has_more;
             whole.revision = page.revision;
@@ -78,17 +81,17 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer; see
-    /// [`StoreError::is_without_effect`].
+    /// Returns an error if the store sent no valid response. Whether the transaction may
+    /// have taken effect: [`StoreError::is_without_effect`].
     pub async fn txn(&self, txn: &Txn) -> Result<TxnReply, StoreError> {
         let request = wire::TxnRequest {
-            compare: txn.compares.iter().map(compare_of).collect(),
-            success: txn.then.iter().map(op_of).collect(),
-            failure: txn.otherwise.iter().map(op_of).collect(),
+            compare: txn.compares.iter().map(compare_to_wire).collect(),
+            success: txn.then.iter().map(op_to_wire).collect(),
+            failure: txn.otherwise.iter().map(op_to_wire).collect(),
         };
         let reply: wire::TxnReply = self.post(wire::TXN, &request).await?;
         let ranges = reply.responses.into_iter().filter_map(|r| r.response_range);
-        let pages: Result<Vec<Page>, StoreError> = ranges.map(page_of).collect();
+        let pages: Result<Vec<Page>, StoreError> = ranges.map(page_from_reply).collect();
         Ok(TxnReply {
             succeeded: reply.succeeded,
             revision: reply.header.revision.as_u64(),
@@ -96,11 +99,11 @@
         })
     }
 
-    /// Asks for a lease of `ttl_s` seconds and returns its number.
+    /// Requests a lease of `ttl_s` seconds and returns its ID.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn lease_grant(&self, ttl_s: u64) -> Result<u64, StoreError> {
         let request = wire::LeaseGrantRequest {
             ttl: Int64::from(ttl_s),
@@ -109,11 +112,11 @@
         Ok(reply.id.as_u64())
     }
 
-    /// Keeps a lease alive and returns whether it still was.
+    /// Renews a lease and returns whether it was still alive.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn lease_keepalive(&self, lease: u64) -> Result<bool, StoreError> {
         let request = wire::LeaseRequest {
             id: Int64::from(lease),
@@ -123,11 +126,11 @@
         Ok(!reply.result.ttl.is_zero())
     }
 
-    /// Revokes a lease; the keys that live by it are gone.
+    /// Revokes a lease, which deletes the keys attached to it.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store gave no readable answer.
+    /// Returns an error if the store sent no valid response.
     pub async fn lease_revoke(&self, lease: u64) -> Result<(), StoreError> {
         let request = wire::LeaseRequest {
             id: Int64::from(lease),
@@ -141,23 +144,23 @@
         path: &str,
         request: &impl Serialize,
     ) -> Result<T, StoreError> {
-        let call = Call::new(Method::POST, &self.addr, path, self.time_limit).with_json(request)?;
+        let call = Call::new(Method::POST, &self.addr, path, self.timeout).with_json(request)?;
         let answer = self.http.call(call).await?;
         if !answer.status.is_success() {
-            return Err(refusal(&answer));
+            return Err(error_from_answer(&answer));
         }
         Ok(answer.json()?)
     }
 }
 
-fn refusal(answer: &Answer) -> StoreError {
+fn error_from_answer(answer: &Answer) -> StoreError {
     let error: wire::ErrorReply = answer.json().unwrap_or_default();
     let status = answer.status.as_u16();
     if error.code == wire::CODE_RESOURCE_EXHAUSTED || status == 429 {
         return StoreError::RateLimited;
     }
-    // A gateway that lost its store answers with a server error after the
-    // store may have taken the write.
+    // A gateway that lost its connection to the store responds with a server error,
+    // although the store may have applied the write.
     if answer.status.is_server_error() {
         return StoreError::Unanswered(format!("status {status}: {}", error.message));
     }
@@ -171,9 +174,9 @@
     Bytes(text.as_bytes().to_vec())
 }
 
-fn page_of(reply: wire::RangeReply) -> Result<Page, StoreError> {
+fn page_from_reply(reply: wire::RangeReply) -> Result<Page, StoreError> {
     let key_values: Result<Vec<KeyValue>, StoreError> =
-        reply.kvs.into_iter().map(key_value_of).collect();
+        reply.kvs.into_iter().map(key_value_from_wire).collect();
     Ok(Page {
         revision: reply.header.revision.as_u64(),
         key_values: key_values?,
@@ -182,7 +185,7 @@
     })
 }
 
-fn key_value_of(kv: wire::KeyValue) -> Result<KeyValue, StoreError> {
+fn key_value_from_wire(kv: wire::KeyValue) -> Result<KeyValue, StoreError> {
     let key = String::from_utf8(kv.key.0);
     let key = key.map_err(|_| StoreError::Malformed("a key is not text".to_owned()))?;
     Ok(KeyValue {
@@ -192,7 +195,7 @@
     })
 }
 
-fn compare_of(compare: &Compare) -> wire::CompareRequest {
+fn compare_to_wire(compare: &Compare) -> wire::CompareRequest {
     match compare {
         Compare::ModRevision { key, revision } => wire::CompareRequest {
             key: bytes(key),
@@ -208,7 +211,7 @@
     }
 }
 
-fn op_of(op: &Op) -> wire::RequestOp {
+fn op_to_wire(op: &Op) -> wire::RequestOp {
     let mut request = wire::RequestOp::default();
     match op {
         Op::Put { key, value, lease } => {
--- a/crates/table/src/column.rs
+++ b/crates/table/src/column.rs
@@ -1,14 +1,16 @@
-//! The table's columns, each declared once.
+//! The columns of the table: the only declaration of each name, help text,
+//! text form and range.
 
 use crate::row::{Policy, Repeat, Row, RowKind};
 use crate::CellError;
 use ospreywing_types::Name;
 
-/// One column: its name, its meaning, the rows that have it, and its text form.
+/// A column: its name, its help text, the kinds of row that have it, and the
+/// conversion of its cells from and to text.
 pub struct Column {
-    /// The heading in the CSV.
+    /// The heading in the CSV form.
     pub name: &'static str,
-    /// One line for operators.
+    /// A help text of one line, for operators.
     pub help: &'static str,
     /// The kinds of row that have the column.
     pub kinds: &'static [RowKind],
@@ -24,7 +26,7 @@
         self.kinds.contains(&kind)
     }
 
-    /// Returns the column named `name`.
+    /// Returns the column named `name`, if there is one.
     pub fn named(name: &str) -> Option<&'static Self> {
         COLUMNS.iter().find(|column| column.name == name)
     }
@@ -63,7 +65,11 @@
     number(text, min, max.min(CAP_MAX)).map(|value| value as u32)
 }
 
-fn word<T: Copy>(text: &str, words: &[(&str, T)], allowed: &'static str) -> Result<T, CellError> {
+fn keyword<T: Copy>(
+    text: &str,
+    words: &[(&str, T)],
+    allowed: &'static str,
+) -> Result<T, CellError> {
     let found = words.iter().find(|(name, _)| *name == text);
     match found {
         Some((_, value)) => Ok(*value),
@@ -96,7 +102,7 @@
     };
 }
 
-/// Every column, in the order of the CSV.
+/// Every column, in the order of the CSV form.
 pub static COLUMNS: &[Column] = &[
     Column {
         name: "row",
@@ -116,7 +122,7 @@
         set: |row, text| {
             let words = ALL.iter().map(|kind| (kind.as_str(), *kind));
             let words: Vec<_> = words.collect();
-            row.kind = word(text, &words, "cell, team, service, batch")?;
+            row.kind = keyword(text, &words, "cell, team, service, batch")?;
             Ok(())
         },
     },
@@ -137,7 +143,7 @@
         get: |row| row.policy.as_str().to_owned(),
         set: |row, text| {
             let words = [Policy::Waiting, Policy::Packing].map(|word| (word.as_str(), word));
-            row.policy = word(text, &words, "waiting, packing")?;
+            row.policy = keyword(text, &words, "waiting, packing")?;
             Ok(())
         },
     },
@@ -229,7 +235,7 @@
         get: |row| row.repeat.as_str().to_owned(),
         set: |row, text| {
             let words = [Repeat::AtMostOnce, Repeat::Repeatable].map(|word| (word.as_str(), word));
-            row.repeat = word(text, &words, "at_most_once, repeatable")?;
+            row.repeat = keyword(text, &words, "at_most_once, repeatable")?;
             Ok(())
         },
     },
